--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -115,11 +115,11 @@
 		return
 	}
 	a.target, a.incarnation = dec.Target.ID, dec.Target.Incarnation
-	rd.table.Sent(a.target, r.Prompt, a.tokens)
-	a.before = dec.Target.Unread + dec.Target.PeerUnread
+	rd.table.RequestSent(a.target, r.Prompt, a.tokens)
+	a.before = dec.Target.PendingPrefill + dec.Target.PeerPendingPrefill
 	a.unread = dec.Prefill
-	rd.table.Prefill(a.target, a.unread)
-	rd.table.Read(r.profile.Service, r.Prompt, dec.Prefill)
+	rd.table.AddPrefill(a.target, a.unread)
+	rd.table.RecordPrefillShare(r.profile.Service, r.Prompt, dec.Prefill)
 	rd.noteHolder(now, r, a.target)
 	rd.router.Learn(now, a.target, r.Prefix)
 	rd.emit(event.Dispatch{
@@ -141,12 +141,12 @@
 
 // noteHolder announces that a target gets a long prefix, unless that is known.
 func (rd *Reducer) noteHolder(now ident.Time, r *request, id ident.TargetID) {
-	if r.profile.Route == nil || !member.SharesMuch(&r.Request) || !mech.On(codes.AnnouncedHolders) {
+	if r.profile.Route == nil || !member.HasLongSharedPrefix(&r.Request) || !mech.On(codes.AnnouncedHolders) {
 		return
 	}
 	part := r.Prefix[r.Shared-1]
 	if !rd.router.Knows(now, id, part) {
-		rd.table.Holds(id, part)
+		rd.table.PrefixSent(id, part)
 	}
 }
 
@@ -161,7 +161,7 @@
 // forward passes the request to an entry host of another data centre.
 func (rd *Reducer) forward(now ident.Time, r *request, a *attempt) {
 	a.host = a.dec.Host
-	rd.table.OfferTake(a.dec.Centre, a.dec.Pool)
+	rd.table.ForwardStarted(a.dec.Centre, a.dec.Pool)
 	env := event.Envelope{
 		Attempt: a.id, To: a.host.Incarnation, From: rd.self.ID, FromPlace: rd.self.Place,
 		Crossings: r.env.Crossings, Seen: append(append([]ident.EntryID(nil), r.env.Seen...), rd.self.ID),
@@ -186,7 +186,7 @@
 // firstToken records the first token of an answer, which is a sign of life of its target.
 func (rd *Reducer) firstToken(now ident.Time, e event.FirstToken) {
 	if a, ok := rd.attempts[e.Attempt]; ok && a.req.live == a && rd.isCurrent(a) {
-		rd.table.Answered(a.target)
+		rd.table.AnswerBegan(a.target)
 		rd.table.Began(a.target, a.dec.Prefill, a.before, now.Sub(a.start))
 		rd.readDone(a)
 		rd.slack.Began(a.req.profile.Name, now.Sub(a.start))
@@ -196,7 +196,7 @@
 // readDone records that the prompt of an attempt has been prefilled.
 func (rd *Reducer) readDone(a *attempt) {
 	if a.unread > 0 && rd.isCurrent(a) {
-		rd.table.ReadDone(a.target, a.unread)
+		rd.table.PrefillDone(a.target, a.unread)
 	}
 	a.unread = 0
 }
@@ -218,12 +218,12 @@
 	rd.readDone(a)
 	switch {
 	case a.target == "":
-		rd.table.OfferGive(a.dec.Centre, a.dec.Pool)
+		rd.table.ForwardEnded(a.dec.Centre, a.dec.Pool)
 	case !rd.isCurrent(a):
 	case h == tellsNothing:
-		rd.table.Dropped(a.target, a.req.Prompt, a.tokens)
+		rd.table.RequestAborted(a.target, a.req.Prompt, a.tokens)
 	default:
-		rd.table.Ended(a.target, a.req.Prompt, a.tokens, h == answered)
+		rd.table.RequestEnded(a.target, a.req.Prompt, a.tokens, h == answered)
 	}
 }
 
@@ -258,7 +258,7 @@
 	r.delivered = max(r.delivered, e.Delivered)
 	r.generated += e.Generated
 	if a.target == "" && e.Result == event.ResultNotRun && noRoom(e.Code) {
-		rd.table.TurnAway(now, a.dec.Centre, r.profile.Service)
+		rd.table.RecordRefusal(now, a.dec.Centre, r.profile.Service)
 	}
 	if e.Draining && a.target != "" {
 		rd.table.MarkDraining(now, a.target, a.incarnation)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -101,7 +101,7 @@
 		attempts: make(map[ident.Attempt]*attempt),
 	}
 	rd.quota.Place(self.Place.Group(), self.Place.Region)
-	rd.table.SetCold(member.Cold{PerSecond: rd.coldPerSecond, Span: rd.coldSpan})
+	rd.table.SetColdLimits(member.ColdLimits{PerSecond: rd.coldPerSecond, Duration: rd.coldSpan})
 	rd.spread.ReadFirst(bounds.SharedReads)
 	if bounds.Pace > 0 {
 		rd.table.SetPace(bounds.Pace)
@@ -237,7 +237,7 @@
 		rd.summary(now, s, false)
 	}
 	for _, h := range d.Holders {
-		if t, ok := rd.table.Named(h.Target); ok {
+		if t, ok := rd.table.TargetByKey(h.Target); ok {
 			rd.router.Learn(now, t.ID, []uint64{h.Part})
 		}
 	}
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -11,14 +11,14 @@
 // isCurrent reports whether an attempt is at the current incarnation of its target. One at a
 // former incarnation says nothing about the target and holds no slot there.
 func (rd *Reducer) isCurrent(a *attempt) bool {
-	return a.target != "" && rd.table.Runs(a.target, a.incarnation)
+	return a.target != "" && rd.table.IsCurrent(a.target, a.incarnation)
 }
 
 // targetsRestarted ends the attempts at former starts of targets. A target may restart under
 // its id behind a partition, so that no connection is reset and nothing comes any more. Streams
 // are resumed elsewhere, idempotent requests are sent again, and others end as unknown.
 func (rd *Reducer) targetsRestarted() {
-	for _, id := range rd.table.Restarted() {
+	for _, id := range rd.table.TakeRestarted() {
 		rd.router.Forget(id)
 		if t, ok := rd.table.Target(id); ok {
 			rd.emit(event.DropLinks{Target: id, URL: t.URL})
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -66,7 +66,7 @@
 	if now.Sub(rd.startedAt) < retry.Window {
 		b.Floor /= 2
 	}
-	if b.Floor == 0 || !rd.table.ListRead() {
+	if b.Floor == 0 || !rd.table.HasList() {
 		b.Floor = -1
 	}
 	if b.Share == 0 {
@@ -87,7 +87,7 @@
 		rd.service(now, r.profile.Service).Arrived(now)
 	}
 	if rd.isBrought(r) {
-		rd.table.Brought(now, &r.Request, rd.expected(r))
+		rd.table.RecordDemand(now, &r.Request, rd.expected(r))
 	}
 }
 
--- a/internal/dev/base/base.go
+++ b/internal/dev/base/base.go
@@ -39,7 +39,7 @@
 func LeastOutstanding(_ ident.Time, _ route.Query, left []*member.Target) *member.Target {
 	best := left[0]
 	for _, t := range left[1:] {
-		if t.Sent < best.Sent {
+		if t.InFlight < best.InFlight {
 			best = t
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -4,17 +4,18 @@
 //
 //	var usual load.Services
 //	st := load.State{Target: target}
-//	st.Send(now, prompt, generated)
-//	st.Prefill(now, unread)
-//	usual.Began(&st, unread, 0, took)
+//	st.AddRequest(now, prompt, generated)
+//	st.AddPrefill(now, uncached)
+//	usual.ObserveFirstToken(&st, uncached, 0, took)
 //	wait := st.Wait(now, st.Outstanding(now), 1)
 //
-// A State joins three views of one target: its own reports, which lag; the work of this host,
-// which is known exactly; and that of the other hosts, from their digests. Services holds what
-// is usual for the targets of a service, for those of which too little is known.
+// A State combines three sources for one target: the target's own reports, which lag; the
+// requests of this host, which are known exactly; and the requests of the other hosts, taken from
+// their digests. Services holds typical values for each service and stands in for targets that
+// this host has measured too little.
 //
-// Nothing here knows hosts, lists or other data centres, reads a clock or is safe for use by
-// several goroutines.
+// The package knows nothing of hosts, lists or other data centres and reads no clock. Its types
+// are not safe for concurrent use.
 package load
 
 import (
@@ -25,61 +26,63 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Defaults and ages of reports.
+// Defaults, and the ages that bound the use of load reports.
 const (
-	// trustFull is the age up to which a load report counts in full, trustEnd
-	// that at which it counts no more. Past it only the work that the hosts
-	// know to have sent is left to go by.
-	trustFull = 2 * time.Second
-	trustEnd  = 10 * time.Second
-	// defaultSlots stands for targets that report no load.
+	// fullTrustAge is the age up to which a load report has full weight, maxReportAge the age from
+	// which on it has none. Beyond it the estimate rests on the requests that the hosts are known
+	// to have sent.
+	fullTrustAge = 2 * time.Second
+	maxReportAge = 10 * time.Second
+	// defaultSlots is the number of slots assumed for targets that report no load.
 	defaultSlots = 4
-	// defaultDecode is the time of a request where nothing is known.
-	defaultDecode = 2 * time.Second
+	// defaultRequestTime is the request time assumed for a target without measurements.
+	defaultRequestTime = 2 * time.Second
 )
 
-// State is a target with its load as this host knows it. With a Capacity the target reports its
-// load in its answers, else when it is polled.
+// State is a target with its load as this host estimates it. A target with a Capacity reports its
+// load in its answers; any other is polled.
 type State struct {
 	event.Target
-	// Load is the newest report, LoadAt when the target made it as far as its
-	// age says; HasLoad says whether there is one.
+	// Load is the newest report. LoadAt is the time at which the target made it, computed from the
+	// age that the report gives. HasLoad is false until the first report.
 	Load    event.Load
 	LoadAt  ident.Time
 	HasLoad bool
-	// Sent counts the requests that this host has sent and that have not
-	// ended, SentTokens their prefill work, SentGenerated the most that they
-	// may generate.
-	Sent          int
-	SentTokens    ident.Tokens
-	SentGenerated ident.Tokens
-	// PeerSent and PeerTokens are the same of the other hosts of the data
-	// centre, from their digests.
-	PeerSent   int
-	PeerTokens ident.Tokens
-	// Unread is the part of the prompts sent from here that the target has to read
-	// and whose first token has not come, PeerUnread the same of the other hosts.
-	Unread     ident.Tokens
-	PeerUnread ident.Tokens
-
-	// rated says that the rate at which it reads prompts was seen.
-	rated bool
-	// run is the usual time that a request of its service takes.
-	run time.Duration
-	// others is the smoothed number of requests of other hosts, as in answers,
-	// and othersSeen the newest.
-	others     float64
-	othersSeen int
-
-	recent Recent
-	ahead  ahead
+	// InFlight counts the requests that this host has sent and that have not ended. InFlightTokens
+	// is their prefill work, InFlightMaxGenerated the sum of their limits on generated tokens.
+	InFlight             int
+	InFlightTokens       ident.Tokens
+	InFlightMaxGenerated ident.Tokens
+	// PeerInFlight and PeerInFlightTokens are the same for the other hosts of the data centre,
+	// taken from their digests.
+	PeerInFlight       int
+	PeerInFlightTokens ident.Tokens
+	// PendingPrefill is the number of prompt tokens that the target has to prefill for requests of
+	// this host whose first token has not arrived. PeerPendingPrefill is the same for the other
+	// hosts.
+	PendingPrefill     ident.Tokens
+	PeerPendingPrefill ident.Tokens
+
+	// hasPrefillRate is true once this host has measured the prefill rate of the target.
+	hasPrefillRate bool
+	// requestTime is the typical duration of a request of the target's service, zero if unknown.
+	requestTime time.Duration
+	// smoothedOthers is the moving average of the number of requests of other hosts, derived from
+	// the load in answers; lastOthers is the newest sample.
+	smoothedOthers float64
+	lastOthers     int
+
+	sends   SendWindow
+	backlog prefillBacklog
 }
 
-// Restarted returns the state of a new start of the target: without work, and with what is usual
-// for its service.
-func (s *State) Restarted(d event.Target) State { return State{Target: d, run: s.run} }
+// AfterRestart returns the state for a new incarnation of the target: no requests, and the typical
+// request time of its service.
+func (s *State) AfterRestart(d event.Target) State {
+	return State{Target: d, requestTime: s.requestTime}
+}
 
-// Slots returns how many requests the target runs at once.
+// Slots returns how many requests the target runs concurrently.
 func (s *State) Slots() int {
 	if s.HasLoad && s.Load.Slots > 0 {
 		return s.Load.Slots
@@ -90,91 +93,89 @@
 	return defaultSlots
 }
 
-// Outstanding estimates the requests of all senders at the target now.
+// Outstanding estimates the requests of all senders that are at the target now.
 //
-// A report lags, and this host's own work is known exactly. So the report is
-// used for the work of others only: what it counted less what this host had
-// there at the time. The digests of the peers bound it from below.
+// A report lags, while the requests of this host are known exactly. So the report serves only to
+// estimate the requests of other hosts: its total less the requests that this host had at the
+// target when the report was made. The counts in the digests of the peers are a lower bound.
 func (s *State) Outstanding(now ident.Time) int {
-	others := s.PeerSent
-	if s.Capacity > 0 && s.HasLoad && now.Sub(s.LoadAt) <= s.seenFor() {
-		return s.Sent + s.seenOthers(now)
+	others := s.PeerInFlight
+	if s.Capacity > 0 && s.HasLoad && now.Sub(s.LoadAt) <= s.answerLoadTTL() {
+		return s.InFlight + s.othersInFlight(now)
 	}
 	if s.HasLoad {
-		net, _ := s.recent.Since(now, s.LoadAt)
-		reported := s.Load.Running + s.Load.Queued - (s.Sent - net)
-		if more := reported - others; more > 0 {
-			others += int(math.Ceil(s.trust(now) * float64(more)))
+		net, _ := s.sends.Since(now, s.LoadAt)
+		reported := s.Load.Running + s.Load.Queued - (s.InFlight - net)
+		if excess := reported - others; excess > 0 {
+			others += int(math.Ceil(s.reportWeight(now) * float64(excess)))
 		}
 	}
-	return s.Sent + others
+	return s.InFlight + others
 }
 
-// trust returns how far the newest report counts, from 1 to 0.
-func (s *State) trust(now ident.Time) float64 {
+// reportWeight returns the weight of the newest report by its age, from 1 down to 0.
+func (s *State) reportWeight(now ident.Time) float64 {
 	age := now.Sub(s.LoadAt)
-	if age <= trustFull {
+	if age <= fullTrustAge {
 		return 1
 	}
-	if age >= trustEnd {
+	if age >= maxReportAge {
 		return 0
 	}
-	return float64(trustEnd-age) / float64(trustEnd-trustFull)
+	return float64(maxReportAge-age) / float64(maxReportAge-fullTrustAge)
 }
 
-// Report replaces the report in use by one that was made at a time.
-func (s *State) Report(ld event.Load, at ident.Time) {
+// SetReport replaces the current report by one that was made at the given time.
+func (s *State) SetReport(ld event.Load, at ident.Time) {
 	s.Load, s.LoadAt, s.HasLoad = ld, at, true
 }
 
-// Seen merges the load that an answer of the target carried.
-func (s *State) Seen(now ident.Time, running, queued, slots int) {
+// ObserveAnswer merges the load that the target sent with an answer.
+func (s *State) ObserveAnswer(now ident.Time, running, queued, slots int) {
 	s.Load.Target, s.Load.Incarnation = s.ID, s.Incarnation
 	s.Load.Running, s.Load.Queued = running, queued
 	if slots > 0 {
 		s.Load.Slots = slots
 	}
 	s.LoadAt, s.HasLoad = now, true
-	s.othersSeen = max(0, running+queued-s.Sent)
-	s.others += othersWeight * (float64(s.othersSeen) - s.others)
+	s.lastOthers = max(0, running+queued-s.InFlight)
+	s.smoothedOthers += othersWeight * (float64(s.lastOthers) - s.smoothedOthers)
 }
 
-// Use of the load that comes with an answer.
+// Evaluation of the load that targets send with their answers.
 const (
-	// othersWeight is the weight of one answer in the smoothed number of
-	// requests of other hosts.
+	// othersWeight is the weight of one answer in the moving average of the requests of other
+	// hosts.
 	othersWeight = 0.25
-	// seenLong is the age up to which the load of an answer counts more than
-	// the digests of peers where requests take long, seenShort where the
-	// smoothed number does because they are over within brief.
-	seenLong  = 500 * time.Millisecond
-	seenShort = 3 * time.Second
-	brief     = 200 * time.Millisecond
+	// longRequestLoadTTL is the age up to which the load of an answer takes precedence over the
+	// digests of the peers if requests take long. Requests that are shorter than shortRequestTime
+	// use shortRequestLoadTTL: the moving average remains a good estimate for that long.
+	longRequestLoadTTL  = 500 * time.Millisecond
+	shortRequestLoadTTL = 3 * time.Second
+	shortRequestTime    = 200 * time.Millisecond
 )
 
-// seenFor is how long the load that came with an answer is of use.
-func (s *State) seenFor() time.Duration {
-	if s.run > 0 && s.run < brief {
-		return seenShort
+// answerLoadTTL returns the age up to which the load of an answer is used.
+func (s *State) answerLoadTTL() time.Duration {
+	if s.requestTime > 0 && s.requestTime < shortRequestTime {
+		return shortRequestLoadTTL
 	}
-	return seenLong
+	return longRequestLoadTTL
 }
 
-// seenOthers estimates the requests of other hosts at a target by the loads in its answers. The
-// newest one decays towards the usual number at the pace of the service, since short calls
-// end long before the next answer.
-func (s *State) seenOthers(now ident.Time) int {
-	if s.run <= 0 {
-		return s.othersSeen
+// othersInFlight estimates the requests of other hosts at the target from the loads in its answers.
+// The newest sample decays towards the moving average within about one request time, because short
+// calls end long before the next answer.
+func (s *State) othersInFlight(now ident.Time) int {
+	if s.requestTime <= 0 {
+		return s.lastOthers
 	}
-	left := math.Exp(-float64(now.Sub(s.LoadAt)) / float64(s.run))
-	return int(math.Round(s.others + left*(float64(s.othersSeen)-s.others)))
+	decay := math.Exp(-float64(now.Sub(s.LoadAt)) / float64(s.requestTime))
+	return int(math.Round(s.smoothedOthers + decay*(float64(s.lastOthers)-s.smoothedOthers)))
 }
 
-// Run returns the usual time of a request of the target's service, zero where that is
-// not known.
-func (s *State) Run() time.Duration { return s.run }
+// RequestTime returns the typical duration of a request of the target's service, zero if unknown.
+func (s *State) RequestTime() time.Duration { return s.requestTime }
 
-// Held returns the prompts of the requests at the target that have not ended, of all
-// hosts, in tokens.
-func (s *State) Held() ident.Tokens { return s.SentTokens + s.PeerTokens }
+// OutstandingTokens returns the prompt tokens of the requests of all hosts that are at the target.
+func (s *State) OutstandingTokens() ident.Tokens { return s.InFlightTokens + s.PeerInFlightTokens }
--- a/internal/load/recent.go
+++ b/internal/load/recent.go
@@ -6,55 +6,56 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// The window of own sends that is kept to correct a load report.
+// Size of the window in which a host counts its own sends to correct load reports.
 const (
-	recentSlots = 16
-	recentWidth = 250 * time.Millisecond
-	// RecentSpan is the part of the window that is whole.
-	RecentSpan = (recentSlots - 1) * recentWidth
+	windowBuckets = 16
+	bucketWidth   = 250 * time.Millisecond
+	// WindowSpan is the part of the window that is always covered: the newest bucket is still
+	// filling.
+	WindowSpan = (windowBuckets - 1) * bucketWidth
 )
 
-// Recent counts the sends and ends of the last four seconds in slots of a
-// quarter of a second. The zero value is empty.
-type Recent struct {
-	// at is the number of the newest slot since time zero.
-	at     int64
-	net    [recentSlots]int
-	tokens [recentSlots]ident.Tokens
+// SendWindow counts the sends and ends of the last four seconds in buckets of a quarter of a
+// second. The zero value is empty.
+type SendWindow struct {
+	// newest is the number of the newest bucket, counted from time zero.
+	newest int64
+	net    [windowBuckets]int
+	tokens [windowBuckets]ident.Tokens
 }
 
-func slotOf(t ident.Time) int64 { return int64(t) / int64(recentWidth) }
+func bucketOf(t ident.Time) int64 { return int64(t) / int64(bucketWidth) }
 
-// Add counts n sends, or ends below zero, and the prefill work of the sends.
-func (r *Recent) Add(now ident.Time, n int, tokens ident.Tokens) {
-	r.turn(slotOf(now))
-	i := r.at % recentSlots
+// Add counts n sends, or ends if n is negative, and the prefill work of the sends.
+func (r *SendWindow) Add(now ident.Time, n int, tokens ident.Tokens) {
+	r.advance(bucketOf(now))
+	i := r.newest % windowBuckets
 	r.net[i] += n
 	r.tokens[i] += tokens
 }
 
-// turn clears the slots between the newest and s.
-func (r *Recent) turn(s int64) {
-	if s-r.at >= recentSlots {
-		*r = Recent{at: s}
+// advance clears the buckets between the newest one and bucket b, which becomes the newest.
+func (r *SendWindow) advance(b int64) {
+	if b-r.newest >= windowBuckets {
+		*r = SendWindow{newest: b}
 		return
 	}
-	for r.at < s {
-		r.at++
-		r.net[r.at%recentSlots] = 0
-		r.tokens[r.at%recentSlots] = 0
+	for r.newest < b {
+		r.newest++
+		r.net[r.newest%windowBuckets] = 0
+		r.tokens[r.newest%windowBuckets] = 0
 	}
 }
 
-// Since returns the sends less the ends after a time, and the prefill work of
-// the sends. The slot of the time itself counts: to count a send twice makes a
-// target look a little fuller, to miss it lets a burst pile up.
-func (r *Recent) Since(now, from ident.Time) (int, ident.Tokens) {
+// Since returns the sends less the ends since a time, and the prefill work of the sends. The bucket
+// that contains the time counts in full: counting a send twice makes a target look slightly more
+// loaded, while missing one lets a burst pile up.
+func (r *SendWindow) Since(now, from ident.Time) (int, ident.Tokens) {
 	net, tokens := 0, ident.Tokens(0)
-	newest := min(r.at, slotOf(now))
-	for s := max(slotOf(from), r.at-recentSlots+1, 0); s <= newest; s++ {
-		net += r.net[s%recentSlots]
-		tokens += r.tokens[s%recentSlots]
+	newest := min(r.newest, bucketOf(now))
+	for b := max(bucketOf(from), r.newest-windowBuckets+1, 0); b <= newest; b++ {
+		net += r.net[b%windowBuckets]
+		tokens += r.tokens[b%windowBuckets]
 	}
 	return net, tokens
 }
--- a/internal/load/sent.go
+++ b/internal/load/sent.go
@@ -2,31 +2,31 @@
 
 import "verbenadale.example/verbenadale/pkg/ident"
 
-// Prefill records the prefill that a request adds to the target: its prompt less the
-// prefix that the target probably caches.
-func (s *State) Prefill(now ident.Time, tokens ident.Tokens) {
-	s.ahead.add(now, tokens, s.Load.PrefillRate)
-	s.Unread += tokens
+// AddPrefill records the prefill work that a request of this host adds to the target: its prompt
+// less the prefix that the target probably caches.
+func (s *State) AddPrefill(now ident.Time, tokens ident.Tokens) {
+	s.backlog.add(now, tokens, s.Load.PrefillRate)
+	s.PendingPrefill += tokens
 }
 
-// ReadDone subtracts what Prefill recorded of a request, after its first token or its end.
-func (s *State) ReadDone(tokens ident.Tokens) { s.Unread = max(0, s.Unread-tokens) }
+// PrefillDone subtracts what AddPrefill recorded for a request, after its first token or its end.
+func (s *State) PrefillDone(tokens ident.Tokens) { s.PendingPrefill = max(0, s.PendingPrefill-tokens) }
 
-// Send records a request sent to the target.
-func (s *State) Send(now ident.Time, prefill, generated ident.Tokens) {
-	s.Sent++
-	s.SentTokens += prefill
-	s.SentGenerated += generated
-	s.recent.Add(now, 1, prefill)
+// AddRequest records a request that this host sent to the target.
+func (s *State) AddRequest(now ident.Time, prefill, generated ident.Tokens) {
+	s.InFlight++
+	s.InFlightTokens += prefill
+	s.InFlightMaxGenerated += generated
+	s.sends.Add(now, 1, prefill)
 }
 
-// End records the end of a request at the target.
-func (s *State) End(now ident.Time, prefill, generated ident.Tokens) {
-	if s.Sent == 0 {
+// EndRequest records the end of a request at the target.
+func (s *State) EndRequest(now ident.Time, prefill, generated ident.Tokens) {
+	if s.InFlight == 0 {
 		return
 	}
-	s.Sent--
-	s.SentTokens = max(0, s.SentTokens-prefill)
-	s.SentGenerated = max(0, s.SentGenerated-generated)
-	s.recent.Add(now, -1, 0)
+	s.InFlight--
+	s.InFlightTokens = max(0, s.InFlightTokens-prefill)
+	s.InFlightMaxGenerated = max(0, s.InFlightMaxGenerated-generated)
+	s.sends.Add(now, -1, 0)
 }
--- a/internal/load/usual.go
+++ b/internal/load/usual.go
@@ -7,106 +7,108 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Following of what is usual for a service.
+// Smoothing of the typical values of a service.
 const (
-	// runWeight is the weight of one request in the usual time of its service.
-	runWeight = 8
-	// leastPrompt is the shortest prompt whose prefill time is sampled.
-	leastPrompt = 1000
-	// rateStep is the part by which the rate moves towards a sample. The rate tends to the
-	// median, since single samples are far off in both directions.
+	// requestTimeDivisor is the inverse of the weight of one request in the typical request time.
+	requestTimeDivisor = 8
+	// minSampledPrompt is the length of the shortest prompt whose prefill time is sampled, in
+	// tokens.
+	minSampledPrompt = 1000
+	// rateStep is the fraction by which a rate moves towards a sample. Steps of constant size
+	// approach the median, because single samples deviate widely in both directions.
 	rateStep = 1.0 / 16
-	// rateSpread bounds the ratio of the rate of a target and that of its service.
-	rateSpread = 2
-	// paceWeight is the weight of one sample. A host sees a few a second of each
-	// service, so that a change shows within about three seconds.
+	// maxRateRatio bounds the ratio between the rate of a target and the rate of its service.
+	maxRateRatio = 2
+	// paceWeight is the weight of one sample. A host takes a few samples a second for each service,
+	// so that a change shows within about three seconds.
 	paceWeight = 1.0 / 16
-	// paceHalf is the half-life of a slow pace without new samples.
-	paceHalf = 2 * time.Second
-	// bestRise is the part by which the best pace rises towards each sample, so that a
-	// wrong one is forgotten within minutes.
-	bestRise = 1.0 / 1024
+	// paceHalfLife is the time in which the excess over the shortest gap halves without new
+	// samples.
+	paceHalfLife = 2 * time.Second
+	// minGapRise is the fraction by which the shortest gap moves up towards each sample, so that a
+	// wrong one is corrected within minutes.
+	minGapRise = 1.0 / 1024
 )
 
-// Services is what is usual for the targets of each service that report their load in answers.
-// The zero value knows nothing.
+// Services holds the typical values of each service whose targets report their load in answers. The
+// zero value is empty.
 type Services struct {
-	byName map[string]*service
+	byName map[string]*serviceStats
 }
 
-// service holds the rate at which targets read prompts, in tokens a second, the time of a
-// request, and the pace of streams; zero where they are not known.
-type service struct {
-	rate float64
-	run  time.Duration
-	pace Pace
+// serviceStats holds the prefill rate of the targets of a service in tokens a second, the duration
+// of a request, and the pace of streams; each is zero if unknown.
+type serviceStats struct {
+	prefillRate float64
+	requestTime time.Duration
+	pace        Pace
 }
 
-func (sv *Services) at(name string) *service {
+func (sv *Services) stats(name string) *serviceStats {
 	u, ok := sv.byName[name]
 	if !ok {
 		if sv.byName == nil {
-			sv.byName = make(map[string]*service)
+			sv.byName = make(map[string]*serviceStats)
 		}
-		u = &service{}
+		u = &serviceStats{}
 		sv.byName[name] = u
 	}
 	return u
 }
 
-// Run returns the usual time of a request, zero where that is not known.
-func (sv *Services) Run(name string) time.Duration {
+// RequestTime returns the typical duration of a request, zero if unknown.
+func (sv *Services) RequestTime(name string) time.Duration {
 	if u, ok := sv.byName[name]; ok {
-		return u.run
+		return u.requestTime
 	}
 	return 0
 }
 
-// Rate returns the usual rate at which targets read prompts, in tokens a second, zero where
-// that is not known.
-func (sv *Services) Rate(name string) float64 {
+// PrefillRate returns the typical prefill rate of a target in tokens a second, zero if unknown.
+func (sv *Services) PrefillRate(name string) float64 {
 	if u, ok := sv.byName[name]; ok {
-		return u.rate
+		return u.prefillRate
 	}
 	return 0
 }
 
-// Pace returns the pace of streams, and whether it is known.
+// Pace returns the pace of the streams of a service, and whether it is known.
 func (sv *Services) Pace(name string) (Pace, bool) {
-	if u, ok := sv.byName[name]; ok && u.pace.Best > 0 {
+	if u, ok := sv.byName[name]; ok && u.pace.MinGap > 0 {
 		return u.pace, true
 	}
 	return Pace{}, false
 }
 
-// Ran records how long a whole answer of a target took.
-func (sv *Services) Ran(s *State, took time.Duration) {
+// ObserveRequest records how long a target took for a whole answer.
+func (sv *Services) ObserveRequest(s *State, took time.Duration) {
 	if s.Capacity == 0 {
 		return
 	}
-	u := sv.at(s.Service)
-	if u.run == 0 {
-		u.run = took
+	u := sv.stats(s.Service)
+	if u.requestTime == 0 {
+		u.requestTime = took
 	}
-	u.run += (took - u.run) / runWeight
-	s.run = u.run
+	u.requestTime += (took - u.requestTime) / requestTimeDivisor
+	s.requestTime = u.requestTime
 }
 
-// Began records the time from sending a request to the first token of its answer, the
-// tokens of its prompt that were probably read in it, and those that waited before.
-func (sv *Services) Began(s *State, prefill, before ident.Tokens, took time.Duration) {
-	if s.Capacity == 0 || prefill < leastPrompt || took <= 0 {
+// ObserveFirstToken records the time from sending a request to the first token of its answer. The
+// target probably prefilled the given tokens of its prompt in that time, and before them the tokens
+// that were already waiting.
+func (sv *Services) ObserveFirstToken(s *State, prefill, before ident.Tokens, took time.Duration) {
+	if s.Capacity == 0 || prefill < minSampledPrompt || took <= 0 {
 		return
 	}
-	u := sv.at(s.Service)
+	u := sv.stats(s.Service)
 	rate := float64(prefill+before) / took.Seconds()
-	u.rate = follow(u.rate, rate)
-	s.Load.PrefillRate = min(max(follow(s.Load.PrefillRate, rate), u.rate/rateSpread), u.rate*rateSpread)
-	s.rated = true
+	u.prefillRate = stepTowards(u.prefillRate, rate)
+	s.Load.PrefillRate = min(max(stepTowards(s.Load.PrefillRate, rate), u.prefillRate/maxRateRatio), u.prefillRate*maxRateRatio)
+	s.hasPrefillRate = true
 }
 
-// follow moves a rate towards the side on which a sample of it lies.
-func follow(old, sample float64) float64 {
+// stepTowards moves a rate by one rateStep towards a sample. The first sample becomes the rate.
+func stepTowards(old, sample float64) float64 {
 	switch {
 	case old == 0:
 		return sample
@@ -116,66 +118,67 @@
 	return old * (1 - rateStep)
 }
 
-// Paced records the time between two events of a stream at a target.
-func (sv *Services) Paced(now ident.Time, s *State, gap time.Duration) {
+// ObserveGap records the time between two consecutive events of a stream from a target.
+func (sv *Services) ObserveGap(now ident.Time, s *State, gap time.Duration) {
 	if s.Capacity == 0 || gap <= 0 {
 		return
 	}
-	u := sv.at(s.Service)
-	if u.pace.Best == 0 {
-		u.pace = Pace{gap: gap, Best: gap, at: now}
+	u := sv.stats(s.Service)
+	if u.pace.MinGap == 0 {
+		u.pace = Pace{gap: gap, MinGap: gap, at: now}
 		return
 	}
 	u.pace.sample(now, gap)
 }
 
-// Suppose gives a target the times that are usual for its service, and the rate of reading
-// prompts where none was seen. With many targets before many hosts most pairs of the two never
-// meet in a minute, and a target whose rate is unknown looks as if it read any prompt in no time.
-func (sv *Services) Suppose(now ident.Time, s *State) {
+// ApplyUsual sets the typical values of its service in a target, and the prefill rate if this host
+// has not measured one. With many hosts and many targets most pairs of a host and a target exchange
+// no request within a minute, and a target with an unknown rate would look as if it prefilled any
+// prompt in no time.
+func (sv *Services) ApplyUsual(now ident.Time, s *State) {
 	if s.Capacity == 0 {
 		return
 	}
 	u, ok := sv.byName[s.Service]
 	if !ok {
-		u = &service{}
+		u = &serviceStats{}
 	}
-	s.run = u.run
-	s.Load.DecodeRate = u.pace.Rate(now)
-	if !s.rated {
-		s.Load.PrefillRate = u.rate
+	s.requestTime = u.requestTime
+	s.Load.DecodeRate = u.pace.EventRate(now)
+	if !s.hasPrefillRate {
+		s.Load.PrefillRate = u.prefillRate
 	}
 }
 
-// Pace is how long the streams of a service take from one event to the next at the
-// targets here. The zero value knows nothing.
+// Pace is the time between two events of a stream, averaged over the streams of a service at the
+// targets of this data centre. The zero value is unknown.
 //
-// An engine prefills prompts between the tokens of its streams, so that free slots say little
-// about its room. The pace shows it within seconds.
+// An engine prefills prompts between the tokens of its streams, so that free slots say little about
+// its spare capacity. The pace shows the load within seconds.
 type Pace struct {
 	gap time.Duration
-	// Best is the shortest time lately, zero where none is known.
-	Best time.Duration
-	at   ident.Time
+	// MinGap is the shortest recent time between two events, zero if unknown.
+	MinGap time.Duration
+	at     ident.Time
 }
 
-// At returns the time between two events now.
-func (p Pace) At(now ident.Time) time.Duration {
-	slow := float64(p.gap - p.Best)
-	return p.Best + time.Duration(slow*math.Exp2(-now.Sub(p.at).Seconds()/paceHalf.Seconds()))
+// GapAt returns the estimated time between two events at the given time.
+func (p Pace) GapAt(now ident.Time) time.Duration {
+	slow := float64(p.gap - p.MinGap)
+	return p.MinGap + time.Duration(slow*math.Exp2(-now.Sub(p.at).Seconds()/paceHalfLife.Seconds()))
 }
 
-// Rate returns the events a second of one stream, zero where that is not known.
-func (p Pace) Rate(now ident.Time) float64 {
-	if gap := p.At(now); gap > 0 {
+// EventRate returns the events a second of one stream, zero if unknown.
+func (p Pace) EventRate(now ident.Time) float64 {
+	if gap := p.GapAt(now); gap > 0 {
 		return 1 / gap.Seconds()
 	}
 	return 0
 }
 
 func (p *Pace) sample(now ident.Time, gap time.Duration) {
-	p.gap = p.At(now)
+	p.gap = p.GapAt(now)
 	p.gap += time.Duration(paceWeight * float64(gap-p.gap))
-	p.Best = min(p.Best+time.Duration(bestRise*float64(gap-p.Best)), p.gap)
+	p.MinGap = min(p.MinGap+time.Duration(minGapRise*float64(gap-p.MinGap)), p.gap)
 	p.at = now
 }
--- a/internal/load/wait.go
+++ b/internal/load/wait.go
@@ -7,89 +7,90 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Wait predicts the time until a new request starts, with the given number of
-// requests before it at the target and the given share of its slots.
-func (s *State) Wait(now ident.Time, before int, share float64) time.Duration {
+// Wait predicts the time until a new request starts, with the given number of requests ahead of it
+// at the target and the given share of the target's slots.
+func (s *State) Wait(now ident.Time, ahead int, share float64) time.Duration {
 	slots := max(1, int(math.Ceil(share*float64(s.Slots()))))
-	return max(s.prefillWait(now, before), s.slotWait(before, slots))
+	return max(s.prefillWait(now, ahead), s.slotWait(ahead, slots))
 }
 
-// slotWait is the time until a slot is free, with slots that free evenly.
-func (s *State) slotWait(before, slots int) time.Duration {
-	if before < slots {
+// slotWait returns the time until a slot is free, assuming that slots become free at even
+// intervals.
+func (s *State) slotWait(ahead, slots int) time.Duration {
+	if ahead < slots {
 		return 0
 	}
-	turns := float64(before-slots+1) / float64(slots)
-	return time.Duration(turns * float64(s.serviceTime()))
+	rounds := float64(ahead-slots+1) / float64(slots)
+	return time.Duration(rounds * float64(s.expectedRequestTime()))
 }
 
-// serviceTime is the time that one request holds a slot. A request is estimated to generate half
-// of the most that it may.
-func (s *State) serviceTime() time.Duration {
-	if s.run > 0 {
-		return s.run
+// expectedRequestTime returns how long one request is expected to occupy a slot. A request is
+// assumed to generate half of the tokens that its limit allows.
+func (s *State) expectedRequestTime() time.Duration {
+	if s.requestTime > 0 {
+		return s.requestTime
 	}
-	if s.Sent == 0 || s.Load.DecodeRate <= 0 {
-		return defaultDecode
+	if s.InFlight == 0 || s.Load.DecodeRate <= 0 {
+		return defaultRequestTime
 	}
-	each := float64(s.SentGenerated) / float64(s.Sent) / 2
-	return seconds(each / s.Load.DecodeRate)
+	perRequest := float64(s.InFlightMaxGenerated) / float64(s.InFlight) / 2
+	return seconds(perRequest / s.Load.DecodeRate)
 }
 
-// prefillWait is the time that the prefill work before a new request takes.
-func (s *State) prefillWait(now ident.Time, before int) time.Duration {
+// prefillWait returns the time that the prefill work ahead of a new request takes.
+func (s *State) prefillWait(now ident.Time, ahead int) time.Duration {
 	if s.Load.PrefillRate <= 0 {
 		return 0
 	}
 	if s.Capacity > 0 {
-		return seconds(float64(s.Unread+s.PeerUnread) / s.Load.PrefillRate)
+		return seconds(float64(s.PendingPrefill+s.PeerPendingPrefill) / s.Load.PrefillRate)
 	}
-	trust := s.trust(now)
-	_, sent := s.recent.Since(now, s.LoadAt)
+	weight := s.reportWeight(now)
+	_, sent := s.sends.Since(now, s.LoadAt)
 	drained := now.Sub(s.LoadAt).Seconds() * s.Load.PrefillRate
 	reported := max(0, float64(s.Load.QueuedTokens)+float64(sent)-drained)
 	known := 0.0
-	if queued := before - s.Slots(); queued > 0 && before > 0 {
-		known = float64(s.SentTokens+s.PeerTokens) * float64(queued) / float64(before)
+	if queued := ahead - s.Slots(); queued > 0 && ahead > 0 {
+		known = float64(s.InFlightTokens+s.PeerInFlightTokens) * float64(queued) / float64(ahead)
 	}
-	own := s.ahead.left(now, s.Load.PrefillRate)
-	return seconds(max(own, trust*reported+(1-trust)*known) / s.Load.PrefillRate)
+	own := s.backlog.remaining(now, s.Load.PrefillRate)
+	return seconds(max(own, weight*reported+(1-weight)*known) / s.Load.PrefillRate)
 }
 
-// busyWait is the wait for the first token at which a target counts as full
-// when spare capacity is counted. An engine with long prompts has free slots
-// long after its time to a first token has become that of an overload.
-const busyWait = 300 * time.Millisecond
+// saturationWait is the wait for the first token at which a target counts as full in the
+// calculation of spare capacity. An engine with long prompts still has free slots long after its
+// time to first token has reached that of an overload.
+const saturationWait = 300 * time.Millisecond
 
-// Free returns the places of a target that new work may take, with the given
-// number of requests there and the given part of its room.
-func (s *State) Free(now ident.Time, out int, room float64) int {
-	n := max(0, s.Slots()-out)
+// Free returns the number of slots of a target that new work may take, with the given number of
+// outstanding requests and the given fraction of its spare capacity that may be used.
+func (s *State) Free(now ident.Time, outstanding int, fraction float64) int {
+	n := max(0, s.Slots()-outstanding)
 	if s.Capacity == 0 {
 		return n
 	}
-	wait := min(s.prefillWait(now, out), busyWait)
-	return int(room * float64(n) * (1 - float64(wait)/float64(busyWait)))
+	wait := min(s.prefillWait(now, outstanding), saturationWait)
+	return int(fraction * float64(n) * (1 - float64(wait)/float64(saturationWait)))
 }
 
-// ahead is the prefill work that this host has sent and that is not done yet.
+// prefillBacklog is the prefill work that this host has sent to a target and that is not done yet.
 //
-// A report is up to a second old and does not show what was sent since, so that this
-// follows each send.
-type ahead struct {
+// A report is up to a second old and does not cover what was sent after it, so the backlog is
+// updated on each send.
+type prefillBacklog struct {
 	tokens float64
 	at     ident.Time
 }
 
-func (a ahead) left(now ident.Time, rate float64) float64 {
+func (a prefillBacklog) remaining(now ident.Time, rate float64) float64 {
 	return max(0, a.tokens-now.Sub(a.at).Seconds()*rate)
 }
 
-func (a *ahead) add(now ident.Time, tokens ident.Tokens, rate float64) {
+func (a *prefillBacklog) add(now ident.Time, tokens ident.Tokens, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	a.tokens = a.left(now, rate) + float64(tokens)
+	a.tokens = a.remaining(now, rate) + float64(tokens)
 	a.at = now
 }
 
--- a/internal/member/ahead_test.go
+++ b/internal/member/ahead_test.go
@@ -25,8 +25,8 @@
 	if got := wait(0); got != 0 {
 		t.Fatalf("an idle target is waited for %v", got)
 	}
-	tb.Prefill("t", rate/2)
-	tb.Prefill("t", rate/2)
+	tb.AddPrefill("t", rate/2)
+	tb.AddPrefill("t", rate/2)
 	for after, want := range map[time.Duration]time.Duration{
 		0: time.Second, 400 * time.Millisecond: 600 * time.Millisecond, 2 * time.Second: 0,
 	} {
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -63,9 +63,9 @@
 	senders []sender
 	// given are the offers that the data centre may hold of this one, taken
 	// those that hosts of this one may hold of it.
-	given  []given
-	taken  []given
-	passed []*passed
+	given  []heldOffer
+	taken  []heldOffer
+	passed []*forwardWindow
 	// away is when the data centre last turned a request away for want of room, by
 	// service.
 	away  map[string]ident.Time
@@ -129,7 +129,7 @@
 		id.Serve.Version = ""
 		p = c.Pool(id)
 	}
-	if p == nil || !short(p.Free, p.Slots) {
+	if p == nil || !needsHelp(p.Free, p.Slots) {
 		return nil
 	}
 	return p
@@ -226,7 +226,7 @@
 	if s.PoolsKept {
 		s.Pools = old.Pools
 	} else {
-		c.taken = note(c.taken, now, s.Pools)
+		c.taken = recordOffers(c.taken, now, s.Pools)
 		c.madePools = c.made.Add(-s.PoolsAge)
 	}
 	if s.AccountsKept {
@@ -269,7 +269,7 @@
 func (c *Centre) asks() []PoolID {
 	var ids []PoolID
 	for _, p := range c.Summary.Pools {
-		if short(p.Free, p.Slots) {
+		if needsHelp(p.Free, p.Slots) {
 			ids = append(ids, PoolID{p.Serve, p.Service})
 		}
 	}
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -19,7 +19,7 @@
 	hosts := make([]event.Host, n)
 	tables := make([]*Table, n)
 	for i := range hosts {
-		hosts[i] = reachHost(fmt.Sprintf("w%02d", i), "west-a", "west")
+		hosts[i] = newHost(fmt.Sprintf("w%02d", i), "west-a", "west")
 		tables[i] = coldTable(hosts[i], at)
 	}
 	return hosts, tables
@@ -27,7 +27,7 @@
 
 func coldTable(h event.Host, at ident.Time) *Table {
 	tb := New(h)
-	tb.SetCold(Cold{PerSecond: func(string) float64 { return coldBound }})
+	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return coldBound }})
 	tb.Advance(at)
 	return tb
 }
@@ -36,7 +36,7 @@
 // sent. The platform lists the listed hosts; meet says which hosts know of each
 // other at a time after the start.
 func coldPlay(at ident.Time, span time.Duration, hosts, listed []event.Host, tables []*Table, meet func(since time.Duration, i, j int) bool) []ident.Time {
-	cold := reachTarget("a")
+	cold := newTarget("a")
 	cold.ColdFor = time.Minute
 	list := listOf(1, cold)
 	list.Hosts = listed
@@ -50,8 +50,8 @@
 					tb.PeerUp(now, h)
 				}
 			}
-			if tg, _ := tb.Target("a"); !tb.ColdFull(now, tg) {
-				tb.Sent("a", 0, 0)
+			if tg, _ := tb.Target("a"); !tb.ColdLimitReached(now, tg) {
+				tb.RequestSent("a", 0, 0)
 				sends = append(sends, now)
 			}
 		}
@@ -128,7 +128,7 @@
 		drains := 5*time.Second + time.Duration(i/together)*gap
 		lives[i] = life{drains, drains + drain, drains + drain + down}
 	}
-	cold := reachTarget("a")
+	cold := newTarget("a")
 	cold.ColdFor = time.Hour
 	list := listOf(1, cold)
 	list.Hosts = hosts
@@ -154,8 +154,8 @@
 					tb.PeerUp(now, p)
 				}
 			}
-			if tg, _ := tb.Target("a"); !tb.ColdFull(now, tg) {
-				tb.Sent("a", 0, 0)
+			if tg, _ := tb.Target("a"); !tb.ColdLimitReached(now, tg) {
+				tb.RequestSent("a", 0, 0)
 				sends = append(sends, now)
 			}
 		}
@@ -194,17 +194,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			at := ident.Time(time.Minute)
-			tb := New(reachHost("w1", "west-a", "west"))
-			tb.SetCold(Cold{
+			tb := New(newHost("w1", "west-a", "west"))
+			tb.SetColdLimits(ColdLimits{
 				PerSecond: func(string) float64 { return coldBound },
-				Span:      func(string) time.Duration { return 3 * time.Second },
+				Duration:  func(string) time.Duration { return 3 * time.Second },
 			})
 			tb.Advance(at)
-			closed := reachTarget("a")
+			closed := newTarget("a")
 			closed.Closed = true
 			tb.HostsRead(at, listOf(1, closed))
 			at = at.Add(10 * time.Second)
-			tb.HostsRead(at, listOf(2, reachTarget("a")))
+			tb.HostsRead(at, listOf(2, newTarget("a")))
 			asked := 0
 			for _, eff := range tb.Tick(at, Own{}) {
 				if e, ok := eff.(event.PollLoad); ok && e.Target.ID == "a" {
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -17,7 +17,7 @@
 		tb.observeDraining(now, w.Target, w.Incarnation)
 	}
 	tb.mergeBeat(now, d)
-	tb.removalsObserved(now, d.Removed)
+	tb.mergeRemovals(now, d.Removed)
 	// Loads and summaries have numbers of their own.
 	for _, ld := range d.Loads {
 		tb.mergeRelayed(now, ld)
@@ -51,9 +51,9 @@
 func (tb *Table) mergeUse(p *peer, use []event.TargetUse) {
 	for _, u := range p.use {
 		if t, ok := tb.byID[u.Target]; ok {
-			t.PeerSent -= u.Running
-			t.PeerTokens -= u.Tokens
-			t.PeerUnread -= u.Unread
+			t.PeerInFlight -= u.Running
+			t.PeerInFlightTokens -= u.Tokens
+			t.PeerPendingPrefill -= u.Unread
 		}
 	}
 	p.use = slices.Clone(use)
@@ -61,9 +61,9 @@
 		u := &p.use[i]
 		tb.nameUse(u)
 		if t, ok := tb.byID[u.Target]; ok {
-			t.PeerSent += u.Running
-			t.PeerTokens += u.Tokens
-			t.PeerUnread += u.Unread
+			t.PeerInFlight += u.Running
+			t.PeerInFlightTokens += u.Tokens
+			t.PeerPendingPrefill += u.Unread
 		}
 	}
 }
@@ -86,9 +86,9 @@
 			u := &p.use[i]
 			tb.nameUse(u)
 			if u.Target == t.ID {
-				t.PeerSent += u.Running
-				t.PeerTokens += u.Tokens
-				t.PeerUnread += u.Unread
+				t.PeerInFlight += u.Running
+				t.PeerInFlightTokens += u.Tokens
+				t.PeerPendingPrefill += u.Unread
 			}
 		}
 	}
@@ -103,12 +103,12 @@
 		Flows: tb.ownFlows(now), Removed: tb.recentRemovals(now),
 	}
 	for _, t := range tb.targets {
-		if t.Sent > 0 {
-			id, key := tb.nameOf(t)
-			use := event.TargetUse{Target: id, Key: key, Running: t.Sent, Tokens: t.SentTokens}
+		if t.InFlight > 0 {
+			id, key := tb.digestName(t)
+			use := event.TargetUse{Target: id, Key: key, Running: t.InFlight, Tokens: t.InFlightTokens}
 			if t.Capacity > 0 {
 				// The others report their queue with their load.
-				use.Unread = t.Unread
+				use.Unread = t.PendingPrefill
 			}
 			d.Use = append(d.Use, use)
 		}
@@ -138,7 +138,7 @@
 		to = append(to, tb.probes(now)...)
 	}
 	d := tb.digest(now)
-	d.Holders = tb.nextHolders()
+	d.Holders = tb.takeHolders()
 	if regular {
 		d.Loads = tb.newLoads(now)
 		d.Summaries = tb.newSummaries(now)
@@ -193,7 +193,7 @@
 
 func (tb *Table) fillList(now ident.Time, d *event.Digest) {
 	d.Targets, d.ListVersion = tb.listedTargets(), tb.list.version
-	d.Complete = tb.list.complete && tb.steady(now)
+	d.Complete = tb.list.complete && tb.readsAreStable(now)
 }
 
 func (tb *Table) listedTargets() []event.Target {
@@ -203,7 +203,7 @@
 			continue
 		}
 		d := t.Target
-		d.Draining = t.Drains
+		d.Draining = t.KnownDraining
 		ts = append(ts, d)
 	}
 	return ts
--- a/internal/member/draining.go
+++ b/internal/member/draining.go
@@ -12,12 +12,12 @@
 
 // Times of drain notices.
 const (
-	// noticeRepeat bounds how long digests repeat that a target drains or was
+	// noticeRepeatTime bounds how long digests repeat that a target drains or was
 	// removed, for peers that missed a digest.
-	noticeRepeat = 10 * time.Second
-	// noticeLifetime bounds how long the notice of an unknown target or a former
+	noticeRepeatTime = 10 * time.Second
+	// noticeTTL bounds how long the notice of an unknown target or a former
 	// incarnation is kept.
-	noticeLifetime = 10 * time.Minute
+	noticeTTL = 10 * time.Minute
 )
 
 // drainNotice says that an incarnation of a target drains.
@@ -48,7 +48,7 @@
 		return false
 	}
 	if ok {
-		t.Drains = true
+		t.KnownDraining = true
 		tb.note(t, "target is draining")
 	}
 	return true
@@ -60,7 +60,7 @@
 		tb.beat.urgent = true
 	}
 	w, ok := tb.draining[t.ID]
-	t.Drains = ok && w.incarnation >= t.Incarnation
+	t.KnownDraining = ok && w.incarnation >= t.Incarnation
 }
 
 // drainNotices returns all notices or the recent ones.
@@ -68,7 +68,7 @@
 	var ns []event.DrainNotice
 	for _, id := range tb.drainingIDs() {
 		w := tb.draining[id]
-		if all || now.Sub(w.at) <= noticeRepeat {
+		if all || now.Sub(w.at) <= noticeRepeatTime {
 			ns = append(ns, event.DrainNotice{Target: id, Incarnation: w.incarnation})
 		}
 	}
@@ -86,7 +86,7 @@
 		if ok && t.Incarnation <= w.incarnation {
 			continue
 		}
-		if now.Sub(w.at) > noticeLifetime {
+		if now.Sub(w.at) > noticeTTL {
 			delete(tb.draining, id)
 		}
 	}
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -11,78 +11,78 @@
 
 // Following of the work that callers bring, and sharing it out.
 const (
-	// flowSpan is the time that one sample of the work covers. Digests go out as
+	// sampleInterval is the time that one sample of the work covers. Digests go out as
 	// often.
-	flowSpan = Period
+	sampleInterval = Period
 	// flowWeight is the weight of the newest sample.
 	flowWeight = 0.6
 	// missWeight is the weight of one prompt in the part of prompts that engines
 	// have to read.
 	missWeight = 1.0 / 64
-	// eventWork is the work of one event of a stream, in tokens to read: an event of
+	// eventTokens is the work of one event of a stream, in tokens to read: an event of
 	// eight or nine tokens takes a tenth of a millisecond each of the time of an engine
 	// that reads 57 tokens in one.
-	eventWork = 50
-	// easyUse is the part of their time that targets may work before any of it goes elsewhere.
-	easyUse = 0.25
-	// longShared is the number of tokens from which on a prefix is worth going to the
+	eventTokens = 50
+	// spillThreshold is the part of their time that targets may work before any of it goes elsewhere.
+	spillThreshold = 0.25
+	// minLongPrefix is the number of tokens from which on a prefix is worth going to the
 	// engines that cache it, in whichever region.
-	longShared = 2048
+	minLongPrefix = 2048
 )
 
-// flow follows the work that the callers of this host bring for a service: in tokens
+// serviceFlow follows the work that the callers of this host bring for a service: in tokens
 // to read where its targets are engines, and in seconds of a slot where they are not.
-type flow struct {
+type serviceFlow struct {
 	service string
 	// alone and shared are what came since from, by kind; rate is what came a second
 	// before.
 	alone, shared float64
-	from          ident.Time
+	sampleStart   ident.Time
 	rate          event.Flow
 }
 
-// turn closes the sample when its time is over.
-func (f *flow) turn(now ident.Time) {
-	span := now.Sub(f.from)
-	if span < flowSpan {
+// closeSample closes the sample when its time is over.
+func (f *serviceFlow) closeSample(now ident.Time) {
+	span := now.Sub(f.sampleStart)
+	if span < sampleInterval {
 		return
 	}
 	f.rate.Alone += flowWeight * (f.alone/span.Seconds() - f.rate.Alone)
 	f.rate.Shared += flowWeight * (f.shared/span.Seconds() - f.rate.Shared)
-	f.alone, f.shared, f.from = 0, 0, now
+	f.alone, f.shared, f.sampleStart = 0, 0, now
 }
 
-// Brought records a request that a caller brought for a service here, wherever
+// RecordDemand records a request that a caller brought for a service here, wherever
 // it then runs, and of how many events its answer probably has.
-func (tb *Table) Brought(now ident.Time, r *event.Request, events float64) {
+func (tb *Table) RecordDemand(now ident.Time, r *event.Request, events float64) {
 	if r.Prompt == 0 {
-		f := tb.flow(now, r.Service)
-		f.turn(now)
-		f.alone += tb.usual.Run(r.Service).Seconds()
+		f := tb.flowOf(now, r.Service)
+		f.closeSample(now)
+		f.alone += tb.usual.RequestTime(r.Service).Seconds()
 		return
 	}
 	miss, ok := tb.misses[r.Service]
 	if !ok {
 		miss = 1
 	}
-	work := miss*float64(r.Prompt) + eventWork*events
-	f := tb.flow(now, r.Service)
-	f.turn(now)
-	if SharesMuch(r) {
+	work := miss*float64(r.Prompt) + eventTokens*events
+	f := tb.flowOf(now, r.Service)
+	f.closeSample(now)
+	if HasLongSharedPrefix(r) {
 		f.shared += work
 		return
 	}
 	f.alone += work
 }
 
-// SharesMuch reports whether a prompt has a long prefix that other prompts share.
-func SharesMuch(r *event.Request) bool {
+// HasLongSharedPrefix reports whether a prompt has a long prefix that other prompts share.
+func HasLongSharedPrefix(r *event.Request) bool {
 	n := len(r.Prefix)
-	return n > 0 && r.Shared <= n && float64(r.Prompt)*float64(r.Shared)/float64(n) >= longShared
+	return n > 0 && r.Shared <= n && float64(r.Prompt)*float64(r.Shared)/float64(n) >= minLongPrefix
 }
 
-// Read records how much of a prompt its engine probably has to prefill.
-func (tb *Table) Read(service string, prompt, read ident.Tokens) {
+// RecordPrefillShare records how much of a prompt its engine probably has to prefill.
+func (tb *Table) RecordPrefillShare(service string, prompt, read ident.Tokens) {
 	if prompt <= 0 || service == "" {
 		return
 	}
@@ -94,10 +94,10 @@
 	tb.misses[service] = miss + missWeight*(sample-miss)
 }
 
-func (tb *Table) flow(now ident.Time, service string) *flow {
-	i, ok := slices.BinarySearchFunc(tb.flows, service, func(f *flow, s string) int { return strings.Compare(f.service, s) })
+func (tb *Table) flowOf(now ident.Time, service string) *serviceFlow {
+	i, ok := slices.BinarySearchFunc(tb.flows, service, func(f *serviceFlow, s string) int { return strings.Compare(f.service, s) })
 	if !ok {
-		tb.flows = slices.Insert(tb.flows, i, &flow{service: service, from: now, rate: event.Flow{Service: service}})
+		tb.flows = slices.Insert(tb.flows, i, &serviceFlow{service: service, sampleStart: now, rate: event.Flow{Service: service}})
 	}
 	return tb.flows[i]
 }
@@ -106,7 +106,7 @@
 func (tb *Table) ownFlows(now ident.Time) []event.Flow {
 	var fs []event.Flow
 	for _, f := range tb.flows {
-		f.turn(now)
+		f.closeSample(now)
 		if f.rate.Alone+f.rate.Shared > 0 {
 			fs = append(fs, f.rate)
 		}
@@ -119,7 +119,7 @@
 func (tb *Table) demand(now ident.Time, service string) (alone, shared float64) {
 	for _, f := range tb.flows {
 		if f.service == service {
-			f.turn(now)
+			f.closeSample(now)
 			alone += f.rate.Alone
 			shared += f.rate.Shared
 		}
@@ -138,11 +138,11 @@
 	return alone, shared
 }
 
-// Room is the work a second that a data centre may get.
-type Room struct {
+// CentreRoom is the work a second that a data centre may get.
+type CentreRoom struct {
 	// Centre is nil for the own data centre.
 	Centre *Centre
-	Room   float64
+	Work   float64
 
 	// capacity is what its targets can do, in engines or slots.
 	capacity, alone float64
@@ -157,35 +157,35 @@
 //
 // Below easyUse all stays here. From there on to twice as much, other data centres get a growing
 // part of the prefixes, so that a small change moves few of them.
-func (tb *Table) Spill(now ident.Time, service string, prompts bool, rooms []Room) (float64, []Room) {
+func (tb *Table) Spill(now ident.Time, service string, prompts bool, rooms []CentreRoom) (float64, []CentreRoom) {
 	rooms = rooms[:0]
 	id := PoolID{Service: service}
-	size, easy := slotsOf, easyUse
+	size, easy := slotsOf, spillThreshold
 	if prompts {
-		size, easy = enginesOf, easyUse*tb.usual.Rate(service)
+		size, easy = enginesOf, spillThreshold*tb.usual.PrefillRate(service)
 	}
 	alone, shared := tb.demand(now, service)
-	own := Room{alone: alone}
+	own := CentreRoom{alone: alone}
 	if p, ok := tb.pool(id); ok {
 		own.capacity = size(&p.Pool)
 	}
 	rooms = append(rooms, own)
 	for _, c := range tb.centres {
 		if p := c.Pool(id); p != nil && !c.CutOff(now) {
-			rooms = append(rooms, Room{Centre: c, capacity: size(p), alone: p.Alone})
+			rooms = append(rooms, CentreRoom{Centre: c, capacity: size(p), alone: p.Alone})
 			shared += p.Shared
 		}
 	}
-	level := levelOf(rooms, shared)
+	level := evenLevel(rooms, shared)
 	far := 1.0
 	if easy > 0 {
 		far = min(1, max(0, level/easy-1))
 	}
 	level = max(level, easy)
 	for i := range rooms {
-		rooms[i].Room = max(0, level*rooms[i].capacity-rooms[i].alone)
+		rooms[i].Work = max(0, level*rooms[i].capacity-rooms[i].alone)
 		if i > 0 && own.alone <= level*own.capacity {
-			rooms[i].Room *= far
+			rooms[i].Work *= far
 		}
 	}
 	if alone <= 0 {
@@ -198,8 +198,8 @@
 
 func slotsOf(p *event.Pool) float64 { return float64(p.Slots) }
 
-// levelOf returns the work of one engine or slot where all of it is spread evenly.
-func levelOf(rooms []Room, shared float64) float64 {
+// evenLevel returns the work of one engine or slot where all of it is spread evenly.
+func evenLevel(rooms []CentreRoom, shared float64) float64 {
 	work, capacity := shared, 0.0
 	for _, r := range rooms {
 		work += r.alone
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -8,9 +8,9 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// returnGrace is how long after an outage of the platform a target that its list lacks
+// outageGrace is how long after an outage of the platform a target that its list lacks
 // stays in use: entries that expired meanwhile are written again.
-const returnGrace = 2200 * time.Millisecond
+const outageGrace = 2200 * time.Millisecond
 
 // ListFailed records that a read of the platform's list has failed.
 func (tb *Table) ListFailed(now ident.Time) {
@@ -31,40 +31,40 @@
 	}
 }
 
-// steady reports whether this host has read the platform's list for long enough without a
+// readsAreStable reports whether this host has read the platform's list for long enough without a
 // failure to announce removals. Just after an outage an expired entry looks like a removed one.
-func (tb *Table) steady(now ident.Time) bool {
-	return tb.list.steadyAt > 0 && now.Sub(tb.list.steadyAt) >= returnGrace
+func (tb *Table) readsAreStable(now ident.Time) bool {
+	return tb.list.steadyAt > 0 && now.Sub(tb.list.steadyAt) >= outageGrace
 }
 
-// ListRead reports whether this host, or a peer for it, has read the platform's
+// HasList reports whether this host, or a peer for it, has read the platform's
 // list.
-func (tb *Table) ListRead() bool { return tb.list.read || len(tb.peers) > 0 }
+func (tb *Table) HasList() bool { return tb.list.read || len(tb.peers) > 0 }
 
-// listComplete marks the targets that the complete list just read lacks.
-func (tb *Table) listComplete(now ident.Time) {
+// markUnlisted marks the targets that the complete list just read lacks.
+func (tb *Table) markUnlisted(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
-			t.absent(tb.list.version)
+			t.markAbsent(tb.list.version)
 		}
 	}
-	tb.updateGone(now)
+	tb.updateRemoved(now)
 }
 
-// applyComplete removes the targets that a complete list of a peer lacks, also during an
+// removeUnlisted removes the targets that a complete list of a peer lacks, also during an
 // outage of the store at this host.
-func (tb *Table) applyComplete(now ident.Time) {
+func (tb *Table) removeUnlisted(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
 			tb.remove(now, t, tb.list.version)
 		}
 	}
-	tb.updateGone(now)
+	tb.updateRemoved(now)
 }
 
-// mergeStale merges the parts of an own read that hold although a newer list is in use:
+// mergeStaleRead merges the parts of an own read that hold although a newer list is in use:
 // draining targets, and removed ones that no newer list names.
-func (tb *Table) mergeStale(now ident.Time, ev event.HostsRead) {
+func (tb *Table) mergeStaleRead(now ident.Time, ev event.HostsRead) {
 	named := value.SetOf[ident.TargetID]()
 	for _, d := range ev.Targets {
 		named.Add(d.ID)
@@ -76,17 +76,17 @@
 		return
 	}
 	for _, t := range tb.targets {
-		if !named.Has(t.ID) && t.listedAt < ev.Version {
-			t.absent(ev.Version)
+		if !named.Has(t.ID) && t.listedVersion < ev.Version {
+			t.markAbsent(ev.Version)
 		}
 	}
-	tb.updateGone(now)
+	tb.updateRemoved(now)
 }
 
-// removalsObserved applies the removals that a peer has observed.
-func (tb *Table) removalsObserved(now ident.Time, rs []event.RemovedTarget) {
+// mergeRemovals applies the removals that a peer has observed.
+func (tb *Table) mergeRemovals(now ident.Time, rs []event.RemovedTarget) {
 	for _, r := range rs {
-		if t, ok := tb.byID[r.Target]; ok && t.listedAt < r.Version {
+		if t, ok := tb.byID[r.Target]; ok && t.listedVersion < r.Version {
 			tb.remove(now, t, r.Version)
 		}
 	}
@@ -94,9 +94,9 @@
 
 // remove marks a target as gone from a version of the list on.
 func (tb *Table) remove(now ident.Time, t *Target, version uint64) {
-	t.absent(version)
-	if !t.Gone {
-		t.Gone, t.goneAt = true, now
+	t.markAbsent(version)
+	if !t.Removed {
+		t.Removed, t.removalSeenAt = true, now
 		tb.note(t, "target is gone")
 	}
 }
@@ -104,64 +104,64 @@
 // recentRemovals returns the removals that digests repeat. Draining targets are not used
 // anyway.
 func (tb *Table) recentRemovals(now ident.Time) []event.RemovedTarget {
-	if !tb.steady(now) {
+	if !tb.readsAreStable(now) {
 		return nil
 	}
 	var rs []event.RemovedTarget
 	for _, t := range tb.targets {
-		if t.Gone && !t.Drains && now.Sub(t.goneAt) <= noticeRepeat {
-			rs = append(rs, event.RemovedTarget{Target: t.ID, Version: t.removedAt})
+		if t.Removed && !t.KnownDraining && now.Sub(t.removalSeenAt) <= noticeRepeatTime {
+			rs = append(rs, event.RemovedTarget{Target: t.ID, Version: t.removedVersion})
 		}
 	}
 	return rs
 }
 
-// absent records that the list lacks the target from a version on.
-func (t *Target) absent(version uint64) {
+// markAbsent records that the list lacks the target from a version on.
+func (t *Target) markAbsent(version uint64) {
 	t.missing, t.listed = true, false
-	t.removedAt = max(t.removedAt, version)
+	t.removedVersion = max(t.removedVersion, version)
 }
 
-// named records that a version of the list names the target.
-func (t *Target) named(version uint64) {
-	t.listedAt = max(t.listedAt, version)
-	t.removedAt, t.missing = 0, false
+// markListed records that a version of the list names the target.
+func (t *Target) markListed(version uint64) {
+	t.listedVersion = max(t.listedVersion, version)
+	t.removedVersion, t.missing = 0, false
 }
 
-// updateGone updates which targets are gone by the complete lists read so far. Some targets
+// updateRemoved updates which targets are gone by the complete lists read so far. Some targets
 // never drain: their entry is removed, and they stop a few seconds later. During an outage
 // of the platform and returnGrace after it nothing is removed, since entries expire though
 // their targets live.
-func (tb *Table) updateGone(now ident.Time) {
-	held := tb.list.away || tb.list.backAt > 0 && now.Sub(tb.list.backAt) < returnGrace
+func (tb *Table) updateRemoved(now ident.Time) {
+	held := tb.list.away || tb.list.backAt > 0 && now.Sub(tb.list.backAt) < outageGrace
 	for _, t := range tb.targets {
-		gone := t.missing && (t.Gone || !held)
-		if gone == t.Gone {
+		gone := t.missing && (t.Removed || !held)
+		if gone == t.Removed {
 			continue
 		}
 		if gone {
-			tb.remove(now, t, t.removedAt)
-			tb.beat.urgent = tb.beat.urgent || !t.Drains && tb.steady(now)
+			tb.remove(now, t, t.removedVersion)
+			tb.beat.urgent = tb.beat.urgent || !t.KnownDraining && tb.readsAreStable(now)
 			continue
 		}
-		t.Gone = false
+		t.Removed = false
 		tb.note(t, "target is there again")
 	}
 }
 
-// relist merges the cold time and the evacuation of a target from a list. A list of a peer
+// mergeListed merges the cold time and the evacuation of a target from a list. A list of a peer
 // is older, so that only a longer cold time counts.
-func (tb *Table) relist(now ident.Time, t *Target, d event.Target) {
+func (tb *Table) mergeListed(now ident.Time, t *Target, d event.Target) {
 	until := now.Add(d.ColdFor)
 	if d.ColdFor > 0 && until > t.coldUntil {
 		t.coldUntil = until
 	}
 	if t.Closed && !d.Closed {
-		tb.guessCold(now, t)
+		tb.assumeCold(now, t)
 	}
 }
 
 // Usable reports whether work may be sent to a target at all.
 func (t *Target) Usable(now ident.Time) bool {
-	return !t.Drains && !t.Gone && !t.Closed && !t.Suspect(now)
+	return !t.KnownDraining && !t.Removed && !t.Closed && !t.Suspect(now)
 }
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -8,10 +8,10 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func reachTarget(id string) event.Target {
+func newTarget(id string) event.Target {
 	return event.Target{
 		ID: ident.TargetID(id), Incarnation: 1, Kind: event.Service, Service: "writers",
-		Place: reachPlace("west-a", "west"), Capacity: 8,
+		Place: newPlace("west-a", "west"), Capacity: 8,
 	}
 }
 
@@ -28,13 +28,13 @@
 // A target whose entry was removed is used.
 func TestUnlistedTargetIsGone(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
-	tb.HostsRead(at, listOf(2, reachTarget("b")))
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
+	tb.HostsRead(at, listOf(2, newTarget("b")))
 	if usable(t, tb, at, "a") {
 		t.Error("a target that the list lacks is used")
 	}
-	tb.HostsRead(at, listOf(3, reachTarget("a"), reachTarget("b")))
+	tb.HostsRead(at, listOf(3, newTarget("a"), newTarget("b")))
 	if !usable(t, tb, at, "a") {
 		t.Error("a target that is listed again is not used")
 	}
@@ -43,18 +43,18 @@
 // An older list of a peer ends an evacuation.
 func TestOlderListOfAPeerOpensNothing(t *testing.T) {
 	at := ident.Time(time.Second)
-	closed := reachTarget("a")
+	closed := newTarget("a")
 	closed.Closed = true
-	tb := New(reachHost("w1", "west-a", "west"))
+	tb := New(newHost("w1", "west-a", "west"))
 	tb.HostsRead(at, listOf(5, closed))
 	announce := func(seq, version uint64, tg event.Target) {
-		tb.DigestReceived(at, event.Digest{Host: reachHost("w2", "west-a", "west"), Seq: seq, ListVersion: version, Targets: []event.Target{tg}})
+		tb.DigestReceived(at, event.Digest{Host: newHost("w2", "west-a", "west"), Seq: seq, ListVersion: version, Targets: []event.Target{tg}})
 	}
-	announce(1, 4, reachTarget("a"))
+	announce(1, 4, newTarget("a"))
 	if usable(t, tb, at, "a") {
 		t.Error("an older list of a peer opens an evacuated data centre")
 	}
-	announce(2, 6, reachTarget("a"))
+	announce(2, 6, newTarget("a"))
 	if !usable(t, tb, at, "a") {
 		t.Error("a newer list of a peer is not taken")
 	}
@@ -67,15 +67,15 @@
 // Targets whose entries expired in an outage are dropped on its end.
 func TestLapsedEntriesAreWaitedFor(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	tb.ListFailed(at)
 	at = at.Add(5 * time.Second)
-	tb.HostsRead(at, listOf(2, reachTarget("b")))
+	tb.HostsRead(at, listOf(2, newTarget("b")))
 	if !usable(t, tb, at, "a") {
 		t.Error("a target whose entry lapsed is dropped at the platform's return")
 	}
-	at = at.Add(returnGrace)
+	at = at.Add(outageGrace)
 	tb.Tick(at, Own{})
 	if usable(t, tb, at, "a") {
 		t.Error("a target that did not come back is still used")
@@ -85,16 +85,16 @@
 // A cold target is overloaded after an evacuation.
 func TestTakenBackIsCold(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.SetCold(Cold{PerSecond: func(string) float64 { return 6 }, Span: func(string) time.Duration { return 3 * time.Second }})
-	closed := reachTarget("a")
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return 6 }, Duration: func(string) time.Duration { return 3 * time.Second }})
+	closed := newTarget("a")
 	closed.Closed = true
-	tb.HostsRead(at, listOf(1, reachTarget("a")))
+	tb.HostsRead(at, listOf(1, newTarget("a")))
 	tb.HostsRead(at, listOf(2, closed))
 	if usable(t, tb, at, "a") {
 		t.Error("a target of an evacuated data centre is used")
 	}
-	tb.HostsRead(at, listOf(3, reachTarget("a")))
+	tb.HostsRead(at, listOf(3, newTarget("a")))
 	tg, _ := tb.Target("a")
 	if !tg.Cold(at) || tg.Cold(at.Add(3*time.Second)) {
 		t.Error("a target that was taken back is not cold for as long as its service says")
@@ -107,19 +107,19 @@
 	for name, know := range map[string]bool{"hosts that know each other": true, "a host that has lost another": false} {
 		t.Run(name, func(t *testing.T) {
 			at := ident.Time(time.Second)
-			hosts := []event.Host{reachHost("w1", "west-a", "west"), reachHost("w2", "west-a", "west")}
+			hosts := []event.Host{newHost("w1", "west-a", "west"), newHost("w2", "west-a", "west")}
 			var tables []*Table
 			for i, h := range hosts {
 				tb := New(h)
-				tb.SetCold(Cold{PerSecond: func(string) float64 { return bound }})
+				tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return bound }})
 				tb.Advance(at)
 				if know {
 					tb.PeerUp(at, hosts[1-i])
 				}
 				tables = append(tables, tb)
 			}
-			at = at.Add(coldStart)
-			cold := reachTarget("a")
+			at = at.Add(coldStartDelay)
+			cold := newTarget("a")
 			cold.ColdFor = time.Minute
 			var sends []ident.Time
 			for range 500 {
@@ -129,8 +129,8 @@
 					if know {
 						tb.PeerUp(at, hosts[1-i])
 					}
-					if tg, _ := tb.Target("a"); !tb.ColdFull(at, tg) {
-						tb.Sent("a", 0, 0)
+					if tg, _ := tb.Target("a"); !tb.ColdLimitReached(at, tg) {
+						tb.RequestSent("a", 0, 0)
 						sends = append(sends, at)
 					}
 				}
@@ -155,8 +155,8 @@
 // A target stays unused by a load that is over.
 func TestBriefCallsAreNotCountedForLong(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	small := reachTarget("a")
+	tb := New(newHost("w1", "west-a", "west"))
+	small := newTarget("a")
 	small.Capacity = 6
 	tb.HostsRead(at, listOf(1, small))
 	seen := func(running int) {
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -10,14 +10,14 @@
 // maxHolders bounds the prefix holders of one digest, of 12 bytes each.
 const maxHolders = 32
 
-// Holds records that a target was sent a prompt with a long shared prefix, which is named by
+// PrefixSent records that a target was sent a prompt with a long shared prefix, which is named by
 // its last block. The next digest announces it.
-func (tb *Table) Holds(id ident.TargetID, part uint64) {
+func (tb *Table) PrefixSent(id ident.TargetID, part uint64) {
 	t, ok := tb.byID[id]
 	if !ok || len(tb.beat.holders) >= maxHolders {
 		return
 	}
-	key := keyOf(id)
+	key := targetKey(id)
 	if tb.byKey[key] != t {
 		return // Another target goes by the same key.
 	}
@@ -27,15 +27,15 @@
 	}
 }
 
-// nextHolders returns the holders for the next digest, once.
-func (tb *Table) nextHolders() []event.PrefixHolder {
+// takeHolders returns the holders for the next digest, once.
+func (tb *Table) takeHolders() []event.PrefixHolder {
 	hs := tb.beat.holders
 	tb.beat.holders = nil
 	return hs
 }
 
-// Named returns the target that goes by a key.
-func (tb *Table) Named(key event.TargetKey) (*Target, bool) {
+// TargetByKey returns the target that goes by a key.
+func (tb *Table) TargetByKey(key event.TargetKey) (*Target, bool) {
 	t := tb.byKey[key]
 	return t, t != nil
 }
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -17,7 +17,7 @@
 	w.busy("dc1", 10)
 	w.run(30*time.Second, nil)
 	b := w.nodes[1].tb
-	if b.OfferLeft(w.now, "dc0", scribe) == 0 {
+	if b.RemainingOffer(w.now, "dc0", scribe) == 0 {
 		t.Fatal("no offer to begin with")
 	}
 	s := b.Centres(w.now)[0].Summary
@@ -28,7 +28,7 @@
 		s.Age, s.Pools, s.PoolsKept = 0, nil, true
 		b.SummaryReceived(w.now, s)
 	}
-	if left := b.OfferLeft(w.now, "dc0", scribe); left != 0 {
+	if left := b.RemainingOffer(w.now, "dc0", scribe); left != 0 {
 		t.Errorf("%d may be sent on an offer that has expired", left)
 	}
 }
@@ -39,8 +39,8 @@
 	var one, two ident.TargetID
 	for n := 0; one == ""; n++ {
 		two = ident.TargetID(fmt.Sprint("engine-", n))
-		one = first[keyOf(two)]
-		first[keyOf(two)] = two
+		one = first[targetKey(two)]
+		first[targetKey(two)] = two
 	}
 	w := newWorld(24, 1, 2, 0)
 	for _, id := range []ident.TargetID{one, two} {
@@ -49,14 +49,14 @@
 		w.list.Targets = append(w.list.Targets, tg)
 	}
 	w.run(3*time.Second, nil)
-	w.nodes[0].tb.Sent(one, 10, 10)
-	w.nodes[0].tb.Sent(one, 10, 10)
-	w.nodes[0].tb.Sent(two, 10, 10)
+	w.nodes[0].tb.RequestSent(one, 10, 10)
+	w.nodes[0].tb.RequestSent(one, 10, 10)
+	w.nodes[0].tb.RequestSent(two, 10, 10)
 	w.run(3*time.Second, nil)
 	var got []int
 	for _, id := range []ident.TargetID{one, two} {
 		tg, _ := w.nodes[1].tb.Target(id)
-		got = append(got, tg.PeerSent)
+		got = append(got, tg.PeerInFlight)
 	}
 	if d := cmp.Diff([]int{2, 1}, got); d != "" {
 		t.Errorf("work of peers (-want +got):\n%s", d)
@@ -67,18 +67,18 @@
 func TestWorkAtATargetNotYetKnownCounts(t *testing.T) {
 	w := newWorld(25, 1, 2, 0)
 	tb, peer := w.nodes[0].tb, w.nodes[1].tb.Self()
-	d := event.Digest{Host: peer, Seq: 1, Use: []event.TargetUse{{Key: keyOf("late"), Running: 3}}}
+	d := event.Digest{Host: peer, Seq: 1, Use: []event.TargetUse{{Key: targetKey("late"), Running: 3}}}
 	tb.DigestReceived(w.now, d)
 	late := event.Target{ID: "late", Incarnation: 1, Kind: event.Engine, Place: peer.Place}
 	tb.HostsRead(w.now, event.HostsRead{Version: 1, Hosts: []event.Host{peer}, Targets: []event.Target{late}})
 	tg, _ := tb.Target("late")
-	if tg.PeerSent != 3 {
-		t.Errorf("%d count, 3 run", tg.PeerSent)
+	if tg.PeerInFlight != 3 {
+		t.Errorf("%d count, 3 run", tg.PeerInFlight)
 	}
 	d.Seq, d.Use = 2, nil
 	tb.DigestReceived(w.now, d)
-	if tg.PeerSent != 0 {
-		t.Errorf("%d count, none run", tg.PeerSent)
+	if tg.PeerInFlight != 0 {
+		t.Errorf("%d count, none run", tg.PeerInFlight)
 	}
 }
 
@@ -151,7 +151,7 @@
 	tb := w.nodes[0].tb
 	tg := tb.Targets()[0]
 	peer := w.nodes[1].tb.Self()
-	ld := event.Load{Key: keyOf(tg.ID), Incarnation: tg.Incarnation + 1, Seq: 1, Running: 1, Kept: true}
+	ld := event.Load{Key: targetKey(tg.ID), Incarnation: tg.Incarnation + 1, Seq: 1, Running: 1, Kept: true}
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1 << 20, Loads: []event.Load{ld}})
 	if tg.Load.Incarnation > 1 {
 		t.Errorf("%d slots count as those of incarnation %d", tg.Load.Slots, tg.Load.Incarnation)
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -41,7 +41,7 @@
 	tb.readSucceeded(now)
 	if tb.older(now, ev.Version) {
 		tb.noteStaleList(ev.Version)
-		tb.mergeStale(now, ev)
+		tb.mergeStaleRead(now, ev)
 		return
 	}
 	tb.list.source, tb.list.complete = tb.self.ID, ev.Complete
@@ -53,7 +53,7 @@
 	tb.listTargets(now, ev.Targets)
 	tb.listHosts(now, ev.Hosts)
 	if ev.Complete {
-		tb.listComplete(now)
+		tb.markUnlisted(now)
 	}
 }
 
@@ -72,7 +72,7 @@
 	tb.useVersion(now, d.ListVersion)
 	tb.listTargets(now, d.Targets)
 	if d.Complete {
-		tb.applyComplete(now)
+		tb.removeUnlisted(now)
 	}
 }
 
@@ -81,7 +81,7 @@
 func (tb *Table) useVersion(now ident.Time, version uint64) {
 	if version < tb.list.version {
 		for _, t := range tb.targets {
-			t.listedAt, t.removedAt = 0, 0
+			t.listedVersion, t.removedVersion = 0, 0
 		}
 	}
 	tb.list.version = version
@@ -145,11 +145,11 @@
 		if d.Place.Group() != tb.self.Place.Group() {
 			continue
 		}
-		if t, ok := tb.byID[d.ID]; ok && tb.list.version < t.removedAt {
+		if t, ok := tb.byID[d.ID]; ok && tb.list.version < t.removedVersion {
 			continue
 		}
 		tb.putTarget(now, d)
-		tb.byID[d.ID].named(tb.list.version)
+		tb.byID[d.ID].markListed(tb.list.version)
 	}
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -124,12 +124,12 @@
 	list  listState
 	beat  beatState
 	relay []event.Load
-	cold  Cold
+	cold  ColdLimits
 	// usual is what is usual for the targets of each service.
 	usual load.Services
 	// flows is the work that the callers of this host bring, by service; misses the
 	// part of the prompts of a service that its engines have to read.
-	flows  []*flow
+	flows  []*serviceFlow
 	misses map[string]float64
 	// notes are the changes of belief since Notes was last asked.
 	notes []event.Note
--- a/internal/member/member_fail_test.go
+++ b/internal/member/member_fail_test.go
@@ -48,7 +48,7 @@
 	w.busy("dc1", 10)
 	w.run(30*time.Second, nil)
 	n := w.nodes[2]
-	if n.tb.OfferLeft(w.now, "dc0", scribe) == 0 {
+	if n.tb.RemainingOffer(w.now, "dc0", scribe) == 0 {
 		t.Fatal("no offer before the pause")
 	}
 	n.tb.Advance(w.now)
@@ -68,7 +68,7 @@
 	s.Seq += 100
 	s.Age = 0
 	n.tb.SummaryReceived(now, s)
-	if left := n.tb.OfferLeft(now, "dc0", scribe); left != 0 {
+	if left := n.tb.RemainingOffer(now, "dc0", scribe); left != 0 {
 		t.Errorf("an offer of %d outlives the pause", left)
 	}
 }
@@ -121,10 +121,10 @@
 	w.run(100*time.Millisecond, nil)
 	for _, n := range w.nodes {
 		n.tb.HostsRead(w.now, w.list)
-		if x, _ := n.tb.Target("dc0-t0"); !x.Drains {
+		if x, _ := n.tb.Target("dc0-t0"); !x.KnownDraining {
 			t.Errorf("%s does not know", n.id)
 		}
-		if x, _ := n.tb.Target("dc0-t1"); x.Drains {
+		if x, _ := n.tb.Target("dc0-t1"); x.KnownDraining {
 			t.Errorf("%s takes the wrong target for leaving", n.id)
 		}
 	}
@@ -132,7 +132,7 @@
 	w.list.Targets[0].Incarnation = 2
 	w.engine("dc0-t0").Incarnation = 2
 	w.run(3*time.Second, nil)
-	if x, _ := w.nodes[2].tb.Target("dc0-t0"); x.Drains || x.Incarnation != 2 {
+	if x, _ := w.nodes[2].tb.Target("dc0-t0"); x.KnownDraining || x.Incarnation != 2 {
 		t.Errorf("the next incarnation counts as %+v", x.Target)
 	}
 }
@@ -184,7 +184,7 @@
 	w.run(3*time.Second, nil)
 	a, b := w.nodes[0].tb, w.nodes[1].tb
 	for range 4 {
-		a.Sent("dc0-t0", 100, 100)
+		a.RequestSent("dc0-t0", 100, 100)
 	}
 	x, _ := a.Target("dc0-t0")
 	if got := x.Outstanding(w.now); got != 4 {
@@ -201,7 +201,7 @@
 		t.Errorf("the sender counts %d once they are reported, as if they were others'", got)
 	}
 	for range 3 {
-		a.Sent("dc0-t0", 100, 100)
+		a.RequestSent("dc0-t0", 100, 100)
 	}
 	if got := x.Outstanding(w.now); got != 7 {
 		t.Errorf("the sender counts %d after three more", got)
@@ -209,13 +209,13 @@
 	w.busy("dc0", 9)
 	w.run(time.Second, nil)
 	for range 4 {
-		a.Sent("dc0-t0", 100, 100)
+		a.RequestSent("dc0-t0", 100, 100)
 	}
 	if got := x.Outstanding(w.now); got != 13 {
 		t.Errorf("the sender counts %d with two of others", got)
 	}
 	for range 11 {
-		a.Ended("dc0-t0", 100, 100, true)
+		a.RequestEnded("dc0-t0", 100, 100, true)
 	}
 	w.busy("dc0", 0)
 	w.run(3*time.Second, nil)
@@ -258,7 +258,7 @@
 	tb := w.nodes[0].tb
 	for _, x := range tb.Targets() {
 		for range 3 {
-			tb.Ended(x.ID, 0, 0, false)
+			tb.RequestEnded(x.ID, 0, 0, false)
 		}
 	}
 	d := event.Digest{Host: w.nodes[1].tb.Self(), Seq: 1000}
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -9,11 +9,11 @@
 
 // Asking engines for the size of their memory.
 const (
-	// askEvery is the time between two questions to an engine that has not answered.
-	askEvery = 10 * time.Second
-	// asksAtOnce bounds the questions of one second: engines that come back together
+	// memoryAskInterval is the time between two questions to an engine that has not answered.
+	memoryAskInterval = 10 * time.Second
+	// maxMemoryAsks bounds the questions of one second: engines that come back together
 	// are busy, and the answer is of use for as long as they live.
-	asksAtOnce = 16
+	maxMemoryAsks = 16
 )
 
 // askMemory returns the questions to engines whose memory is not known. Engines are
@@ -21,15 +21,15 @@
 func (tb *Table) askMemory(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
-		if t.Capacity == 0 || t.Memory > 0 || tb.usual.Rate(t.Service) == 0 || !t.Usable(now) {
+		if t.Capacity == 0 || t.MemoryTokens > 0 || tb.usual.PrefillRate(t.Service) == 0 || !t.Usable(now) {
 			continue
 		}
-		if t.askedAt > 0 && now.Sub(t.askedAt) < askEvery {
+		if t.memoryAskedAt > 0 && now.Sub(t.memoryAskedAt) < memoryAskInterval {
 			continue
 		}
-		t.askedAt = now
+		t.memoryAskedAt = now
 		effs = append(effs, event.AskMemory{Target: t.Target})
-		if len(effs) == asksAtOnce {
+		if len(effs) == maxMemoryAsks {
 			break
 		}
 	}
@@ -38,7 +38,7 @@
 
 // MemoryReported takes the memory of an engine.
 func (tb *Table) MemoryReported(e event.MemoryReported) {
-	if t, ok := tb.current(e.Target, e.Incarnation); ok {
-		t.Memory = e.Tokens
+	if t, ok := tb.currentTarget(e.Target, e.Incarnation); ok {
+		t.MemoryTokens = e.Tokens
 	}
 }
--- a/internal/member/near.go
+++ b/internal/member/near.go
@@ -9,9 +9,9 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// nearStale is the age of the newest summary of another data centre past which
+// maxNearbyAge is the age of the newest summary of another data centre past which
 // its hosts are not named to callers: they may all have gone.
-const nearStale = 5 * time.Second
+const maxNearbyAge = 5 * time.Second
 
 // Nearby returns the entry hosts that a caller at a place should use: the live
 // ones of its data centre, else of its region, else of the homes, else those of
@@ -36,7 +36,7 @@
 		{all, func(p event.Place) bool { return len(homes) == 0 && p.Group() == tb.self.Place.Group() }},
 		{all, func(event.Place) bool { return len(homes) == 0 }},
 	} {
-		if hs := those(c.hosts, c.fits); len(hs) > 0 {
+		if hs := hostsWhere(c.hosts, c.fits); len(hs) > 0 {
 			return hs
 		}
 	}
@@ -51,7 +51,7 @@
 	hosts := tb.liveHosts(now)
 	for _, c := range tb.centres {
 		seen := value.SetOf[ident.EntryID]()
-		if c.HasSummary && c.Age(now) <= nearStale {
+		if c.HasSummary && c.Age(now) <= maxNearbyAge {
 			for _, h := range c.Summary.Hosts {
 				seen.Add(h.ID)
 				hosts = append(hosts, h)
@@ -73,7 +73,7 @@
 	return all, draining
 }
 
-func those(hosts []event.Host, fits func(p event.Place) bool) []event.Host {
+func hostsWhere(hosts []event.Host, fits func(p event.Place) bool) []event.Host {
 	var hs []event.Host
 	for _, h := range hosts {
 		if fits(h.Place) {
--- a/internal/member/near_test.go
+++ b/internal/member/near_test.go
@@ -10,24 +10,24 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func reachPlace(dc, region string) event.Place {
+func newPlace(dc, region string) event.Place {
 	return event.Place{DataCentre: ident.DataCentre(dc), Region: ident.Region(region), Reach: ident.DataCentre(region)}
 }
 
-func reachHost(id, dc, region string) event.Host {
-	return event.Host{ID: ident.EntryID(id), Incarnation: 1, Place: reachPlace(dc, region)}
+func newHost(id, dc, region string) event.Host {
+	return event.Host{ID: ident.EntryID(id), Incarnation: 1, Place: newPlace(dc, region)}
 }
 
-// nearWorld is a host in the west that knows of another one in its data centre,
+// newNearbyTable is a host in the west that knows of another one in its data centre,
 // of one in another data centre of its region, and of one in the east.
-func nearWorld(at ident.Time) *Table {
-	tb := New(reachHost("w1", "west-a", "west"))
+func newNearbyTable(at ident.Time) *Table {
+	tb := New(newHost("w1", "west-a", "west"))
 	tb.Advance(at)
-	tb.PeerUp(at, reachHost("w2", "west-a", "west"))
-	tb.PeerUp(at, reachHost("w3", "west-b", "west"))
+	tb.PeerUp(at, newHost("w2", "west-a", "west"))
+	tb.PeerUp(at, newHost("w3", "west-b", "west"))
 	tb.SummaryReceived(at, event.Summary{
-		From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: 1,
-		Hosts: []event.Host{reachHost("e1", "east-a", "east")}, HostsHash: 7,
+		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: 1,
+		Hosts: []event.Host{newHost("e1", "east-a", "east")}, HostsHash: 7,
 	})
 	return tb
 }
@@ -47,12 +47,12 @@
 		homes []ident.Region
 		want  []ident.EntryID
 	}{
-		"own data centre":     {reachPlace("west-a", "west"), nil, []ident.EntryID{"w1", "w2"}},
-		"own region":          {reachPlace("west-c", "west"), nil, []ident.EntryID{"w1", "w2", "w3"}},
-		"another region":      {reachPlace("east-b", "east"), nil, []ident.EntryID{"e1"}},
-		"region that is away": {reachPlace("north-a", "north"), nil, []ident.EntryID{"w1", "w2", "w3"}},
+		"own data centre":     {newPlace("west-a", "west"), nil, []ident.EntryID{"w1", "w2"}},
+		"own region":          {newPlace("west-c", "west"), nil, []ident.EntryID{"w1", "w2", "w3"}},
+		"another region":      {newPlace("east-b", "east"), nil, []ident.EntryID{"e1"}},
+		"region that is away": {newPlace("north-a", "north"), nil, []ident.EntryID{"w1", "w2", "w3"}},
 	} {
-		if diff := cmp.Diff(c.want, entryIDs(nearWorld(at).Nearby(at, c.near, c.homes))); diff != "" {
+		if diff := cmp.Diff(c.want, entryIDs(newNearbyTable(at).Nearby(at, c.near, c.homes))); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
 	}
@@ -61,7 +61,7 @@
 // A caller is sent to a region that is none of its homes.
 func TestNearbyKeepsToHomes(t *testing.T) {
 	at := ident.Time(time.Second)
-	got := nearWorld(at).Nearby(at, reachPlace("north-a", "north"), []ident.Region{"east"})
+	got := newNearbyTable(at).Nearby(at, newPlace("north-a", "north"), []ident.Region{"east"})
 	if diff := cmp.Diff([]ident.EntryID{"e1"}, entryIDs(got)); diff != "" {
 		t.Errorf("hosts (-want +got):\n%s", diff)
 	}
@@ -70,12 +70,12 @@
 // Callers are sent to hosts that are silent.
 func TestNearbyLeavesOutTheSilent(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := nearWorld(at)
+	tb := newNearbyTable(at)
 	for range 8 {
 		at = at.Add(time.Second)
-		tb.PeerUp(at, reachHost("w2", "west-a", "west"))
+		tb.PeerUp(at, newHost("w2", "west-a", "west"))
 	}
-	if diff := cmp.Diff([]ident.EntryID{"w1", "w2"}, entryIDs(tb.Nearby(at, reachPlace("east-a", "east"), nil))); diff != "" {
+	if diff := cmp.Diff([]ident.EntryID{"w1", "w2"}, entryIDs(tb.Nearby(at, newPlace("east-a", "east"), nil))); diff != "" {
 		t.Errorf("hosts (-want +got):\n%s", diff)
 	}
 }
@@ -83,14 +83,14 @@
 // A new host that no summary names yet is not used.
 func TestNearbyKnowsTheListed(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := nearWorld(at)
-	tb.HostsRead(at, event.HostsRead{Version: 1, Complete: true, Hosts: []event.Host{reachHost("e2", "east-a", "east")}})
+	tb := newNearbyTable(at)
+	tb.HostsRead(at, event.HostsRead{Version: 1, Complete: true, Hosts: []event.Host{newHost("e2", "east-a", "east")}})
 	want := []ident.EntryID{"e1", "e2"}
-	if diff := cmp.Diff(want, entryIDs(tb.Nearby(at, reachPlace("east-a", "east"), nil))); diff != "" {
+	if diff := cmp.Diff(want, entryIDs(tb.Nearby(at, newPlace("east-a", "east"), nil))); diff != "" {
 		t.Errorf("hosts (-want +got):\n%s", diff)
 	}
 	tb.ListFailed(at)
-	if diff := cmp.Diff(want[:1], entryIDs(tb.Nearby(at, reachPlace("east-a", "east"), nil))); diff != "" {
+	if diff := cmp.Diff(want[:1], entryIDs(tb.Nearby(at, newPlace("east-a", "east"), nil))); diff != "" {
 		t.Errorf("hosts with the platform away (-want +got):\n%s", diff)
 	}
 }
@@ -98,17 +98,17 @@
 // Callers of a draining region are sent to foreign regions.
 func TestNearbyPrefersDrainingToForeign(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := nearWorld(at)
-	leaving := reachHost("e1", "east-a", "east")
+	tb := newNearbyTable(at)
+	leaving := newHost("e1", "east-a", "east")
 	leaving.Draining = true
 	tb.SummaryReceived(at, event.Summary{
-		From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: 2, Hosts: []event.Host{leaving}, HostsHash: 8,
+		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: 2, Hosts: []event.Host{leaving}, HostsHash: 8,
 	})
 	homes := []ident.Region{"east", "north"}
-	if diff := cmp.Diff([]ident.EntryID{"e1"}, entryIDs(tb.Nearby(at, reachPlace("east-a", "east"), homes))); diff != "" {
+	if diff := cmp.Diff([]ident.EntryID{"e1"}, entryIDs(tb.Nearby(at, newPlace("east-a", "east"), homes))); diff != "" {
 		t.Errorf("hosts (-want +got):\n%s", diff)
 	}
-	if got := tb.Nearby(at, reachPlace("north-a", "north"), []ident.Region{"north"}); got != nil {
+	if got := tb.Nearby(at, newPlace("north-a", "north"), []ident.Region{"north"}); got != nil {
 		t.Errorf("callers of the north are led to %v, outside their homes", entryIDs(got))
 	}
 }
--- a/internal/member/note.go
+++ b/internal/member/note.go
@@ -23,13 +23,13 @@
 		return
 	}
 	silent := "-1"
-	if t.met {
+	if t.everSeen {
 		silent = strconv.FormatInt(tb.last.Sub(t.lastSeen).Milliseconds(), 10)
 	}
 	tb.notes = append(tb.notes, event.Note{Text: text, Fields: []event.NotePair{
 		{Key: "target", Value: string(t.ID)},
 		{Key: "service", Value: t.Service},
-		{Key: "failsInARow", Value: strconv.Itoa(t.Fails)},
+		{Key: "failsInARow", Value: strconv.Itoa(t.ConsecutiveFailures)},
 		{Key: "silentMs", Value: silent},
 		{Key: "listVersion", Value: strconv.FormatUint(tb.list.version, 10)},
 		{Key: "listSource", Value: string(tb.list.source)},
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -19,39 +19,39 @@
 // data centre asks and offers at once, and one whose load swings about a mark
 // does not flap.
 const (
-	askMark      = 10
-	reserveMark  = 20
-	withdrawMark = 25
-	offerMark    = 40
-	percent      = 100
-	// offerLife is how long an offer holds from when it was made.
-	offerLife = 5 * time.Second
-	// transit bounds the time that a summary is under way. A giver counts its offer as held for
+	askPercent      = 10
+	reservePercent  = 20
+	withdrawPercent = 25
+	offerPercent    = 40
+	percent         = 100
+	// offerTTL is how long an offer holds from when it was made.
+	offerTTL = 5 * time.Second
+	// maxTransitTime bounds the time that a summary is under way. A giver counts its offer as held for
 	// this much longer than its life.
-	transit = 3 * time.Second
-	// wayLag bounds the time from when a request is sent to when an offer can
+	maxTransitTime = 3 * time.Second
+	// maxForwardDelay bounds the time from when a request is sent to when an offer can
 	// know of it, beyond the time that the offer was under way: the ways of
 	// both.
-	wayLag = 200 * time.Millisecond
-	// wantLife is how long a pool without a target is asked for after the
+	maxForwardDelay = 200 * time.Millisecond
+	// wantTTL is how long a pool without a target is asked for after the
 	// last request for it, maxWants how many such pools there may be.
-	wantLife = 10 * time.Second
+	wantTTL  = 10 * time.Second
 	maxWants = 64
 )
 
-// given is an offer that may still be held by another data centre.
-type given struct {
-	id    PoolID
-	until ident.Time
+// heldOffer is an offer that may still be held by another data centre.
+type heldOffer struct {
+	id        PoolID
+	expiresAt ident.Time
 }
 
-// short reports whether a pool asks for help.
-func short(free, slots int) bool { return free*percent <= slots*askMark }
+// needsHelp reports whether a pool asks for help.
+func needsHelp(free, slots int) bool { return free*percent <= slots*askPercent }
 
-// spare returns the slots that may be offered: those free beyond the reserve
+// spareSlots returns the slots that may be offered: those free beyond the reserve
 // for own and home-bound work.
-func spare(free, slots int) int {
-	reserve := (slots*reserveMark + percent - 1) / percent
+func spareSlots(free, slots int) int {
+	reserve := (slots*reservePercent + percent - 1) / percent
 	return max(0, free-reserve)
 }
 
@@ -65,7 +65,7 @@
 			continue
 		}
 		askers := tb.askers(now, p.id)
-		n := spare(p.Free, p.Slots)
+		n := spareSlots(p.Free, p.Slots)
 		if tb.isPaced(p.id) {
 			n /= paceStep
 		}
@@ -83,28 +83,28 @@
 func (tb *Table) askers(now ident.Time, id PoolID) []int {
 	var is []int
 	for i, c := range tb.centres {
-		if c.CutOff(now) || !tb.asked(now, c, id) {
+		if c.CutOff(now) || !tb.mayOfferTo(now, c, id) {
 			continue
 		}
 		is = append(is, i)
 	}
 	salt := rank.Hash("askers", string(id.Serve.Model), string(id.Serve.Version), string(id.Serve.Adapter), id.Service)
 	slices.SortFunc(is, func(a, b int) int {
-		return cmp.Compare(tb.askRank(salt, a), tb.askRank(salt, b))
+		return cmp.Compare(tb.askerRank(salt, a), tb.askerRank(salt, b))
 	})
 	return is
 }
 
-// asked reports whether an offer of a pool is made to a data centre. Where the pace of streams is
+// mayOfferTo reports whether an offer of a pool is made to a data centre. Where the pace of streams is
 // known it need not ask, which would take a round trip by way of both representatives.
-func (tb *Table) asked(now ident.Time, c *Centre, id PoolID) bool {
+func (tb *Table) mayOfferTo(now ident.Time, c *Centre, id PoolID) bool {
 	if tb.isPaced(id) {
 		return c.Pool(id) != nil
 	}
-	return c.ask(id) != nil && !holds(c.taken, now, id)
+	return c.ask(id) != nil && !holdsOffer(c.taken, now, id)
 }
 
-func (tb *Table) askRank(salt uint64, i int) uint64 {
+func (tb *Table) askerRank(salt uint64, i int) uint64 {
 	return rank.Join(salt, rank.Hash(string(tb.centres[i].Place.Group())))
 }
 
@@ -128,41 +128,41 @@
 	return out
 }
 
-// note adds the offers among pools to those that may be held until a time.
-func note(held []given, now ident.Time, pools []event.Pool) []given {
-	held = slices.DeleteFunc(held, func(g given) bool { return g.until < now })
-	until := now.Add(offerLife + transit)
+// recordOffers adds the offers among pools to those that may be held until a time.
+func recordOffers(held []heldOffer, now ident.Time, pools []event.Pool) []heldOffer {
+	held = slices.DeleteFunc(held, func(g heldOffer) bool { return g.expiresAt < now })
+	until := now.Add(offerTTL + maxTransitTime)
 	for _, p := range pools {
 		if p.Offer == 0 {
 			continue
 		}
 		id := PoolID{p.Serve, p.Service}
-		i := slices.IndexFunc(held, func(g given) bool { return g.id == id })
+		i := slices.IndexFunc(held, func(g heldOffer) bool { return g.id == id })
 		if i < 0 {
-			held = append(held, given{id, until})
+			held = append(held, heldOffer{id, until})
 			continue
 		}
-		held[i].until = until
+		held[i].expiresAt = until
 	}
 	return held
 }
 
-func holds(held []given, now ident.Time, id PoolID) bool {
-	return slices.ContainsFunc(held, func(g given) bool { return g.id == id && g.until >= now })
+func holdsOffer(held []heldOffer, now ident.Time, id PoolID) bool {
+	return slices.ContainsFunc(held, func(g heldOffer) bool { return g.id == id && g.expiresAt >= now })
 }
 
-// OfferLeft returns how many more requests this host may pass on to a data
+// RemainingOffer returns how many more requests this host may pass on to a data
 // centre: its share of an offer that has not expired, less what it has sent
 // since the offer was made. It is zero while the own data centre has spare
 // capacity of its own, or while the other may hold an offer of this one.
-func (tb *Table) OfferLeft(now ident.Time, dc ident.DataCentre, id PoolID) int {
+func (tb *Table) RemainingOffer(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return 0
 	}
 	c := tb.centres[i]
 	p := c.Pool(id)
-	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerLife || !tb.isPaced(id) && holds(c.given, now, id) {
+	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerTTL || !tb.isPaced(id) && holdsOffer(c.given, now, id) {
 		return 0
 	}
 	if own, ok := tb.pool(id); ok && own.offering {
@@ -170,13 +170,13 @@
 	}
 	share := tb.ownShare(now, dc, p.Offer)
 	grown := int(ramp(now.Sub(c.since))*float64(share) + 0.999999)
-	return max(0, min(share, grown)-tb.unseen(now, c, id))
+	return max(0, min(share, grown)-tb.unreportedInFlight(now, c, id))
 }
 
-// SpareLeft returns how many more requests this host may pass on to a data
+// RemainingSpare returns how many more requests this host may pass on to a data
 // centre without an offer: its share of what that centre counted as spare, less
 // what it has sent since.
-func (tb *Table) SpareLeft(now ident.Time, dc ident.DataCentre, id PoolID) int {
+func (tb *Table) RemainingSpare(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return 0
@@ -186,7 +186,7 @@
 	if p == nil || c.CutOff(now) {
 		return 0
 	}
-	return max(0, tb.ownShare(now, dc, spare(p.Free, p.Slots))-tb.unseen(now, c, id))
+	return max(0, tb.ownShare(now, dc, spareSlots(p.Free, p.Slots))-tb.unreportedInFlight(now, c, id))
 }
 
 // HostCount returns how many entry hosts there are as far as this one knows,
@@ -199,52 +199,52 @@
 	return n
 }
 
-// unseen returns how many requests of those under way to a data centre its
+// unreportedInFlight returns how many requests of those under way to a data centre its
 // offer does not know of.
 //
 // Slots that requests from here held when the offer was made are not part of it. An offer that
 // is too old to know them is charged with everything under way.
-func (tb *Table) unseen(now ident.Time, c *Centre, id PoolID) int {
-	running := tb.underWay(c.Place.Group(), id)
-	from := c.madePools.Add(-wayLag)
-	p := c.passedOn(id)
-	if p == nil || now.Sub(from) > load.RecentSpan {
+func (tb *Table) unreportedInFlight(now ident.Time, c *Centre, id PoolID) int {
+	running := tb.forwardedInFlight(c.Place.Group(), id)
+	from := c.madePools.Add(-maxForwardDelay)
+	p := c.forwardWindow(id)
+	if p == nil || now.Sub(from) > load.WindowSpan {
 		return running
 	}
-	net, _ := p.recent.Since(now, from)
+	net, _ := p.sends.Since(now, from)
 	return min(net, running)
 }
 
-// passed counts the requests of a pool lately forwarded to a data centre.
-type passed struct {
-	id     PoolID
-	recent load.Recent
+// forwardWindow counts the requests of a pool lately forwarded to a data centre.
+type forwardWindow struct {
+	id    PoolID
+	sends load.SendWindow
 }
 
-func (c *Centre) passedOn(id PoolID) *passed {
-	i := slices.IndexFunc(c.passed, func(p *passed) bool { return p.id == id })
+func (c *Centre) forwardWindow(id PoolID) *forwardWindow {
+	i := slices.IndexFunc(c.passed, func(p *forwardWindow) bool { return p.id == id })
 	if i < 0 {
 		return nil
 	}
 	return c.passed[i]
 }
 
-// notePassed records a request that is forwarded, or, with -1, that has ended.
-func (tb *Table) notePassed(dc ident.DataCentre, id PoolID, n int) {
+// recordForwarded records a request that is forwarded, or, with -1, that has ended.
+func (tb *Table) recordForwarded(dc ident.DataCentre, id PoolID, n int) {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return
 	}
 	c := tb.centres[i]
-	p := c.passedOn(id)
+	p := c.forwardWindow(id)
 	if p == nil {
 		if len(c.passed) >= maxWants {
 			return
 		}
-		p = &passed{id: id}
+		p = &forwardWindow{id: id}
 		c.passed = append(c.passed, p)
 	}
-	p.recent.Add(tb.last, n, 0)
+	p.sends.Add(tb.last, n, 0)
 }
 
 // ownShare is this host's part of an offer to its data centre. The live hosts
@@ -268,42 +268,42 @@
 	return share
 }
 
-func (tb *Table) awayIndex(dc ident.DataCentre, id PoolID) (int, bool) {
+func (tb *Table) forwardedIndex(dc ident.DataCentre, id PoolID) (int, bool) {
 	return slices.BinarySearchFunc(tb.away, id, func(u event.AwayUse, id PoolID) int {
 		return cmp.Or(cmp.Compare(u.DataCentre, dc), byPool(PoolID{u.Serve, u.Service}, id))
 	})
 }
 
-func (tb *Table) underWay(dc ident.DataCentre, id PoolID) int {
-	i, ok := tb.awayIndex(dc, id)
+func (tb *Table) forwardedInFlight(dc ident.DataCentre, id PoolID) int {
+	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
 		return 0
 	}
 	return tb.away[i].Running
 }
 
-// OfferTake counts a request that is passed on to a data centre.
-func (tb *Table) OfferTake(dc ident.DataCentre, id PoolID) {
-	i, ok := tb.awayIndex(dc, id)
+// ForwardStarted counts a request that is passed on to a data centre.
+func (tb *Table) ForwardStarted(dc ident.DataCentre, id PoolID) {
+	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
 		tb.away = slices.Insert(tb.away, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
 	}
 	tb.away[i].Running++
-	tb.notePassed(dc, id, 1)
+	tb.recordForwarded(dc, id, 1)
 	if p, ok := tb.pool(id); ok && p.offering {
 		p.offering = false
 		tb.beat.asks = true
 	}
 }
 
-// OfferGive counts the end of such a request.
-func (tb *Table) OfferGive(dc ident.DataCentre, id PoolID) {
-	i, ok := tb.awayIndex(dc, id)
+// ForwardEnded counts the end of such a request.
+func (tb *Table) ForwardEnded(dc ident.DataCentre, id PoolID) {
+	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
 		return
 	}
 	tb.away[i].Running--
-	tb.notePassed(dc, id, -1)
+	tb.recordForwarded(dc, id, -1)
 	if tb.away[i].Running == 0 {
 		tb.away = slices.Delete(tb.away, i, i+1)
 	}
--- a/internal/member/pace.go
+++ b/internal/member/pace.go
@@ -24,13 +24,13 @@
 	if !ok {
 		return 1
 	}
-	best := p.Best
+	best := p.MinGap
 	for _, c := range tb.centres {
 		if far := c.Pool(PoolID{Service: service}); far != nil && far.DecodeRate > 0 {
 			best = min(best, time.Duration(1/far.DecodeRate*float64(time.Second)))
 		}
 	}
-	slow := float64(p.At(now)) / float64(best)
+	slow := float64(p.GapAt(now)) / float64(best)
 	return min(1, max(0, (crowdedPace-slow)/(crowdedPace-1)))
 }
 
@@ -48,12 +48,12 @@
 // where that is not known.
 func (tb *Table) DecodeRate(now ident.Time, service string) float64 {
 	p, _ := tb.usual.Pace(service)
-	return p.Rate(now)
+	return p.EventRate(now)
 }
 
 // Pace returns how long a stream of a service takes here from one event to the
 // next, zero where that is not known.
 func (tb *Table) Pace(now ident.Time, service string) time.Duration {
 	p, _ := tb.usual.Pace(service)
-	return p.At(now)
+	return p.GapAt(now)
 }
--- a/internal/member/pace_test.go
+++ b/internal/member/pace_test.go
@@ -11,8 +11,8 @@
 // A region with slow streams offers its free slots.
 func TestSlowStreamsLeaveNoRoom(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := nearWorld(at)
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
+	tb := newNearbyTable(at)
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	id := PoolID{Service: "writers"}
 	free := func() int {
 		tb.countPools(at)
@@ -29,8 +29,8 @@
 		t.Errorf("%d slots are free where no other pace is known, want 16", got)
 	}
 	tb.SummaryReceived(at, event.Summary{
-		From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: 2,
-		Hosts: []event.Host{reachHost("e1", "east-a", "east")},
+		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: 2,
+		Hosts: []event.Host{newHost("e1", "east-a", "east")},
 		Pools: []event.Pool{{Service: "writers", Slots: 16, Free: 16, DecodeRate: 1 / 0.03}},
 	})
 	if got := free(); got != 0 {
@@ -41,11 +41,11 @@
 // A region offers nothing until all work that it forwarded has ended.
 func TestRegionThatWasHelpedHelps(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := nearWorld(at)
-	tb.HostsRead(at, listOf(1, reachTarget("a")))
+	tb := newNearbyTable(at)
+	tb.HostsRead(at, listOf(1, newTarget("a")))
 	id := PoolID{Service: "writers"}
 	tb.countPools(at)
-	tb.OfferTake("east", id)
+	tb.ForwardStarted("east", id)
 	for range 50 {
 		tb.Paced("a", 30*time.Millisecond)
 	}
@@ -58,11 +58,11 @@
 // A region has no offer at the start of its peak.
 func TestOffersOfPacedPoolsStand(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := nearWorld(at)
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b"), reachTarget("c"), reachTarget("d")))
+	tb := newNearbyTable(at)
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b"), newTarget("c"), newTarget("d")))
 	tb.SummaryReceived(at, event.Summary{
-		From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: 2,
-		Hosts: []event.Host{reachHost("e1", "east-a", "east")},
+		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: 2,
+		Hosts: []event.Host{newHost("e1", "east-a", "east")},
 		Pools: []event.Pool{{Service: "writers", Slots: 16, Free: 12, DecodeRate: 1 / 0.03}},
 	})
 	offer := func() int {
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -27,9 +27,9 @@
 // update moves the hysteresis after a change of load or of own work sent away.
 func (p *pool) update(away int) {
 	switch {
-	case away > 0 || p.Slots == 0 || p.Free*percent < p.Slots*withdrawMark:
+	case away > 0 || p.Slots == 0 || p.Free*percent < p.Slots*withdrawPercent:
 		p.offering = false
-	case p.Free*percent >= p.Slots*offerMark && p.Slots > 0:
+	case p.Free*percent >= p.Slots*offerPercent && p.Slots > 0:
 		p.offering = true
 	}
 }
@@ -72,7 +72,7 @@
 	if p == nil {
 		return
 	}
-	if fresh || !p.own || now.Sub(p.ownAt) > wantLife {
+	if fresh || !p.own || now.Sub(p.ownAt) > wantTTL {
 		// Another host may be the representative and has to know at once.
 		tb.beat.urgent = true
 	}
@@ -87,7 +87,7 @@
 	}
 	tb.crowdedAt = now
 	tb.countPools(now)
-	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && short(p.Free, p.Slots) }) {
+	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && needsHelp(p.Free, p.Slots) }) {
 		tb.beat.asks, tb.beat.urgent = true, true
 	}
 }
@@ -111,7 +111,7 @@
 func (tb *Table) wants(now ident.Time) []event.Want {
 	var ws []event.Want
 	for _, p := range tb.pools {
-		if p.Targets == 0 && p.own && now.Sub(p.ownAt) <= wantLife {
+		if p.Targets == 0 && p.own && now.Sub(p.ownAt) <= wantTTL {
 			ws = append(ws, event.Want{Serve: p.Serve, Service: p.Service})
 		}
 	}
@@ -133,7 +133,7 @@
 		tb.countTarget(now, t)
 	}
 	tb.pools = slices.DeleteFunc(tb.pools, func(p *pool) bool {
-		return p.Targets == 0 && (!p.wanted || now.Sub(p.wantedAt) > wantLife)
+		return p.Targets == 0 && (!p.wanted || now.Sub(p.wantedAt) > wantTTL)
 	})
 	for _, p := range tb.pools {
 		if p.Targets > 0 {
--- a/internal/member/reads_test.go
+++ b/internal/member/reads_test.go
@@ -12,7 +12,7 @@
 // Calls to the store grow with the hosts, or none reads after both readers have frozen.
 func TestTwoHostsReadForTheOthers(t *testing.T) {
 	const n = 20
-	host := func(i int) event.Host { return reachHost(fmt.Sprint("w", i), "west-a", "west") }
+	host := func(i int) event.Host { return newHost(fmt.Sprint("w", i), "west-a", "west") }
 	tables := make([]*Table, n)
 	for i := range tables {
 		tables[i] = New(host(i))
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -16,8 +16,8 @@
 	if !ok {
 		return
 	}
-	if !sameLoad(t.relayed, ld) || now.Sub(t.relayedAt) >= relayEvery {
-		t.relayed, t.relayedAt = ld, now
+	if !sameLoad(t.relayedLoad, ld) || now.Sub(t.relayedAt) >= relayInterval {
+		t.relayedLoad, t.relayedAt = ld, now
 		tb.relay = append(tb.relay, ld)
 	}
 }
@@ -29,7 +29,7 @@
 	}
 	t, ok := tb.byID[ld.Target]
 	if ok {
-		tb.learnStart(t, ld.Incarnation)
+		tb.learnIncarnation(t, ld.Incarnation)
 	}
 	if !ok || ld.Incarnation < t.Incarnation {
 		return nil, false
@@ -38,18 +38,18 @@
 		d := t.Target
 		d.Incarnation = ld.Incarnation
 		d.Draining = false
-		tb.restart(now, t, d)
+		tb.restartTarget(now, t, d)
 		tb.updateDraining(now, t)
 	}
 	if t.HasLoad && ld.Seq <= t.Load.Seq {
 		return nil, false
 	}
 	if direct {
-		t.answer(now)
+		t.markAnswered(now)
 	} else {
-		t.seen(now.Add(-ld.Age))
+		t.markSeen(now.Add(-ld.Age))
 	}
-	t.Report(ld, now.Add(-ld.Age-tb.late(now)))
+	t.SetReport(ld, now.Add(-ld.Age-tb.late(now)))
 	return t, true
 }
 
@@ -82,9 +82,9 @@
 	if ld.Draining {
 		return ld
 	}
-	ld.Target, ld.Key = tb.nameOf(t)
-	if !sameFixed(t.fixed, ld) || now.Sub(t.fixedAt) >= fixedEvery {
-		t.fixed, t.fixedAt = ld, now
+	ld.Target, ld.Key = tb.digestName(t)
+	if !sameFixed(t.relayedFixed, ld) || now.Sub(t.relayedFixedAt) >= fixedEvery {
+		t.relayedFixed, t.relayedFixedAt = ld, now
 		return ld
 	}
 	ld.Slots, ld.PrefillRate, ld.DecodeRate, ld.Serves = 0, 0, 0, nil
@@ -124,7 +124,7 @@
 // LoadFailed records a report that did not come.
 func (tb *Table) LoadFailed(now ident.Time, id ident.TargetID, inc ident.Incarnation) {
 	tb.Advance(now)
-	if t, ok := tb.current(id, inc); ok {
-		tb.fail(t)
+	if t, ok := tb.currentTarget(id, inc); ok {
+		tb.recordFailure(t)
 	}
 }
--- a/internal/member/seen.go
+++ b/internal/member/seen.go
@@ -11,17 +11,17 @@
 // LoadSeen merges the load that an answer of a target carried.
 func (tb *Table) LoadSeen(now ident.Time, ev event.LoadSeen) {
 	tb.Advance(now)
-	t, ok := tb.current(ev.Target, ev.Incarnation)
+	t, ok := tb.currentTarget(ev.Target, ev.Incarnation)
 	if !ok {
 		return
 	}
-	t.Seen(now, ev.Running, ev.Queued, ev.Slots)
+	t.ObserveAnswer(now, ev.Running, ev.Queued, ev.Slots)
 }
 
 // Ran records how long a whole answer of a target took.
 func (tb *Table) Ran(id ident.TargetID, took time.Duration) {
 	if t, ok := tb.byID[id]; ok {
-		tb.usual.Ran(&t.State, took)
+		tb.usual.ObserveRequest(&t.State, took)
 	}
 }
 
@@ -29,21 +29,21 @@
 // tokens of its prompt that were probably read in it, and those that waited before.
 func (tb *Table) Began(id ident.TargetID, prefill, before ident.Tokens, took time.Duration) {
 	if t, ok := tb.byID[id]; ok {
-		tb.usual.Began(&t.State, prefill, before, took)
+		tb.usual.ObserveFirstToken(&t.State, prefill, before, took)
 	}
 }
 
 // Paced records the time between two events of a stream at a target.
 func (tb *Table) Paced(id ident.TargetID, gap time.Duration) {
 	if t, ok := tb.byID[id]; ok {
-		tb.usual.Paced(tb.last, &t.State, gap)
+		tb.usual.ObserveGap(tb.last, &t.State, gap)
 	}
 }
 
 // supposeRates gives targets what is usual for their service.
 func (tb *Table) supposeRates() {
 	for _, t := range tb.targets {
-		tb.usual.Suppose(tb.last, &t.State)
+		tb.usual.ApplyUsual(tb.last, &t.State)
 	}
 }
 
@@ -63,19 +63,19 @@
 	if !found {
 		return
 	}
-	t.faults = t.Faults(now)
-	t.faultsAt = now
+	t.failureRate = t.Faults(now)
+	t.failureRateAt = now
 	sample := 1.0
 	if ok {
 		sample = 0
 	}
-	t.faults += faultWeight * (sample - t.faults)
+	t.failureRate += faultWeight * (sample - t.failureRate)
 }
 
 // Faults returns the part of the newest requests at a target that failed.
 func (t *Target) Faults(now ident.Time) float64 {
-	if t.faults == 0 {
+	if t.failureRate == 0 {
 		return 0
 	}
-	return t.faults * math.Exp2(-now.Sub(t.faultsAt).Seconds()/faultHalf.Seconds())
+	return t.failureRate * math.Exp2(-now.Sub(t.failureRateAt).Seconds()/faultHalf.Seconds())
 }
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -23,9 +23,9 @@
 // pairOf returns two hosts of one data centre that know each other and have read a list
 // of the store with two targets.
 func pairOf(at ident.Time) (reader, follower *Table) {
-	tables := []*Table{New(reachHost("w1", "west-a", "west")), New(reachHost("w2", "west-a", "west"))}
+	tables := []*Table{New(newHost("w1", "west-a", "west")), New(newHost("w2", "west-a", "west"))}
 	for i, tb := range tables {
-		tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
+		tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 		tb.PeerUp(at, tables[1-i].Self())
 	}
 	for _, tb := range tables {
@@ -39,7 +39,7 @@
 	at := ident.Time(time.Second)
 	reader, follower := pairOf(at)
 	at = at.Add(4 * time.Second)
-	reader.HostsRead(at, listOf(2, reachTarget("b")))
+	reader.HostsRead(at, listOf(2, newTarget("b")))
 	follower.DigestReceived(at, digestTo(t, reader, at))
 	if usable(t, follower, at, "a") {
 		t.Error("a target that a peer has read as removed is used")
@@ -51,17 +51,17 @@
 
 // peerList is a digest that passes on a list of the store.
 func peerList(version uint64, ts ...event.Target) event.Digest {
-	return event.Digest{Host: reachHost("w9", "west-a", "west"), Seq: version, ListVersion: version, Targets: ts}
+	return event.Digest{Host: newHost("w9", "west-a", "west"), Seq: version, ListVersion: version, Targets: ts}
 }
 
 // An own read that is older than a peer's list is dropped with the removals in it.
 func TestStaleOwnReadLosesNoRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	at = at.Add(4 * time.Second)
-	tb.DigestReceived(at, peerList(3, reachTarget("b"), reachTarget("c")))
-	tb.HostsRead(at, listOf(2, reachTarget("b")))
+	tb.DigestReceived(at, peerList(3, newTarget("b"), newTarget("c")))
+	tb.HostsRead(at, listOf(2, newTarget("b")))
 	if usable(t, tb, at, "a") {
 		t.Error("a target that the own read lacks is used")
 	}
@@ -73,14 +73,14 @@
 // A host whose first read after an outage is stale waits forever for removed targets to come back.
 func TestStaleOwnReadEndsTheOutage(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	at = at.Add(4 * time.Second)
 	tb.ListFailed(at)
-	tb.DigestReceived(at, peerList(3, reachTarget("a"), reachTarget("b")))
-	tb.HostsRead(at, listOf(2, reachTarget("a"), reachTarget("b")))
-	at = at.Add(returnGrace)
-	tb.HostsRead(at, listOf(4, reachTarget("b")))
+	tb.DigestReceived(at, peerList(3, newTarget("a"), newTarget("b")))
+	tb.HostsRead(at, listOf(2, newTarget("a"), newTarget("b")))
+	at = at.Add(outageGrace)
+	tb.HostsRead(at, listOf(4, newTarget("b")))
 	if usable(t, tb, at, "a") {
 		t.Error("a removed target is used although the store has been back for long")
 	}
@@ -89,10 +89,10 @@
 // A late notice takes out a target that has been listed again since.
 func TestLateRemovalNoticeIsIgnored(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(5, reachTarget("a")))
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.HostsRead(at, listOf(5, newTarget("a")))
 	tb.DigestReceived(at, event.Digest{
-		Host: reachHost("w9", "west-a", "west"), Seq: 1, Removed: []event.RemovedTarget{{Target: "a", Version: 4}},
+		Host: newHost("w9", "west-a", "west"), Seq: 1, Removed: []event.RemovedTarget{{Target: "a", Version: 4}},
 	})
 	if !usable(t, tb, at, "a") {
 		t.Error("a target that a newer list names is not used")
@@ -102,16 +102,16 @@
 // A list that was read before a removal brings the target back.
 func TestOlderListRevertsNoRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb := New(reachHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
+	tb := New(newHost("w1", "west-a", "west"))
+	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	tb.DigestReceived(at, event.Digest{
-		Host: reachHost("w9", "west-a", "west"), Seq: 1, Removed: []event.RemovedTarget{{Target: "a", Version: 4}},
+		Host: newHost("w9", "west-a", "west"), Seq: 1, Removed: []event.RemovedTarget{{Target: "a", Version: 4}},
 	})
-	tb.HostsRead(at, listOf(3, reachTarget("a"), reachTarget("b")))
+	tb.HostsRead(at, listOf(3, newTarget("a"), newTarget("b")))
 	if usable(t, tb, at, "a") {
 		t.Error("a target is used again by a list from before its removal")
 	}
-	tb.HostsRead(at, listOf(6, reachTarget("a"), reachTarget("b")))
+	tb.HostsRead(at, listOf(6, newTarget("a"), newTarget("b")))
 	if !usable(t, tb, at, "a") {
 		t.Error("a target that is listed again is not used")
 	}
@@ -121,8 +121,8 @@
 func TestFreshHostVouchesForNoRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
 	fresh, peer := pairOf(at)
-	at = at.Add(returnGrace / 2)
-	fresh.HostsRead(at, listOf(2, reachTarget("b")))
+	at = at.Add(outageGrace / 2)
+	fresh.HostsRead(at, listOf(2, newTarget("b")))
 	peer.DigestReceived(at, digestTo(t, fresh, at))
 	if !usable(t, peer, at, "a") {
 		t.Error("a target is dropped because of a host that has just begun to read the store")
@@ -137,12 +137,12 @@
 		a, b = b, a
 	}
 	at = at.Add(100 * time.Millisecond)
-	a.HostsRead(at, listOf(2, reachTarget("a"), reachTarget("b"), reachTarget("c")))
+	a.HostsRead(at, listOf(2, newTarget("a"), newTarget("b"), newTarget("c")))
 	b.DigestReceived(at, digestTo(t, a, at))
 	if !usable(t, b, at, "c") {
 		t.Error("a target that a peer has read of is not known")
 	}
-	a.HostsRead(at, listOf(3, reachTarget("a"), reachTarget("b"), reachTarget("c")))
+	a.HostsRead(at, listOf(3, newTarget("a"), newTarget("b"), newTarget("c")))
 	if a.Next(at) == at {
 		t.Error("a list without new targets is announced at once")
 	}
@@ -178,12 +178,12 @@
 func TestReturnedHostsAreRelayed(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb, peer := pairOf(at)
-	full := []event.Host{reachHost("e1", "east-a", "east"), reachHost("e2", "east-a", "east")}
+	full := []event.Host{newHost("e1", "east-a", "east"), newHost("e2", "east-a", "east")}
 	seq := uint64(0)
 	summary := func(hosts []event.Host) event.Summary {
 		seq++
 		return event.Summary{
-			From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: seq,
+			From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: seq,
 			Hosts: hosts, HostsHash: hashHosts(hosts),
 		}
 	}
@@ -214,8 +214,8 @@
 	if !reader.Watches(at) {
 		reader, follower = follower, reader
 	}
-	at = at.Add(returnGrace)
-	reader.HostsRead(at, event.HostsRead{Version: 2, Targets: []event.Target{reachTarget("b")}})
+	at = at.Add(outageGrace)
+	reader.HostsRead(at, event.HostsRead{Version: 2, Targets: []event.Target{newTarget("b")}})
 	d := digestTo(t, reader, at)
 	if len(d.Targets) == 0 {
 		t.Fatal("the watcher does not send its list")
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -45,7 +45,7 @@
 		c.tries++
 		tb.beat.sum++
 		s.Seq = tb.beat.sum
-		c.given = note(c.given, now, s.Pools)
+		c.given = recordOffers(c.given, now, s.Pools)
 		effs = append(effs, event.SendSummary{To: to, Summary: s})
 	}
 	return effs
@@ -67,7 +67,7 @@
 		pools[i] = p.Pool
 	}
 	for i, c := range tb.centres {
-		c.given = note(c.given, now, withOffers(pools, offers, i))
+		c.given = recordOffers(c.given, now, withOffers(pools, offers, i))
 	}
 }
 
@@ -163,7 +163,7 @@
 	h := uint64(0)
 	for _, p := range pools {
 		h = rank.Join(h, rank.Hash(string(p.Serve.Model), string(p.Serve.Version), string(p.Serve.Adapter), p.Service))
-		h = rank.Join(h, rank.Hash(strconv.FormatBool(short(p.Free, p.Slots))))
+		h = rank.Join(h, rank.Hash(strconv.FormatBool(needsHelp(p.Free, p.Slots))))
 		h = rank.Join(h, uint64(bits.Len(uint(p.Offer))))
 		h = rank.Join(h, demandStep(&p))
 		h = rank.Join(h, uint64(p.Targets))
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -38,7 +38,7 @@
 		effs = append(effs, tb.summaries(now)...)
 	}
 	if regular {
-		effs = append(effs, tb.polls(now)...)
+		effs = append(effs, tb.loadPolls(now)...)
 		effs = append(effs, tb.askMemory(now)...)
 	}
 	return effs
@@ -68,13 +68,13 @@
 
 // reads reports whether a target still has prompts of this host to prefill.
 func (tb *Table) reads() bool {
-	return slices.ContainsFunc(tb.targets, func(t *Target) bool { return t.Unread > 0 })
+	return slices.ContainsFunc(tb.targets, func(t *Target) bool { return t.PendingPrefill > 0 })
 }
 
 func (tb *Table) reap(now ident.Time) {
 	tb.reapPeers(now)
-	tb.reapTargets(now)
-	tb.updateGone(now)
+	tb.dropStaleTargets(now)
+	tb.updateRemoved(now)
 	tb.expireNotices(now)
 }
 
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -8,12 +8,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// turnedSpan is how long a data centre that has turned a request away gets no other one of that
+// refusalBackoff is how long a data centre that has turned a request away gets no other one of that
 // service which can go elsewhere. Its next summary takes as long.
-const turnedSpan = 300 * time.Millisecond
+const refusalBackoff = 300 * time.Millisecond
 
-// TurnAway records that a data centre had no room for a request of a service.
-func (tb *Table) TurnAway(now ident.Time, dc ident.DataCentre, service string) {
+// RecordRefusal records that a data centre had no room for a request of a service.
+func (tb *Table) RecordRefusal(now ident.Time, dc ident.DataCentre, service string) {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return
@@ -25,8 +25,8 @@
 	c.away[service] = now
 }
 
-// TurnedAway reports whether a data centre has turned a request of a service away just now.
-func (tb *Table) TurnedAway(now ident.Time, c *Centre, service string) bool {
+// RecentlyRefused reports whether a data centre has turned a request of a service away just now.
+func (tb *Table) RecentlyRefused(now ident.Time, c *Centre, service string) bool {
 	at, ok := c.away[service]
-	return ok && mech.On(codes.LeftAlone) && now.Sub(at) < turnedSpan
+	return ok && mech.On(codes.LeftAlone) && now.Sub(at) < refusalBackoff
 }
--- a/internal/member/use_test.go
+++ b/internal/member/use_test.go
@@ -23,17 +23,17 @@
 		{peers: 3, unread: 0, least: 10, most: 11},
 	} {
 		at := ident.Time(time.Minute)
-		tb := New(reachHost("w0", "west-a", "west"))
+		tb := New(newHost("w0", "west-a", "west"))
 		tb.Advance(at)
-		tb.HostsRead(at, listOf(1, reachTarget("a")))
-		tb.Sent("a", 10000, 100)
-		tb.Prefill("a", c.unread)
+		tb.HostsRead(at, listOf(1, newTarget("a")))
+		tb.RequestSent("a", 10000, 100)
+		tb.AddPrefill("a", c.unread)
 		words := 0
 		for n := range 1000 {
 			now := at.Add(time.Duration(n) * 10 * time.Millisecond)
 			for i := range c.peers {
 				if n%100 == 0 {
-					tb.PeerUp(now, reachHost(fmt.Sprintf("w%d", i+1), "west-a", "west"))
+					tb.PeerUp(now, newHost(fmt.Sprintf("w%d", i+1), "west-a", "west"))
 				}
 			}
 			for _, eff := range tb.Tick(now, Own{}) {
--- a/internal/member/world_fail_test.go
+++ b/internal/member/world_fail_test.go
@@ -78,10 +78,10 @@
 		}
 	case 8:
 		for range rapid.IntRange(1, 3).Draw(rt, "sent") {
-			n.tb.Sent(e.ID, 10, 10)
+			n.tb.RequestSent(e.ID, 10, 10)
 		}
 	case 9:
-		n.tb.Ended(e.ID, 10, 10, true)
+		n.tb.RequestEnded(e.ID, 10, 10, true)
 	case 10:
 		e.running = rapid.IntRange(0, e.slots).Draw(rt, "running")
 	case 11, 12:
@@ -113,7 +113,7 @@
 // checkNotices: a drain notice that a host has received holds for the incarnation.
 func (w *world) checkNotices(rt *rapid.T, n *node) {
 	for _, t := range n.tb.Targets() {
-		if drained, ok := n.notices[t.ID]; ok && t.Incarnation == drained && !t.Drains {
+		if drained, ok := n.notices[t.ID]; ok && t.Incarnation == drained && !t.KnownDraining {
 			rt.Fatalf("%v: %s has a drain notice of %s/%d and sends to it", w.now, n.id, t.ID, drained)
 		}
 	}
@@ -138,8 +138,8 @@
 		}
 	}
 	for _, t := range n.tb.Targets() {
-		if t.PeerSent != want[t.ID] {
-			rt.Fatalf("%v: %s counts %d of peers at %s, want %d", w.now, n.id, t.PeerSent, t.ID, want[t.ID])
+		if t.PeerInFlight != want[t.ID] {
+			rt.Fatalf("%v: %s counts %d of peers at %s, want %d", w.now, n.id, t.PeerInFlight, t.ID, want[t.ID])
 		}
 	}
 	for _, c := range n.tb.Centres(w.now) {
@@ -225,8 +225,8 @@
 			if a.frozen > w.now || b.frozen > w.now {
 				continue
 			}
-			there := a.tb.OfferLeft(w.now, b.place.DataCentre, scribe)
-			back := b.tb.OfferLeft(w.now, a.place.DataCentre, scribe)
+			there := a.tb.RemainingOffer(w.now, b.place.DataCentre, scribe)
+			back := b.tb.RemainingOffer(w.now, a.place.DataCentre, scribe)
 			if there > 0 && back > 0 {
 				rt.Fatalf("%v: %s may send %d to %s, which may send %d back", w.now, a.id, there, b.id, back)
 			}
@@ -253,7 +253,7 @@
 			}
 		}
 		for _, e := range w.targets {
-			if t, ok := n.tb.Target(e.ID); ok && e.leaving && !e.down && e.Incarnation == t.Incarnation && !t.Drains {
+			if t, ok := n.tb.Target(e.ID); ok && e.leaving && !e.down && e.Incarnation == t.Incarnation && !t.KnownDraining {
 				rt.Fatalf("%s does not know that %s leaves", n.id, e.ID)
 			}
 		}
@@ -331,20 +331,20 @@
 	w.busy("dc1", 10)
 	a, b := w.nodes[0], w.nodes[1]
 	w.run(30*time.Second, nil)
-	whole := b.tb.OfferLeft(w.now, "dc0", scribe)
+	whole := b.tb.RemainingOffer(w.now, "dc0", scribe)
 	if want := 4*10 - 8; whole != want {
 		t.Fatalf("offer is %d, want %d", whole, want)
 	}
 	b.cut = true
 	w.run(20*time.Second, nil)
-	if left := b.tb.OfferLeft(w.now, "dc0", scribe); left != 0 {
+	if left := b.tb.RemainingOffer(w.now, "dc0", scribe); left != 0 {
 		t.Fatalf("an offer of %d outlives the link", left)
 	}
 	b.cut = false
 	var seen []int
 	var healed ident.Time
 	w.run(25*time.Second, func() {
-		left := b.tb.OfferLeft(w.now, "dc0", scribe)
+		left := b.tb.RemainingOffer(w.now, "dc0", scribe)
 		if left > 0 && healed == 0 {
 			healed = w.now
 		}
@@ -355,7 +355,7 @@
 	if !slices.IsSorted(seen) || seen[0] > whole/4 || seen[len(seen)-1] != whole {
 		t.Errorf("offer after the heal went %v", seen)
 	}
-	if left := a.tb.OfferLeft(w.now, "dc1", scribe); left != 0 {
+	if left := a.tb.RemainingOffer(w.now, "dc1", scribe); left != 0 {
 		t.Errorf("the giver may send %d back", left)
 	}
 }
@@ -419,7 +419,7 @@
 	w.run(30*time.Second, nil)
 	sum := 0
 	for _, n := range w.nodes[2:] {
-		left := n.tb.OfferLeft(w.now, "dc0", scribe)
+		left := n.tb.RemainingOffer(w.now, "dc0", scribe)
 		sum += left
 		if left < 5 || left > 6 {
 			t.Errorf("%s may send %d", n.id, left)
@@ -444,17 +444,17 @@
 		other = w.nodes[1]
 	}
 	held := func() int {
-		return w.nodes[2].tb.OfferLeft(w.now, "dc0", scribe) + w.nodes[3].tb.OfferLeft(w.now, "dc0", scribe)
+		return w.nodes[2].tb.RemainingOffer(w.now, "dc0", scribe) + w.nodes[3].tb.RemainingOffer(w.now, "dc0", scribe)
 	}
 	if held() == 0 {
 		t.Fatal("no offer to begin with")
 	}
-	other.tb.OfferTake("dc9", scribe)
+	other.tb.ForwardStarted("dc9", scribe)
 	w.run(3*time.Second, nil)
 	if n := held(); n != 0 {
 		t.Errorf("%d are offered while a host sends work away", n)
 	}
-	other.tb.OfferGive("dc9", scribe)
+	other.tb.ForwardEnded("dc9", scribe)
 	w.run(5*time.Second, nil)
 	if held() == 0 {
 		t.Error("no offer after the end")
@@ -474,7 +474,7 @@
 		s.Seq = seq
 		s.Pools = []event.Pool{{Serve: model, Slots: 40, Free: 40, Offer: 20}}
 		a.SummaryReceived(w.now, s)
-		return a.OfferLeft(w.now, "dc1", scribe)
+		return a.RemainingOffer(w.now, "dc1", scribe)
 	}
 	if n := late(); n != 0 {
 		t.Errorf("%d may be sent away with room at home", n)
@@ -486,7 +486,7 @@
 		t.Errorf("%d may be sent to where an own offer is held", n)
 	}
 	w.busy("dc0", 8)
-	w.run(offerLife+transit+2*time.Second, nil)
+	w.run(offerTTL+maxTransitTime+2*time.Second, nil)
 	if n := late(); n == 0 {
 		t.Error("none may be sent away once the own offer is gone")
 	}
--- a/internal/member/world_test.go
+++ b/internal/member/world_test.go
@@ -246,7 +246,7 @@
 func (n *node) uses() []event.TargetUse {
 	var uses []event.TargetUse
 	for _, t := range n.tb.Targets() {
-		uses = append(uses, event.TargetUse{Target: t.ID, Running: t.Sent})
+		uses = append(uses, event.TargetUse{Target: t.ID, Running: t.InFlight})
 	}
 	return uses
 }
--- a/internal/route/choose_test.go
+++ b/internal/route/choose_test.go
@@ -75,7 +75,7 @@
 		})
 	}
 	for range rapid.IntRange(0, 4).Draw(rt, "sent") {
-		tb.Sent(id, 100, 100)
+		tb.RequestSent(id, 100, 100)
 	}
 	if rapid.IntRange(0, 5).Draw(rt, "fails") == 0 {
 		for range 3 {
@@ -138,7 +138,7 @@
 			}
 		}
 	}
-	may = may && naiveRegion(q, t.Place.Region) && !t.Drains && t.Fails < 3 && !q.Tried.Has(t.ID)
+	may = may && naiveRegion(q, t.Place.Region) && !t.KnownDraining && t.ConsecutiveFailures < 3 && !q.Tried.Has(t.ID)
 	slots := 4
 	if t.HasLoad {
 		slots = t.Load.Slots
--- a/internal/route/fail_test.go
+++ b/internal/route/fail_test.go
@@ -264,17 +264,17 @@
 			break
 		}
 		went = append(went, dec.Centre)
-		tb.OfferTake(dec.Centre, dec.Pool)
+		tb.ForwardStarted(dec.Centre, dec.Pool)
 	}
 	if d := cmp.Diff([]ident.DataCentre{"far00", "far01"}, went); d != "" {
 		t.Error(d)
 	}
-	tb.OfferGive("far00", member.PoolID{Serve: scribe})
+	tb.ForwardEnded("far00", member.PoolID{Serve: scribe})
 	if dec := r.Choose(start, q, tb); dec.Centre != "far00" {
 		t.Errorf("a place given back is not used: %+v", dec)
 	}
 	q.Profile.Weights.Crossing = 100
-	tb.OfferGive("far01", member.PoolID{Serve: scribe})
+	tb.ForwardEnded("far01", member.PoolID{Serve: scribe})
 	if dec := r.Choose(start, q, tb); dec.Centre == "far01" {
 		t.Error("a crossing that costs more than it gains is taken")
 	}
--- a/internal/route/filter.go
+++ b/internal/route/filter.go
@@ -23,12 +23,12 @@
 	{codes.FilterKind, wrongKind},
 	{codes.FilterModel, lacksModel},
 	{codes.FilterResidency, targetOutside},
-	{codes.FilterLeaving, func(_ *view, t *member.Target) bool { return t.Drains || t.Gone }},
+	{codes.FilterLeaving, func(_ *view, t *member.Target) bool { return t.KnownDraining || t.Removed }},
 	{codes.FilterClosed, func(_ *view, t *member.Target) bool { return t.Closed }},
 	{codes.FilterHealth, func(v *view, t *member.Target) bool { return t.Suspect(v.now) && !v.desperate }},
 	{codes.FilterTried, func(v *view, t *member.Target) bool { return v.q.Tried.Has(t.ID) }},
 	{codes.FilterBound, func(v *view, t *member.Target) bool { return v.q.Only != "" && t.ID != v.q.Only }},
-	{codes.FilterCold, func(v *view, t *member.Target) bool { return v.tb.ColdFull(v.now, t) }},
+	{codes.FilterCold, func(v *view, t *member.Target) bool { return v.tb.ColdLimitReached(v.now, t) }},
 	{codes.FilterFull, full},
 }
 
@@ -149,10 +149,10 @@
 // refused while they can still come back.
 func crowdsOut(v *view, t *member.Target) bool {
 	q := v.q
-	if !mech.On(codes.PromptMemory) || q.Profile.Route == nil || t.Memory == 0 || q.Request.Prompt < longPrompt {
+	if !mech.On(codes.PromptMemory) || q.Profile.Route == nil || t.MemoryTokens == 0 || q.Request.Prompt < longPrompt {
 		return false
 	}
-	return float64(t.Held()+q.Request.Prompt) > memoryPart*float64(t.Memory)
+	return float64(t.OutstandingTokens()+q.Request.Prompt) > memoryPart*float64(t.MemoryTokens)
 }
 
 // The part of the time to a first byte that a request of a route may be
@@ -197,8 +197,8 @@
 // free.
 func roomFor(q *Query, t *member.Target) int {
 	slots := t.Slots()
-	if rt := q.Profile.Route; mech.On(codes.CallQueue) && rt != nil && !q.engine() && t.Run() > 0 && rt.GoalMs > 0 {
-		turns := callPart * float64(rt.Goal()) / float64(t.Run())
+	if rt := q.Profile.Route; mech.On(codes.CallQueue) && rt != nil && !q.engine() && t.RequestTime() > 0 && rt.GoalMs > 0 {
+		turns := callPart * float64(rt.Goal()) / float64(t.RequestTime())
 		return slots + min(max(1, int(turns*float64(slots))), slots)
 	}
 	if q.Crossings > 0 {
@@ -270,7 +270,7 @@
 		if p.Slots == 0 || !poolMatches(&v.q.Profile, p, 0) {
 			continue
 		}
-		if homeless || v.tb.SpareLeft(v.now, c.Place.Group(), poolID(p)) > 0 || inGoal(v, c, p) {
+		if homeless || v.tb.RemainingSpare(v.now, c.Place.Group(), poolID(p)) > 0 || inGoal(v, c, p) {
 			return p
 		}
 	}
@@ -311,7 +311,7 @@
 	for want := range wants(&v.q.Profile) {
 		for i := range c.Summary.Pools {
 			p := &c.Summary.Pools[i]
-			if p.Offer > 0 && poolMatches(&v.q.Profile, p, want) && v.tb.OfferLeft(v.now, c.Place.Group(), poolID(p)) > 0 {
+			if p.Offer > 0 && poolMatches(&v.q.Profile, p, want) && v.tb.RemainingOffer(v.now, c.Place.Group(), poolID(p)) > 0 {
 				return p
 			}
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -117,7 +117,7 @@
 	cands []cand
 	warm  []holder
 	left  []*member.Target
-	rooms []member.Room
+	rooms []member.CentreRoom
 }
 
 // cand is a target that remains, with its cost.
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -15,7 +15,7 @@
 	switch {
 	case v.q.Again:
 		rooms = nil
-	case member.SharesMuch(&v.q.Request):
+	case member.HasLongSharedPrefix(&v.q.Request):
 	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < part:
 		rooms = rooms[1:]
 	default:
@@ -43,20 +43,20 @@
 // spill returns the data centre that a request goes to, of those with room, if it is not the
 // own one. It goes by the shared prefix of the prompt, so that the same engines prefill it, and
 // each data centre gets prefixes by its room.
-func (rt *Router) spill(v *view, rooms []member.Room) (Decision, bool) {
+func (rt *Router) spill(v *view, rooms []member.CentreRoom) (Decision, bool) {
 	var best *member.Centre
 	most, room := 0.0, 0.0
 	for _, r := range rooms {
 		place := v.tb.Self().Place
 		if r.Centre != nil {
 			place = r.Centre.Place
-			if _, out := centreRuledOut(v, r.Centre, cheapFilters); out || v.tb.TurnedAway(v.now, r.Centre, v.q.Profile.Service) {
+			if _, out := centreRuledOut(v, r.Centre, cheapFilters); out || v.tb.RecentlyRefused(v.now, r.Centre, v.q.Profile.Service) {
 				continue
 			}
 		}
-		score := rank.Score(rank.Join(v.prefixHash(), rank.Hash(string(place.Group()))), r.Room)
+		score := rank.Score(rank.Join(v.prefixHash(), rank.Hash(string(place.Group()))), r.Work)
 		if score > most {
-			best, most, room = r.Centre, score, r.Room
+			best, most, room = r.Centre, score, r.Work
 		}
 	}
 	if best == nil {
--- a/internal/route/spill_test.go
+++ b/internal/route/spill_test.go
@@ -127,7 +127,7 @@
 	if usual == nil {
 		t.Fatal("no engine is chosen")
 	}
-	tb.Prefill(usual.ID, 200000)
+	tb.AddPrefill(usual.ID, 200000)
 	rt := New()
 	for i := range 20 {
 		q.Request.ID = ident.RequestID(fmt.Sprint("r", i))
@@ -151,11 +151,11 @@
 	q := writersQuery("first", 1<<20, 10)
 	usual := New().Choose(now, q, tb).Target
 	rt := New()
-	tb.Prefill(usual.ID, 200000)
+	tb.AddPrefill(usual.ID, 200000)
 	other := rt.Choose(now, q, tb).Target
 	rt.Learn(now, other.ID, q.Request.Prefix)
-	tb.ReadDone(usual.ID, 200000)
-	tb.Prefill(other.ID, 200000)
+	tb.PrefillDone(usual.ID, 200000)
+	tb.AddPrefill(other.ID, 200000)
 	dec := rt.Choose(now, q, tb)
 	if dec.Target != usual {
 		t.Fatalf("engine %v gets the request, want %s", dec.Target, usual.ID)
@@ -171,7 +171,7 @@
 	for _, tg := range tb.Targets() {
 		tb.MemoryReported(event.MemoryReported{Target: tg.ID, Incarnation: 1, Tokens: 100000})
 		for range 5 {
-			tb.Sent(tg.ID, 10000, 300)
+			tb.RequestSent(tg.ID, 10000, 300)
 		}
 	}
 	rt := New()
@@ -182,7 +182,7 @@
 		t.Errorf("a short prompt waits: %+v", dec)
 	}
 	for _, tg := range tb.Targets() {
-		tb.Ended(tg.ID, 10000, 300, true)
+		tb.RequestEnded(tg.ID, 10000, 300, true)
 	}
 	if dec := rt.Choose(now, writersQuery("long", 1<<20, 10), tb); dec.Target == nil {
 		t.Errorf("a long prompt waits where there is memory: %+v", dec)
@@ -221,7 +221,7 @@
 			{ID: "b", Incarnation: 1, Kind: event.Service, Service: "board", Place: west, Capacity: 6},
 		}})
 		for range 9 {
-			tb.Sent("b", 0, 0)
+			tb.RequestSent("b", 0, 0)
 		}
 		tb.Ran("b", c.run)
 		dec := New().Choose(now, Query{
@@ -247,7 +247,7 @@
 		return n
 	}
 	before := passed(now)
-	tb.TurnAway(now, "east", "writers")
+	tb.RecordRefusal(now, "east", "writers")
 	if got := passed(now.Add(100 * time.Millisecond)); got > 0 || before == 0 {
 		t.Errorf("%d of 200 were passed on before, %d just after one was turned away", before, got)
 	}
--- a/internal/route/strand_test.go
+++ b/internal/route/strand_test.go
@@ -24,8 +24,8 @@
 	}
 	list(1, "a")
 	for range 3 {
-		tb.Sent("a", 0, 0)
-		tb.Ended("a", 0, 0, false)
+		tb.RequestSent("a", 0, 0)
+		tb.RequestEnded("a", 0, 0, false)
 	}
 	q := Query{
 		Request: event.Request{ID: "r"},
