--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -13,14 +13,17 @@
 
 const start = ident.Time(time.Hour)
 
-// plain returns a target that is polled, answering one that reports its load in its answers.
-func plain() State { return State{Target: event.Target{ID: "a"}} }
+// polledTarget returns a target that is polled, answeringTarget one that reports its load in its
+// answers.
+func polledTarget() State { return State{Target: event.Target{ID: "a"}} }
 
-func answering() State { return State{Target: event.Target{ID: "a", Service: "board", Capacity: 8}} }
+func answeringTarget() State {
+	return State{Target: event.Target{ID: "a", Service: "board", Capacity: 8}}
+}
 
 // Guards against counting a request of this host twice when a later report includes it too.
 func TestReportCountsOwnWorkOnce(t *testing.T) {
-	s := plain()
+	s := polledTarget()
 	s.AddRequest(start, 100, 10)
 	s.AddRequest(start, 100, 10)
 	now := start.Add(time.Second)
@@ -36,7 +39,7 @@
 
 // Guards against a report keeping a target busy long after the reported requests have ended.
 func TestReportsLoseWeightWithAge(t *testing.T) {
-	s := plain()
+	s := polledTarget()
 	s.SetReport(event.Load{Running: 10, Slots: 16}, start)
 	var got []int
 	for _, age := range []time.Duration{0, fullTrustAge, (fullTrustAge + maxReportAge) / 2, maxReportAge} {
@@ -49,7 +52,7 @@
 
 // Guards against an end that is recorded twice and makes a target look free.
 func TestEndsDoNotGoBelowZero(t *testing.T) {
-	s := plain()
+	s := polledTarget()
 	s.AddRequest(start, 100, 10)
 	s.EndRequest(start, 100, 10)
 	s.EndRequest(start, 100, 10)
@@ -60,7 +63,7 @@
 
 // Guards against a wait for the first token that leaves out the prompts of other hosts.
 func TestWaitCountsUnreadPromptsOfAllHosts(t *testing.T) {
-	s := answering()
+	s := answeringTarget()
 	s.Load.PrefillRate = 10000
 	s.AddPrefill(start, 5000)
 	s.PeerPendingPrefill = 15000
@@ -77,7 +80,7 @@
 // it.
 func TestUnusedTargetGetsUsualValues(t *testing.T) {
 	var usual Services
-	used, unused := answering(), answering()
+	used, unused := answeringTarget(), answeringTarget()
 	for range 50 {
 		usual.ObserveRequest(&used, 800*time.Millisecond)
 		usual.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
@@ -109,7 +112,7 @@
 // Guards against streams that look slow indefinitely after a burst if no further streams follow.
 func TestSlowPaceDecays(t *testing.T) {
 	var usual Services
-	s := answering()
+	s := answeringTarget()
 	usual.ObserveGap(start, &s, 20*time.Millisecond)
 	for range 200 {
 		usual.ObserveGap(start, &s, 100*time.Millisecond)
@@ -124,7 +127,7 @@
 // Guards against a restarted target that keeps the load of its former incarnation.
 func TestRestartKeepsOnlyUsualTime(t *testing.T) {
 	var usual Services
-	s := answering()
+	s := answeringTarget()
 	usual.ObserveRequest(&s, time.Second)
 	s.AddRequest(start, 100, 10)
 	s.ObserveAnswer(start, 3, 1, 8)
--- a/internal/load/recent.go
+++ b/internal/load/recent.go
@@ -27,35 +27,35 @@
 func bucketOf(t ident.Time) int64 { return int64(t) / int64(bucketWidth) }
 
 // Add counts n sends, or ends if n is negative, and the prefill work of the sends.
-func (r *SendWindow) Add(now ident.Time, n int, tokens ident.Tokens) {
-	r.advance(bucketOf(now))
-	i := r.newest % windowBuckets
-	r.net[i] += n
-	r.tokens[i] += tokens
+func (w *SendWindow) Add(now ident.Time, n int, tokens ident.Tokens) {
+	w.advance(bucketOf(now))
+	i := w.newest % windowBuckets
+	w.net[i] += n
+	w.tokens[i] += tokens
 }
 
 // advance clears the buckets between the newest one and bucket b, which becomes the newest.
-func (r *SendWindow) advance(b int64) {
-	if b-r.newest >= windowBuckets {
-		*r = SendWindow{newest: b}
+func (w *SendWindow) advance(b int64) {
+	if b-w.newest >= windowBuckets {
+		*w = SendWindow{newest: b}
 		return
 	}
-	for r.newest < b {
-		r.newest++
-		r.net[r.newest%windowBuckets] = 0
-		r.tokens[r.newest%windowBuckets] = 0
+	for w.newest < b {
+		w.newest++
+		w.net[w.newest%windowBuckets] = 0
+		w.tokens[w.newest%windowBuckets] = 0
 	}
 }
 
 // Since returns the sends less the ends since a time, and the prefill work of the sends. The bucket
 // that contains the time counts in full: counting a send twice makes a target look slightly more
 // loaded, while missing one lets a burst pile up.
-func (r *SendWindow) Since(now, from ident.Time) (int, ident.Tokens) {
+func (w *SendWindow) Since(now, from ident.Time) (int, ident.Tokens) {
 	net, tokens := 0, ident.Tokens(0)
-	newest := min(r.newest, bucketOf(now))
-	for b := max(bucketOf(from), r.newest-windowBuckets+1, 0); b <= newest; b++ {
-		net += r.net[b%windowBuckets]
-		tokens += r.tokens[b%windowBuckets]
+	newest := min(w.newest, bucketOf(now))
+	for b := max(bucketOf(from), w.newest-windowBuckets+1, 0); b <= newest; b++ {
+		net += w.net[b%windowBuckets]
+		tokens += w.tokens[b%windowBuckets]
 	}
 	return net, tokens
 }
--- a/internal/load/usual.go
+++ b/internal/load/usual.go
@@ -44,38 +44,39 @@
 	pace        Pace
 }
 
+// stats returns the values of a service, and adds an empty entry if there is none.
 func (sv *Services) stats(name string) *serviceStats {
-	u, ok := sv.byName[name]
+	st, ok := sv.byName[name]
 	if !ok {
 		if sv.byName == nil {
 			sv.byName = make(map[string]*serviceStats)
 		}
-		u = &serviceStats{}
-		sv.byName[name] = u
+		st = &serviceStats{}
+		sv.byName[name] = st
 	}
-	return u
+	return st
 }
 
 // RequestTime returns the typical duration of a request, zero if unknown.
 func (sv *Services) RequestTime(name string) time.Duration {
-	if u, ok := sv.byName[name]; ok {
-		return u.requestTime
+	if st, ok := sv.byName[name]; ok {
+		return st.requestTime
 	}
 	return 0
 }
 
 // PrefillRate returns the typical prefill rate of a target in tokens a second, zero if unknown.
 func (sv *Services) PrefillRate(name string) float64 {
-	if u, ok := sv.byName[name]; ok {
-		return u.prefillRate
+	if st, ok := sv.byName[name]; ok {
+		return st.prefillRate
 	}
 	return 0
 }
 
 // Pace returns the pace of the streams of a service, and whether it is known.
 func (sv *Services) Pace(name string) (Pace, bool) {
-	if u, ok := sv.byName[name]; ok && u.pace.MinGap > 0 {
-		return u.pace, true
+	if st, ok := sv.byName[name]; ok && st.pace.MinGap > 0 {
+		return st.pace, true
 	}
 	return Pace{}, false
 }
@@ -85,12 +86,12 @@
 	if s.Capacity == 0 {
 		return
 	}
-	u := sv.stats(s.Service)
-	if u.requestTime == 0 {
-		u.requestTime = took
+	st := sv.stats(s.Service)
+	if st.requestTime == 0 {
+		st.requestTime = took
 	}
-	u.requestTime += (took - u.requestTime) / requestTimeDivisor
-	s.requestTime = u.requestTime
+	st.requestTime += (took - st.requestTime) / requestTimeDivisor
+	s.requestTime = st.requestTime
 }
 
 // ObserveFirstToken records the time from sending a request to the first token of its answer. The
@@ -100,10 +101,10 @@
 	if s.Capacity == 0 || prefill < minSampledPrompt || took <= 0 {
 		return
 	}
-	u := sv.stats(s.Service)
+	st := sv.stats(s.Service)
 	rate := float64(prefill+before) / took.Seconds()
-	u.prefillRate = stepTowards(u.prefillRate, rate)
-	s.Load.PrefillRate = min(max(stepTowards(s.Load.PrefillRate, rate), u.prefillRate/maxRateRatio), u.prefillRate*maxRateRatio)
+	st.prefillRate = stepTowards(st.prefillRate, rate)
+	s.Load.PrefillRate = min(max(stepTowards(s.Load.PrefillRate, rate), st.prefillRate/maxRateRatio), st.prefillRate*maxRateRatio)
 	s.hasPrefillRate = true
 }
 
@@ -123,12 +124,12 @@
 	if s.Capacity == 0 || gap <= 0 {
 		return
 	}
-	u := sv.stats(s.Service)
-	if u.pace.MinGap == 0 {
-		u.pace = Pace{gap: gap, MinGap: gap, at: now}
+	st := sv.stats(s.Service)
+	if st.pace.MinGap == 0 {
+		st.pace = Pace{gap: gap, MinGap: gap, at: now}
 		return
 	}
-	u.pace.sample(now, gap)
+	st.pace.sample(now, gap)
 }
 
 // ApplyUsual sets the typical values of its service in a target, and the prefill rate if this host
@@ -139,14 +140,14 @@
 	if s.Capacity == 0 {
 		return
 	}
-	u, ok := sv.byName[s.Service]
+	st, ok := sv.byName[s.Service]
 	if !ok {
-		u = &serviceStats{}
+		st = &serviceStats{}
 	}
-	s.requestTime = u.requestTime
-	s.Load.DecodeRate = u.pace.EventRate(now)
+	s.requestTime = st.requestTime
+	s.Load.DecodeRate = st.pace.EventRate(now)
 	if !s.hasPrefillRate {
-		s.Load.PrefillRate = u.prefillRate
+		s.Load.PrefillRate = st.prefillRate
 	}
 }
 
--- a/internal/load/wait.go
+++ b/internal/load/wait.go
@@ -82,16 +82,16 @@
 	at     ident.Time
 }
 
-func (a prefillBacklog) remaining(now ident.Time, rate float64) float64 {
-	return max(0, a.tokens-now.Sub(a.at).Seconds()*rate)
+func (b prefillBacklog) remaining(now ident.Time, rate float64) float64 {
+	return max(0, b.tokens-now.Sub(b.at).Seconds()*rate)
 }
 
-func (a *prefillBacklog) add(now ident.Time, tokens ident.Tokens, rate float64) {
+func (b *prefillBacklog) add(now ident.Time, tokens ident.Tokens, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	a.tokens = a.remaining(now, rate) + float64(tokens)
-	a.at = now
+	b.tokens = b.remaining(now, rate) + float64(tokens)
+	b.at = now
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/member/ahead_test.go
+++ b/internal/member/ahead_test.go
@@ -8,8 +8,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Two long prompts that are sent at once queue at one target.
-func TestPrefillAheadIsFollowedFromSendToSend(t *testing.T) {
+// Guards against two long prompts that are sent at the same time and queue at one target.
+func TestPendingPrefillIsUpdatedOnEachSend(t *testing.T) {
 	const rate = 1000
 	tb := New(event.Host{ID: "dc0-0", Incarnation: 1, Place: event.Place{DataCentre: "dc0", Region: "r0"}})
 	now := ident.Time(time.Minute)
@@ -23,7 +23,7 @@
 	x, _ := tb.Target("t")
 	wait := func(after time.Duration) time.Duration { return x.Wait(now.Add(after), 0, 1) }
 	if got := wait(0); got != 0 {
-		t.Fatalf("an idle target is waited for %v", got)
+		t.Fatalf("a wait of %v for an idle target", got)
 	}
 	tb.AddPrefill("t", rate/2)
 	tb.AddPrefill("t", rate/2)
@@ -31,7 +31,7 @@
 		0: time.Second, 400 * time.Millisecond: 600 * time.Millisecond, 2 * time.Second: 0,
 	} {
 		if got := wait(after); got.Round(time.Millisecond) != want {
-			t.Errorf("%v after the sends the wait is %v, want %v", after, got, want)
+			t.Errorf("%v after the sends: wait %v, want %v", after, got, want)
 		}
 	}
 }
--- a/internal/member/cold.go
+++ b/internal/member/cold.go
@@ -9,39 +9,40 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ColdLimits bounds the work for cold targets.
+// ColdLimits limits the requests to cold targets.
 type ColdLimits struct {
-	// PerSecond returns how many requests a second all hosts together may send
-	// to a cold target of a service, zero for no bound. Nil is none.
+	// PerSecond returns how many requests a second all hosts together may send to a cold target of
+	// a service; zero means no limit. If PerSecond is nil, there is no limit.
 	PerSecond func(service string) float64
-	// Duration returns how long a target of a service stays cold once it is. Nil
-	// is not at all.
+	// Duration returns how long targets of a service stay cold. If Duration is nil, no target is
+	// assumed to be cold.
 	Duration func(service string) time.Duration
 }
 
-// Bounds of the work for cold targets.
+// Limits of the requests to cold targets.
 const (
-	// coldWindow is the span that the bound counts in, with a margin for sends
-	// that the network brings closer together.
+	// coldWindow is the window in which sends count against the limit. It is longer than a second
+	// because the network may deliver sends closer together than they were sent.
 	coldWindow = 1150 * time.Millisecond
-	// maxColdOwners is by how many hosts at once the bound may be used up. One
-	// owns a cold target; for a moment after a host came or went two may
-	// believe that they do, and their sends must not add up past the bound.
+	// maxColdOwners is the number of hosts that may use up the limit at the same time. A cold
+	// target has one owner, but for a moment after a host came or went two hosts may each consider
+	// themselves the owner, and their sends together must not exceed the limit.
 	maxColdOwners = 2
-	// coldStartDelay is how long after its start a host sends cold targets nothing. It is
-	// the time within which hosts that start together link to each other, also slow
-	// ones with two hundred links to make.
+	// coldStartDelay is how long after its start a host sends nothing to cold targets. Within this
+	// time hosts that start together connect to each other, even slow ones with two hundred links
+	// to open.
 	coldStartDelay = 3 * time.Second
 )
 
-// SetColdLimits sets the bounds of cold targets.
+// SetColdLimits sets the limits of requests to cold targets.
 func (tb *Table) SetColdLimits(c ColdLimits) { tb.cold = c }
 
-// Cold reports whether a target says that it is cold.
+// Cold reports whether the target is cold, by its own report or by assumption.
 func (t *Target) Cold(now ident.Time) bool { return now < t.coldUntil }
 
 // assumeCold treats a target as cold after the evacuation of its data centre has ended, and
-// probes it. Most have become cold and may say so only after the first requests.
+// schedules a probe. Most targets have become cold by then and may report it only after their first
+// requests.
 func (tb *Table) assumeCold(now ident.Time, t *Target) {
 	if tb.cold.Duration == nil {
 		return
@@ -54,7 +55,7 @@
 	tb.probe = append(tb.probe, t.ID)
 }
 
-// ProbeAnswered merges the answer of a target to a probe.
+// ProbeAnswered merges a target's answer to a probe.
 func (tb *Table) ProbeAnswered(now ident.Time, e event.ProbeAnswered) {
 	tb.Advance(now)
 	t, ok := tb.currentTarget(e.Target, e.Incarnation)
@@ -68,7 +69,7 @@
 	}
 }
 
-// coldProbes returns the probes of targets whose coldness is a guess.
+// coldProbes returns the probes of targets that are only assumed to be cold.
 func (tb *Table) coldProbes() []event.Effect {
 	var effs []event.Effect
 	for _, id := range tb.probe {
@@ -80,34 +81,35 @@
 	return effs
 }
 
-// ColdLimitReached reports whether this host may send a cold target nothing now.
+// ColdLimitReached reports whether this host may send nothing to a cold target now.
 //
-// A cold target crashes when it gets many requests at once. The bound holds for all hosts
-// together, so that one host owns each cold target, by rank among the live ones, and the
-// others send it nothing. A host that has just started sends nothing either, since it may
-// not know of the others yet; one that has lost most of the others follows coldShare.
+// A cold target crashes when it receives many requests at once. The limit holds for all hosts
+// together: one host owns each cold target, by rank among the live ones, and the others send
+// nothing to it. A host that has just started sends nothing either, because it may not know the
+// others yet. An owner that sees only a minority of the hosts gets a smaller share, see
+// coldSendLimit.
 func (tb *Table) ColdLimitReached(now ident.Time, t *Target) bool {
 	if !t.Cold(now) || tb.cold.PerSecond == nil {
 		return false
 	}
-	most := tb.cold.PerSecond(t.Service)
-	if most <= 0 {
+	limit := tb.cold.PerSecond(t.Service)
+	if limit <= 0 {
 		return false
 	}
 	if tb.coldOwner(now, t.ID) != tb.self.ID {
 		return true
 	}
-	return t.recentColdSends(now) >= tb.coldSendLimit(now, most)
+	return t.recentColdSends(now) >= tb.coldSendLimit(now, limit)
 }
 
-// coldSendLimit returns how many of the requests that a cold target may get within
-// coldWindow are this host's, as the owner of the target by its own view.
+// coldSendLimit returns how many requests this host may send to a cold target within coldWindow if
+// it considers itself the owner. The argument limit is the limit for all hosts together.
 //
-// With most of the hosts that may live in sight at most one other group of hosts can
-// see as many, so there are coldOwners at the most. With fewer in sight each host
-// may be alone with its view, and has its even part of the bound; where that is
-// less than one request, it sends nothing.
-func (tb *Table) coldSendLimit(now ident.Time, most float64) int {
+// While this host sees at least half of the hosts that may be alive, at most one other group of
+// hosts can see as many, so that there are at most maxColdOwners owners. With fewer in sight each
+// host may consider itself the owner and gets an even share of the limit; if that is less than one
+// request, it sends nothing.
+func (tb *Table) coldSendLimit(now ident.Time, limit float64) int {
 	if now.Sub(tb.started) < coldStartDelay {
 		return 0
 	}
@@ -121,13 +123,13 @@
 		}
 	}
 	if maxColdOwners*seen >= all {
-		return int(most / maxColdOwners)
+		return int(limit / maxColdOwners)
 	}
-	return int(most / float64(all))
+	return int(limit / float64(all))
 }
 
-// ColdWait predicts how long a request waits until this host may send it to a
-// target that is cold: until it is warm, where another host owns it.
+// ColdWait predicts how long a request waits until this host may send it to a cold target. If
+// another host owns the target, that is until the target is warm.
 func (tb *Table) ColdWait(now ident.Time, t *Target) time.Duration {
 	switch {
 	case !tb.ColdLimitReached(now, t):
@@ -144,9 +146,9 @@
 	return len(t.coldSends)
 }
 
-// coldOwner returns the host that may send to a cold target. It is one that doesn't drain, if this
-// host knows of one. A host that drains is ranked like the others that do: each would own the
-// target by its own view otherwise.
+// coldOwner returns the host that may send to a cold target. Hosts that are not draining rank
+// before draining ones. If only draining hosts are left, they are ranked too: otherwise each of
+// them would consider itself the owner.
 func (tb *Table) coldOwner(now ident.Time, id ident.TargetID) ident.EntryID {
 	best := newColdCandidate(id, tb.self)
 	for _, p := range tb.peers {
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -9,33 +9,31 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// coldBound is how many requests a second all hosts of these tests together may
-// send to a cold target.
-const coldBound = 6
+// coldLimit is how many requests a second all hosts of a test together may send to a cold target.
+const coldLimit = 6
 
-// coldFleet makes the tables of n hosts of one region that start at the same
-// moment, and that may send to one cold target.
-func coldFleet(at ident.Time, n int) ([]event.Host, []*Table) {
+// newColdFleet returns n hosts of one data centre that start at the same time, and their tables.
+func newColdFleet(at ident.Time, n int) ([]event.Host, []*Table) {
 	hosts := make([]event.Host, n)
 	tables := make([]*Table, n)
 	for i := range hosts {
 		hosts[i] = newHost(fmt.Sprintf("w%02d", i), "west-a", "west")
-		tables[i] = coldTable(hosts[i], at)
+		tables[i] = newColdTable(hosts[i], at)
 	}
 	return hosts, tables
 }
 
-func coldTable(h event.Host, at ident.Time) *Table {
+func newColdTable(h event.Host, at ident.Time) *Table {
 	tb := New(h)
-	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return coldBound }})
+	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return coldLimit }})
 	tb.Advance(at)
 	return tb
 }
 
-// coldPlay has every host send whatever it may for a time, and returns when it
-// sent. The platform lists the listed hosts; meet says which hosts know of each
-// other at a time after the start.
-func coldPlay(at ident.Time, span time.Duration, hosts, listed []event.Host, tables []*Table, meet func(since time.Duration, i, j int) bool) []ident.Time {
+// sendToCold has every host send to the cold target "a" whenever it is allowed to, and returns the
+// times of the sends. The platform lists the hosts in listed; connected reports whether host i receives
+// messages of host j at a time after the start.
+func sendToCold(at ident.Time, span time.Duration, hosts, listed []event.Host, tables []*Table, connected func(since time.Duration, i, j int) bool) []ident.Time {
 	cold := newTarget("a")
 	cold.ColdFor = time.Minute
 	list := listOf(1, cold)
@@ -46,7 +44,7 @@
 		for i, tb := range tables {
 			tb.HostsRead(now, list)
 			for j, h := range hosts {
-				if i != j && meet(since, i, j) {
+				if i != j && connected(since, i, j) {
 					tb.PeerUp(now, h)
 				}
 			}
@@ -59,8 +57,8 @@
 	return sends
 }
 
-// mostInOneSecond returns the most sends of any second.
-func mostInOneSecond(sends []ident.Time) int {
+// maxPerSecond returns the largest number of sends within one second.
+func maxPerSecond(sends []ident.Time) int {
 	most := 0
 	for i := range sends {
 		n := 0
@@ -74,74 +72,76 @@
 	return most
 }
 
-// Hosts that start together overload a cold target.
-func TestHostsThatStartTogetherSpareColdTargets(t *testing.T) {
+// Guards against overloading a cold target: each of several hosts that start together may consider
+// itself its owner before they know each other.
+func TestHostsThatStartTogetherDoNotOverloadColdTargets(t *testing.T) {
 	at := ident.Time(time.Second)
-	hosts, tables := coldFleet(at, 30)
-	sends := coldPlay(at, 6*time.Second, hosts, nil, tables, func(since time.Duration, i, j int) bool {
+	hosts, tables := newColdFleet(at, 30)
+	sends := sendToCold(at, 6*time.Second, hosts, nil, tables, func(since time.Duration, i, j int) bool {
 		return since >= time.Duration((i*7+j*11)%20)*50*time.Millisecond
 	})
-	if most := mostInOneSecond(sends); most > coldBound {
-		t.Errorf("%d requests in one second at a cold target, of %d allowed", most, coldBound)
+	if most := maxPerSecond(sends); most > coldLimit {
+		t.Errorf("%d requests in one second at a cold target, of %d allowed", most, coldLimit)
 	}
 	if len(sends) == 0 {
-		t.Error("a cold target is never used")
+		t.Error("the cold target received no request")
 	}
 }
 
-// Hosts that are cut off from each other overload a cold target.
-func TestHostsThatLoseEachOtherSpareColdTargets(t *testing.T) {
+// Guards against overloading a cold target from hosts that are partitioned from each other, each of
+// which considers itself its owner.
+func TestPartitionedHostsDoNotOverloadColdTargets(t *testing.T) {
 	at := ident.Time(time.Second)
-	hosts, tables := coldFleet(at, 12)
+	hosts, tables := newColdFleet(at, 12)
 	const together = 5 * time.Second
-	sends := coldPlay(at, 25*time.Second, hosts, hosts, tables, func(since time.Duration, _, _ int) bool { return since < together })
-	if most := mostInOneSecond(sends); most == 0 || most > coldBound {
-		t.Errorf("%d requests in one second at a cold target, of %d allowed", most, coldBound)
+	sends := sendToCold(at, 25*time.Second, hosts, hosts, tables, func(since time.Duration, _, _ int) bool { return since < together })
+	if most := maxPerSecond(sends); most == 0 || most > coldLimit {
+		t.Errorf("%d requests in one second at a cold target, of %d allowed", most, coldLimit)
 	}
 }
 
-// life is when a host of a rolling restart drains, ends and starts again.
-type life struct{ drains, ends, starts time.Duration }
+// restartSchedule is when a host of a rolling restart starts to drain, stops and starts again.
+type restartSchedule struct{ drains, ends, starts time.Duration }
 
-// as returns the host as it is at a time, and whether it runs.
-func (l life) as(h event.Host, at time.Duration) (event.Host, bool) {
-	if at >= l.starts {
+// at returns the description of the host at a time, and whether it is running.
+func (s restartSchedule) at(h event.Host, since time.Duration) (event.Host, bool) {
+	if since >= s.starts {
 		h.Incarnation++
 		return h, true
 	}
-	h.Draining = at >= l.drains
-	return h, at < l.ends
+	h.Draining = since >= s.drains
+	return h, since < s.ends
 }
 
-// rollingPlay has hosts drain and start again, so many at a time, and returns the sends to a cold
-// target. Each host learns of the state of another up to a second late.
-func rollingPlay(n, together int, gap time.Duration) []ident.Time {
+// rollingRestart has hosts drain and restart, several at a time, and returns the times of the sends
+// to a cold target. Each host learns the state of another with a delay of up to a second.
+func rollingRestart(n, together int, gap time.Duration) []ident.Time {
 	const (
 		step  = 20 * time.Millisecond
 		drain = 4 * time.Second
 		down  = 500 * time.Millisecond
 	)
 	at := ident.Time(time.Second)
-	hosts, tables := coldFleet(at, n)
-	lives := make([]life, n)
-	for i := range lives {
+	hosts, tables := newColdFleet(at, n)
+	schedules := make([]restartSchedule, n)
+	for i := range schedules {
 		drains := 5*time.Second + time.Duration(i/together)*gap
-		lives[i] = life{drains, drains + drain, drains + drain + down}
+		schedules[i] = restartSchedule{drains, drains + drain, drains + drain + down}
 	}
 	cold := newTarget("a")
 	cold.ColdFor = time.Hour
 	list := listOf(1, cold)
 	list.Hosts = hosts
 	var sends []ident.Time
-	for since := time.Duration(0); since < lives[n-1].starts+5*time.Second; since += step {
+	for since := time.Duration(0); since < schedules[n-1].starts+5*time.Second; since += step {
 		now := at.Add(since)
 		for i := range tables {
-			h, runs := lives[i].as(hosts[i], since)
+			h, runs := schedules[i].at(hosts[i], since)
 			if !runs {
 				continue
 			}
 			if h.Incarnation != tables[i].self.Incarnation {
-				tables[i] = coldTable(h, now)
+				tables[i] = newColdTable(h, now)
 			}
 			tb := tables[i]
 			if h.Draining {
@@ -150,7 +150,7 @@
 			tb.HostsRead(now, list)
 			for j := range hosts {
 				late := time.Duration((i*7+j*11)%20) * 50 * time.Millisecond
-				if p, runs := lives[j].as(hosts[j], since-late); i != j && runs && since > late {
+				if p, runs := schedules[j].at(hosts[j], since-late); i != j && runs && since > late {
 					tb.PeerUp(now, p)
 				}
 			}
@@ -163,8 +163,9 @@
 	return sends
 }
 
-// Each host of a rolling restart takes a cold target for its own while all of them drain.
-func TestHostsThatDrainTogetherSpareColdTargets(t *testing.T) {
+// Guards against overloading a cold target in a rolling restart: each draining host considers
+// itself its owner if all hosts drain.
+func TestHostsThatDrainTogetherDoNotOverloadColdTargets(t *testing.T) {
 	for _, tc := range []struct {
 		hosts, together int
 		gap             time.Duration
@@ -176,15 +177,16 @@
 		{9, 9, time.Second},
 		{90, 12, 400 * time.Millisecond},
 	} {
-		sends := rollingPlay(tc.hosts, tc.together, tc.gap)
-		if most := mostInOneSecond(sends); most == 0 || most > coldBound {
-			t.Errorf("%+v: %d requests in one second at a cold target, of %d allowed", tc, most, coldBound)
+		sends := rollingRestart(tc.hosts, tc.together, tc.gap)
+		if most := maxPerSecond(sends); most == 0 || most > coldLimit {
+			t.Errorf("%+v: %d requests in one second at a cold target, of %d allowed", tc, most, coldLimit)
 		}
 	}
 }
 
-// Warm targets stay unused after an evacuation, or cold ones are overloaded.
-func TestReopenedTargetIsAskedWhetherItIsCold(t *testing.T) {
+// Guards against warm targets that stay unused after an evacuation, and cold ones that are
+// overloaded.
+func TestReopenedTargetIsProbed(t *testing.T) {
 	for name, c := range map[string]struct {
 		says time.Duration
 		full bool
@@ -196,7 +198,7 @@
 			at := ident.Time(time.Minute)
 			tb := New(newHost("w1", "west-a", "west"))
 			tb.SetColdLimits(ColdLimits{
-				PerSecond: func(string) float64 { return coldBound },
+				PerSecond: func(string) float64 { return coldLimit },
 				Duration:  func(string) time.Duration { return 3 * time.Second },
 			})
 			tb.Advance(at)
@@ -212,15 +214,15 @@
 				}
 			}
 			if asked != 1 {
-				t.Errorf("asked %d times", asked)
+				t.Errorf("the reopened target is probed %d times, want once", asked)
 			}
 			tg, _ := tb.Target("a")
 			if !tg.Cold(at) {
-				t.Error("counts as warm before it was seen")
+				t.Error("the reopened target counts as warm before it has answered")
 			}
 			tb.ProbeAnswered(at, event.ProbeAnswered{Target: "a", Incarnation: 1, ColdFor: c.says})
 			if tg.Cold(at.Add(time.Second)) != c.full {
-				t.Errorf("cold a second later: %v", !c.full)
+				t.Errorf("cold a second after the answer: %v", !c.full)
 			}
 		})
 	}
--- a/internal/member/draining.go
+++ b/internal/member/draining.go
@@ -12,22 +12,21 @@
 
 // Times of drain notices.
 const (
-	// noticeRepeatTime bounds how long digests repeat that a target drains or was
-	// removed, for peers that missed a digest.
+	// noticeRepeatTime is how long digests repeat that a target drains or was removed, for peers
+	// that missed a digest.
 	noticeRepeatTime = 10 * time.Second
-	// noticeTTL bounds how long the notice of an unknown target or a former
-	// incarnation is kept.
+	// noticeTTL is how long the notice of an unknown target or of a former incarnation is kept.
 	noticeTTL = 10 * time.Minute
 )
 
-// drainNotice says that an incarnation of a target drains.
+// drainNotice records that an incarnation of a target drains.
 type drainNotice struct {
 	incarnation ident.Incarnation
 	at          ident.Time
 }
 
-// MarkDraining records that a target drains, as by its refusal. It holds for that
-// incarnation, and peers are notified at once.
+// MarkDraining records that a target drains, for example because it refused a request. The mark
+// holds for that incarnation, and peers are notified at once.
 func (tb *Table) MarkDraining(now ident.Time, id ident.TargetID, inc ident.Incarnation) {
 	tb.Advance(now)
 	if tb.observeDraining(now, id, inc) {
@@ -35,9 +34,9 @@
 	}
 }
 
-// observeDraining stores a drain notice and reports whether it was new. Notices are kept apart
-// from targets, by incarnation: one may come before its target is listed, and an older list
-// or report must not revert it.
+// observeDraining stores a drain notice and reports whether it is new. Notices are stored
+// separately from targets and by incarnation, because a notice may arrive before its target is
+// listed, and an older list or report must not revert it.
 func (tb *Table) observeDraining(now ident.Time, id ident.TargetID, inc ident.Incarnation) bool {
 	if old, ok := tb.draining[id]; ok && inc <= old.incarnation {
 		return false
@@ -54,22 +53,22 @@
 	return true
 }
 
-// updateDraining updates whether a target drains after its description changed.
+// updateDraining updates whether a target drains after its list entry or incarnation has changed.
 func (tb *Table) updateDraining(now ident.Time, t *Target) {
 	if t.Draining && tb.observeDraining(now, t.ID, t.Incarnation) {
 		tb.beat.urgent = true
 	}
-	w, ok := tb.draining[t.ID]
-	t.KnownDraining = ok && w.incarnation >= t.Incarnation
+	n, ok := tb.draining[t.ID]
+	t.KnownDraining = ok && n.incarnation >= t.Incarnation
 }
 
-// drainNotices returns all notices or the recent ones.
+// drainNotices returns all notices, or only the recent ones.
 func (tb *Table) drainNotices(now ident.Time, all bool) []event.DrainNotice {
 	var ns []event.DrainNotice
 	for _, id := range tb.drainingIDs() {
-		w := tb.draining[id]
-		if all || now.Sub(w.at) <= noticeRepeatTime {
-			ns = append(ns, event.DrainNotice{Target: id, Incarnation: w.incarnation})
+		n := tb.draining[id]
+		if all || now.Sub(n.at) <= noticeRepeatTime {
+			ns = append(ns, event.DrainNotice{Target: id, Incarnation: n.incarnation})
 		}
 	}
 	return ns
@@ -79,14 +78,14 @@
 	return slices.SortedFunc(maps.Keys(tb.draining), cmp.Compare[ident.TargetID])
 }
 
-// expireNotices drops the notices of targets that are gone.
+// expireNotices drops expired notices of unknown targets and former incarnations.
 func (tb *Table) expireNotices(now ident.Time) {
-	for id, w := range tb.draining {
+	for id, n := range tb.draining {
 		t, ok := tb.byID[id]
-		if ok && t.Incarnation <= w.incarnation {
+		if ok && t.Incarnation <= n.incarnation {
 			continue
 		}
-		if now.Sub(w.at) > noticeTTL {
+		if now.Sub(n.at) > noticeTTL {
 			delete(tb.draining, id)
 		}
 	}
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -9,39 +9,40 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Following of the work that callers bring, and sharing it out.
+// Measurement of the demand of callers, and its distribution over the data centres.
 const (
-	// sampleInterval is the time that one sample of the work covers. Digests go out as
-	// often.
+	// sampleInterval is the time that one sample of the demand covers. Digests go out at the same
+	// interval.
 	sampleInterval = Period
 	// flowWeight is the weight of the newest sample.
 	flowWeight = 0.6
-	// missWeight is the weight of one prompt in the part of prompts that engines
-	// have to read.
+	// missWeight is the weight of one prompt in the average fraction of prompts that engines
+	// prefill.
 	missWeight = 1.0 / 64
-	// eventTokens is the work of one event of a stream, in tokens to read: an event of
-	// eight or nine tokens takes a tenth of a millisecond each of the time of an engine
-	// that reads 57 tokens in one.
+	// eventTokens is the work of one event of a stream, expressed in prompt tokens: an event has
+	// eight or nine tokens, each of which takes a tenth of a millisecond of the time of an engine
+	// that prefills 57 tokens per millisecond.
 	eventTokens = 50
-	// spillThreshold is the part of their time that targets may work before any of it goes elsewhere.
+	// spillThreshold is the fraction of their time that targets may be busy before any of their
+	// work is sent to another data centre.
 	spillThreshold = 0.25
-	// minLongPrefix is the number of tokens from which on a prefix is worth going to the
-	// engines that cache it, in whichever region.
+	// minLongPrefix is the number of tokens from which on a prefix is worth sending to the engines
+	// that cache it, whatever their region.
 	minLongPrefix = 2048
 )
 
-// serviceFlow follows the work that the callers of this host bring for a service: in tokens
-// to read where its targets are engines, and in seconds of a slot where they are not.
+// serviceFlow measures the demand of this host's callers for a service: in prompt tokens if its
+// targets are engines, otherwise in seconds of slot time.
 type serviceFlow struct {
 	service string
-	// alone and shared are what came since from, by kind; rate is what came a second
-	// before.
+	// alone and shared are the work since sampleStart, without and with a long shared prefix. rate
+	// is the smoothed work a second.
 	alone, shared float64
 	sampleStart   ident.Time
 	rate          event.Flow
 }
 
-// closeSample closes the sample when its time is over.
+// closeSample adds the current sample to the rate once sampleInterval is over.
 func (f *serviceFlow) closeSample(now ident.Time) {
 	span := now.Sub(f.sampleStart)
 	if span < sampleInterval {
@@ -52,8 +53,8 @@
 	f.alone, f.shared, f.sampleStart = 0, 0, now
 }
 
-// RecordDemand records a request that a caller brought for a service here, wherever
-// it then runs, and of how many events its answer probably has.
+// RecordDemand records a request that a caller sent to this host, wherever it is then served. The
+// argument events is the expected number of events in its answer.
 func (tb *Table) RecordDemand(now ident.Time, r *event.Request, events float64) {
 	if r.Prompt == 0 {
 		f := tb.flowOf(now, r.Service)
@@ -75,18 +76,18 @@
 	f.alone += work
 }
 
-// HasLongSharedPrefix reports whether a prompt has a long prefix that other prompts share.
+// HasLongSharedPrefix reports whether a prompt has a long prefix in common with other prompts.
 func HasLongSharedPrefix(r *event.Request) bool {
 	n := len(r.Prefix)
 	return n > 0 && r.Shared <= n && float64(r.Prompt)*float64(r.Shared)/float64(n) >= minLongPrefix
 }
 
-// RecordPrefillShare records how much of a prompt its engine probably has to prefill.
-func (tb *Table) RecordPrefillShare(service string, prompt, read ident.Tokens) {
+// RecordPrefillShare records how many tokens of a prompt its engine probably had to prefill.
+func (tb *Table) RecordPrefillShare(service string, prompt, prefilled ident.Tokens) {
 	if prompt <= 0 || service == "" {
 		return
 	}
-	sample := min(1, float64(read)/float64(prompt))
+	sample := min(1, float64(prefilled)/float64(prompt))
 	miss, ok := tb.misses[service]
 	if !ok {
 		miss = 1
@@ -102,7 +103,7 @@
 	return tb.flows[i]
 }
 
-// ownFlows returns the work of this host for its peers.
+// ownFlows returns the demand at this host, for its peers.
 func (tb *Table) ownFlows(now ident.Time) []event.Flow {
 	var fs []event.Flow
 	for _, f := range tb.flows {
@@ -114,8 +115,8 @@
 	return fs
 }
 
-// demand returns the work a second that the callers of all live hosts of the own data
-// centre bring for a service.
+// demand returns the work a second that the callers of all live hosts of this data centre send for
+// a service.
 func (tb *Table) demand(now ident.Time, service string) (alone, shared float64) {
 	for _, f := range tb.flows {
 		if f.service == service {
@@ -138,31 +139,35 @@
 	return alone, shared
 }
 
-// CentreRoom is the work a second that a data centre may get.
+// CentreRoom is the work that a data centre may take.
 type CentreRoom struct {
-	// Centre is nil for the own data centre.
+	// Centre is nil for this data centre.
 	Centre *Centre
-	Work   float64
+	// Work is the work a second that the data centre may take.
+	Work float64
 
-	// capacity is what its targets can do, in engines or slots.
+	// capacity is the number of its engines or slots, alone the demand of its callers without a
+	// long shared prefix.
 	capacity, alone float64
 }
 
-// Spill returns the room of each data centre for prompts that share a long prefix, and the part
-// of the others that callers here bring which goes elsewhere.
+// Spill returns how much work with a long shared prefix each data centre may take, and the fraction
+// of the other work of local callers that is sent to other data centres. The argument prompts says
+// that the targets of the service are engines, whose capacity is counted in engines and not in slots.
 //
-// Free slots and the pace of streams lag behind the load, so that the demand of callers is
-// balanced instead. All data centres know it of each other and compute the same even level of
-// use. Forwarding does not change the demand, so that the balance does not oscillate.
+// Free slots and the pace of streams lag behind the load, so the demand of callers is balanced
+// instead. All data centres know the demand of each other and compute the same balanced load.
+// Forwarding does not change the demand, so the balance does not oscillate.
 //
-// Below easyUse all stays here. From there on to twice as much, other data centres get a growing
-// part of the prefixes, so that a small change moves few of them.
+// Below spillThreshold all work stays local. Between the threshold and twice its value the share of
+// the shared prefixes that may go to other data centres grows from zero to all, so that a small
+// change in demand moves only few of them.
 func (tb *Table) Spill(now ident.Time, service string, prompts bool, rooms []CentreRoom) (float64, []CentreRoom) {
 	rooms = rooms[:0]
 	id := PoolID{Service: service}
-	size, easy := slotsOf, spillThreshold
+	size, threshold := slotsOf, spillThreshold
 	if prompts {
-		size, easy = enginesOf, spillThreshold*tb.usual.PrefillRate(service)
+		size, threshold = enginesOf, spillThreshold*tb.usual.PrefillRate(service)
 	}
 	alone, shared := tb.demand(now, service)
 	own := CentreRoom{alone: alone}
@@ -177,15 +182,15 @@
 		}
 	}
 	level := evenLevel(rooms, shared)
-	far := 1.0
-	if easy > 0 {
-		far = min(1, max(0, level/easy-1))
+	remoteShare := 1.0
+	if threshold > 0 {
+		remoteShare = min(1, max(0, level/threshold-1))
 	}
-	level = max(level, easy)
+	level = max(level, threshold)
 	for i := range rooms {
 		rooms[i].Work = max(0, level*rooms[i].capacity-rooms[i].alone)
 		if i > 0 && own.alone <= level*own.capacity {
-			rooms[i].Work *= far
+			rooms[i].Work *= remoteShare
 		}
 	}
 	if alone <= 0 {
@@ -198,7 +203,7 @@
 
 func slotsOf(p *event.Pool) float64 { return float64(p.Slots) }
 
-// evenLevel returns the work of one engine or slot where all of it is spread evenly.
+// evenLevel returns the work for each engine or slot if all work is distributed evenly.
 func evenLevel(rooms []CentreRoom, shared float64) float64 {
 	work, capacity := shared, 0.0
 	for _, r := range rooms {
@@ -211,11 +216,11 @@
 	return work / capacity
 }
 
-// demandSteps is the number of steps by which the demand doubles. A new step is sent to the
-// other data centres at once.
+// demandSteps is the number of steps in which the demand doubles. When the demand enters a new
+// step, the other data centres are notified at once.
 const demandSteps = 8
 
-// demandStep returns the step that the demand of a pool is in.
+// demandStep returns the step of the current demand of a pool.
 func demandStep(p *event.Pool) uint64 {
 	if p.Alone+p.Shared < 1 {
 		return 0
--- a/internal/member/flow_test.go
+++ b/internal/member/flow_test.go
@@ -11,8 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sharedPrompt is a prompt of 12,000 tokens of which others share 6,000, alonePrompt
-// one of 1,000 that shares little.
+// sharedPrompt returns a request with a prompt of 12,000 tokens, of which other prompts share
+// 6,000; alonePrompt returns one with 1,000 tokens and no long shared prefix.
 func sharedPrompt() *event.Request {
 	return &event.Request{Service: "writers", Prompt: 12000, Shared: 12, Prefix: make([]uint64, 24)}
 }
@@ -21,8 +21,9 @@
 	return &event.Request{Service: "writers", Prompt: 1000, Shared: 1, Prefix: make([]uint64, 2)}
 }
 
-// bring has callers of a host bring prompts for some seconds.
-func bring(tb *Table, at ident.Time, seconds, shared, alone int) ident.Time {
+// sendDemand has callers send the given numbers of prompts to a host each second, and returns the
+// time after the last one.
+func sendDemand(tb *Table, at ident.Time, seconds, shared, alone int) ident.Time {
 	for range seconds {
 		for range shared {
 			tb.RecordDemand(at, sharedPrompt(), 0)
@@ -36,8 +37,8 @@
 	return at
 }
 
-// reportWork has the other region report its engines and what its callers bring.
-func reportWork(tb *Table, at ident.Time, seq uint64, targets int, alone, shared float64) {
+// reportDemand has the other region report its engines and the demand of its callers.
+func reportDemand(tb *Table, at ident.Time, seq uint64, targets int, alone, shared float64) {
 	tb.SummaryReceived(at, event.Summary{
 		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: seq,
 		Hosts: []event.Host{newHost("e1", "east-a", "east")},
@@ -45,60 +46,62 @@
 	})
 }
 
-// Prompts queue up at the start of a peak while another region is idle.
-func TestWorkIsSharedOutByWhatCallersBring(t *testing.T) {
+// Guards against prompts that queue up at the start of a peak while another region is idle.
+func TestWorkIsBalancedByDemand(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
-	reportWork(tb, at, 10, 2, 0, 0)
-	at = bring(tb, at, 10, 0, 100)
-	reportWork(tb, at, 11, 2, 0, 0)
+	reportDemand(tb, at, 10, 2, 0, 0)
+	at = sendDemand(tb, at, 10, 0, 100)
+	reportDemand(tb, at, 11, 2, 0, 0)
 	part, rooms := tb.Spill(at, "writers", true, nil)
 	if math.Abs(part-0.5) > 0.02 {
-		t.Errorf("%.2f of the work goes to a region that idles and is as large, want half", part)
+		t.Errorf("%.2f of the work goes to an idle region of the same size, want half", part)
 	}
 	if len(rooms) != 2 || rooms[0].Centre != nil || rooms[1].Work < 45000 || rooms[1].Work > 52000 {
-		t.Errorf("rooms %+v, want about 50,000 tokens a second at the other", rooms)
+		t.Errorf("rooms %+v, want about 50,000 tokens a second in the other region", rooms)
 	}
-	reportWork(tb, at, 12, 2, 100000, 0)
+	reportDemand(tb, at, 12, 2, 100000, 0)
 	if part, _ := tb.Spill(at, "writers", true, nil); part > 0.02 {
-		t.Errorf("%.2f of the work goes to a region that has as much", part)
+		t.Errorf("%.2f of the work goes to a region with the same demand", part)
 	}
-	reportWork(tb, at, 13, 2, 0, 100000)
+	reportDemand(tb, at, 13, 2, 0, 100000)
 	if part, _ := tb.Spill(at, "writers", true, nil); part > 0.02 {
-		t.Errorf("%.2f of the work goes to a region while prompts that share prefixes even it out", part)
+		t.Errorf("%.2f of the work goes to a region although prompts with shared prefixes balance the load", part)
 	}
 }
 
-// A region gets more shared prefixes than its engines have room for.
-func TestRoomForSharedBeginningsFollowsTheEngines(t *testing.T) {
+// Guards against a region that gets more prompts with shared prefixes than its engines have
+// capacity for.
+func TestRoomForSharedPrefixesIsProportionalToEngines(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
-	reportWork(tb, at, 10, 6, 0, 0)
-	at = bring(tb, at, 10, 10, 0)
-	reportWork(tb, at, 11, 6, 0, 0)
+	reportDemand(tb, at, 10, 6, 0, 0)
+	at = sendDemand(tb, at, 10, 10, 0)
+	reportDemand(tb, at, 11, 6, 0, 0)
 	_, rooms := tb.Spill(at, "writers", true, nil)
 	if ratio := rooms[1].Work / rooms[0].Work; math.Abs(ratio-3) > 0.01 {
-		t.Errorf("six engines have %.2f times the room of two", ratio)
+		t.Errorf("six engines get %.2f times the work of two, want 3", ratio)
 	}
 }
 
-// A host learns what callers of its peers bring, and forgets one that has gone.
-func TestWorkOfPeersCounts(t *testing.T) {
+// Guards against demand at peers that is ignored, or still counted after the peer has gone.
+func TestDemandOfPeersIsCounted(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.DigestReceived(at, event.Digest{Host: newHost("w9", "west-a", "west"), Seq: 1, Flows: []event.Flow{{Service: "writers", Alone: 100, Shared: 50}}})
 	if alone, shared := tb.demand(at, "writers"); alone != 100 || shared != 50 {
-		t.Errorf("a peer's work counts as %v and %v", alone, shared)
+		t.Errorf("the demand at a peer counts as %v alone and %v shared, want 100 and 50", alone, shared)
 	}
 	if alone, _ := tb.demand(at.Add(10*time.Second), "writers"); alone != 0 {
-		t.Errorf("work of a peer that has gone counts as %v", alone)
+		t.Errorf("the demand at a dead peer counts as %v", alone)
 	}
 }
 
-// Regions end at different levels of use.
-func TestRoomIsWhatThereIsToGive(t *testing.T) {
+// Guards against regions that end up at different loads: the room of all regions must equal the
+// work that can be moved.
+func TestRoomEqualsMovableWork(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rooms := make([]CentreRoom, rapid.IntRange(1, 12).Draw(rt, "regions"))
 		for i := range rooms {
@@ -113,13 +116,13 @@
 			sent += max(0, r.alone-level*r.capacity)
 		}
 		if want := shared + sent; math.Abs(room-want) > 1e-6*(1+want) {
-			rt.Errorf("room for %v, there is %v to give", room, want)
+			rt.Errorf("room for %v, want %v as the work that can be moved", room, want)
 		}
 	})
 }
 
-// A target with queued prompts of other hosts looks idle.
-func TestUnreadPromptsOfPeersCount(t *testing.T) {
+// Guards against a target that looks idle although prompts of other hosts are queued there.
+func TestPendingPrefillOfPeersIsCounted(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a")))
@@ -133,32 +136,32 @@
 	tg, _ := tb.Target("a")
 	report(1, 20000)
 	if got := tg.Wait(at, 4, 1); got != 2500*time.Millisecond {
-		t.Errorf("a wait of %v before 25,000 tokens at 10,000 a second", got)
+		t.Errorf("a wait of %v behind 25,000 tokens at 10,000 a second, want 2.5 s", got)
 	}
 	report(2, 0)
 	tb.PrefillDone("a", 5000)
 	if got := tg.Wait(at, 4, 1); got != 0 {
-		t.Errorf("a wait of %v where all has been read", got)
+		t.Errorf("a wait of %v after all prompts are prefilled", got)
 	}
 }
 
-// Requests cross regions at low load.
-func TestLittleWorkStays(t *testing.T) {
+// Guards against requests that cross regions at low load.
+func TestLowLoadStaysLocal(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	tb.Began("a", 50000, 0, time.Second)
-	reportWork(tb, at, 10, 2, 0, 0)
-	at = bring(tb, at, 10, 1, 1)
-	reportWork(tb, at, 11, 2, 0, 0)
+	reportDemand(tb, at, 10, 2, 0, 0)
+	at = sendDemand(tb, at, 10, 1, 1)
+	reportDemand(tb, at, 11, 2, 0, 0)
 	part, rooms := tb.Spill(at, "writers", true, nil)
 	if part > 0 || rooms[1].Work > 0 {
-		t.Errorf("%.2f of the work goes elsewhere, and there is room for %v there", part, rooms[1].Work)
+		t.Errorf("%.2f of the work goes to the other region, which gets room for %v", part, rooms[1].Work)
 	}
 }
 
-// Calls queue for slots while another region has free ones.
-func TestCallsAreSharedOutBySlots(t *testing.T) {
+// Guards against calls that queue for slots while another region has free ones.
+func TestCallsAreBalancedBySlots(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a")))
@@ -177,6 +180,6 @@
 	})
 	part, rooms := tb.Spill(at, "writers", false, nil)
 	if math.Abs(part-0.5) > 0.02 || len(rooms) != 2 || rooms[1].Work < 7 {
-		t.Errorf("%.2f of 16 slots' work goes to a region with as many: %+v", part, rooms)
+		t.Errorf("%.2f of the work of 16 slots goes to an idle region of the same size, want half: %+v", part, rooms)
 	}
 }
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -8,11 +8,11 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// outageGrace is how long after an outage of the platform a target that its list lacks
-// stays in use: entries that expired meanwhile are written again.
+// outageGrace is how long after an outage of the platform's store targets that are missing from its
+// list stay in use, so that entries that expired during the outage can be written again.
 const outageGrace = 2200 * time.Millisecond
 
-// ListFailed records that a read of the platform's list has failed.
+// ListFailed records that a read of the platform's list failed.
 func (tb *Table) ListFailed(now ident.Time) {
 	tb.Advance(now)
 	tb.list.away = true
@@ -20,7 +20,7 @@
 	tb.readSoon(now, "failed")
 }
 
-// readSucceeded records that an own read has brought a list.
+// readSucceeded records that a read by this host returned a list.
 func (tb *Table) readSucceeded(now ident.Time) {
 	if tb.list.away {
 		tb.list.away = false
@@ -31,17 +31,17 @@
 	}
 }
 
-// readsAreStable reports whether this host has read the platform's list for long enough without a
-// failure to announce removals. Just after an outage an expired entry looks like a removed one.
+// readsAreStable reports whether this host has read the platform's list without a failure for long
+// enough to announce removals. Just after an outage an expired entry looks like a removed one.
 func (tb *Table) readsAreStable(now ident.Time) bool {
 	return tb.list.steadyAt > 0 && now.Sub(tb.list.steadyAt) >= outageGrace
 }
 
-// HasList reports whether this host, or a peer for it, has read the platform's
-// list.
+// HasList reports whether this host, or a peer on its behalf, has read the platform's list.
 func (tb *Table) HasList() bool { return tb.list.read || len(tb.peers) > 0 }
 
-// markUnlisted marks the targets that the complete list just read lacks.
+// markUnlisted marks the targets that are missing from the complete list that this host has just
+// read.
 func (tb *Table) markUnlisted(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
@@ -51,8 +51,8 @@
 	tb.updateRemoved(now)
 }
 
-// removeUnlisted removes the targets that a complete list of a peer lacks, also during an
-// outage of the store at this host.
+// removeUnlisted removes the targets that are missing from the complete list of a peer, even during
+// an outage of the store at this host.
 func (tb *Table) removeUnlisted(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
@@ -62,8 +62,8 @@
 	tb.updateRemoved(now)
 }
 
-// mergeStaleRead merges the parts of an own read that hold although a newer list is in use:
-// draining targets, and removed ones that no newer list names.
+// mergeStaleRead merges those parts of a list read by this host that remain valid although a newer
+// list is in use: draining targets, and removals of targets that no newer list names.
 func (tb *Table) mergeStaleRead(now ident.Time, ev event.HostsRead) {
 	named := value.SetOf[ident.TargetID]()
 	for _, d := range ev.Targets {
@@ -92,7 +92,7 @@
 	}
 }
 
-// remove marks a target as gone from a version of the list on.
+// remove marks a target as removed since a version of the list.
 func (tb *Table) remove(now ident.Time, t *Target, version uint64) {
 	t.markAbsent(version)
 	if !t.Removed {
@@ -101,8 +101,8 @@
 	}
 }
 
-// recentRemovals returns the removals that digests repeat. Draining targets are not used
-// anyway.
+// recentRemovals returns the removals that digests repeat. Draining targets are left out, because
+// no host uses them anyway.
 func (tb *Table) recentRemovals(now ident.Time) []event.RemovedTarget {
 	if !tb.readsAreStable(now) {
 		return nil
@@ -116,7 +116,7 @@
 	return rs
 }
 
-// markAbsent records that the list lacks the target from a version on.
+// markAbsent records that the list does not name the target since a version.
 func (t *Target) markAbsent(version uint64) {
 	t.missing, t.listed = true, false
 	t.removedVersion = max(t.removedVersion, version)
@@ -128,14 +128,14 @@
 	t.removedVersion, t.missing = 0, false
 }
 
-// updateRemoved updates which targets are gone by the complete lists read so far. Some targets
-// never drain: their entry is removed, and they stop a few seconds later. During an outage
-// of the platform and returnGrace after it nothing is removed, since entries expire though
-// their targets live.
+// updateRemoved updates which targets are removed, based on the complete lists read so far. Some
+// targets never drain: their entry is removed, and they stop a few seconds later. During an outage
+// of the platform's store and for outageGrace after it no target is removed, since entries expire
+// although their targets are alive.
 func (tb *Table) updateRemoved(now ident.Time) {
-	held := tb.list.away || tb.list.backAt > 0 && now.Sub(tb.list.backAt) < outageGrace
+	inOutage := tb.list.away || tb.list.backAt > 0 && now.Sub(tb.list.backAt) < outageGrace
 	for _, t := range tb.targets {
-		gone := t.missing && (t.Removed || !held)
+		gone := t.missing && (t.Removed || !inOutage)
 		if gone == t.Removed {
 			continue
 		}
@@ -145,12 +145,12 @@
 			continue
 		}
 		t.Removed = false
-		tb.note(t, "target is there again")
+		tb.note(t, "target is listed again")
 	}
 }
 
-// mergeListed merges the cold time and the evacuation of a target from a list. A list of a peer
-// is older, so that only a longer cold time counts.
+// mergeListed merges the cold time and the end of an evacuation of a target from a list. The list
+// of a peer may be out of date, so only a longer cold time counts.
 func (tb *Table) mergeListed(now ident.Time, t *Target, d event.Target) {
 	until := now.Add(d.ColdFor)
 	if d.ColdFor > 0 && until > t.coldUntil {
@@ -161,7 +161,7 @@
 	}
 }
 
-// Usable reports whether work may be sent to a target at all.
+// Usable reports whether requests may be sent to a target at all.
 func (t *Target) Usable(now ident.Time) bool {
 	return !t.KnownDraining && !t.Removed && !t.Closed && !t.Suspect(now)
 }
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -25,23 +25,23 @@
 	return ok && tg.Usable(at)
 }
 
-// A target whose entry was removed is used.
-func TestUnlistedTargetIsGone(t *testing.T) {
+// Guards against sending requests to a target whose entry was removed.
+func TestUnlistedTargetIsNotUsable(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	tb.HostsRead(at, listOf(2, newTarget("b")))
 	if usable(t, tb, at, "a") {
-		t.Error("a target that the list lacks is used")
+		t.Error("a target that is missing from the list is usable")
 	}
 	tb.HostsRead(at, listOf(3, newTarget("a"), newTarget("b")))
 	if !usable(t, tb, at, "a") {
-		t.Error("a target that is listed again is not used")
+		t.Error("a target that is listed again is not usable")
 	}
 }
 
-// An older list of a peer ends an evacuation.
-func TestOlderListOfAPeerOpensNothing(t *testing.T) {
+// Guards against an older list of a peer that ends an evacuation.
+func TestOlderListOfAPeerDoesNotEndEvacuation(t *testing.T) {
 	at := ident.Time(time.Second)
 	closed := newTarget("a")
 	closed.Closed = true
@@ -52,20 +52,20 @@
 	}
 	announce(1, 4, newTarget("a"))
 	if usable(t, tb, at, "a") {
-		t.Error("an older list of a peer opens an evacuated data centre")
+		t.Error("an older list of a peer ends the evacuation")
 	}
 	announce(2, 6, newTarget("a"))
 	if !usable(t, tb, at, "a") {
-		t.Error("a newer list of a peer is not taken")
+		t.Error("a newer list of a peer is ignored")
 	}
 	tb.HostsRead(at, listOf(5, closed))
 	if !usable(t, tb, at, "a") {
-		t.Error("an older list that this host reads replaces a newer one of a peer")
+		t.Error("an older list read by this host replaces a newer one of a peer")
 	}
 }
 
-// Targets whose entries expired in an outage are dropped on its end.
-func TestLapsedEntriesAreWaitedFor(t *testing.T) {
+// Guards against dropping targets at the end of an outage because their entries expired during it.
+func TestExpiredEntriesGetGraceAfterOutage(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
@@ -73,17 +73,17 @@
 	at = at.Add(5 * time.Second)
 	tb.HostsRead(at, listOf(2, newTarget("b")))
 	if !usable(t, tb, at, "a") {
-		t.Error("a target whose entry lapsed is dropped at the platform's return")
+		t.Error("a target whose entry expired during the outage is dropped at its end")
 	}
 	at = at.Add(outageGrace)
 	tb.Tick(at, Own{})
 	if usable(t, tb, at, "a") {
-		t.Error("a target that did not come back is still used")
+		t.Error("a target that was not listed again after the outage is still usable")
 	}
 }
 
-// A cold target is overloaded after an evacuation.
-func TestTakenBackIsCold(t *testing.T) {
+// Guards against overloading a target that has become cold during an evacuation.
+func TestTargetIsColdAfterEvacuation(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return 6 }, Duration: func(string) time.Duration { return 3 * time.Second }})
@@ -92,19 +92,19 @@
 	tb.HostsRead(at, listOf(1, newTarget("a")))
 	tb.HostsRead(at, listOf(2, closed))
 	if usable(t, tb, at, "a") {
-		t.Error("a target of an evacuated data centre is used")
+		t.Error("a target of an evacuated data centre is usable")
 	}
 	tb.HostsRead(at, listOf(3, newTarget("a")))
 	tg, _ := tb.Target("a")
 	if !tg.Cold(at) || tg.Cold(at.Add(3*time.Second)) {
-		t.Error("a target that was taken back is not cold for as long as its service says")
+		t.Error("the target is not cold for the time set for its service after the evacuation")
 	}
 }
 
-// Hosts with different views overload a cold target.
-func TestColdTargetsGetTheirShare(t *testing.T) {
+// Guards against overloading a cold target from hosts that differ in their views of each other.
+func TestHostsTogetherKeepColdLimit(t *testing.T) {
 	const bound = 6
-	for name, know := range map[string]bool{"hosts that know each other": true, "a host that has lost another": false} {
+	for name, connected := range map[string]bool{"hosts that know each other": true, "a host that has lost another": false} {
 		t.Run(name, func(t *testing.T) {
 			at := ident.Time(time.Second)
 			hosts := []event.Host{newHost("w1", "west-a", "west"), newHost("w2", "west-a", "west")}
@@ -113,7 +113,7 @@
 				tb := New(h)
 				tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return bound }})
 				tb.Advance(at)
-				if know {
+				if connected {
 					tb.PeerUp(at, hosts[1-i])
 				}
 				tables = append(tables, tb)
@@ -126,7 +126,7 @@
 				at = at.Add(10 * time.Millisecond)
 				for i, tb := range tables {
 					tb.HostsRead(at, listOf(1, cold))
-					if know {
+					if connected {
 						tb.PeerUp(at, hosts[1-i])
 					}
 					if tg, _ := tb.Target("a"); !tb.ColdLimitReached(at, tg) {
@@ -152,8 +152,8 @@
 	}
 }
 
-// A target stays unused by a load that is over.
-func TestBriefCallsAreNotCountedForLong(t *testing.T) {
+// Guards against a target that stays unused because of a load that has ended.
+func TestLoadOfShortCallsDecays(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	small := newTarget("a")
@@ -170,9 +170,9 @@
 	seen(6)
 	tg, _ := tb.Target("a")
 	if got := tg.Outstanding(at); got != 6 {
-		t.Errorf("%d requests at the target at once, 6 were announced", got)
+		t.Errorf("%d requests at the target right after the answer, want 6", got)
 	}
 	if got := tg.Outstanding(at.Add(100 * time.Millisecond)); got > 3 {
-		t.Errorf("%d requests of 20 ms are counted 100 ms later", got)
+		t.Errorf("%d requests of 20 ms are still counted after 100 ms", got)
 	}
 }
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -7,11 +7,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// maxHolders bounds the prefix holders of one digest, of 12 bytes each.
+// maxHolders bounds the prefix holders in one digest, at 12 bytes each.
 const maxHolders = 32
 
-// PrefixSent records that a target was sent a prompt with a long shared prefix, which is named by
-// its last block. The next digest announces it.
+// PrefixSent records that a target was sent a prompt with a long shared prefix, which is identified
+// by its last block. The next digest announces it.
 func (tb *Table) PrefixSent(id ident.TargetID, part uint64) {
 	t, ok := tb.byID[id]
 	if !ok || len(tb.beat.holders) >= maxHolders {
@@ -19,7 +19,7 @@
 	}
 	key := targetKey(id)
 	if tb.byKey[key] != t {
-		return // Another target goes by the same key.
+		return // The key is ambiguous.
 	}
 	h := event.PrefixHolder{Target: key, Part: part}
 	if !slices.Contains(tb.beat.holders, h) {
@@ -27,14 +27,15 @@
 	}
 }
 
-// takeHolders returns the holders for the next digest, once.
+// takeHolders returns the holders for the next digest and clears them.
 func (tb *Table) takeHolders() []event.PrefixHolder {
 	hs := tb.beat.holders
 	tb.beat.holders = nil
 	return hs
 }
 
-// TargetByKey returns the target that goes by a key.
+// TargetByKey returns the target with the given key. It returns none if several targets have the
+// key.
 func (tb *Table) TargetByKey(key event.TargetKey) (*Target, bool) {
 	t := tb.byKey[key]
 	return t, t != nil
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -11,14 +11,14 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Summaries without pools extend an offer.
+// Guards against summaries without pools that extend the lifetime of an offer.
 func TestOfferExpiresUnderSummariesWithoutPools(t *testing.T) {
 	w := newWorld(21, 2, 1, 4)
 	w.busy("dc1", 10)
 	w.run(30*time.Second, nil)
 	b := w.nodes[1].tb
 	if b.RemainingOffer(w.now, "dc0", scribe) == 0 {
-		t.Fatal("no offer to begin with")
+		t.Fatal("no offer before the link is cut")
 	}
 	s := b.Centres(w.now)[0].Summary
 	w.nodes[0].cut = true
@@ -29,12 +29,12 @@
 		b.SummaryReceived(w.now, s)
 	}
 	if left := b.RemainingOffer(w.now, "dc0", scribe); left != 0 {
-		t.Errorf("%d may be sent on an offer that has expired", left)
+		t.Errorf("%d requests may be forwarded on an expired offer", left)
 	}
 }
 
-// The work at one target is counted at another with the same key.
-func TestTargetsOfOneKeyGoByTheirIDs(t *testing.T) {
+// Guards against requests at one target that are counted at another with the same key.
+func TestTargetsWithTheSameKeyAreNamedByID(t *testing.T) {
 	first := make(map[event.TargetKey]ident.TargetID)
 	var one, two ident.TargetID
 	for n := 0; one == ""; n++ {
@@ -59,12 +59,12 @@
 		got = append(got, tg.PeerInFlight)
 	}
 	if d := cmp.Diff([]int{2, 1}, got); d != "" {
-		t.Errorf("work of peers (-want +got):\n%s", d)
+		t.Errorf("requests of peers (-want +got):\n%s", d)
 	}
 }
 
-// The work of peers at a target that becomes known later is lost.
-func TestWorkAtATargetNotYetKnownCounts(t *testing.T) {
+// Guards against losing the requests of peers at a target that this host discovers only later.
+func TestPeerRequestsAtUnknownTargetAreCounted(t *testing.T) {
 	w := newWorld(25, 1, 2, 0)
 	tb, peer := w.nodes[0].tb, w.nodes[1].tb.Self()
 	d := event.Digest{Host: peer, Seq: 1, Use: []event.TargetUse{{Key: targetKey("late"), Running: 3}}}
@@ -73,17 +73,17 @@
 	tb.HostsRead(w.now, event.HostsRead{Version: 1, Hosts: []event.Host{peer}, Targets: []event.Target{late}})
 	tg, _ := tb.Target("late")
 	if tg.PeerInFlight != 3 {
-		t.Errorf("%d count, 3 run", tg.PeerInFlight)
+		t.Errorf("%d requests of peers are counted, want 3", tg.PeerInFlight)
 	}
 	d.Seq, d.Use = 2, nil
 	tb.DigestReceived(w.now, d)
 	if tg.PeerInFlight != 0 {
-		t.Errorf("%d count, none run", tg.PeerInFlight)
+		t.Errorf("%d requests of peers are counted, want none", tg.PeerInFlight)
 	}
 }
 
-// A summary without hosts makes a data centre look empty.
-func TestPartsLeftOutAreNotNone(t *testing.T) {
+// Guards against a summary that omits the hosts and thereby makes a data centre look empty.
+func TestOmittedPartsAreNotEmpty(t *testing.T) {
 	w := newWorld(22, 2, 1, 1)
 	tb := w.nodes[0].tb
 	far := w.nodes[1].tb.Self()
@@ -100,52 +100,53 @@
 		t.Errorf("lacking (-want +got):\n%s", d)
 	}
 	if s := c.aged(w.now); !s.HostsKept || !s.PoolsKept {
-		t.Error("parts that are not known are passed on as none")
+		t.Error("unknown parts are passed on as empty ones")
 	}
 }
 
-// A new receiver of summaries misses parts that were sent to another one.
-func TestNewReceiverIsToldAll(t *testing.T) {
+// Guards against a new recipient of summaries that misses parts sent only to the former recipient.
+func TestNewRecipientGetsFullSummary(t *testing.T) {
 	w := newWorld(23, 2, 1, 1)
 	w.run(20*time.Second, nil)
 	tb := w.nodes[0].tb
 	c := tb.Centres(w.now)[0]
-	full := func(to event.Host) bool {
+	getsFull := func(to event.Host) bool {
 		s := tb.summary(w.now)
 		return tb.leaveOut(w.now, c, to, &s, false) && !s.HostsKept && !s.PoolsKept && !s.AccountsKept
 	}
 	far := w.nodes[1].tb.Self()
 	w.now = w.now.Add(minGap)
-	if full(far) {
-		t.Error("a receiver that has all gets all")
+	if getsFull(far) {
+		t.Error("a recipient that is up to date gets a full summary")
 	}
 	next := far
 	next.Incarnation++
 	w.now = w.now.Add(minGap)
-	if !full(next) {
-		t.Error("a receiver that restarted does not get all")
+	if !getsFull(next) {
+		t.Error("a restarted recipient does not get a full summary")
 	}
 	other := next
 	other.ID = "dc1-x"
 	w.now = w.now.Add(minGap)
-	if !full(other) {
-		t.Error("another receiver does not get all")
+	if !getsFull(other) {
+		t.Error("a new recipient does not get a full summary")
 	}
 	w.now = w.now.Add(minGap)
 	newer := other
 	newer.Incarnation++
 	tb.PeerUp(w.now, newer)
-	if !full(other) {
-		t.Error("a receiver whose link shows a restart does not get all")
+	if !getsFull(other) {
+		t.Error("a recipient whose link shows a restart does not get a full summary")
 	}
 	tb.forgetSent()
-	if !full(other) {
-		t.Error("after a loss of the duty the receiver does not get all")
+	if !getsFull(other) {
+		t.Error("the recipient does not get a full summary after the duty has moved")
 	}
 }
 
-// A short report is completed from that of a former start.
-func TestShortReportOfANewIncarnationIsNotFilledFromTheOld(t *testing.T) {
+// Guards against a shortened report of a new incarnation that is completed with fields of the
+// former one.
+func TestShortReportOfNewIncarnationIsNotCompletedFromFormer(t *testing.T) {
 	w := newWorld(26, 1, 2, 1)
 	w.run(5*time.Second, nil)
 	tb := w.nodes[0].tb
@@ -154,17 +155,18 @@
 	ld := event.Load{Key: targetKey(tg.ID), Incarnation: tg.Incarnation + 1, Seq: 1, Running: 1, Kept: true}
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1 << 20, Loads: []event.Load{ld}})
 	if tg.Load.Incarnation > 1 {
-		t.Errorf("%d slots count as those of incarnation %d", tg.Load.Slots, tg.Load.Incarnation)
+		t.Errorf("%d slots of the former incarnation are attributed to incarnation %d", tg.Load.Slots, tg.Load.Incarnation)
 	}
 	ld.Kept, ld.Slots = false, 4
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1<<20 + 1, Loads: []event.Load{ld}})
 	if tg.Load.Slots != 4 {
-		t.Errorf("%d slots, the whole report says 4", tg.Load.Slots)
+		t.Errorf("%d slots, want 4 as in the full report", tg.Load.Slots)
 	}
 }
 
-// All representatives send to the same host after a partition.
-func TestSpeakersTryDifferentHostsOfACutOffDataCentre(t *testing.T) {
+// Guards against representatives of many data centres that all send to the same host after a
+// partition.
+func TestRepresentativesTryDifferentHostsOfACutOffDataCentre(t *testing.T) {
 	far := event.Place{DataCentre: "far", Region: "far"}
 	list := event.HostsRead{Version: 1}
 	for n := range 8 {
@@ -181,7 +183,7 @@
 	}
 	for id, n := range tried {
 		if n > 20 {
-			t.Errorf("%d of 40 speakers try %s", n, id)
+			t.Errorf("%d of 40 representatives try %s", n, id)
 		}
 	}
 }
--- a/internal/member/member_fail_test.go
+++ b/internal/member/member_fail_test.go
@@ -10,7 +10,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// A host that restarts during an outage of the platform can't serve.
+// Guards against a host that can't serve after a restart during an outage of the platform. It has
+// to get its state from its peers.
 func TestRestartedHostLearnsFromPeers(t *testing.T) {
 	w := newWorld(1, 2, 3, 4)
 	w.run(10*time.Second, nil)
@@ -22,7 +23,7 @@
 	w.restart(n)
 	w.run(6*time.Second, nil)
 	if d := cmp.Diff(want, ids(n.tb.Targets())); d != "" {
-		t.Errorf("targets after the restart: %s", d)
+		t.Errorf("targets after the restart (-want +got):\n%s", d)
 	}
 	for _, x := range n.tb.Targets() {
 		if !x.HasLoad || x.Suspect(w.now) {
@@ -42,7 +43,8 @@
 	return out
 }
 
-// A host takes its own pause for the silence of others.
+// Guards against a host that mistakes its own pause for silence of the other hosts, and against
+// offers that outlive the pause.
 func TestPausedHostKeepsItsPeersAndDropsItsOffers(t *testing.T) {
 	w := newWorld(2, 2, 2, 2)
 	w.busy("dc1", 10)
@@ -55,14 +57,14 @@
 	now := w.now.Add(time.Minute)
 	n.tb.Advance(now)
 	if got := len(n.tb.Peers(now)); got != 1 {
-		t.Errorf("%d live peers after the pause", got)
+		t.Errorf("%d live peers after the pause, want 1", got)
 	}
 	for _, x := range n.tb.Targets() {
 		if x.Suspect(now) {
 			t.Errorf("%s is suspect after the pause", x.ID)
 		}
 	}
-	// The summary that waited through the pause comes first.
+	// The summary that waited in the socket during the pause arrives first.
 	c := n.tb.Centres(now)[0]
 	s := c.Summary
 	s.Seq += 100
@@ -73,8 +75,9 @@
 	}
 }
 
-// A watcher without the platform keeps the duty.
-func TestBlindWatcherHandsOver(t *testing.T) {
+// Guards against a watcher that keeps the duty although it can't reach the platform, so that its
+// data centre misses changes of the list.
+func TestWatcherWithoutPlatformHandsOver(t *testing.T) {
 	w := newWorld(3, 1, 3, 1)
 	w.run(5*time.Second, nil)
 	old := w.nodes[0].tb.watcher(w.now)
@@ -82,7 +85,7 @@
 	w.run(2*time.Second, nil)
 	for _, n := range w.nodes {
 		if n.tb.watcher(w.now) == old {
-			t.Errorf("%s leaves the duty with %s", n.id, old)
+			t.Errorf("%s still considers %s the watcher", n.id, old)
 		}
 	}
 	for _, n := range w.nodes {
@@ -90,11 +93,11 @@
 	}
 	w.run(3*time.Second, nil)
 	if got := w.nodes[0].tb.watcher(w.now); got != old {
-		t.Errorf("with all blind %s watches, want the first, %s", got, old)
+		t.Errorf("%s watches while no host reaches the platform, want the host that ranks first, %s", got, old)
 	}
 }
 
-// The duties of a dead host stay with it.
+// Guards against duties that stay with a dead host.
 func TestDutiesPassOnFromASilentHost(t *testing.T) {
 	w := newWorld(4, 2, 3, 1)
 	w.run(5*time.Second, nil)
@@ -102,19 +105,19 @@
 		w.node(old).cut = true
 	}
 	w.run(4*time.Second, nil)
-	held := 0
+	watchers := 0
 	for _, n := range w.nodes[:3] {
 		if !n.cut && n.tb.Watches(w.now) {
-			held++
+			watchers++
 		}
 	}
-	if held != 1 {
-		t.Errorf("%d live hosts watch", held)
+	if watchers != 1 {
+		t.Errorf("%d live hosts watch, want 1", watchers)
 	}
 }
 
-// A drain notice is late, or reverted by an old list or report.
-func TestLeavingIsToldAtOnceAndSticks(t *testing.T) {
+// Guards against a drain notice that arrives late, or that an older list or report reverts.
+func TestDrainNoticeIsSentAtOnceAndPersists(t *testing.T) {
 	w := newWorld(5, 1, 3, 2)
 	w.run(5050*time.Millisecond, nil)
 	w.nodes[0].tb.MarkDraining(w.now, "dc0-t0", 1)
@@ -122,10 +125,10 @@
 	for _, n := range w.nodes {
 		n.tb.HostsRead(w.now, w.list)
 		if x, _ := n.tb.Target("dc0-t0"); !x.KnownDraining {
-			t.Errorf("%s does not know", n.id)
+			t.Errorf("%s does not know that the target drains", n.id)
 		}
 		if x, _ := n.tb.Target("dc0-t1"); x.KnownDraining {
-			t.Errorf("%s takes the wrong target for leaving", n.id)
+			t.Errorf("%s considers another target draining", n.id)
 		}
 	}
 	w.list.Version++
@@ -133,12 +136,12 @@
 	w.engine("dc0-t0").Incarnation = 2
 	w.run(3*time.Second, nil)
 	if x, _ := w.nodes[2].tb.Target("dc0-t0"); x.KnownDraining || x.Incarnation != 2 {
-		t.Errorf("the next incarnation counts as %+v", x.Target)
+		t.Errorf("the next incarnation is still draining or unknown: %+v", x.Target)
 	}
 }
 
-// A draining host is named to callers.
-func TestLeavingHostIsNotNamed(t *testing.T) {
+// Guards against callers that are directed to a draining host.
+func TestDrainingHostIsNotNamed(t *testing.T) {
 	w := newWorld(6, 2, 2, 1)
 	w.run(10*time.Second, nil)
 	n := w.nodes[0]
@@ -146,22 +149,22 @@
 	all := func(event.Place) bool { return true }
 	w.run(100*time.Millisecond, nil)
 	if hs := w.nodes[1].tb.Entries(w.now, all, 1); hs[0].ID != w.nodes[1].id {
-		t.Errorf("the peer names %s first", hs[0].ID)
+		t.Errorf("the peer names the draining host %s first", hs[0].ID)
 	}
 	w.run(2*Period, nil)
 	for _, m := range w.nodes {
 		for _, h := range m.tb.Entries(w.now, all, 1) {
 			if h.ID == n.id {
-				t.Errorf("%s names %s", m.id, n.id)
+				t.Errorf("%s names the draining host %s", m.id, n.id)
 			}
 		}
 		if m.place == n.place && m.tb.watcher(w.now) == n.id {
-			t.Errorf("%s leaves the duty to watch with %s", m.id, n.id)
+			t.Errorf("%s still considers the draining host %s the watcher", m.id, n.id)
 		}
 	}
 }
 
-// A late load report replaces a newer one.
+// Guards against a late load report that replaces a newer one.
 func TestOldReportsAreIgnored(t *testing.T) {
 	w := newWorld(7, 1, 1, 1)
 	w.run(2*time.Second, nil)
@@ -178,7 +181,7 @@
 	}
 }
 
-// A burst goes to the target that was idle in the last report.
+// Guards against a burst of requests that all go to the target that was idle in the last report.
 func TestSendsSinceTheReportCount(t *testing.T) {
 	w := newWorld(8, 1, 2, 1)
 	w.run(3*time.Second, nil)
@@ -188,23 +191,23 @@
 	}
 	x, _ := a.Target("dc0-t0")
 	if got := x.Outstanding(w.now); got != 4 {
-		t.Errorf("the sender counts %d", got)
+		t.Errorf("the sender counts %d requests, want 4", got)
 	}
 	w.run(1100*time.Millisecond, nil)
 	y, _ := b.Target("dc0-t0")
 	if got := y.Outstanding(w.now); got != 4 {
-		t.Errorf("the peer counts %d", got)
+		t.Errorf("the peer counts %d requests, want 4", got)
 	}
 	w.busy("dc0", 4)
 	w.run(5*time.Second, nil)
 	if got := x.Outstanding(w.now); got != 4 {
-		t.Errorf("the sender counts %d once they are reported, as if they were others'", got)
+		t.Errorf("the sender counts %d requests after a report that includes its own 4", got)
 	}
 	for range 3 {
 		a.RequestSent("dc0-t0", 100, 100)
 	}
 	if got := x.Outstanding(w.now); got != 7 {
-		t.Errorf("the sender counts %d after three more", got)
+		t.Errorf("the sender counts %d requests after three more, want 7", got)
 	}
 	w.busy("dc0", 9)
 	w.run(time.Second, nil)
@@ -212,7 +215,7 @@
 		a.RequestSent("dc0-t0", 100, 100)
 	}
 	if got := x.Outstanding(w.now); got != 13 {
-		t.Errorf("the sender counts %d with two of others", got)
+		t.Errorf("the sender counts %d requests with two of other hosts, want 13", got)
 	}
 	for range 11 {
 		a.RequestEnded("dc0-t0", 100, 100, true)
@@ -220,11 +223,12 @@
 	w.busy("dc0", 0)
 	w.run(3*time.Second, nil)
 	if got := y.Outstanding(w.now); got != 0 {
-		t.Errorf("the peer counts %d after the end", got)
+		t.Errorf("the peer counts %d requests after all have ended", got)
 	}
 }
 
-// Hosts that start together read the list at the same moment.
+// Guards against load peaks on the platform from hosts that start together and read the list at the
+// same moment.
 func TestReadsOfTheListAreSpread(t *testing.T) {
 	w := newWorld(9, 10, 6, 0)
 	before, most := 0, 0
@@ -242,7 +246,7 @@
 		w.run(50*time.Millisecond, nil)
 		most = max(most, w.reads-at)
 	}
-	// Ten watchers read every two seconds, and fifty others every 30 to 40.
+	// Ten watchers read every two seconds, and the fifty other hosts every 30 to 40 s.
 	if rate := float64(w.reads-before) / 10; rate > 10 {
 		t.Errorf("%v reads a second", rate)
 	}
@@ -251,7 +255,7 @@
 	}
 }
 
-// The report of a peer clears failures of the link from this host.
+// Guards against a peer's report that clears the failures of the link from this host to the target.
 func TestPeersReportsDoNotClearOwnFailures(t *testing.T) {
 	w := newWorld(10, 1, 2, 4)
 	w.run(3*time.Second, nil)
@@ -268,18 +272,18 @@
 	tb.DigestReceived(w.now, d)
 	for _, x := range tb.Targets() {
 		if !x.Suspect(w.now) {
-			t.Errorf("%s is trusted again", x.ID)
+			t.Errorf("%s is no longer suspect after a peer's report", x.ID)
 		}
 	}
 	tb.LoadReported(w.now, event.Load{Target: "dc0-t0", Incarnation: 1, Seq: 1001, Slots: 10})
 	x, _ := tb.Target("dc0-t0")
 	if x.Suspect(w.now) || x.Share(w.now) > 0.2 {
-		t.Errorf("after its own answer: suspect %v, share %v", x.Suspect(w.now), x.Share(w.now))
+		t.Errorf("after an answer to this host: suspect %v, share %v", x.Suspect(w.now), x.Share(w.now))
 	}
 }
 
-// A digest of a former start or an older list reverts newer state.
-func TestFormerRunsAndListsAreNotBelieved(t *testing.T) {
+// Guards against a digest of a former incarnation, or an older list, that reverts newer state.
+func TestFormerIncarnationsAndListsAreIgnored(t *testing.T) {
 	tb := New(event.Host{ID: "e0", Incarnation: 1, Place: event.Place{DataCentre: "dc0"}})
 	digest := func(now ident.Time, inc ident.Incarnation) ident.Incarnation {
 		h := event.Host{ID: "e1", Incarnation: inc, Place: event.Place{DataCentre: "dc0"}}
@@ -299,7 +303,7 @@
 		at  time.Duration
 		old bool
 	}{{time.Second, false}, {2 * time.Second, true}, {70 * time.Second, true}} {
-		// The time goes by in steps, as for a host that is not paused.
+		// Time advances in steps of a period: a longer step would count as a pause.
 		for tb.last < ident.Time(step.at)-1 {
 			tb.Advance(min(tb.last.Add(Period), ident.Time(step.at)-1))
 		}
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -7,17 +7,17 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Asking engines for the size of their memory.
+// Requests to engines for the size of their memory.
 const (
-	// memoryAskInterval is the time between two questions to an engine that has not answered.
+	// memoryAskInterval is the time between two requests to an engine that has not answered.
 	memoryAskInterval = 10 * time.Second
-	// maxMemoryAsks bounds the questions of one second: engines that come back together
-	// are busy, and the answer is of use for as long as they live.
+	// maxMemoryAsks bounds the requests in one second. Engines that come back together are busy
+	// then, and an answer stays valid for the lifetime of the engine.
 	maxMemoryAsks = 16
 )
 
-// askMemory returns the questions to engines whose memory is not known. Engines are
-// the targets of services that have read a prompt.
+// askMemory returns the requests to engines whose memory size is unknown. Engines are the targets
+// of services with a known prefill rate.
 func (tb *Table) askMemory(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
@@ -36,7 +36,7 @@
 	return effs
 }
 
-// MemoryReported takes the memory of an engine.
+// MemoryReported stores the memory size that an engine reported.
 func (tb *Table) MemoryReported(e event.MemoryReported) {
 	if t, ok := tb.currentTarget(e.Target, e.Incarnation); ok {
 		t.MemoryTokens = e.Tokens
--- a/internal/member/near.go
+++ b/internal/member/near.go
@@ -9,30 +9,31 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// maxNearbyAge is the age of the newest summary of another data centre past which
-// its hosts are not named to callers: they may all have gone.
+// maxNearbyAge is the age of the newest summary of another data centre beyond which its hosts are
+// not named to callers: they may all have stopped.
 const maxNearbyAge = 5 * time.Second
 
-// Nearby returns the entry hosts that a caller at a place should use: the live
-// ones of its data centre, else of its region, else of the homes, else those of
-// its region that drain, else, where it has no homes, any. The homes are the
-// regions in which all requests of the caller may be served: a body that is sent
-// to a host anywhere else has left the places that it is confined to. A caller
-// that gets no answer keeps to the hosts that it knows, which are back at the
-// same addresses after a replacement.
+// Nearby returns the entry hosts that a caller at a place should use. It returns the first
+// non-empty group of: the live hosts of the caller's data centre; those of its region; those of its
+// homes; the draining hosts of its region; and, if the caller has no homes, any live hosts, those
+// of this data centre first.
 //
-// Hosts that have been silent are left out.
+// The homes are the regions in which all requests of the caller may be served. A request body sent
+// to a host elsewhere would leave the places that it is confined to. If Nearby returns nothing, the
+// caller keeps the hosts that it knows, which come back at the same addresses after a replacement.
+//
+// Hosts that are silent are left out.
 func (tb *Table) Nearby(now ident.Time, near event.Place, homes []ident.Region) []event.Host {
 	all, draining := tb.reachable(now)
-	here := func(p event.Place) bool { return p.Region == near.Region }
+	inRegion := func(p event.Place) bool { return p.Region == near.Region }
 	for _, c := range []struct {
 		hosts []event.Host
 		fits  func(p event.Place) bool
 	}{
 		{all, func(p event.Place) bool { return p.DataCentre == near.DataCentre }},
-		{all, here},
+		{all, inRegion},
 		{all, func(p event.Place) bool { return slices.Contains(homes, p.Region) }},
-		{draining, here},
+		{draining, inRegion},
 		{all, func(p event.Place) bool { return len(homes) == 0 && p.Group() == tb.self.Place.Group() }},
 		{all, func(event.Place) bool { return len(homes) == 0 }},
 	} {
@@ -43,10 +44,9 @@
 	return nil
 }
 
-// reachable returns the hosts that are probably there, and apart those of them
-// that drain. Of another group they are known by its summaries, and by the
-// platform's list while that can be read: a host that was just replaced stands
-// there before any summary names it.
+// reachable returns the hosts that are probably reachable, with those that drain in a separate
+// slice. Hosts of other data centres come from their summaries and, while the platform's list is
+// readable, from that list: it names a new host before any summary does.
 func (tb *Table) reachable(now ident.Time) (all, draining []event.Host) {
 	hosts := tb.liveHosts(now)
 	for _, c := range tb.centres {
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -11,52 +11,52 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Marks and times of offers. The marks are parts of the slots of a pool in
-// percent.
+// Thresholds and times of offers. The thresholds are percentages of free slots in a pool.
 //
-// The mark below which a data centre asks lies well under the one below which
-// it withdraws, and that under the one above which it begins to offer. So no
-// data centre asks and offers at once, and one whose load swings about a mark
-// does not flap.
+// askPercent lies well below withdrawPercent, and withdrawPercent below offerPercent. So no data
+// centre asks and offers at the same time, and one whose load fluctuates around a threshold does
+// not flap.
 const (
+	// A data centre asks for help at or below askPercent. It keeps reservePercent for itself,
+	// withdraws its offer below withdrawPercent, and starts to offer at offerPercent.
 	askPercent      = 10
 	reservePercent  = 20
 	withdrawPercent = 25
 	offerPercent    = 40
 	percent         = 100
-	// offerTTL is how long an offer holds from when it was made.
+	// offerTTL is how long an offer is valid after it was made.
 	offerTTL = 5 * time.Second
-	// maxTransitTime bounds the time that a summary is under way. A giver counts its offer as held for
-	// this much longer than its life.
+	// maxTransitTime bounds how long a summary is in transit. The data centre that made an offer
+	// assumes that it is still held for this time after offerTTL.
 	maxTransitTime = 3 * time.Second
-	// maxForwardDelay bounds the time from when a request is sent to when an offer can
-	// know of it, beyond the time that the offer was under way: the ways of
-	// both.
+	// maxForwardDelay bounds the time from sending a request to the moment when an offer can take
+	// it into account, in addition to the transit time of the offer. It covers the network delays
+	// of both.
 	maxForwardDelay = 200 * time.Millisecond
-	// wantTTL is how long a pool without a target is asked for after the
-	// last request for it, maxWants how many such pools there may be.
+	// wantTTL is how long a data centre asks for a pool without targets after the last request for
+	// it. maxWants bounds the number of such pools.
 	wantTTL  = 10 * time.Second
 	maxWants = 64
 )
 
-// heldOffer is an offer that may still be held by another data centre.
+// heldOffer is an offer that its recipient may still use.
 type heldOffer struct {
 	id        PoolID
 	expiresAt ident.Time
 }
 
-// needsHelp reports whether a pool asks for help.
+// needsHelp reports whether a data centre asks for help with a pool.
 func needsHelp(free, slots int) bool { return free*percent <= slots*askPercent }
 
-// spareSlots returns the slots that may be offered: those free beyond the reserve
-// for own and home-bound work.
+// spareSlots returns the slots that may be offered: the free ones beyond the reserve for local
+// requests and for those that may be served only here.
 func spareSlots(free, slots int) int {
 	reserve := (slots*reservePercent + percent - 1) / percent
 	return max(0, free-reserve)
 }
 
-// offers returns what each pool offers to each data centre, as a row for each
-// pool and a column for each data centre.
+// offers returns what each pool offers to each data centre, with a row for each pool and a column
+// for each data centre.
 func (tb *Table) offers(now ident.Time) [][]int {
 	rows := make([][]int, len(tb.pools))
 	for i, p := range tb.pools {
@@ -76,10 +76,10 @@
 	return rows
 }
 
-// askers returns the data centres that ask for a pool, as indexes, in an order
-// of their own for each pool, so that small offers do not always go to the
-// same ones. One whose own offer some host here may still hold is left out, so that
-// the two don't swap work.
+// askers returns the indexes of the data centres that may get an offer of a pool. The order differs
+// between pools, so that small offers do not always go to the same ones. A data centre is left out
+// while a host here may still hold an offer of it, so that the two do not exchange work in both
+// directions.
 func (tb *Table) askers(now ident.Time, id PoolID) []int {
 	var is []int
 	for i, c := range tb.centres {
@@ -95,8 +95,8 @@
 	return is
 }
 
-// mayOfferTo reports whether an offer of a pool is made to a data centre. Where the pace of streams is
-// known it need not ask, which would take a round trip by way of both representatives.
+// mayOfferTo reports whether a data centre may get an offer of a pool. If the pace of streams is
+// known, the data centre need not ask: asking takes a round trip through both representatives.
 func (tb *Table) mayOfferTo(now ident.Time, c *Centre, id PoolID) bool {
 	if tb.isPaced(id) {
 		return c.Pool(id) != nil
@@ -108,7 +108,7 @@
 	return rank.Join(salt, rank.Hash(string(tb.centres[i].Place.Group())))
 }
 
-// split divides n into k parts that differ by one at most and sum up to n.
+// split divides n into k parts that add up to n and differ by at most one.
 func split(n, k int) []int {
 	parts := make([]int, k)
 	for i := range parts {
@@ -128,10 +128,10 @@
 	return out
 }
 
-// recordOffers adds the offers among pools to those that may be held until a time.
+// recordOffers adds the offers in pools to the held ones and drops those that have expired.
 func recordOffers(held []heldOffer, now ident.Time, pools []event.Pool) []heldOffer {
 	held = slices.DeleteFunc(held, func(g heldOffer) bool { return g.expiresAt < now })
-	until := now.Add(offerTTL + maxTransitTime)
+	expiresAt := now.Add(offerTTL + maxTransitTime)
 	for _, p := range pools {
 		if p.Offer == 0 {
 			continue
@@ -139,10 +139,10 @@
 		id := PoolID{p.Serve, p.Service}
 		i := slices.IndexFunc(held, func(g heldOffer) bool { return g.id == id })
 		if i < 0 {
-			held = append(held, heldOffer{id, until})
+			held = append(held, heldOffer{id, expiresAt})
 			continue
 		}
-		held[i].expiresAt = until
+		held[i].expiresAt = expiresAt
 	}
 	return held
 }
@@ -151,10 +151,9 @@
 	return slices.ContainsFunc(held, func(g heldOffer) bool { return g.id == id && g.expiresAt >= now })
 }
 
-// RemainingOffer returns how many more requests this host may pass on to a data
-// centre: its share of an offer that has not expired, less what it has sent
-// since the offer was made. It is zero while the own data centre has spare
-// capacity of its own, or while the other may hold an offer of this one.
+// RemainingOffer returns how many more requests this host may forward to a data centre: its share
+// of an unexpired offer, less what it has sent since the offer was made. It is zero while this data
+// centre has spare capacity of its own, or while the other may hold an offer of this one.
 func (tb *Table) RemainingOffer(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
@@ -169,13 +168,13 @@
 		return 0
 	}
 	share := tb.ownShare(now, dc, p.Offer)
-	grown := int(ramp(now.Sub(c.since))*float64(share) + 0.999999)
-	return max(0, min(share, grown)-tb.unreportedInFlight(now, c, id))
+	ramped := int(ramp(now.Sub(c.since))*float64(share) + 0.999999)
+	return max(0, min(share, ramped)-tb.unreportedInFlight(now, c, id))
 }
 
-// RemainingSpare returns how many more requests this host may pass on to a data
-// centre without an offer: its share of what that centre counted as spare, less
-// what it has sent since.
+// RemainingSpare returns how many more requests this host may forward to a data centre without an
+// offer: its share of the spare capacity in the newest summary of that data centre, less what it
+// has sent since.
 func (tb *Table) RemainingSpare(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
@@ -189,8 +188,7 @@
 	return max(0, tb.ownShare(now, dc, spareSlots(p.Free, p.Slots))-tb.unreportedInFlight(now, c, id))
 }
 
-// HostCount returns how many entry hosts there are as far as this one knows,
-// itself included.
+// HostCount returns the number of entry hosts known to this one, including itself.
 func (tb *Table) HostCount() int {
 	n := 1 + len(tb.peers)
 	for _, c := range tb.centres {
@@ -199,11 +197,11 @@
 	return n
 }
 
-// unreportedInFlight returns how many requests of those under way to a data centre its
-// offer does not know of.
+// unreportedInFlight returns how many of the requests that this host has in flight at a data centre
+// are not included in its offer.
 //
-// Slots that requests from here held when the offer was made are not part of it. An offer that
-// is too old to know them is charged with everything under way.
+// Slots that requests from here occupied when the offer was made are not counted. If the offer is
+// older than the window of recorded sends, every request in flight is counted.
 func (tb *Table) unreportedInFlight(now ident.Time, c *Centre, id PoolID) int {
 	running := tb.forwardedInFlight(c.Place.Group(), id)
 	from := c.madePools.Add(-maxForwardDelay)
@@ -215,7 +213,7 @@
 	return min(net, running)
 }
 
-// forwardWindow counts the requests of a pool lately forwarded to a data centre.
+// forwardWindow counts the requests of a pool that were recently forwarded to a data centre.
 type forwardWindow struct {
 	id    PoolID
 	sends load.SendWindow
@@ -229,7 +227,7 @@
 	return c.passed[i]
 }
 
-// recordForwarded records a request that is forwarded, or, with -1, that has ended.
+// recordForwarded records that a request is forwarded (n = 1) or that it has ended (n = -1).
 func (tb *Table) recordForwarded(dc ident.DataCentre, id PoolID, n int) {
 	i, ok := tb.findCentre(dc)
 	if !ok {
@@ -247,17 +245,17 @@
 	p.sends.Add(tb.last, n, 0)
 }
 
-// ownShare is this host's part of an offer to its data centre. The live hosts
-// split it, and the odd ones go by rank.
+// ownShare returns this host's share of an offer to its data centre. The live hosts split the offer
+// evenly, and the remainder goes to those with the highest rank.
 func (tb *Table) ownShare(now ident.Time, dc ident.DataCentre, offer int) int {
-	mine := rank.Hash("offer", string(dc), string(tb.self.ID))
+	ownRank := rank.Hash("offer", string(dc), string(tb.self.ID))
 	hosts, before := 1, 0
 	for _, p := range tb.peers {
 		if !p.live(now) || p.host.Draining {
 			continue
 		}
 		hosts++
-		if rank.Hash("offer", string(dc), string(p.host.ID)) > mine {
+		if rank.Hash("offer", string(dc), string(p.host.ID)) > ownRank {
 			before++
 		}
 	}
@@ -282,7 +280,7 @@
 	return tb.away[i].Running
 }
 
-// ForwardStarted counts a request that is passed on to a data centre.
+// ForwardStarted records that a request is forwarded to a data centre.
 func (tb *Table) ForwardStarted(dc ident.DataCentre, id PoolID) {
 	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
@@ -296,7 +294,7 @@
 	}
 }
 
-// ForwardEnded counts the end of such a request.
+// ForwardEnded records the end of a forwarded request.
 func (tb *Table) ForwardEnded(dc ident.DataCentre, id PoolID) {
 	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
--- a/internal/member/offer_test.go
+++ b/internal/member/offer_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Forwarded work is subtracted twice from an offer, or never.
-func TestOfferIsChargedWithWhatItDoesNotKnow(t *testing.T) {
+// Guards against forwarded requests that are subtracted from an offer twice, or never.
+func TestOfferIsChargedWithUnreportedRequests(t *testing.T) {
 	w := newWorld(3, 2, 1, 4)
 	w.busy("dc1", 10)
 	w.run(30*time.Second, nil)
 	tb := w.nodes[1].tb
-	whole := tb.RemainingOffer(w.now, "dc0", scribe)
-	if whole < 4 {
-		t.Fatalf("an offer of %d is too small for the test", whole)
+	offer := tb.RemainingOffer(w.now, "dc0", scribe)
+	if offer < 4 {
+		t.Fatalf("an offer of %d is too small for the test", offer)
 	}
-	for n := range whole {
-		if left := tb.RemainingOffer(w.now, "dc0", scribe); left != whole-n {
-			t.Fatalf("%d are left after %d of %d were sent", left, n, whole)
+	for n := range offer {
+		if remaining := tb.RemainingOffer(w.now, "dc0", scribe); remaining != offer-n {
+			t.Fatalf("%d remain after %d of %d were forwarded", remaining, n, offer)
 		}
 		tb.ForwardStarted("dc0", scribe)
 	}
-	if left := tb.RemainingOffer(w.now, "dc0", scribe); left != 0 {
-		t.Fatalf("%d are left of an offer that is used up", left)
+	if remaining := tb.RemainingOffer(w.now, "dc0", scribe); remaining != 0 {
+		t.Fatalf("%d remain of an offer that is used up", remaining)
 	}
 	w.run(time.Second, nil)
 	now := w.now
@@ -33,11 +33,11 @@
 		s.Pools[i].Offer = 3
 	}
 	tb.SummaryReceived(now, s)
-	if left := tb.RemainingOffer(now, "dc0", scribe); left != 3 {
-		t.Errorf("%d are left of a new offer of 3", left)
+	if remaining := tb.RemainingOffer(now, "dc0", scribe); remaining != 3 {
+		t.Errorf("%d remain of a new offer of 3", remaining)
 	}
 	tb.ForwardStarted("dc0", scribe)
-	if left := tb.RemainingOffer(now, "dc0", scribe); left != 2 {
-		t.Errorf("%d are left of 3 after one was sent", left)
+	if remaining := tb.RemainingOffer(now, "dc0", scribe); remaining != 2 {
+		t.Errorf("%d remain of 3 after one was forwarded", remaining)
 	}
 }
--- a/internal/member/sent.go
+++ b/internal/member/sent.go
@@ -4,22 +4,22 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// AddPrefill records the prefill that a request adds to a target: its prompt less the
-// prefix that the target probably caches.
+// AddPrefill records the prefill work that a request adds to a target: its prompt less the prefix
+// that the target probably caches.
 func (tb *Table) AddPrefill(id ident.TargetID, tokens ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
 		t.AddPrefill(tb.last, tokens)
 	}
 }
 
-// PrefillDone subtracts what Prefill recorded of a request, after its first token or its end.
+// PrefillDone subtracts what AddPrefill recorded for a request, after its first token or its end.
 func (tb *Table) PrefillDone(id ident.TargetID, tokens ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
 		t.PrefillDone(tokens)
 	}
 }
 
-// RequestSent records a request sent to a target.
+// RequestSent records a request that this host sent to a target.
 func (tb *Table) RequestSent(id ident.TargetID, prefill, generated ident.Tokens) {
 	t, ok := tb.byID[id]
 	if !ok {
@@ -31,8 +31,8 @@
 	}
 }
 
-// RequestEnded records the end of a request at a target. A failure counts
-// towards suspicion, and a success clears it.
+// RequestEnded records the end of a request at a target. A failure counts towards suspicion, and a
+// success clears it.
 func (tb *Table) RequestEnded(id ident.TargetID, prefill, generated ident.Tokens, ok bool) {
 	t, found := tb.byID[id]
 	if !found {
@@ -46,23 +46,23 @@
 	tb.recordAnswer(t)
 }
 
-// AnswerBegan records that a target has begun to answer a request of this host. It ends a row of
-// failures, since long streams end late.
+// AnswerBegan records that a target has started to answer a request of this host. It resets the
+// count of consecutive failures, since long streams end late.
 func (tb *Table) AnswerBegan(id ident.TargetID) {
 	if t, ok := tb.byID[id]; ok {
 		tb.recordAnswer(t)
 	}
 }
 
-// RequestAborted records the end of a request that says nothing about the target, such as when the
-// caller left.
+// RequestAborted records the end of a request whose outcome says nothing about the target, for
+// example because the caller disconnected.
 func (tb *Table) RequestAborted(id ident.TargetID, prefill, generated ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
 		t.EndRequest(tb.last, prefill, generated)
 	}
 }
 
-// recordFailure counts a failure of a target in a row.
+// recordFailure counts a consecutive failure of a target.
 func (tb *Table) recordFailure(t *Target) {
 	t.ConsecutiveFailures++
 	if t.ConsecutiveFailures == suspectFailures {
@@ -72,15 +72,15 @@
 
 // recordAnswer records that a target answered this host.
 func (tb *Table) recordAnswer(t *Target) {
-	was := t.ConsecutiveFailures >= suspectFailures
+	wasSuspect := t.ConsecutiveFailures >= suspectFailures
 	t.markAnswered(tb.last)
-	if was {
+	if wasSuspect {
 		tb.note(t, "target answers again")
 	}
 }
 
-// markAnswered records that the target answered. One that was suspect is cold: its cache may be
-// gone, and its load must not come back at once.
+// markAnswered records that the target answered. A target that was suspect ramps up again: its
+// cache may be lost, and its load must not return all at once.
 func (t *Target) markAnswered(now ident.Time) {
 	if t.Suspect(now) {
 		t.rampStartedAt = now
@@ -90,8 +90,8 @@
 	t.markSeen(now)
 }
 
-// markSeen records a sign of life of the target, here or at a peer. It does not end a row of
-// failures, which may be of the link from here.
+// markSeen records a sign of life of the target, received by this host or by a peer. It does not
+// reset the count of consecutive failures, since the link from this host may be at fault.
 func (t *Target) markSeen(now ident.Time) {
 	if t.everSeen && now.Sub(t.lastSeen) > silenceTimeout {
 		t.rampStartedAt = now
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -8,8 +8,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// digestTo returns the newest digest that a table sends at a tick.
-func digestTo(t *testing.T, tb *Table, now ident.Time) event.Digest {
+// nextDigest returns the first digest that a table sends at a tick.
+func nextDigest(t *testing.T, tb *Table, now ident.Time) event.Digest {
 	t.Helper()
 	for _, eff := range tb.Tick(now, Own{}) {
 		if e, ok := eff.(event.SendDigest); ok {
@@ -20,9 +20,9 @@
 	return event.Digest{}
 }
 
-// pairOf returns two hosts of one data centre that know each other and have read a list
-// of the store with two targets.
-func pairOf(at ident.Time) (reader, follower *Table) {
+// newPair returns two hosts of one data centre that know each other and have read the same list of
+// two targets from the store.
+func newPair(at ident.Time) (reader, follower *Table) {
 	tables := []*Table{New(newHost("w1", "west-a", "west")), New(newHost("w2", "west-a", "west"))}
 	for i, tb := range tables {
 		tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
@@ -34,27 +34,28 @@
 	return tables[0], tables[1]
 }
 
-// A follower sends requests to a removed target until its next own read of the store.
+// Guards against a follower that sends requests to a removed target until it reads the store again.
 func TestRemovalObservedByAPeerIsApplied(t *testing.T) {
 	at := ident.Time(time.Second)
-	reader, follower := pairOf(at)
+	reader, follower := newPair(at)
 	at = at.Add(4 * time.Second)
 	reader.HostsRead(at, listOf(2, newTarget("b")))
-	follower.DigestReceived(at, digestTo(t, reader, at))
+	follower.DigestReceived(at, nextDigest(t, reader, at))
 	if usable(t, follower, at, "a") {
-		t.Error("a target that a peer has read as removed is used")
+		t.Error("a target that a peer has observed as removed is usable")
 	}
 	if !usable(t, follower, at, "b") {
-		t.Error("a target that is listed is not used")
+		t.Error("a listed target is not usable")
 	}
 }
 
-// peerList is a digest that passes on a list of the store.
+// peerList returns a digest that relays a list of the store.
 func peerList(version uint64, ts ...event.Target) event.Digest {
 	return event.Digest{Host: newHost("w9", "west-a", "west"), Seq: version, ListVersion: version, Targets: ts}
 }
 
-// An own read that is older than a peer's list is dropped with the removals in it.
+// Guards against losing the removals in a list that this host has read itself but that is older
+// than the list of a peer.
 func TestStaleOwnReadLosesNoRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
@@ -63,14 +64,15 @@
 	tb.DigestReceived(at, peerList(3, newTarget("b"), newTarget("c")))
 	tb.HostsRead(at, listOf(2, newTarget("b")))
 	if usable(t, tb, at, "a") {
-		t.Error("a target that the own read lacks is used")
+		t.Error("a target that is missing from the list read here is usable")
 	}
 	if !usable(t, tb, at, "c") {
-		t.Error("a target that the newer list names is not used")
+		t.Error("a target that the newer list names is not usable")
 	}
 }
 
-// A host whose first read after an outage is stale waits forever for removed targets to come back.
+// Guards against a host that keeps removed targets in use forever because its first read after an
+// outage is stale.
 func TestStaleOwnReadEndsTheOutage(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
@@ -82,11 +84,11 @@
 	at = at.Add(outageGrace)
 	tb.HostsRead(at, listOf(4, newTarget("b")))
 	if usable(t, tb, at, "a") {
-		t.Error("a removed target is used although the store has been back for long")
+		t.Error("a removed target is still usable after outageGrace")
 	}
 }
 
-// A late notice takes out a target that has been listed again since.
+// Guards against a late removal notice that removes a target which has been listed again since.
 func TestLateRemovalNoticeIsIgnored(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
@@ -95,12 +97,12 @@
 		Host: newHost("w9", "west-a", "west"), Seq: 1, Removed: []event.RemovedTarget{{Target: "a", Version: 4}},
 	})
 	if !usable(t, tb, at, "a") {
-		t.Error("a target that a newer list names is not used")
+		t.Error("a target that a newer list names is not usable")
 	}
 }
 
-// A list that was read before a removal brings the target back.
-func TestOlderListRevertsNoRemoval(t *testing.T) {
+// Guards against a list from before a removal that brings the target back.
+func TestOlderListDoesNotRevertRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
@@ -109,38 +111,40 @@
 	})
 	tb.HostsRead(at, listOf(3, newTarget("a"), newTarget("b")))
 	if usable(t, tb, at, "a") {
-		t.Error("a target is used again by a list from before its removal")
+		t.Error("a list from before its removal makes a target usable again")
 	}
 	tb.HostsRead(at, listOf(6, newTarget("a"), newTarget("b")))
 	if !usable(t, tb, at, "a") {
-		t.Error("a target that is listed again is not used")
+		t.Error("a target that is listed again is not usable")
 	}
 }
 
-// A host that starts just after an outage of the store has its peers drop targets that live.
-func TestFreshHostVouchesForNoRemoval(t *testing.T) {
+// Guards against a host that starts just after an outage of the store and makes its peers drop
+// targets that are alive.
+func TestNewHostAnnouncesNoRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
-	fresh, peer := pairOf(at)
+	starting, peer := newPair(at)
 	at = at.Add(outageGrace / 2)
-	fresh.HostsRead(at, listOf(2, newTarget("b")))
-	peer.DigestReceived(at, digestTo(t, fresh, at))
+	starting.HostsRead(at, listOf(2, newTarget("b")))
+	peer.DigestReceived(at, nextDigest(t, starting, at))
 	if !usable(t, peer, at, "a") {
-		t.Error("a target is dropped because of a host that has just begun to read the store")
+		t.Error("a target is dropped because of a host that has only just started to read the store")
 	}
 }
 
-// A representative withdraws its region's demand when it reads of targets that its peers don't know.
+// Guards against a representative that withdraws the demand of its region when it discovers targets
+// that its peers don't know.
 func TestFirstReaderAnnouncesNewTargets(t *testing.T) {
 	at := ident.Time(time.Second)
-	a, b := pairOf(at)
+	a, b := newPair(at)
 	if a.Watches(at) {
 		a, b = b, a
 	}
 	at = at.Add(100 * time.Millisecond)
 	a.HostsRead(at, listOf(2, newTarget("a"), newTarget("b"), newTarget("c")))
-	b.DigestReceived(at, digestTo(t, a, at))
+	b.DigestReceived(at, nextDigest(t, a, at))
 	if !usable(t, b, at, "c") {
-		t.Error("a target that a peer has read of is not known")
+		t.Error("a target that a peer has discovered is not usable")
 	}
 	a.HostsRead(at, listOf(3, newTarget("a"), newTarget("b"), newTarget("c")))
 	if a.Next(at) == at {
@@ -148,10 +152,11 @@
 	}
 }
 
-// A host that does not watch has no targets for half a minute if its first read fails.
+// Guards against a host other than the watcher that has no targets for half a minute because its
+// first read failed.
 func TestFailedReadIsRepeatedSoon(t *testing.T) {
 	at := ident.Time(time.Second)
-	a, b := pairOf(at)
+	a, b := newPair(at)
 	if a.Watches(at) {
 		a, b = b, a
 	}
@@ -169,15 +174,15 @@
 	if a.Watches(at) {
 		t.Fatal("the host is the watcher")
 	}
-	if least := int(30 * time.Second / (watchEvery + Period)); reads < least {
-		t.Errorf("%d reads in 40 s, want %d at least", reads, least)
+	if minReads := int(30 * time.Second / (watchEvery + Period)); reads < minReads {
+		t.Errorf("%d reads in 40 s, want at least %d", reads, minReads)
 	}
 }
 
-// Peers do not learn that hosts of another data centre are back.
+// Guards against peers that don't learn of hosts of another data centre that are back.
 func TestReturnedHostsAreRelayed(t *testing.T) {
 	at := ident.Time(time.Second)
-	tb, peer := pairOf(at)
+	tb, peer := newPair(at)
 	full := []event.Host{newHost("e1", "east-a", "east"), newHost("e2", "east-a", "east")}
 	seq := uint64(0)
 	summary := func(hosts []event.Host) event.Summary {
@@ -189,7 +194,7 @@
 	}
 	relayed := func() int {
 		at = at.Add(Period)
-		for _, s := range digestTo(t, tb, at).Summaries {
+		for _, s := range nextDigest(t, tb, at).Summaries {
 			if !s.HostsKept {
 				return len(s.Hosts)
 			}
@@ -203,25 +208,26 @@
 	tb.DigestReceived(at, event.Digest{Host: peer.Self(), Seq: 50, Summaries: []event.Summary{summary(full[:1])}})
 	tb.SummaryReceived(at, summary(full))
 	if got := relayed(); got != 2 {
-		t.Errorf("%d hosts are relayed after one is back, want 2", got)
+		t.Errorf("%d hosts are relayed after one has come back, want 2", got)
 	}
 }
 
-// A list that lags and need not name all targets removes those of the peers that it is sent to.
+// Guards against an incomplete list, which lags and need not name all targets, that removes targets
+// at the peers that it is sent to.
 func TestIncompleteListRemovesNothingAtPeers(t *testing.T) {
 	at := ident.Time(time.Second)
-	reader, follower := pairOf(at)
+	reader, follower := newPair(at)
 	if !reader.Watches(at) {
 		reader, follower = follower, reader
 	}
 	at = at.Add(outageGrace)
 	reader.HostsRead(at, event.HostsRead{Version: 2, Targets: []event.Target{newTarget("b")}})
-	d := digestTo(t, reader, at)
+	d := nextDigest(t, reader, at)
 	if len(d.Targets) == 0 {
 		t.Fatal("the watcher does not send its list")
 	}
 	follower.DigestReceived(at, d)
 	if !usable(t, follower, at, "a") {
-		t.Error("a target that an incomplete list lacks is not used")
+		t.Error("a target that is missing from an incomplete list is not usable")
 	}
 }
--- a/internal/member/start.go
+++ b/internal/member/start.go
@@ -9,7 +9,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// putTarget adds or updates a target of the own data centre.
+// putTarget adds or updates a target of this data centre.
 func (tb *Table) putTarget(now ident.Time, d event.Target) {
 	t, ok := tb.byID[d.ID]
 	if !ok {
@@ -33,7 +33,7 @@
 	case d.Incarnation > t.Incarnation:
 		tb.restartTarget(now, t, d)
 	case now.Sub(t.lastSeen) > deadAfter:
-		// The clock of the target went back, and its former start is dead.
+		// The target's clock was set back, and its former incarnation is dead.
 		if tb.draining[d.ID].incarnation > d.Incarnation {
 			delete(tb.draining, d.ID)
 		}
@@ -42,23 +42,24 @@
 	tb.updateDraining(now, t)
 }
 
-// learnIncarnation sets the incarnation of a target whose list entry lacks it, from its first load
-// report. That is no new start, so that the attempts at the target go on.
+// learnIncarnation sets the incarnation of a target whose list entry has none, from its first load
+// report. The target has not restarted, so requests that are running there continue.
 func (tb *Table) learnIncarnation(t *Target, inc ident.Incarnation) {
 	if t.Incarnation != 0 || inc == 0 {
 		return
 	}
 	t.Incarnation, t.incarnationLearnt = inc, true
-	if w, ok := tb.draining[t.ID]; ok && w.incarnation == 0 {
-		w.incarnation = inc
-		tb.draining[t.ID] = w
+	if n, ok := tb.draining[t.ID]; ok && n.incarnation == 0 {
+		n.incarnation = inc
+		tb.draining[t.ID] = n
 	}
 }
 
-// restartTarget begins a new incarnation.
+// restartTarget resets a target to a new incarnation.
 //
-// The work and the cache of the former one are lost. Two things stay: the times of the sends
-// while it was cold, which are bounded by target, and what is usual for its service.
+// The requests and the cache of the former incarnation are lost. Two things are kept: the times of
+// sends to the cold target, because the limit holds for a target across incarnations, and the
+// typical request time of its service.
 func (tb *Table) restartTarget(now ident.Time, t *Target, d event.Target) {
 	for _, p := range tb.peers {
 		p.use = slices.DeleteFunc(p.use, func(u event.TargetUse) bool { return u.Target == t.ID })
@@ -71,14 +72,14 @@
 	tb.note(t, "target has started anew")
 }
 
-// TakeRestarted returns the targets that have started anew since the last call.
+// TakeRestarted returns the targets that have restarted since the last call.
 func (tb *Table) TakeRestarted() []ident.TargetID {
 	ids := tb.restarted
 	tb.restarted = nil
 	return ids
 }
 
-// currentTarget returns a target if the given incarnation is the one that runs.
+// currentTarget returns a target, and whether the given incarnation is its current one.
 func (tb *Table) currentTarget(id ident.TargetID, inc ident.Incarnation) (*Target, bool) {
 	t, ok := tb.byID[id]
 	return t, ok && (t.Incarnation == inc || inc == 0 && t.incarnationLearnt)
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -8,47 +8,50 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func unnamedTarget(id string) event.Target {
+// newTargetWithoutIncarnation returns a target whose list entry lacks the incarnation.
+func newTargetWithoutIncarnation(id string) event.Target {
 	tg := newTarget(id)
 	tg.Incarnation = 0
 	return tg
 }
 
-// The first incarnation of a target breaks off its requests.
-func TestFirstWordOfAnIncarnationIsNoNewStart(t *testing.T) {
+// Guards against breaking off the requests at a target when its incarnation becomes known for the
+// first time.
+func TestFirstKnownIncarnationIsNoRestart(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, unnamedTarget("a")))
+	tb.HostsRead(at, listOf(1, newTargetWithoutIncarnation("a")))
 	tb.LoadReported(at, event.Load{Target: "a", Incarnation: 7, Seq: 1, Slots: 8})
 	if ids := tb.TakeRestarted(); len(ids) > 0 {
-		t.Fatalf("%v count as started anew", ids)
+		t.Fatalf("targets %v count as restarted", ids)
 	}
 	if !tb.IsCurrent("a", 0) || !tb.IsCurrent("a", 7) {
-		t.Error("what was sent before the incarnation was known is not at the target that runs")
+		t.Error("requests sent before the incarnation was known are not attributed to the current one")
 	}
 	later := at.Add(2 * deadAfter)
-	tb.HostsRead(later, listOf(2, unnamedTarget("a")))
+	tb.HostsRead(later, listOf(2, newTargetWithoutIncarnation("a")))
 	if ids := tb.TakeRestarted(); len(ids) > 0 {
-		t.Errorf("%v count as started anew after a list without incarnations", ids)
+		t.Errorf("targets %v count as restarted after a list without incarnations", ids)
 	}
 	tb.LoadReported(later, event.Load{Target: "a", Incarnation: 8, Seq: 1, Slots: 8})
 	if ids := tb.TakeRestarted(); len(ids) != 1 {
-		t.Errorf("%v count as started anew, a does", ids)
+		t.Errorf("targets %v count as restarted, want a", ids)
 	}
 	if tb.IsCurrent("a", 0) || tb.IsCurrent("a", 7) {
-		t.Error("what a former start was sent counts as running")
+		t.Error("requests sent to a former incarnation count as running")
 	}
 }
 
-// The first incarnation of a target reverts its drain notice.
-func TestFirstWordOfAnIncarnationKeepsTheTargetLeaving(t *testing.T) {
+// Guards against a drain notice that is reverted when the incarnation of the target becomes known
+// for the first time.
+func TestFirstKnownIncarnationKeepsDraining(t *testing.T) {
 	at := ident.Time(time.Second)
-	leaving := unnamedTarget("a")
-	leaving.Draining = true
+	draining := newTargetWithoutIncarnation("a")
+	draining.Draining = true
 	tb := New(newHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(1, leaving))
+	tb.HostsRead(at, listOf(1, draining))
 	tb.LoadReported(at, event.Load{Target: "a", Incarnation: 7, Seq: 1, Slots: 8})
 	if usable(t, tb, at, "a") {
-		t.Error("a target that leaves is used after its first load report")
+		t.Error("a draining target is usable after its first load report")
 	}
 }
--- a/internal/member/target.go
+++ b/internal/member/target.go
@@ -10,76 +10,73 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Bounds and times of targets.
+// Limits and times of targets.
 const (
-	// suspectFailures is how many failures in a row make a target suspect.
+	// suspectFailures is the number of consecutive failures after which a target is suspect.
 	suspectFailures = 3
-	// silenceTimeout is the silence that makes a target suspect that has been
-	// polled before. It outlasts the handover of a poll from a dead host.
+	// silenceTimeout is how long a polled target may be silent before it is suspect. It exceeds the
+	// time in which another host takes over the polls of a dead one.
 	silenceTimeout = 12 * time.Second
-	// relayInterval is the longest time between two relays of a load report that
-	// has not changed.
+	// relayInterval is the longest time between two relays of an unchanged load report.
 	relayInterval = 3 * time.Second
-	// rampDuration is how long a cold target or a healed link grows to its full
-	// share, from rampStart.
+	// rampDuration is the time in which a new target or a restored link grows from rampStart to its
+	// full share.
 	rampDuration = 10 * time.Second
 	rampStart    = 0.1
-	// startGrace is the time after the own start in which new targets count as
-	// warm.
+	// startGrace is the time after the start of this host in which newly seen targets get their
+	// full share without a ramp.
 	startGrace = 5 * time.Second
 )
 
-// Target is a target of the own data centre as this host knows it.
+// Target is a target of this data centre as this host knows it.
 type Target struct {
 	load.State
-	// MemoryTokens is how many tokens the target holds at once, zero where that is not
-	// known; askedAt is when it was last asked.
-	MemoryTokens  ident.Tokens
-	memoryAskedAt ident.Time
-	// ConsecutiveFailures counts failures in a row.
+	// MemoryTokens is the number of tokens that the target's memory holds, zero if unknown.
+	// memoryAskedAt is when the target was last asked for it.
+	MemoryTokens        ident.Tokens
+	memoryAskedAt       ident.Time
 	ConsecutiveFailures int
-	// failureRate is the part of the newest requests that failed, as it was at
-	// faultsAt.
+	// failureRate is the smoothed fraction of requests that failed, as of failureRateAt.
 	failureRate   float64
 	failureRateAt ident.Time
-	// KnownDraining says that the target drains, by whichever source said so first; Gone
-	// that the platform has removed it from its list.
+	// KnownDraining is true once any source has reported that the target drains. Removed is true
+	// once the platform has removed the target from its list.
 	KnownDraining bool
 	Removed       bool
 
-	// incarnationLearnt says that the incarnation was not known when the target was first seen:
-	// what was sent then names none and is at the same start.
+	// incarnationLearnt means that the incarnation was unknown when the target was first seen:
+	// requests sent before that name no incarnation, but belong to the current one.
 	incarnationLearnt bool
 	listed            bool
-	// listedVersion is the newest version of the platform's list that names it.
+	// listedVersion is the newest version of the platform's list that names the target.
 	listedVersion uint64
-	// missing says that the newest complete list lacks it; removedAt is the version
-	// of the list from which on it is gone, goneAt when this host learned that.
+	// missing means that the newest complete list does not name the target. removedVersion is the
+	// version of the list from which on it is removed, removalSeenAt when this host found out.
 	missing        bool
 	removedVersion uint64
 	removalSeenAt  ident.Time
-	// coldUntil is when it says that it is no longer cold, coldSends the
-	// times of the newest sends to it while it was.
+	// coldUntil is when the target stops being cold by its own report. coldSends are the times of
+	// the most recent sends to it while cold.
 	coldUntil ident.Time
 	coldSends []ident.Time
-	// coldAssumed says that it counts as cold though it did not say so.
+	// coldAssumed means that the target counts as cold without having reported it.
 	coldAssumed bool
 	lastSeen    ident.Time
 	everSeen    bool
-	// rampStartedAt is when the target was first seen or came back; warm says that it
-	// needs no ramp.
+	// rampStartedAt is when the target was first seen or came back. noRamp means that it gets its
+	// full share at once.
 	rampStartedAt ident.Time
 	noRamp        bool
 
 	relayedLoad event.Load
 	relayedAt   ident.Time
-	// relayedFixed is the last report that was relayed with its relayedFixed part.
+	// relayedFixed is the last report that was relayed including the fields that rarely change.
 	relayedFixed   event.Load
 	relayedFixedAt ident.Time
 }
 
-// Suspect reports whether the target does not answer: calls failed in a row,
-// or it has been silent for long.
+// Suspect reports whether the target appears not to answer: consecutive calls have failed, or it
+// has been silent for longer than silenceTimeout.
 func (t *Target) Suspect(now ident.Time) bool {
 	if t.ConsecutiveFailures >= suspectFailures {
 		return true
@@ -87,8 +84,8 @@
 	return t.Capacity == 0 && t.everSeen && now.Sub(t.lastSeen) > silenceTimeout
 }
 
-// Share returns the part of its capacity that a cold target is used with, from
-// rampStart to 1.
+// Share returns the fraction of its capacity, from rampStart to 1, up to which a target that is
+// ramping up may be used.
 func (t *Target) Share(now ident.Time) float64 {
 	if t.noRamp {
 		return 1
@@ -96,7 +93,7 @@
 	return ramp(now.Sub(t.rampStartedAt))
 }
 
-// ramp returns the share that something new may be used with at an age.
+// ramp returns the share that a new target or link may be used with at the given age.
 func ramp(age time.Duration) float64 {
 	if age >= rampDuration {
 		return 1
@@ -109,8 +106,8 @@
 
 func targetKey(id ident.TargetID) event.TargetKey { return event.TargetKey(rank.Hash(string(id))) }
 
-// rebuildKeys works out anew which target a key names. A key that two targets have
-// names none.
+// rebuildKeys rebuilds the index of targets by key. A key that two targets have in common is
+// ambiguous and maps to nil.
 func (tb *Table) rebuildKeys() {
 	tb.byKey = make(map[event.TargetKey]*Target, len(tb.targets))
 	for _, t := range tb.targets {
@@ -120,14 +117,14 @@
 
 func (tb *Table) addKey(t *Target) {
 	key := targetKey(t.ID)
-	if _, twice := tb.byKey[key]; twice {
+	if _, ambiguous := tb.byKey[key]; ambiguous {
 		t = nil
 	}
 	tb.byKey[key] = t
 }
 
-// digestName returns what a target goes by in a digest: its key, or its id where
-// another target has the same key.
+// digestName returns how a digest names a target: by its key, or by its id if another target has
+// the same key.
 func (tb *Table) digestName(t *Target) (ident.TargetID, event.TargetKey) {
 	key := targetKey(t.ID)
 	if tb.byKey[key] == nil {
@@ -151,11 +148,11 @@
 	}
 }
 
-// loadPolls returns the load reports to request now. Targets whose capacity the platform's
-// list contains are not polled: their answers carry their load. Each of the others is
-// polled by the live host that ranks first for it, which relays the report, so that
-// loadPolls do not grow with the number of hosts. A suspect target is probed by every
-// host that suspects it, since the link of one may be at fault.
+// loadPolls returns the load reports to request now. Targets with a capacity in the platform's list
+// are not polled, because their answers carry their load. Each of the others is polled by the live
+// host that ranks first for it and relays the report, so that the number of polls does not grow
+// with the number of hosts. A suspect target is polled by every host that suspects it, since the
+// fault may be in the link of a single host.
 func (tb *Table) loadPolls(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -8,11 +8,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// refusalBackoff is how long a data centre that has turned a request away gets no other one of that
-// service which can go elsewhere. Its next summary takes as long.
+// refusalBackoff is how long a data centre that has refused a request gets no further requests of
+// the same service that can be served elsewhere. Its next summary takes as long to arrive.
 const refusalBackoff = 300 * time.Millisecond
 
-// RecordRefusal records that a data centre had no room for a request of a service.
+// RecordRefusal records that a data centre had no capacity for a request of a service.
 func (tb *Table) RecordRefusal(now ident.Time, dc ident.DataCentre, service string) {
 	i, ok := tb.findCentre(dc)
 	if !ok {
@@ -25,7 +25,8 @@
 	c.away[service] = now
 }
 
-// RecentlyRefused reports whether a data centre has turned a request of a service away just now.
+// RecentlyRefused reports whether a data centre has refused a request of a service within
+// refusalBackoff.
 func (tb *Table) RecentlyRefused(now ident.Time, c *Centre, service string) bool {
 	at, ok := c.away[service]
 	return ok && mech.On(codes.LeftAlone) && now.Sub(at) < refusalBackoff
--- a/internal/member/use_test.go
+++ b/internal/member/use_test.go
@@ -9,18 +9,19 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Hosts of a small region fill engines that others have just filled.
-func TestHostsTellWhatTheySentMoreOftenInSmallRegions(t *testing.T) {
+// Guards against hosts of a small region that send work to engines which their peers have just
+// filled.
+func TestHostsAnnounceUseMoreOftenInSmallRegions(t *testing.T) {
 	for _, c := range []struct {
-		peers       int
-		unread      ident.Tokens
-		least, most int
+		peers                  int
+		unread                 ident.Tokens
+		minDigests, maxDigests int
 	}{
-		{peers: 3, unread: 5000, least: 35, most: 44},
-		{peers: 6, unread: 5000, least: 18, most: 22},
-		{peers: 12, unread: 5000, least: 10, most: 11},
-		{peers: 30, unread: 5000, least: 10, most: 11},
-		{peers: 3, unread: 0, least: 10, most: 11},
+		{peers: 3, unread: 5000, minDigests: 35, maxDigests: 44},
+		{peers: 6, unread: 5000, minDigests: 18, maxDigests: 22},
+		{peers: 12, unread: 5000, minDigests: 10, maxDigests: 11},
+		{peers: 30, unread: 5000, minDigests: 10, maxDigests: 11},
+		{peers: 3, unread: 0, minDigests: 10, maxDigests: 11},
 	} {
 		at := ident.Time(time.Minute)
 		tb := New(newHost("w0", "west-a", "west"))
@@ -28,7 +29,7 @@
 		tb.HostsRead(at, listOf(1, newTarget("a")))
 		tb.RequestSent("a", 10000, 100)
 		tb.AddPrefill("a", c.unread)
-		words := 0
+		digests := 0
 		for n := range 1000 {
 			now := at.Add(time.Duration(n) * 10 * time.Millisecond)
 			for i := range c.peers {
@@ -38,12 +39,12 @@
 			}
 			for _, eff := range tb.Tick(now, Own{}) {
 				if e, ok := eff.(event.SendDigest); ok && len(e.To) == c.peers {
-					words++
+					digests++
 				}
 			}
 		}
-		if words < c.least || words > c.most {
-			t.Errorf("%d words in ten seconds to %d peers with %d tokens unread", words, c.peers, c.unread)
+		if digests < c.minDigests || digests > c.maxDigests {
+			t.Errorf("%d digests in ten seconds to %d peers with %d tokens to prefill", digests, c.peers, c.unread)
 		}
 	}
 }
