--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -41,7 +41,7 @@
 	r.revs = revlog.New(store.New(store.Config{URL: hs.URL}))
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
 	reg := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("platform.get.ok", reg).Inc(7)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -31,25 +31,25 @@
 	t     tomb.Tomb
 	start time.Time
 
-	mu    sync.Mutex
-	due   queue
-	order uint64
-	poke  chan struct{}
+	mu      sync.Mutex
+	queue   subHeap
+	lastSeq uint64
+	wakeup  chan struct{}
 }
 
-// Sub is one subscription.
-type Sub struct {
-	svc   *Service
-	c     chan ident.Time
-	at    ident.Time
-	every time.Duration
-	order uint64
-	index int
+// Subscription is one subscription.
+type Subscription struct {
+	svc    *Service
+	c      chan ident.Time
+	due    ident.Time
+	period time.Duration
+	seq    uint64
+	index  int
 }
 
 // New starts a timer service.
 func New() *Service {
-	s := &Service{start: time.Now(), poke: make(chan struct{}, 1)}
+	s := &Service{start: time.Now(), wakeup: make(chan struct{}, 1)}
 	s.t.Go(s.run)
 	return s
 }
@@ -66,18 +66,18 @@
 func (s *Service) Now() ident.Time { return ident.Time(time.Since(s.start)) }
 
 // At subscribes to one moment. A moment in the past comes at once.
-func (s *Service) At(at ident.Time) *Sub { return s.add(at, 0) }
+func (s *Service) At(at ident.Time) *Subscription { return s.add(at, 0) }
 
 // Every subscribes to a period, the first time after one period.
-func (s *Service) Every(d time.Duration) *Sub { return s.add(s.Now().Add(d), d) }
+func (s *Service) Every(d time.Duration) *Subscription { return s.add(s.Now().Add(d), d) }
 
-func (s *Service) add(at ident.Time, every time.Duration) *Sub {
-	sub := &Sub{svc: s, c: make(chan ident.Time, 1), at: at, every: every}
+func (s *Service) add(at ident.Time, every time.Duration) *Subscription {
+	sub := &Subscription{svc: s, c: make(chan ident.Time, 1), due: at, period: every}
 	s.mu.Lock()
-	s.order++
-	sub.order = s.order
-	heap.Push(&s.due, sub)
-	first := s.due[0] == sub
+	s.lastSeq++
+	sub.seq = s.lastSeq
+	heap.Push(&s.queue, sub)
+	first := s.queue[0] == sub
 	s.mu.Unlock()
 	if first {
 		s.wake()
@@ -86,55 +86,55 @@
 }
 
 // C is where the moments arrive.
-func (b *Sub) C() <-chan ident.Time { return b.c }
+func (b *Subscription) C() <-chan ident.Time { return b.c }
 
 // Reset moves the subscription to another moment and drops one that waits to
 // be received.
-func (b *Sub) Reset(at ident.Time) {
+func (b *Subscription) Reset(at ident.Time) {
 	s := b.svc
 	s.mu.Lock()
 	if b.index >= 0 {
-		heap.Remove(&s.due, b.index)
+		heap.Remove(&s.queue, b.index)
 	}
 	select {
 	case <-b.c:
 	default:
 	}
-	b.at = at
-	heap.Push(&s.due, b)
+	b.due = at
+	heap.Push(&s.queue, b)
 	s.mu.Unlock()
 	s.wake()
 }
 
 // Close ends the subscription.
-func (b *Sub) Close() {
+func (b *Subscription) Close() {
 	s := b.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b.index >= 0 {
-		heap.Remove(&s.due, b.index)
+		heap.Remove(&s.queue, b.index)
 	}
 }
 
 func (s *Service) wake() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// idleWait is how long the loop sleeps with no subscription; a new one pokes
+// maxSleep is how long the loop sleeps with no subscription; a new one pokes
 // it.
-const idleWait = time.Hour
+const maxSleep = time.Hour
 
 func (s *Service) run() error {
-	timer := time.NewTimer(idleWait)
+	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
 	for {
 		timer.Reset(s.fire())
 		select {
 		case <-timer.C:
-		case <-s.poke:
+		case <-s.wakeup:
 		case <-s.t.Dying():
 			return nil
 		}
@@ -146,56 +146,56 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	for len(s.due) > 0 && s.due[0].at <= now {
-		sub := s.due[0]
+	for len(s.queue) > 0 && s.queue[0].due <= now {
+		sub := s.queue[0]
 		select {
 		case sub.c <- now:
 		default:
 		}
-		if sub.every == 0 {
-			heap.Pop(&s.due)
+		if sub.period == 0 {
+			heap.Pop(&s.queue)
 			continue
 		}
-		sub.at = next(sub.at, sub.every, now)
-		heap.Fix(&s.due, 0)
+		sub.due = nextAfter(sub.due, sub.period, now)
+		heap.Fix(&s.queue, 0)
 	}
-	if len(s.due) == 0 {
-		return idleWait
+	if len(s.queue) == 0 {
+		return maxSleep
 	}
-	return s.due[0].at.Sub(now)
+	return s.queue[0].due.Sub(now)
 }
 
-// next returns the first moment of the period after now.
-func next(at ident.Time, every time.Duration, now ident.Time) ident.Time {
+// nextAfter returns the first moment of the period after now.
+func nextAfter(at ident.Time, every time.Duration, now ident.Time) ident.Time {
 	missed := now.Sub(at) / every
 	return at.Add(every * (missed + 1))
 }
 
-// queue is a heap of subscriptions by time, then by order of subscription.
-type queue []*Sub
+// subHeap is a heap of subscriptions by time, then by order of subscription.
+type subHeap []*Subscription
 
-func (q queue) Len() int { return len(q) }
+func (q subHeap) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+func (q subHeap) Less(i, j int) bool {
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
-	return q[i].order < q[j].order
+	return q[i].seq < q[j].seq
 }
 
-func (q queue) Swap(i, j int) {
+func (q subHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index = i
 	q[j].index = j
 }
 
-func (q *queue) Push(x any) {
-	sub := x.(*Sub)
+func (q *subHeap) Push(x any) {
+	sub := x.(*Subscription)
 	sub.index = len(*q)
 	*q = append(*q, sub)
 }
 
-func (q *queue) Pop() any {
+func (q *subHeap) Pop() any {
 	old := *q
 	n := len(old) - 1
 	sub := old[n]
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func TestMomentsComeInOrder(t *testing.T) {
+func TestDueTimesFireInOrder(t *testing.T) {
 	s := New()
 	defer s.Stop()
 	now := s.Now()
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestResetDropsTheOldMoment(t *testing.T) {
+func TestResetReplacesTheDueTime(t *testing.T) {
 	s := New()
 	defer s.Stop()
 	sub := s.At(s.Now())
@@ -44,7 +44,7 @@
 func TestMissedPeriodsAreSkipped(t *testing.T) {
 	at := ident.Time(100)
 	every := 10 * time.Nanosecond
-	got := []ident.Time{next(at, every, 100), next(at, every, 109), next(at, every, 1055)}
+	got := []ident.Time{nextAfter(at, every, 100), nextAfter(at, every, 109), nextAfter(at, every, 1055)}
 	if diff := cmp.Diff([]ident.Time{110, 110, 1060}, got); diff != "" {
 		t.Errorf("next moments (-want +got):\n%s", diff)
 	}
--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -129,6 +129,6 @@
 		return event.Denial{}
 	}
 	d := event.Denial{Reason: event.DeniedBudget, Tries: r.tries}
-	d.Spent, d.Allowed = b.Use(now)
+	d.Spent, d.Allowed = b.Usage(now)
 	return d
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,7 +41,7 @@
 	self   event.Host
 	table  *member.Table
 	router *route.Router
-	spread *spread.Spread
+	spread *spread.Distributor
 	once   *once.Registry
 	quota  *quota.Ledger
 	budget retry.Budget
@@ -100,9 +100,9 @@
 		requests: make(map[ident.RequestID]*request),
 		attempts: make(map[ident.Attempt]*attempt),
 	}
-	rd.quota.Place(self.Place.Group(), self.Place.Region)
+	rd.quota.SetRegion(self.Place.Group(), self.Place.Region)
 	rd.table.SetCold(member.Cold{PerSecond: rd.coldPerSecond, Span: rd.coldSpan})
-	rd.spread.ReadFirst(bounds.SharedReads)
+	rd.spread.SetPlatformFirst(bounds.SharedReads)
 	if bounds.Pace > 0 {
 		rd.table.SetPace(bounds.Pace)
 	}
@@ -174,9 +174,9 @@
 		rd.table.SummaryReceived(now, e.Summary)
 		rd.summary(now, e.Summary, true)
 	case event.ChangesReceived:
-		rd.emit(rd.spread.Changes(now, e, rd.table.Peers(now))...)
+		rd.emit(rd.spread.ApplyChanges(now, e, rd.table.Peers(now))...)
 	case event.SnapshotReceived:
-		rd.emit(rd.spread.Snapshot(now, e)...)
+		rd.emit(rd.spread.ApplySnapshot(now, e)...)
 	case event.ChangesWanted:
 		rd.changesWanted(e)
 	case event.BarAsked:
@@ -205,14 +205,14 @@
 	case event.HostsRead:
 		rd.table.HostsRead(now, e)
 	case event.PlatformFailed:
-		rd.spread.Failed(now, e.Op)
+		rd.spread.PlatformFailed(now, e.Op)
 		if e.Op == event.OpReadHosts {
 			rd.table.ListFailed(now)
 		}
 	case event.WatchIdle:
-		rd.spread.Idle(now)
+		rd.spread.WatchIdle(now)
 	case event.ReadProgress:
-		rd.spread.Progress(now)
+		rd.spread.PlatformProgress(now)
 	case event.DrainAsked:
 		rd.drain(now)
 	case event.DrainExpired:
@@ -232,7 +232,7 @@
 	if d.AccountsIncluded {
 		rd.quota.PeerDemand(now, d.Host.ID, d.Accounts)
 	}
-	rd.emit(rd.spread.Seen(now, d.Host, d.Revision)...)
+	rd.emit(rd.spread.RevisionSeen(now, d.Host, d.Revision)...)
 	for _, s := range d.Summaries {
 		rd.summary(now, s, false)
 	}
@@ -247,7 +247,7 @@
 // it from a peer only the representative asks for changes. The host that the summary was sent
 // to asks too, since the representative may be frozen.
 func (rd *Reducer) summary(now ident.Time, s event.Summary, direct bool) {
-	rd.quota.Place(s.Place.Group(), s.Place.Region)
+	rd.quota.SetRegion(s.Place.Group(), s.Place.Region)
 	rd.quota.CentreSeen(now, s.Place.Group())
 	if !s.AccountsKept {
 		rd.quota.CentreReport(now, s.Place.Group(), s.Accounts)
@@ -256,19 +256,19 @@
 		return
 	}
 	if h, ok := rd.table.Host(s.From); ok {
-		rd.emit(rd.spread.Seen(now, h, s.Highest)...)
+		rd.emit(rd.spread.RevisionSeen(now, h, s.Highest)...)
 	}
 }
 
 func (rd *Reducer) changesWanted(e event.ChangesWanted) {
 	if h, ok := rd.table.Host(e.From); ok {
-		rd.emit(rd.spread.Wanted(h, e.After)...)
+		rd.emit(rd.spread.AnswerPeer(h, e.After)...)
 	}
 }
 
 // tick does what is due by time, after each event.
 func (rd *Reducer) tick(now ident.Time) {
-	rd.table.SetBlind(rd.spread.Blind())
+	rd.table.SetBlind(rd.spread.PlatformFailing())
 	if now >= rd.table.Next(now) {
 		rd.emit(rd.table.Tick(now, rd.own(now))...)
 	}
@@ -313,7 +313,7 @@
 	for id, at := range rd.demandAt {
 		if now.Sub(at) > goneAfter {
 			delete(rd.demandAt, id)
-			rd.quota.Drop(id)
+			rd.quota.DropPeer(id)
 		}
 	}
 }
@@ -340,7 +340,7 @@
 func (rd *Reducer) wake(now ident.Time) {
 	at := now.Add(wakeLate)
 	for _, t := range []ident.Time{
-		rd.table.Next(now), rd.spread.Next(now), rd.agenda.next(), rd.pools.next(now, rd.startBy), rd.once.Next(),
+		rd.table.Next(now), rd.spread.NextTick(now), rd.agenda.next(), rd.pools.next(now, rd.startBy), rd.once.Next(),
 	} {
 		if t > now && t < at {
 			at = t
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -64,7 +64,7 @@
 	}
 	rd.emit(eff)
 	if r.forwarded {
-		rd.once.PeerEnded(now, r.env.Attempt, answerOf(ref.outcome))
+		rd.once.AttemptEnded(now, r.env.Attempt, answerOf(ref.outcome))
 	}
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -98,7 +98,7 @@
 	}
 	env, forwarded := req.Envelope.Get()
 	if forwarded {
-		if v := rd.once.Arrive(now, env); v.Do != once.Run {
+		if v := rd.once.AdmitAttempt(now, env); v.Action != once.Run {
 			rd.refuse(now, &request{Request: req}, refusal{code: v.Code, outcome: v.Outcome})
 			return
 		}
@@ -247,7 +247,7 @@
 		rd.once.Ended(now, r.ID, outcome, r.kept)
 	}
 	if r.forwarded {
-		rd.once.PeerEnded(now, r.env.Attempt, answerOf(outcome))
+		rd.once.AttemptEnded(now, r.env.Attempt, answerOf(outcome))
 	}
 }
 
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -61,16 +61,16 @@
 		rd.services[name] = b
 	}
 	rd.hostsMost = max(rd.hostsMost, rd.table.HostCount())
-	b.Share = retryMargin * rd.bounds.RetryRatio
-	b.Floor = int(retryMargin * float64(rd.bounds.RetryFloor) / float64(rd.hostsMost))
+	b.Ratio = retryMargin * rd.bounds.RetryRatio
+	b.MinRetries = int(retryMargin * float64(rd.bounds.RetryFloor) / float64(rd.hostsMost))
 	if now.Sub(rd.startedAt) < retry.Window {
-		b.Floor /= 2
+		b.MinRetries /= 2
 	}
-	if b.Floor == 0 || !rd.table.ListRead() {
-		b.Floor = -1
+	if b.MinRetries == 0 || !rd.table.ListRead() {
+		b.MinRetries = -1
 	}
-	if b.Share == 0 {
-		b.Share = -1
+	if b.Ratio == 0 {
+		b.Ratio = -1
 	}
 	return b
 }
@@ -79,12 +79,12 @@
 // host passed on was counted there.
 func (rd *Reducer) arrived(now ident.Time, r *request) {
 	if r.profile.Route == nil {
-		rd.budget.Arrived(now)
+		rd.budget.RecordArrival(now)
 		return
 	}
 	r.age = rd.slack.Asked(r.profile.Name, r.deadline.Sub(now))
 	if !r.forwarded {
-		rd.service(now, r.profile.Service).Arrived(now)
+		rd.service(now, r.profile.Service).RecordArrival(now)
 	}
 	if rd.isBrought(r) {
 		rd.table.Brought(now, &r.Request, rd.expected(r))
--- a/internal/core/routed_test.go
+++ b/internal/core/routed_test.go
@@ -261,7 +261,7 @@
 			r.Prefix = append(r.Prefix, uint64(1000+i))
 		}
 		for i := range own {
-			r.Prefix = append(r.Prefix, rank.Join(rank.Hash(id), uint64(i)))
+			r.Prefix = append(r.Prefix, rank.Combine(rank.Hash(id), uint64(i)))
 		}
 		return r
 	}
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -17,7 +17,7 @@
 	case r.Ticket != "":
 		rd.verdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Print))
 	case r.Key != "":
-		rd.verdict(now, r, rd.once.Key(now, r.Key, r.Print, r.ID))
+		rd.verdict(now, r, rd.once.UseKey(now, r.Key, r.Print, r.ID))
 	default:
 		rd.end(now, r, refuseAs(codes.NeedsOnce))
 	}
@@ -32,16 +32,16 @@
 	if !ok {
 		// The caller has left. The claim is settled all the same, so that a
 		// repeat with the key is judged by what is on record.
-		rd.once.Claimed(now, e.Request, e.Claim, e.Owner)
+		rd.once.ClaimAnswered(now, e.Request, e.Claim, e.Owner)
 		rd.once.Ended(now, e.Request, event.NotRun, false)
 		return
 	}
 	r.claiming = false
-	rd.verdict(now, r, rd.once.Claimed(now, e.Request, e.Claim, e.Owner))
+	rd.verdict(now, r, rd.once.ClaimAnswered(now, e.Request, e.Claim, e.Owner))
 }
 
 func (rd *Reducer) verdict(now ident.Time, r *request, v once.Verdict) {
-	switch v.Do {
+	switch v.Action {
 	case once.Run:
 		rd.admitted(now, r)
 	case once.Claim:
@@ -49,7 +49,7 @@
 		rd.emit(event.ClaimKey{Request: r.ID, Key: r.Key, Record: v.Record, Deadline: r.deadline})
 	case once.Replay:
 		rd.drop(r)
-		rd.emit(event.Replay{Request: r.ID, Of: v.Of})
+		rd.emit(event.Replay{Request: r.ID, Of: v.ReplayOf})
 	case once.Owner:
 		rd.drop(r)
 		rd.refuse(now, r, rd.owned(v))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	d.mesh = mesh
-	lcfg := loop.Config{Step: d.stepper(), Clock: d.clock, Log: cfg.Log, Carry: d.carry}
+	lcfg := loop.Config{Step: d.stepper(), Clock: d.clock, Log: cfg.Log, Execute: d.carry}
 	if cfg.Record != nil {
 		lcfg.Record = cfg.Record(d.self)
 	}
--- a/internal/dev/relay/relay.go
+++ b/internal/dev/relay/relay.go
@@ -221,7 +221,7 @@
 const silentPoll = 10 * time.Millisecond
 
 // pass waits until a piece is due and nothing holds it back.
-func (w *way) pass(sub *clock.Sub, due ident.Time) {
+func (w *way) pass(sub *clock.Subscription, due ident.Time) {
 	svc := w.relay.cfg.Clock
 	for w.relay.t.Alive() {
 		f := w.relay.faultNow()
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -61,7 +61,7 @@
 	b.url = tgt.URL
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: b.step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: b.step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
 	book := testBook(t)
 	cfg := Config{
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -33,49 +33,49 @@
 	t tomb.Tomb
 
 	mu sync.Mutex
-	// begun says that the group's own goroutine was started, ended that it takes no more.
-	begun, ended bool
-	sealed       chan struct{}
+	// started says that the group's own goroutine was started, closed that it takes no more.
+	started, closed bool
+	joining         chan struct{}
 }
 
 // Go starts a goroutine, and reports false for a group that has ended.
 func (g *Group) Go(run func() error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ended {
+	if g.closed {
 		return false
 	}
-	g.begin()
+	g.ensureStarted()
 	g.t.Go(run)
 	return true
 }
 
-func (g *Group) begin() {
-	if g.begun {
+func (g *Group) ensureStarted() {
+	if g.started {
 		return
 	}
-	g.begun = true
-	g.sealed = make(chan struct{})
-	g.t.Go(g.run)
+	g.started = true
+	g.joining = make(chan struct{})
+	g.t.Go(g.keepAlive)
 }
 
-// run keeps the tomb from dying before the group has ended.
-func (g *Group) run() error {
+// keepAlive keeps the tomb from dying before the group has ended.
+func (g *Group) keepAlive() error {
 	select {
 	case <-g.t.Dying():
-	case <-g.sealed:
+	case <-g.joining:
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ended = true
+	g.closed = true
 	return nil
 }
 
 // Kill asks all goroutines to end.
 func (g *Group) Kill(reason error) {
 	g.mu.Lock()
-	if !g.begun {
-		g.ended = true
+	if !g.started {
+		g.closed = true
 	}
 	g.mu.Unlock()
 	g.t.Kill(reason)
@@ -85,7 +85,7 @@
 // which none was started is not waited for.
 func (g *Group) Wait() error {
 	g.mu.Lock()
-	begun := g.begun
+	begun := g.started
 	g.mu.Unlock()
 	if !begun {
 		return nil
@@ -97,9 +97,9 @@
 // themselves.
 func (g *Group) Join() error {
 	g.mu.Lock()
-	if g.begun && !g.ended {
-		g.ended = true
-		close(g.sealed)
+	if g.started && !g.closed {
+		g.closed = true
+		close(g.joining)
 	}
 	g.mu.Unlock()
 	return g.Wait()
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-func quick() error { return nil }
+func returnAtOnce() error { return nil }
 
 // A goroutine that is started after the first has returned panics.
 func TestStartsAfterTheFirstHasReturned(t *testing.T) {
 	var g Group
 	for range 100 {
-		if !g.Go(quick) {
+		if !g.Go(returnAtOnce) {
 			t.Fatal("not started")
 		}
 		time.Sleep(10 * time.Microsecond)
@@ -21,13 +21,13 @@
 	if err := g.Join(); err != nil {
 		t.Error(err)
 	}
-	if g.Go(quick) {
+	if g.Go(returnAtOnce) {
 		t.Error("started after the end")
 	}
 }
 
 // Requests come while the owner stops, or while one of its goroutines fails.
-func TestStartsWhileItEnds(t *testing.T) {
+func TestConcurrentGoWhileEnding(t *testing.T) {
 	failed := errors.New("failed")
 	for _, end := range map[string]func(g *Group){
 		"killed": func(g *Group) { g.Kill(nil) },
@@ -36,12 +36,12 @@
 	} {
 		for range 300 {
 			var g Group
-			g.Go(quick)
+			g.Go(returnAtOnce)
 			var all sync.WaitGroup
 			for range 4 {
 				all.Go(func() {
 					for range 5 {
-						g.Go(quick)
+						g.Go(returnAtOnce)
 					}
 				})
 			}
@@ -51,7 +51,7 @@
 			if err := g.Wait(); err != nil && !errors.Is(err, failed) {
 				t.Fatal(err)
 			}
-			if g.Go(quick) {
+			if g.Go(returnAtOnce) {
 				t.Fatal("started after the end")
 			}
 		}
@@ -64,7 +64,7 @@
 	if err := g.Wait(); err != nil {
 		t.Error(err)
 	}
-	if g.Go(quick) {
+	if g.Go(returnAtOnce) {
 		t.Error("started after the end")
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -39,8 +39,8 @@
 // Sizes of the queues. A request never has more than a few effects that wait,
 // so its mailbox does not fill unless its goroutine has ended.
 const (
-	eventQueue = 4096
-	boxSize    = 16
+	eventQueueSize = 4096
+	mailboxSize    = 16
 )
 
 // Config is what a loop needs.
@@ -49,34 +49,34 @@
 	Step  func(now ident.Time, ev event.Event) []event.Effect
 	Clock *clock.Service
 	Log   logr.Logger
-	// Carry takes the effects that name no request and answer no question.
+	// Execute takes the effects that name no request and answer no question.
 	// It must not block.
-	Carry func(eff event.Effect)
+	Execute func(eff event.Effect)
 	// Record, where set, sees each event and its effects, for replay.
 	Record func(now ident.Time, ev event.Event, effs []event.Effect)
 }
 
 // Loop is the control thread.
 type Loop struct {
-	t    tomb.Tomb
-	cfg  Config
-	in   chan event.Event
-	wake *clock.Sub
-
-	mu    sync.Mutex
-	boxes map[ident.RequestID]chan event.Effect
-	asks  map[event.Ask]chan event.Effect
-	ask   event.Ask
+	t      tomb.Tomb
+	cfg    Config
+	events chan event.Event
+	wake   *clock.Subscription
+
+	mu          sync.Mutex
+	mailboxes   map[ident.RequestID]chan event.Effect
+	pendingAsks map[event.Ask]chan event.Effect
+	lastAsk     event.Ask
 }
 
 // New starts a loop.
 func New(cfg Config) *Loop {
 	l := &Loop{
-		cfg:   cfg,
-		in:    make(chan event.Event, eventQueue),
-		wake:  cfg.Clock.At(cfg.Clock.Now()),
-		boxes: make(map[ident.RequestID]chan event.Effect),
-		asks:  make(map[event.Ask]chan event.Effect),
+		cfg:         cfg,
+		events:      make(chan event.Event, eventQueueSize),
+		wake:        cfg.Clock.At(cfg.Clock.Now()),
+		mailboxes:   make(map[ident.RequestID]chan event.Effect),
+		pendingAsks: make(map[event.Ask]chan event.Effect),
 	}
 	l.t.Go(l.run)
 	return l
@@ -95,38 +95,38 @@
 // slows the senders down instead of losing events.
 func (l *Loop) Post(ev event.Event) {
 	select {
-	case l.in <- ev:
+	case l.events <- ev:
 	case <-l.t.Dying():
 	}
 }
 
-// Open makes the mailbox of a request. It reports false for an id that has
+// OpenMailbox makes the mailbox of a request. It reports false for an id that has
 // one.
-func (l *Loop) Open(id ident.RequestID) (<-chan event.Effect, bool) {
-	box := make(chan event.Effect, boxSize)
+func (l *Loop) OpenMailbox(id ident.RequestID) (<-chan event.Effect, bool) {
+	box := make(chan event.Effect, mailboxSize)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, ok := l.boxes[id]; ok {
+	if _, ok := l.mailboxes[id]; ok {
 		return nil, false
 	}
-	l.boxes[id] = box
+	l.mailboxes[id] = box
 	return box, true
 }
 
-// Close drops the mailbox of a request.
-func (l *Loop) Close(id ident.RequestID) {
+// CloseMailbox drops the mailbox of a request.
+func (l *Loop) CloseMailbox(id ident.RequestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.boxes, id)
+	delete(l.mailboxes, id)
 }
 
 // Ask puts a question and waits for the answer.
 func (l *Loop) Ask(ctx context.Context, question func(n event.Ask) event.Event) (event.Effect, error) {
 	c := make(chan event.Effect, 1)
 	l.mu.Lock()
-	l.ask++
-	n := l.ask
-	l.asks[n] = c
+	l.lastAsk++
+	n := l.lastAsk
+	l.pendingAsks[n] = c
 	l.mu.Unlock()
 	defer l.dropAsk(n)
 	l.Post(question(n))
@@ -143,14 +143,14 @@
 func (l *Loop) dropAsk(n event.Ask) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.asks, n)
+	delete(l.pendingAsks, n)
 }
 
 func (l *Loop) run() error {
 	defer l.wake.Close()
 	for {
 		select {
-		case ev := <-l.in:
+		case ev := <-l.events:
 			l.step(ev)
 		case <-l.wake.C():
 			l.step(event.Tick{})
@@ -167,11 +167,11 @@
 		l.cfg.Record(now, ev, effs)
 	}
 	for _, eff := range effs {
-		l.carry(eff)
+		l.execute(eff)
 	}
 }
 
-func (l *Loop) carry(eff event.Effect) {
+func (l *Loop) execute(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Wake:
 		l.wake.Reset(e.At)
@@ -198,13 +198,13 @@
 	case event.StatusAnswered:
 		l.answer(e.Ask, e)
 	default:
-		l.cfg.Carry(eff)
+		l.cfg.Execute(eff)
 	}
 }
 
 func (l *Loop) deliver(id ident.RequestID, eff event.Effect) {
 	l.mu.Lock()
-	box, ok := l.boxes[id]
+	box, ok := l.mailboxes[id]
 	l.mu.Unlock()
 	if !ok {
 		return
@@ -221,8 +221,8 @@
 
 func (l *Loop) answer(n event.Ask, eff event.Effect) {
 	l.mu.Lock()
-	c, ok := l.asks[n]
-	delete(l.asks, n)
+	c, ok := l.pendingAsks[n]
+	delete(l.pendingAsks, n)
 	l.mu.Unlock()
 	if ok {
 		c <- eff
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -14,12 +14,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func start(t *testing.T, step func(now ident.Time, ev event.Event) []event.Effect) *Loop {
 	t.Helper()
 	svc := clock.New()
-	l := New(Config{Step: step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	l := New(Config{Step: step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(func() {
 		l.Stop()
 		svc.Stop()
@@ -28,27 +28,27 @@
 }
 
 // The loop waits for a mailbox that is no longer read, and all other callers with it.
-func TestFullMailboxHoldsUpNobody(t *testing.T) {
+func TestFullMailboxDoesNotBlockLoop(t *testing.T) {
 	l := start(t, func(_ ident.Time, ev event.Event) []event.Effect {
 		if e, ok := ev.(event.RequestArrived); ok {
 			return []event.Effect{event.Finish{Request: e.Request.ID}}
 		}
 		return nil
 	})
-	if _, ok := l.Open("stuck"); !ok {
+	if _, ok := l.OpenMailbox("stuck"); !ok {
 		t.Fatal("no mailbox")
 	}
-	for range 10 * boxSize {
+	for range 10 * mailboxSize {
 		l.Post(event.RequestArrived{Request: event.Request{ID: "stuck"}})
 	}
-	box, _ := l.Open("other")
+	box, _ := l.OpenMailbox("other")
 	l.Post(event.RequestArrived{Request: event.Request{ID: "other"}})
 	select {
 	case eff := <-box:
 		if diff := cmp.Diff(event.Effect(event.Finish{Request: "other"}), eff); diff != "" {
 			t.Errorf("effect (-want +got):\n%s", diff)
 		}
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("the loop waits for a mailbox that nobody reads")
 	}
 }
@@ -73,7 +73,7 @@
 	}
 	select {
 	case <-done:
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("events were lost")
 	}
 	if diff := cmp.Diff(want, seen); diff != "" {
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -338,7 +338,7 @@
 		if h.Draining {
 			continue
 		}
-		if s := rank.Join(key, rank.Hash(string(h.ID))); best < 0 || s > found {
+		if s := rank.Combine(key, rank.Hash(string(h.ID))); best < 0 || s > found {
 			best, found = i, s
 		}
 	}
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -28,7 +28,7 @@
 
 // firstRead returns how long after its start a host reads the list.
 func firstRead(self event.Host) time.Duration {
-	return spread(rank.Join(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstSpread)
+	return spread(rank.Combine(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstSpread)
 }
 
 func spread(h uint64, width time.Duration) time.Duration {
@@ -167,7 +167,7 @@
 		return watchEvery
 	}
 	h := rank.Hash("read", string(tb.self.ID))
-	return idleEvery + spread(rank.Join(h, uint64(now)), idleSpread)
+	return idleEvery + spread(rank.Combine(h, uint64(now)), idleSpread)
 }
 
 // dutyRead brings the next read forward when this host becomes the watcher, spread so that
@@ -181,7 +181,7 @@
 
 // readSoon brings the next read forward, spread over the hosts of a reason.
 func (tb *Table) readSoon(now ident.Time, reason string) {
-	h := rank.Join(rank.Hash(reason, string(tb.self.ID)), uint64(now))
+	h := rank.Combine(rank.Hash(reason, string(tb.self.ID)), uint64(now))
 	tb.list.nextRead = min(tb.list.nextRead, now.Add(watchEvery+spread(h, Period)))
 }
 
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -105,7 +105,7 @@
 }
 
 func (tb *Table) askRank(salt uint64, i int) uint64 {
-	return rank.Join(salt, rank.Hash(string(tb.centres[i].Place.Group())))
+	return rank.Combine(salt, rank.Hash(string(tb.centres[i].Place.Group())))
 }
 
 // split divides n into k parts that differ by one at most and sum up to n.
--- a/internal/member/show.go
+++ b/internal/member/show.go
@@ -75,7 +75,7 @@
 	if h.Draining {
 		return cs
 	}
-	score := rank.Score(rank.Join(spread, rank.Hash(string(h.ID))), weight)
+	score := rank.Score(rank.Combine(spread, rank.Hash(string(h.ID))), weight)
 	return append(cs, candidate{host: h, class: class, score: score})
 }
 
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -162,11 +162,11 @@
 func poolNews(pools []event.Pool) uint64 {
 	h := uint64(0)
 	for _, p := range pools {
-		h = rank.Join(h, rank.Hash(string(p.Serve.Model), string(p.Serve.Version), string(p.Serve.Adapter), p.Service))
-		h = rank.Join(h, rank.Hash(strconv.FormatBool(short(p.Free, p.Slots))))
-		h = rank.Join(h, uint64(bits.Len(uint(p.Offer))))
-		h = rank.Join(h, demandStep(&p))
-		h = rank.Join(h, uint64(p.Targets))
+		h = rank.Combine(h, rank.Hash(string(p.Serve.Model), string(p.Serve.Version), string(p.Serve.Adapter), p.Service))
+		h = rank.Combine(h, rank.Hash(strconv.FormatBool(short(p.Free, p.Slots))))
+		h = rank.Combine(h, uint64(bits.Len(uint(p.Offer))))
+		h = rank.Combine(h, demandStep(&p))
+		h = rank.Combine(h, uint64(p.Targets))
 	}
 	return h
 }
@@ -175,8 +175,8 @@
 func hashHosts(hosts []event.Host) uint64 {
 	h := uint64(1)
 	for _, x := range hosts {
-		h = rank.Join(h, rank.Hash(string(x.ID), x.CallerURL, x.PeerAddr, strconv.FormatBool(x.Draining)))
-		h = rank.Join(h, uint64(x.Incarnation))
+		h = rank.Combine(h, rank.Hash(string(x.ID), x.CallerURL, x.PeerAddr, strconv.FormatBool(x.Draining)))
+		h = rank.Combine(h, uint64(x.Incarnation))
 	}
 	return max(h, 1)
 }
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -29,8 +29,8 @@
 		now = now.Add(time.Millisecond)
 		key, fprint := rules.Digest(fmt.Sprint(i)), rules.Digest(fmt.Sprint(-i))
 		req := ident.RequestID(fmt.Sprintf("%032d", i))
-		rg.Key(now, key, fprint, req)
-		rg.Claimed(now, req, event.ClaimWon, event.KeyRecord{})
+		rg.UseKey(now, key, fprint, req)
+		rg.ClaimAnswered(now, req, event.ClaimWon, event.KeyRecord{})
 		rg.Ended(now, req, event.Done, true)
 		rg.Expire(now)
 	}
@@ -55,8 +55,8 @@
 		i++
 		now = now.Add(time.Millisecond)
 		a := ident.Attempt{Entry: ident.EntryID(fmt.Sprint("host", i%370)), Incarnation: 1, Number: i}
-		rg.Arrive(now, event.Envelope{Attempt: a, To: 1})
-		rg.PeerEnded(now, a, event.Ended)
+		rg.AdmitAttempt(now, event.Envelope{Attempt: a, To: 1})
+		rg.AttemptEnded(now, a, event.Ended)
 	}
 	for range 370 * maxSenderAttempts {
 		one()
@@ -66,6 +66,6 @@
 	for b.Loop() {
 		one()
 	}
-	b.ReportMetric(float64(full-before)/float64(rg.attempts), "heap-B/attempt")
-	b.ReportMetric(float64(rg.attempts), "attempts")
+	b.ReportMetric(float64(full-before)/float64(rg.attemptCount), "heap-B/attempt")
+	b.ReportMetric(float64(rg.attemptCount), "attempts")
 }
--- a/internal/once/key_test.go
+++ b/internal/once/key_test.go
@@ -11,19 +11,19 @@
 )
 
 // A record whose write was lost and lands late blocks the key of a request that never ran.
-func TestLateWriteDoesNoHarm(t *testing.T) {
+func TestLateClaimWriteIsRecognised(t *testing.T) {
 	rg := New("a", 5)
-	rg.keyForgotten = true // as at any host that has run for an hour
-	first := rg.Key(0, "k", "p", "r1")
+	rg.usedKeyDropped = true // as at any host that has run for an hour
+	first := rg.UseKey(0, "k", "p", "r1")
 	got := []Verdict{
-		rg.Claimed(0, "r1", event.ClaimFailed, event.KeyRecord{}),
-		rg.Key(1, "k", "p", "r2"),
-		rg.Claimed(1, "r2", event.ClaimTaken, first.Record),
+		rg.ClaimAnswered(0, "r1", event.ClaimFailed, event.KeyRecord{}),
+		rg.UseKey(1, "k", "p", "r2"),
+		rg.ClaimAnswered(1, "r2", event.ClaimTaken, first.Record),
 	}
 	want := []Verdict{
 		refuse(codes.StoreDown, event.NotRun),
-		{Do: Claim, Record: event.KeyRecord{Entry: "a", Incarnation: 5, Request: "r1", Print: "p"}},
-		{Do: Run},
+		{Action: Claim, Record: event.KeyRecord{Entry: "a", Incarnation: 5, Request: "r1", Print: "p"}},
+		{Action: Run},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -36,14 +36,14 @@
 		rec  event.KeyRecord
 		want Verdict
 	}{
-		"other host":    {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Print: "p"}, owner("b", 3)},
-		"later run":     {event.KeyRecord{Entry: "a", Incarnation: 6, Request: "x", Print: "p"}, owner("a", 6)},
+		"other host":    {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Print: "p"}, ownedBy("b", 3)},
+		"later run":     {event.KeyRecord{Entry: "a", Incarnation: 6, Request: "x", Print: "p"}, ownedBy("a", 6)},
 		"earlier run":   {event.KeyRecord{Entry: "a", Incarnation: 4, Request: "x", Print: "p"}, refuse(codes.OutcomeUnknown, event.Unknown)},
 		"other content": {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Print: "q"}, refuse(codes.KeyReused, event.NotRun)},
 	} {
 		rg := New("a", 5)
-		rg.Key(0, "k", "p", "r1")
-		got := []Verdict{rg.Claimed(0, "r1", event.ClaimTaken, tc.rec), rg.Key(1, "k", "p", "r2")}
+		rg.UseKey(0, "k", "p", "r1")
+		got := []Verdict{rg.ClaimAnswered(0, "r1", event.ClaimTaken, tc.rec), rg.UseKey(1, "k", "p", "r2")}
 		if diff := cmp.Diff([]Verdict{tc.want, tc.want}, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
@@ -53,7 +53,7 @@
 // A ticket is redeemed by guessing, by another account, at another host or too late.
 func TestRedeemRefused(t *testing.T) {
 	const text = "a/5/1/s3cret"
-	late := ident.Time(0).Add(ticketValid)
+	late := ident.Time(0).Add(ticketTTL)
 	for name, tc := range map[string]struct {
 		now     ident.Time
 		ticket  string
@@ -66,8 +66,8 @@
 		"wrong secret":  {0, "a/5/1/guessed", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
 		"other account": {0, text, "other", "book", refuse(codes.BadTicket, event.NotRun)},
 		"other profile": {0, text, "acme", "other", refuse(codes.BadTicket, event.NotRun)},
-		"other host":    {0, "b/3/1/s3cret", "acme", "book", owner("b", 3)},
-		"later run":     {0, "a/6/1/s3cret", "acme", "book", owner("a", 6)},
+		"other host":    {0, "b/3/1/s3cret", "acme", "book", ownedBy("b", 3)},
+		"later run":     {0, "a/6/1/s3cret", "acme", "book", ownedBy("a", 6)},
 		"earlier run":   {0, "a/4/1/s3cret", "acme", "book", refuse(codes.OutcomeUnknown, event.Unknown)},
 		"expired":       {late, text, "acme", "book", refuse(codes.BadTicket, event.NotRun)},
 	} {
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -64,19 +64,19 @@
 
 // Retention and bounds of tickets and keys.
 const (
-	// ticketValid is how long an unused ticket may be redeemed.
-	ticketValid = 15 * time.Minute
-	// answerKept is how long an answer is kept for repeats.
-	answerKept = 10 * time.Minute
-	// recordKept is how long it is remembered that a ticket or key has ended.
-	recordKept = time.Hour
+	// ticketTTL is how long an unused ticket may be redeemed.
+	ticketTTL = 15 * time.Minute
+	// answerTTL is how long an answer is kept for repeats.
+	answerTTL = 10 * time.Minute
+	// recordTTL is how long it is remembered that a ticket or key has ended.
+	recordTTL = time.Hour
 
 	maxRecords        = 1 << 16
 	maxTickets        = 1 << 15
 	maxAccountTickets = 1 << 12
 
-	// comeBack is when a repeat may find more than it found now.
-	comeBack = time.Second
+	// busyRetryAfter is when a repeat may find more than it found now.
+	busyRetryAfter = time.Second
 )
 
 // bounds are the sizes that a registry keeps to.
@@ -85,30 +85,30 @@
 	senders, attempts, senderAttempts int
 }
 
-// Do says how to go on with a request.
-type Do string
+// Action says how to go on with a request.
+type Action string
 
 // The ways to go on.
 const (
 	// Run allows the request to be sent.
-	Run Do = "run"
+	Run Action = "run"
 	// Claim asks the platform's store first, with the Record.
-	Claim Do = "claim"
+	Claim Action = "claim"
 	// Replay answers with the kept answer of the request Of.
-	Replay Do = "replay"
+	Replay Action = "replay"
 	// Owner leaves the request to the host Entry, which alone can know.
-	Owner Do = "owner"
+	Owner Action = "owner"
 	// Refuse gives the final answer.
-	Refuse Do = "refuse"
+	Refuse Action = "refuse"
 )
 
 // Verdict is the decision on one request.
 type Verdict struct {
-	Do Do
+	Action Action
 	// Record is what to claim the key with.
 	Record event.KeyRecord
-	// Of is the request whose answer is kept.
-	Of ident.RequestID
+	// ReplayOf is the request whose answer is kept.
+	ReplayOf ident.RequestID
 	// Entry and Incarnation name the owner of the ticket or key.
 	Entry       ident.EntryID
 	Incarnation ident.Incarnation
@@ -132,24 +132,24 @@
 	// ticketFloor is the highest number of a ticket that may have run and
 	// was dropped from memory.
 	ticketFloor uint64
-	// keyForgotten says that a key that may have run was dropped.
-	keyForgotten bool
+	// usedKeyDropped says that a key that may have run was dropped.
+	usedKeyDropped bool
 
 	tickets map[uint64]*record
 	keys    map[string]*record
-	// live finds a record by the request that claims or runs it.
-	live map[ident.RequestID]*record
-	// unused counts the tickets that may still be redeemed, by account.
-	unused      map[ident.Account]int
-	unusedTotal int
-	queue       dueQueue
-	seq         uint64
-	// forget lists answers that were dropped early, for the next Expire.
-	forget []ident.RequestID
-
-	senders     map[ident.EntryID]*sender
-	senderFloor ident.Incarnation
-	attempts    int
+	// byRequest finds a record by the request that claims or runs it.
+	byRequest map[ident.RequestID]*record
+	// unusedByAccount counts the tickets that may still be redeemed, by account.
+	unusedByAccount map[ident.Account]int
+	unusedTotal     int
+	queue           dueQueue
+	seq             uint64
+	// droppedAnswers lists answers that were dropped early, for the next Expire.
+	droppedAnswers []ident.RequestID
+
+	senders               map[ident.EntryID]*sender
+	maxDroppedIncarnation ident.Incarnation
+	attemptCount          int
 }
 
 // New returns an empty registry of one incarnation of an entry host.
@@ -160,11 +160,11 @@
 			records: maxRecords, tickets: maxTickets, accountTickets: maxAccountTickets,
 			senders: maxSenders, attempts: maxAttempts, senderAttempts: maxSenderAttempts,
 		},
-		tickets: make(map[uint64]*record),
-		keys:    make(map[string]*record),
-		live:    make(map[ident.RequestID]*record),
-		unused:  make(map[ident.Account]int),
-		senders: make(map[ident.EntryID]*sender),
+		tickets:         make(map[uint64]*record),
+		keys:            make(map[string]*record),
+		byRequest:       make(map[ident.RequestID]*record),
+		unusedByAccount: make(map[ident.Account]int),
+		senders:         make(map[ident.EntryID]*sender),
 	}
 }
 
@@ -173,11 +173,11 @@
 // Done and Unknown are for good. A second end of one request changes nothing.
 func (rg *Registry) Ended(now ident.Time, req ident.RequestID, outcome event.Outcome, kept bool) {
 	rg.advance(now)
-	rec, ok := rg.live[req]
+	rec, ok := rg.byRequest[req]
 	if !ok {
 		return
 	}
-	delete(rg.live, req)
+	delete(rg.byRequest, req)
 	if outcome == event.NotRun || rec.state == claiming {
 		rg.release(rec)
 		return
@@ -185,12 +185,12 @@
 	rec.state = ended
 	rec.outcome = outcome
 	rec.endedAt = rg.now
-	rec.kept = kept && outcome == event.Done
-	if rec.kept {
-		rg.setDue(rec, rg.now.Add(answerKept))
+	rec.answerKept = kept && outcome == event.Done
+	if rec.answerKept {
+		rg.setDue(rec, rg.now.Add(answerTTL))
 		return
 	}
-	rg.setDue(rec, rg.now.Add(recordKept))
+	rg.setDue(rec, rg.now.Add(recordTTL))
 }
 
 // Expire drops what has outlived its retention and returns the requests whose
@@ -199,21 +199,21 @@
 	rg.advance(now)
 	for len(rg.queue) > 0 && rg.queue[0].due <= rg.now {
 		rec := rg.queue[0]
-		if rec.state == ended && rec.kept {
+		if rec.state == ended && rec.answerKept {
 			rg.dropAnswer(rec)
-			rg.setDue(rec, rec.endedAt.Add(recordKept))
+			rg.setDue(rec, rec.endedAt.Add(recordTTL))
 			continue
 		}
 		rg.drop(rec)
 	}
-	forget := rg.forget
-	rg.forget = nil
+	forget := rg.droppedAnswers
+	rg.droppedAnswers = nil
 	return forget
 }
 
 // Next returns when Expire has work, or Never.
 func (rg *Registry) Next() ident.Time {
-	if len(rg.forget) > 0 {
+	if len(rg.droppedAnswers) > 0 {
 		return rg.now
 	}
 	if len(rg.queue) == 0 {
@@ -227,14 +227,14 @@
 func (rg *Registry) advance(now ident.Time) { rg.now = max(rg.now, now) }
 
 func refuse(c codes.Code, outcome event.Outcome) Verdict {
-	v := Verdict{Do: Refuse, Code: c.ID, Outcome: outcome}
+	v := Verdict{Action: Refuse, Code: c.ID, Outcome: outcome}
 	if c.Wait {
-		v.RetryAfter = comeBack
+		v.RetryAfter = busyRetryAfter
 	}
 	return v
 }
 
-func owner(entry ident.EntryID, inc ident.Incarnation) Verdict {
+func ownedBy(entry ident.EntryID, inc ident.Incarnation) Verdict {
 	// The outcome is unknown and not "not run": the owner may have run it.
-	return Verdict{Do: Owner, Entry: entry, Incarnation: inc, Code: codes.ForeignTicket.ID, Outcome: event.Unknown}
+	return Verdict{Action: Owner, Entry: entry, Incarnation: inc, Code: codes.ForeignTicket.ID, Outcome: event.Unknown}
 }
--- a/internal/once/peer.go
+++ b/internal/once/peer.go
@@ -27,26 +27,26 @@
 	// new is accepted, since it may have run, and what isn't in seen is
 	// Forgotten, never Barred.
 	floor uint64
-	// seen is sorted by number.
-	seen []seen
-	last ident.Time
+	// attempts is sorted by number.
+	attempts   []attemptRecord
+	lastActive ident.Time
 }
 
-type seen struct {
+type attemptRecord struct {
 	number uint64
 	answer event.Answer
 }
 
 func (s *sender) find(n uint64) (int, bool) {
-	return slices.BinarySearchFunc(s.seen, n, func(a seen, n uint64) int { return cmp.Compare(a.number, n) })
+	return slices.BinarySearchFunc(s.attempts, n, func(a attemptRecord, n uint64) int { return cmp.Compare(a.number, n) })
 }
 
-// Arrive judges an attempt that a peer has passed on. Not run is said where
+// AdmitAttempt judges an attempt that a peer has passed on. Not run is said where
 // this host proves it: the attempt is barred, was refused, or is meant for
 // another incarnation, given that a sender writes an attempt to one
 // connection once. A copy of one that runs or ran is refused as unknown: to
 // say "not run" of the copy would be said of the attempt.
-func (rg *Registry) Arrive(now ident.Time, env event.Envelope) Verdict {
+func (rg *Registry) AdmitAttempt(now ident.Time, env event.Envelope) Verdict {
 	rg.advance(now)
 	if env.To != rg.inc {
 		return refuse(codes.NoTarget, event.NotRun)
@@ -58,10 +58,10 @@
 	}
 	i, ok := s.find(a.Number)
 	if !ok {
-		rg.remember(s, i, seen{number: a.Number, answer: event.Running})
-		return Verdict{Do: Run}
+		rg.addAttempt(s, i, attemptRecord{number: a.Number, answer: event.Running})
+		return Verdict{Action: Run}
 	}
-	switch s.seen[i].answer {
+	switch s.attempts[i].answer {
 	case event.Barred, event.Refused:
 		return refuse(codes.NoTarget, event.NotRun)
 	case event.Running:
@@ -70,16 +70,16 @@
 	return refuse(codes.OutcomeUnknown, event.Unknown)
 }
 
-// PeerEnded takes the end of an attempt that Arrive allowed to run: Refused
+// AttemptEnded takes the end of an attempt that Arrive allowed to run: Refused
 // where it is proved not to have run, Ended otherwise.
-func (rg *Registry) PeerEnded(now ident.Time, a ident.Attempt, answer event.Answer) {
+func (rg *Registry) AttemptEnded(now ident.Time, a ident.Attempt, answer event.Answer) {
 	rg.advance(now)
 	s, ok := rg.senders[a.Entry]
 	if !ok || s.inc != a.Incarnation || (answer != event.Ended && answer != event.Refused) {
 		return
 	}
-	if i, ok := s.find(a.Number); ok && s.seen[i].answer == event.Running {
-		s.seen[i].answer = answer
+	if i, ok := s.find(a.Number); ok && s.attempts[i].answer == event.Running {
+		s.attempts[i].answer = answer
 	}
 }
 
@@ -97,12 +97,12 @@
 	}
 	i, ok := s.find(a.Number)
 	if ok {
-		return s.seen[i].answer
+		return s.attempts[i].answer
 	}
 	if a.Number <= s.floor {
 		return event.Forgotten
 	}
-	rg.remember(s, i, seen{number: a.Number, answer: event.Barred})
+	rg.addAttempt(s, i, attemptRecord{number: a.Number, answer: event.Barred})
 	return event.Barred
 }
 
@@ -114,67 +114,67 @@
 		return nil
 	}
 	if ok && a.Incarnation == s.inc {
-		s.last = rg.now
+		s.lastActive = rg.now
 		return s
 	}
-	if !ok && a.Incarnation <= rg.senderFloor {
+	if !ok && a.Incarnation <= rg.maxDroppedIncarnation {
 		return nil
 	}
 	if ok {
-		rg.attempts -= len(s.seen)
+		rg.attemptCount -= len(s.attempts)
 	} else if len(rg.senders) >= rg.bounds.senders {
-		rg.dropSender()
+		rg.evictSender()
 	}
-	s = &sender{inc: a.Incarnation, last: rg.now}
+	s = &sender{inc: a.Incarnation, lastActive: rg.now}
 	rg.senders[a.Entry] = s
 	return s
 }
 
-// remember stores an attempt, and drops the lowest numbers where there is no
+// addAttempt stores an attempt, and drops the lowest numbers where there is no
 // room. The floor rises with each drop.
-func (rg *Registry) remember(s *sender, i int, a seen) {
-	s.seen = slices.Insert(s.seen, i, a)
-	rg.attempts++
-	if len(s.seen) > rg.bounds.senderAttempts {
-		s.floor = s.seen[0].number
-		s.seen = slices.Delete(s.seen, 0, 1)
-		rg.attempts--
+func (rg *Registry) addAttempt(s *sender, i int, a attemptRecord) {
+	s.attempts = slices.Insert(s.attempts, i, a)
+	rg.attemptCount++
+	if len(s.attempts) > rg.bounds.senderAttempts {
+		s.floor = s.attempts[0].number
+		s.attempts = slices.Delete(s.attempts, 0, 1)
+		rg.attemptCount--
 	}
-	if rg.attempts > rg.bounds.attempts {
-		rg.dropHistory(s)
+	if rg.attemptCount > rg.bounds.attempts {
+		rg.evictHistory(s)
 	}
 }
 
-// dropHistory empties the history of the sender that was silent longest.
-func (rg *Registry) dropHistory(but *sender) {
-	_, s := rg.idlest(func(s *sender) bool { return s != but && len(s.seen) > 0 })
+// evictHistory empties the history of the sender that was silent longest.
+func (rg *Registry) evictHistory(but *sender) {
+	_, s := rg.idlestSender(func(s *sender) bool { return s != but && len(s.attempts) > 0 })
 	if s == nil {
 		return
 	}
-	s.floor = s.seen[len(s.seen)-1].number
-	rg.attempts -= len(s.seen)
-	s.seen = nil
+	s.floor = s.attempts[len(s.attempts)-1].number
+	rg.attemptCount -= len(s.attempts)
+	s.attempts = nil
 }
 
-// dropSender forgets the sender that was silent longest. What is not known and
+// evictSender forgets the sender that was silent longest. What is not known and
 // no newer than a dropped one is treated as forgotten.
-func (rg *Registry) dropSender() {
-	id, s := rg.idlest(func(*sender) bool { return true })
-	rg.senderFloor = max(rg.senderFloor, s.inc)
-	rg.attempts -= len(s.seen)
+func (rg *Registry) evictSender() {
+	id, s := rg.idlestSender(func(*sender) bool { return true })
+	rg.maxDroppedIncarnation = max(rg.maxDroppedIncarnation, s.inc)
+	rg.attemptCount -= len(s.attempts)
 	delete(rg.senders, id)
 }
 
-// idlest finds the sender that was silent longest, the least id among equals,
+// idlestSender finds the sender that was silent longest, the least id among equals,
 // so that no map order shows.
-func (rg *Registry) idlest(counts func(*sender) bool) (ident.EntryID, *sender) {
+func (rg *Registry) idlestSender(counts func(*sender) bool) (ident.EntryID, *sender) {
 	var id ident.EntryID
 	var s *sender
 	for oid, o := range rg.senders {
 		if !counts(o) {
 			continue
 		}
-		if s == nil || o.last < s.last || (o.last == s.last && oid < id) {
+		if s == nil || o.lastActive < s.lastActive || (o.lastActive == s.lastActive && oid < id) {
 			id, s = oid, o
 		}
 	}
--- a/internal/once/peer_test.go
+++ b/internal/once/peer_test.go
@@ -10,8 +10,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// naivePeers remembers every attempt for ever.
-type naivePeers map[ident.Attempt]event.Answer
+// naiveAttempts remembers every attempt for ever.
+type naiveAttempts map[ident.Attempt]event.Answer
 
 // An attempt that has run is barred and sent to another target.
 func TestRunOrBar(t *testing.T) {
@@ -35,7 +35,7 @@
 	const inc = 7
 	rg := New("me", inc)
 	rg.bounds = b
-	naive := naivePeers{}
+	naive := naiveAttempts{}
 	newest := map[ident.EntryID]ident.Incarnation{}
 	now := ident.Time(0)
 	// known says that the naive answer is the only one allowed.
@@ -47,24 +47,24 @@
 		"arrive": func(t *rapid.T) {
 			a := drawAttempt(t)
 			was, seen := naive[a]
-			v := rg.Arrive(now, event.Envelope{Attempt: a, To: inc})
-			if v.Do == Run && seen {
+			v := rg.AdmitAttempt(now, event.Envelope{Attempt: a, To: inc})
+			if v.Action == Run && seen {
 				t.Fatalf("%v runs, and was %s", a, was)
 			}
-			if v.Do == Refuse && v.Outcome == event.NotRun && was != event.Barred && was != event.Refused {
+			if v.Action == Refuse && v.Outcome == event.NotRun && was != event.Barred && was != event.Refused {
 				t.Fatalf("%v is said not to have run, and was %q", a, was)
 			}
-			if known(a) && (v.Do == Run) == seen {
-				t.Fatalf("%v: got %s, was %q", a, v.Do, was)
+			if known(a) && (v.Action == Run) == seen {
+				t.Fatalf("%v: got %s, was %q", a, v.Action, was)
 			}
-			if v.Do == Run {
+			if v.Action == Run {
 				naive[a] = event.Running
 			}
 		},
 		"end": func(t *rapid.T) {
 			a := drawAttempt(t)
 			ans := rapid.SampledFrom([]event.Answer{event.Ended, event.Refused}).Draw(t, "answer")
-			rg.PeerEnded(now, a, ans)
+			rg.AttemptEnded(now, a, ans)
 			if naive[a] == event.Running {
 				naive[a] = ans
 			}
@@ -91,10 +91,10 @@
 			now++
 			held := 0
 			for _, s := range rg.senders {
-				held += len(s.seen)
+				held += len(s.attempts)
 			}
-			if held != rg.attempts || held > b.attempts || len(rg.senders) > b.senders {
-				t.Fatalf("%d attempts of %d senders held, %d counted", held, len(rg.senders), rg.attempts)
+			if held != rg.attemptCount || held > b.attempts || len(rg.senders) > b.senders {
+				t.Fatalf("%d attempts of %d senders held, %d counted", held, len(rg.senders), rg.attemptCount)
 			}
 		},
 	})
@@ -107,7 +107,7 @@
 	if got := rg.Bar(0, a, 7); got != event.Forgotten {
 		t.Errorf("asked about another incarnation: got %s", got)
 	}
-	if v := rg.Arrive(0, event.Envelope{Attempt: a, To: 7}); v.Do != Refuse {
-		t.Errorf("meant for another incarnation: got %s", v.Do)
+	if v := rg.AdmitAttempt(0, event.Envelope{Attempt: a, To: 7}); v.Action != Refuse {
+		t.Errorf("meant for another incarnation: got %s", v.Action)
 	}
 }
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -12,8 +12,8 @@
 type state uint8
 
 const (
-	// idle may be used: it is new, or its last run is proved not to have run.
-	idle state = iota
+	// available may be used: it is new, or its last run is proved not to have run.
+	available state = iota
 	// claiming waits for the platform's store.
 	claiming
 	running
@@ -37,22 +37,22 @@
 	// claimID is the request that every claim of this record names, so that
 	// a late write of an earlier claim is recognised as this record's own.
 	claimID ident.RequestID
-	// claimed says that the store holds this record.
-	claimed bool
-	// clean says that no key that may have run had been dropped from memory
+	// stored says that the store holds this record.
+	stored bool
+	// noEarlierRun says that no key that may have run had been dropped from memory
 	// when this record was made, so that this key can't have run before.
-	clean bool
-	owner event.KeyRecord
-
-	print   string
-	req     ident.RequestID
-	outcome event.Outcome
-	endedAt ident.Time
-	kept    bool
-
-	due ident.Time
-	seq uint64
-	pos int
+	noEarlierRun bool
+	owner        event.KeyRecord
+
+	fingerprint string
+	req         ident.RequestID
+	outcome     event.Outcome
+	endedAt     ident.Time
+	answerKept  bool
+
+	due       ident.Time
+	seq       uint64
+	heapIndex int
 }
 
 // dueQueue is a heap of all records, the one that is due next first.
@@ -69,13 +69,13 @@
 
 func (q dueQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].pos, q[j].pos = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 // Push adds a record; it is called by package heap.
 func (q *dueQueue) Push(x any) {
 	rec := x.(*record)
-	rec.pos = len(*q)
+	rec.heapIndex = len(*q)
 	*q = append(*q, rec)
 }
 
@@ -97,12 +97,12 @@
 
 func (rg *Registry) setDue(rec *record, due ident.Time) {
 	rec.due = due
-	heap.Fix(&rg.queue, rec.pos)
+	heap.Fix(&rg.queue, rec.heapIndex)
 }
 
-// room makes room for one more record and reports whether there is any. A
+// makeRoom makes makeRoom for one more record and reports whether there is any. A
 // record that claims or runs is never dropped: its repeat would run again.
-func (rg *Registry) room() bool {
+func (rg *Registry) makeRoom() bool {
 	if len(rg.queue) < rg.bounds.records {
 		return true
 	}
@@ -118,15 +118,15 @@
 // answer to a repeat would else be "not run", and the caller would have it run
 // a second time.
 func (rg *Registry) drop(rec *record) {
-	heap.Remove(&rg.queue, rec.pos)
+	heap.Remove(&rg.queue, rec.heapIndex)
 	rg.dropAnswer(rec)
 	if rec.ticket == 0 {
 		delete(rg.keys, rec.key)
-		rg.keyForgotten = rg.keyForgotten || rec.state == ended
+		rg.usedKeyDropped = rg.usedKeyDropped || rec.state == ended
 		return
 	}
 	delete(rg.tickets, rec.ticket)
-	if rec.state == idle {
+	if rec.state == available {
 		rg.countUnused(rec.account, -1)
 		return
 	}
@@ -134,9 +134,9 @@
 }
 
 func (rg *Registry) dropAnswer(rec *record) {
-	if rec.kept {
-		rec.kept = false
-		rg.forget = append(rg.forget, rec.req)
+	if rec.answerKept {
+		rec.answerKept = false
+		rg.droppedAnswers = append(rg.droppedAnswers, rec.req)
 	}
 }
 
@@ -147,48 +147,48 @@
 	}
 	rec.state = running
 	rec.req = req
-	rg.live[req] = rec
+	rg.byRequest[req] = rec
 	rg.setDue(rec, Never)
-	return Verdict{Do: Run}
+	return Verdict{Action: Run}
 }
 
 // release makes a record usable again after a proof that it did not run.
 func (rg *Registry) release(rec *record) {
-	rec.state = idle
+	rec.state = available
 	rec.req = ""
 	if rec.ticket != 0 {
 		rg.countUnused(rec.account, 1)
 		rg.setDue(rec, rec.expires)
 		return
 	}
-	rg.setDue(rec, rg.now.Add(recordKept))
+	rg.setDue(rec, rg.now.Add(recordTTL))
 }
 
 func (rg *Registry) countUnused(account ident.Account, n int) {
 	rg.unusedTotal += n
-	rg.unused[account] += n
-	if rg.unused[account] == 0 {
-		delete(rg.unused, account)
+	rg.unusedByAccount[account] += n
+	if rg.unusedByAccount[account] == 0 {
+		delete(rg.unusedByAccount, account)
 	}
 }
 
-// repeat answers a request whose ticket or key is in use or has been used.
-func repeat(rec *record, fprint string) Verdict {
+// verdictForRepeat answers a request whose ticket or key is in use or has been used.
+func verdictForRepeat(rec *record, fprint string) Verdict {
 	switch {
 	case rec.state == claiming:
 		// The key may turn out to be on record with any content.
 		return refuse(codes.InProgress, event.Unknown)
-	case fprint != rec.print:
+	case fprint != rec.fingerprint:
 		return refuse(codes.KeyReused, event.NotRun)
 	case rec.state == foreign:
-		return owner(rec.owner.Entry, rec.owner.Incarnation)
+		return ownedBy(rec.owner.Entry, rec.owner.Incarnation)
 	case rec.state != ended:
 		// Unknown and not "not run": the first request may yet run.
 		return refuse(codes.InProgress, event.Unknown)
 	case rec.outcome != event.Done:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case rec.kept:
-		return Verdict{Do: Replay, Of: rec.req, Outcome: event.Done}
+	case rec.answerKept:
+		return Verdict{Action: Replay, ReplayOf: rec.req, Outcome: event.Done}
 	}
 	return refuse(codes.NoOutcome, event.Done)
 }
--- a/internal/once/ticket.go
+++ b/internal/once/ticket.go
@@ -11,9 +11,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ticketText is what the text of a ticket says. The number finds the record,
+// ticketFields is what the text of a ticket says. The number finds the record,
 // the secret proves that the ticket was issued and not guessed.
-type ticketText struct {
+type ticketFields struct {
 	entry  ident.EntryID
 	inc    ident.Incarnation
 	number uint64
@@ -23,31 +23,31 @@
 // ticketParts is the number of parts in the text of a ticket.
 const ticketParts = 4
 
-func (t ticketText) String() string {
+func (t ticketFields) String() string {
 	return strings.Join([]string{
 		string(t.entry), strconv.FormatUint(uint64(t.inc), 10), strconv.FormatUint(t.number, 10), t.secret,
 	}, "/")
 }
 
-func parseTicket(s string) (ticketText, bool) {
+func parseTicket(s string) (ticketFields, bool) {
 	parts := strings.Split(s, "/")
 	if len(parts) != ticketParts || parts[0] == "" || parts[3] == "" {
-		return ticketText{}, false
+		return ticketFields{}, false
 	}
 	inc, err := strconv.ParseUint(parts[1], 10, 64)
 	if err != nil {
-		return ticketText{}, false
+		return ticketFields{}, false
 	}
 	n, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil || n == 0 {
-		return ticketText{}, false
+		return ticketFields{}, false
 	}
-	return ticketText{entry: ident.EntryID(parts[0]), inc: ident.Incarnation(inc), number: n, secret: parts[3]}, true
+	return ticketFields{entry: ident.EntryID(parts[0]), inc: ident.Incarnation(inc), number: n, secret: parts[3]}, true
 }
 
-// OwnerOf returns which incarnation of which entry host a ticket names. Any host can
+// TicketOwner returns which incarnation of which entry host a ticket names. Any host can
 // read it; only the owner can verify it.
-func OwnerOf(ticket string) (ident.EntryID, ident.Incarnation, bool) {
+func TicketOwner(ticket string) (ident.EntryID, ident.Incarnation, bool) {
 	t, ok := parseTicket(ticket)
 	return t.entry, t.inc, ok
 }
@@ -62,21 +62,21 @@
 	if secret == "" || strings.Contains(secret, "/") {
 		return "", 0, codes.BadRequest.ID
 	}
-	if rg.unused[account] >= rg.bounds.accountTickets {
+	if rg.unusedByAccount[account] >= rg.bounds.accountTickets {
 		return "", 0, codes.AccountLimit.ID
 	}
-	if rg.unusedTotal >= rg.bounds.tickets || !rg.room() {
+	if rg.unusedTotal >= rg.bounds.tickets || !rg.makeRoom() {
 		return "", 0, codes.Overloaded.ID
 	}
 	rg.issued++
 	rec := &record{
 		ticket: rg.issued, secret: secret, account: account, profile: profile,
-		expires: rg.now.Add(ticketValid),
+		expires: rg.now.Add(ticketTTL),
 	}
 	rg.tickets[rec.ticket] = rec
 	rg.countUnused(account, 1)
 	rg.add(rec, rec.expires)
-	return ticketText{entry: rg.self, inc: rg.inc, number: rec.ticket, secret: secret}.String(), ticketValid, ""
+	return ticketFields{entry: rg.self, inc: rg.inc, number: rec.ticket, secret: secret}.String(), ticketTTL, ""
 }
 
 // Redeem judges a request that came with a ticket.
@@ -89,7 +89,7 @@
 		return refuse(codes.BadTicket, event.NotRun)
 	}
 	if t.entry != rg.self || t.inc > rg.inc {
-		return owner(t.entry, t.inc)
+		return ownedBy(t.entry, t.inc)
 	}
 	if t.inc < rg.inc {
 		return refuse(codes.OutcomeUnknown, event.Unknown)
@@ -106,22 +106,22 @@
 }
 
 func (rg *Registry) redeem(rec *record, req ident.RequestID, fprint string) Verdict {
-	if rec.state != idle {
-		return repeat(rec, fprint)
+	if rec.state != available {
+		return verdictForRepeat(rec, fprint)
 	}
 	if rg.now >= rec.expires {
 		return refuse(codes.BadTicket, event.NotRun)
 	}
-	if _, ok := rg.live[req]; ok {
+	if _, ok := rg.byRequest[req]; ok {
 		return refuse(codes.InProgress, event.Unknown)
 	}
-	rec.print = fprint
+	rec.fingerprint = fprint
 	return rg.start(rec, req)
 }
 
 // unknownTicket answers for a ticket that is not in memory. Above the floor it
 // can't have run: what ran and was dropped has raised the floor.
-func (rg *Registry) unknownTicket(t ticketText) Verdict {
+func (rg *Registry) unknownTicket(t ticketFields) Verdict {
 	if t.number <= rg.ticketFloor {
 		return refuse(codes.OutcomeUnknown, event.Unknown)
 	}
--- a/internal/opctl/opctl_test.go
+++ b/internal/opctl/opctl_test.go
@@ -66,7 +66,7 @@
 	h.revs.Now = func() time.Time { return time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC) }
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: h.step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: h.step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
 	ad := httptest.NewServer(admin.New(admin.Config{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Level: logs.NewLevel(0), Revs: h.revs,
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -18,40 +18,40 @@
 }
 
 const (
-	digestEvery  = time.Second
-	summaryEvery = 10 * time.Second
-	tick         = 100 * time.Millisecond
+	digestInterval  = time.Second
+	summaryInterval = 10 * time.Second
+	tick            = 100 * time.Millisecond
 )
 
-// limited is an account with a limit of 600 requests a minute.
-var limited = rules.Client{Name: "acme", RequestsPerMinute: 600}
+// limitedClient is an account with a limit of 600 requests a minute.
+var limitedClient = rules.Client{Name: "acme", RequestsPerMinute: 600}
 
 // fleet is a number of hosts in data centres of their own regions, in virtual
 // time.
 type fleet struct {
 	now   ident.Time
 	hosts [][]*Ledger
-	// cut says which data centres reach no other.
-	cut map[int]bool
-	// asked is the demand at each host in requests a minute.
-	asked    [][]float64
+	// partitioned says which data centres reach no other.
+	partitioned map[int]bool
+	// demand is the demand at each host in requests a minute.
+	demand   [][]float64
 	credit   [][]float64
 	admitted int
 }
 
 func newFleet(centres, perCentre int) *fleet {
-	f := &fleet{cut: make(map[int]bool)}
+	f := &fleet{partitioned: make(map[int]bool)}
 	for c := range centres {
 		var ls []*Ledger
 		for h := range perCentre {
 			l := New(ident.EntryID(fmt.Sprint("h", c, ".", h)), centreName(c))
 			for o := range centres {
-				l.Place(centreName(o), ident.Region(centreName(o)))
+				l.SetRegion(centreName(o), ident.Region(centreName(o)))
 			}
 			ls = append(ls, l)
 		}
 		f.hosts = append(f.hosts, ls)
-		f.asked = append(f.asked, make([]float64, perCentre))
+		f.demand = append(f.demand, make([]float64, perCentre))
 		f.credit = append(f.credit, make([]float64, perCentre))
 	}
 	return f
@@ -74,7 +74,7 @@
 	for c, ls := range f.hosts {
 		uses := ls[0].CentreDemand(f.now)
 		for o, to := range f.hosts {
-			if o == c || f.cut[c] || f.cut[o] {
+			if o == c || f.partitioned[c] || f.partitioned[o] {
 				continue
 			}
 			for _, l := range to {
@@ -90,10 +90,10 @@
 	f.admitted = 0
 	for range int(d / tick) {
 		f.now = f.now.Add(tick)
-		if f.now%ident.Time(digestEvery) == 0 {
+		if f.now%ident.Time(digestInterval) == 0 {
 			f.digests()
 		}
-		if f.now%ident.Time(summaryEvery) == 0 {
+		if f.now%ident.Time(summaryInterval) == 0 {
 			f.summaries()
 		}
 		f.arrivals(c)
@@ -104,7 +104,7 @@
 func (f *fleet) arrivals(c rules.Client) {
 	for i, ls := range f.hosts {
 		for j, l := range ls {
-			f.credit[i][j] += f.asked[i][j] * tick.Minutes()
+			f.credit[i][j] += f.demand[i][j] * tick.Minutes()
 			for ; f.credit[i][j] >= 1; f.credit[i][j]-- {
 				if ok, _ := l.Take(f.now, c, 0); ok {
 					f.admitted++
@@ -127,19 +127,19 @@
 		{"12 centres, 6 cut off and newly active", 12, 6, 0, [2]float64{0.98, 1.01}, [2]float64{1, 1 + 0.52*6 + 0.2}, [2]float64{1, 1 + 0.52*6}},
 	} {
 		f := newFleet(tc.centres, 2)
-		f.asked[0][0], f.asked[0][1] = 900, 300
-		f.run(limited, 5*time.Minute)
-		steady := f.run(limited, 5*time.Minute)
+		f.demand[0][0], f.demand[0][1] = 900, 300
+		f.run(limitedClient, 5*time.Minute)
+		steady := f.run(limitedClient, 5*time.Minute)
 		for i := 1; i <= tc.cut; i++ {
-			f.cut[i] = true
-			f.asked[i][0] = 1200
+			f.partitioned[i] = true
+			f.demand[i][0] = 1200
 		}
 		if tc.shift > 0 {
-			f.asked[0][0], f.asked[0][1], f.asked[tc.shift][0] = 0, 0, 1200
+			f.demand[0][0], f.demand[0][1], f.demand[tc.shift][0] = 0, 0, 1200
 		}
-		shifted := f.run(limited, 20*time.Second)
-		f.run(limited, time.Minute)
-		later := f.run(limited, 5*time.Minute)
+		shifted := f.run(limitedClient, 20*time.Second)
+		f.run(limitedClient, time.Minute)
+		later := f.run(limitedClient, 5*time.Minute)
 		t.Logf("%s: steady %.3f, first 20 s %.3f, later %.3f of the limit", tc.name, steady, shifted, later)
 		for i, got := range []float64{steady, shifted, later} {
 			if want := [][2]float64{tc.steady, tc.shifted, tc.later}[i]; got < want[0] || got > want[1] {
@@ -150,18 +150,18 @@
 }
 
 // Data centres that are cut off each admit the whole limit, or never get it when left alone.
-func TestCutOffAndNothingKnown(t *testing.T) {
+func TestPartitionWithoutKnownDemand(t *testing.T) {
 	f := newFleet(3, 2)
-	f.run(limited, time.Minute)
-	f.cut[0], f.cut[1], f.cut[2] = true, true, true
-	f.run(limited, time.Minute)
-	for i := range f.asked {
-		f.asked[i][0] = 1200
+	f.run(limitedClient, time.Minute)
+	f.partitioned[0], f.partitioned[1], f.partitioned[2] = true, true, true
+	f.run(limitedClient, time.Minute)
+	for i := range f.demand {
+		f.demand[i][0] = 1200
 	}
-	f.run(limited, time.Minute)
-	early := f.run(limited, 5*time.Minute)
-	f.run(limited, silentForgotten)
-	late := f.run(limited, 5*time.Minute)
+	f.run(limitedClient, time.Minute)
+	early := f.run(limitedClient, 5*time.Minute)
+	f.run(limitedClient, centreTTL)
+	late := f.run(limitedClient, 5*time.Minute)
 	t.Logf("3 centres that know of nothing: %.3f of the limit, later %.3f", early, late)
 	if want := 3 * 1.05 / 1.15; early > want*1.01 || early < want*0.99 || late < 2.97 {
 		t.Errorf("%.3f of the limit, want %.3f; later %.3f, want 3", early, want, late)
@@ -172,7 +172,7 @@
 func TestSharesAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(3, 3)
-		c := limited
+		c := limitedClient
 		c.Home = rapid.SampledFrom([]ident.Region{"", "dc0", "dc2"}).Draw(t, "home")
 		c.TokensPerMinute = 5000
 		for i, ls := range f.hosts {
@@ -188,7 +188,7 @@
 		for i, ls := range f.hosts {
 			for j, l := range ls {
 				a, ok := l.accounts[c.Name]
-				if !ok || !a.own.rate.active() {
+				if !ok || !a.localDemand.rate.active() {
 					continue
 				}
 				got := l.shares(a)
@@ -216,10 +216,10 @@
 		}
 		for j, l := range ls {
 			a, ok := l.accounts[c.Name]
-			if !ok || !a.own.rate.active() {
+			if !ok || !a.localDemand.rate.active() {
 				continue
 			}
-			own := float64(a.own.rate.requests)
+			own := float64(a.localDemand.rate.requests)
 			sum += own
 			if i == centre {
 				hosts += min(own, limit) + 0.05*limit
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -70,20 +70,20 @@
 const (
 	// floorShare and homeFloor are what an active place counts on top of its
 	// demand, as shares of the limit.
-	floorShare = 0.05
-	homeFloor  = 0.25
+	floorShare     = 0.05
+	homeFloorShare = 0.25
 
-	// burst is how much of its rate an unused share saves up.
-	burst = 10 * time.Second
+	// burstWindow is how much of its rate an unused share saves up.
+	burstWindow = 10 * time.Second
 
-	// silentAfter is when a data centre counts as cut off, silentForgotten
+	// unreachableTimeout is when a data centre counts as cut off, silentForgotten
 	// when it counts as gone.
-	silentAfter     = 30 * time.Second
-	silentForgotten = 15 * time.Minute
+	unreachableTimeout = 30 * time.Second
+	centreTTL          = 15 * time.Minute
 
-	maxAccounts = 1 << 12
-	maxCentres  = 1 << 8
-	maxRetry    = time.Minute
+	maxAccounts   = 1 << 12
+	maxCentres    = 1 << 8
+	maxRetryAfter = time.Minute
 )
 
 // Ledger holds the demand and the shares as one host knows them.
@@ -98,38 +98,38 @@
 	centres map[ident.DataCentre]*centre
 	regions map[ident.DataCentre]ident.Region
 	round   uint64
-	// quiet lists the data centres that were cut off when last listened to.
-	quiet    []ident.DataCentre
-	listened ident.Time
+	// unreachable lists the data centres that were cut off when last listened to.
+	unreachable    []ident.DataCentre
+	reachabilityAt ident.Time
 }
 
 // account is one client account.
 type account struct {
-	name     ident.Account
-	limits   rates
-	home     ident.Region
-	requests bucket
-	tokens   bucket
-	own      demand
-	last     ident.Time
+	name        ident.Account
+	limits      rates
+	home        ident.Region
+	requests    bucket
+	tokens      bucket
+	localDemand demand
+	lastActive  ident.Time
 
 	// peers and centres hold the known demand elsewhere, sorted by name.
-	peers   []place[ident.EntryID]
-	centres []place[ident.DataCentre]
+	peers   []remoteDemand[ident.EntryID]
+	centres []remoteDemand[ident.DataCentre]
 
-	// sent is what the last summary that held the account said.
-	sent      rates
-	sentRound uint64
-	// zeros counts the summaries that are still to say that the account has
+	// lastSent is what the last summary that held the account said.
+	lastSent      rates
+	lastSentRound uint64
+	// pendingZeros counts the summaries that are still to say that the account has
 	// become inactive; more than one, since a summary may be lost.
-	zeros int
+	pendingZeros int
 }
 
 // centre is another data centre that has reported.
 type centre struct {
 	lastSeen ident.Time
-	// reports counts its reports, for the age of what each said.
-	reports uint64
+	// reportCount counts its reportCount, for the age of what each said.
+	reportCount uint64
 }
 
 // New returns the ledger of a host that knows of no demand.
@@ -143,9 +143,9 @@
 	}
 }
 
-// Place sets the region of a data centre, the own one included. One without a region counts
+// SetRegion sets the region of a data centre, the own one included. One without a region counts
 // as away from every home.
-func (l *Ledger) Place(dc ident.DataCentre, r ident.Region) {
+func (l *Ledger) SetRegion(dc ident.DataCentre, r ident.Region) {
 	if _, ok := l.regions[dc]; ok || len(l.regions) < maxCentres {
 		l.regions[dc] = r
 	}
@@ -158,15 +158,15 @@
 	if c.RequestsPerMinute <= 0 && c.TokensPerMinute <= 0 {
 		return true, 0
 	}
-	a := l.account(c.Name)
+	a := l.ensureAccount(c.Name)
 	a.limits = rates{requests: c.RequestsPerMinute, tokens: c.TokensPerMinute}
 	a.home = c.Home
-	a.last = l.now
-	a.own.add(l.now, tokens)
+	a.lastActive = l.now
+	a.localDemand.add(l.now, tokens)
 	l.refill(a)
 	wait := max(a.requests.wait(1), a.tokens.wait(float64(tokens)))
 	if wait > 0 {
-		return false, min(wait, maxRetry)
+		return false, min(wait, maxRetryAfter)
 	}
 	a.requests.take(1)
 	a.tokens.take(float64(tokens))
@@ -191,25 +191,25 @@
 	a.tokens.refill(l.now, a.limits.tokens*share.tokens, 0)
 }
 
-// account returns the state of an account. Where there is no room the one that
+// ensureAccount returns the state of an ensureAccount. Where there is no room the one that
 // was silent longest goes; its bucket starts full when it comes back.
-func (l *Ledger) account(name ident.Account) *account {
+func (l *Ledger) ensureAccount(name ident.Account) *account {
 	a, ok := l.accounts[name]
 	if ok {
 		return a
 	}
 	if len(l.accounts) >= maxAccounts {
-		l.dropIdlest()
+		l.evictIdlest()
 	}
-	a = &account{name: name, last: l.now}
+	a = &account{name: name, lastActive: l.now}
 	l.accounts[name] = a
 	return a
 }
 
-func (l *Ledger) dropIdlest() {
+func (l *Ledger) evictIdlest() {
 	var idlest *account
 	for _, a := range l.accounts {
-		if idlest == nil || a.last < idlest.last || (a.last == idlest.last && a.name < idlest.name) {
+		if idlest == nil || a.lastActive < idlest.lastActive || (a.lastActive == idlest.lastActive && a.name < idlest.name) {
 			idlest = a
 		}
 	}
@@ -219,8 +219,8 @@
 // advance keeps time from going back, which would take tokens out of buckets.
 func (l *Ledger) advance(now ident.Time) {
 	l.now = max(l.now, now)
-	if l.now.Sub(l.listened) >= time.Second {
-		l.listen()
+	if l.now.Sub(l.reachabilityAt) >= time.Second {
+		l.updateUnreachable()
 	}
 }
 
@@ -228,12 +228,12 @@
 // not have, and the data centres that are gone.
 func (l *Ledger) sweep() {
 	for dc, c := range l.centres {
-		if l.now.Sub(c.lastSeen) >= silentForgotten {
+		if l.now.Sub(c.lastSeen) >= centreTTL {
 			delete(l.centres, dc)
-			l.dropCentre(dc)
+			l.removeCentre(dc)
 		}
 	}
-	l.listen()
+	l.updateUnreachable()
 	for name, a := range l.accounts {
 		if a.idle(l.now) {
 			delete(l.accounts, name)
@@ -241,28 +241,28 @@
 	}
 }
 
-func (l *Ledger) dropCentre(dc ident.DataCentre) {
+func (l *Ledger) removeCentre(dc ident.DataCentre) {
 	for _, a := range l.accounts {
-		a.centres = without(a.centres, dc)
+		a.centres = remove(a.centres, dc)
 	}
 }
 
 func (a *account) idle(now ident.Time) bool {
-	return !a.own.read(now).active() && len(a.peers) == 0 && len(a.centres) == 0 &&
-		a.requests.full(now) && a.tokens.full(now) && a.zeros == 0 && !a.sent.active()
+	return !a.localDemand.rateAt(now).active() && len(a.peers) == 0 && len(a.centres) == 0 &&
+		a.requests.full(now) && a.tokens.full(now) && a.pendingZeros == 0 && !a.lastSent.active()
 }
 
-// names returns the accounts in order, so that no map order shows.
-func (l *Ledger) names() []ident.Account { return slices.Sorted(maps.Keys(l.accounts)) }
+// accountNames returns the accounts in order, so that no map order shows.
+func (l *Ledger) accountNames() []ident.Account { return slices.Sorted(maps.Keys(l.accounts)) }
 
 // Demand returns the own demand for a digest, sorted by account.
 func (l *Ledger) Demand(now ident.Time) []event.AccountUse {
 	l.advance(now)
 	l.sweep()
 	var uses []event.AccountUse
-	for _, name := range l.names() {
-		if own := l.accounts[name].own.read(l.now); own.active() {
-			uses = append(uses, own.use(name))
+	for _, name := range l.accountNames() {
+		if own := l.accounts[name].localDemand.rateAt(l.now); own.active() {
+			uses = append(uses, own.accountUse(name))
 		}
 	}
 	return uses
@@ -274,9 +274,9 @@
 type bucket struct {
 	level float64
 	// rate is in units a second, zero for no limit.
-	rate float64
-	most float64
-	at   ident.Time
+	rate       float64
+	capacity   float64
+	refilledAt ident.Time
 }
 
 func (b *bucket) refill(now ident.Time, limit ident.PerMinute, least float64) {
@@ -285,30 +285,30 @@
 	// the day it is given a limit.
 	made := b.rate > 0
 	b.rate = float64(limit) / time.Minute.Seconds()
-	b.most = max(b.rate*burst.Seconds(), least)
+	b.capacity = max(b.rate*burstWindow.Seconds(), least)
 	if !made {
-		b.at, b.level = now, b.most
+		b.refilledAt, b.level = now, b.capacity
 		return
 	}
-	b.level = min(b.level+b.rate*now.Sub(b.at).Seconds(), b.most)
-	b.at = now
+	b.level = min(b.level+b.rate*now.Sub(b.refilledAt).Seconds(), b.capacity)
+	b.refilledAt = now
 }
 
 // wait returns when n units can be taken. A bucket that is full lets any
 // number go.
 func (b *bucket) wait(n float64) time.Duration {
-	lack := min(n, b.most) - b.level
+	lack := min(n, b.capacity) - b.level
 	if b.rate == 0 || lack <= 0 {
 		return 0
 	}
-	seconds := math.Min(lack/b.rate, maxRetry.Seconds())
+	seconds := math.Min(lack/b.rate, maxRetryAfter.Seconds())
 	return max(time.Duration(math.Ceil(seconds*1e9)), 1)
 }
 
 func (b *bucket) take(n float64) {
-	b.level = min(b.level-n, b.most)
+	b.level = min(b.level-n, b.capacity)
 }
 
 func (b *bucket) full(now ident.Time) bool {
-	return b.rate == 0 || b.level+b.rate*now.Sub(b.at).Seconds() >= b.most
+	return b.rate == 0 || b.level+b.rate*now.Sub(b.refilledAt).Seconds() >= b.capacity
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -31,7 +31,7 @@
 	return uses
 }
 
-func ofAccount[K comparable](all map[K]map[ident.Account]rates, a ident.Account) rates {
+func sumForAccount[K comparable](all map[K]map[ident.Account]rates, a ident.Account) rates {
 	var sum rates
 	for _, said := range all {
 		sum = sum.plus(said[a])
@@ -60,7 +60,7 @@
 			},
 			"drop": func(t *rapid.T) {
 				from := rapid.SampledFrom([]ident.EntryID{"p", "q"}).Draw(t, "from")
-				l.Drop(from)
+				l.DropPeer(from)
 				delete(n.peers, from)
 			},
 			"summary": func(t *rapid.T) {
@@ -93,7 +93,7 @@
 							got[1] = got[1].plus(p.rate)
 						}
 					}
-					want := [2]rates{ofAccount(n.peers, name), ofAccount(n.centres, name)}
+					want := [2]rates{sumForAccount(n.peers, name), sumForAccount(n.centres, name)}
 					if want != got {
 						t.Fatalf("%s: got %v, naive %v", name, got, want)
 					}
@@ -104,13 +104,13 @@
 }
 
 // After lost summaries an account never has its turn and is admitted in full everywhere.
-func TestSummariesReachAll(t *testing.T) {
+func TestLostSummariesAreRepaired(t *testing.T) {
 	from, to := New("f", "from"), New("t", "to")
 	now := ident.Time(0)
 	round := func(lost bool) {
 		now = now.Add(time.Second)
 		uses := from.CentreDemand(now)
-		if len(uses) > maxReport || !slices.IsSortedFunc(uses, func(a, b event.AccountUse) int {
+		if len(uses) > maxSummaryAccounts || !slices.IsSortedFunc(uses, func(a, b event.AccountUse) int {
 			return strings.Compare(string(a.Account), string(b.Account))
 		}) {
 			t.Fatalf("summary of %d accounts, or not sorted", len(uses))
@@ -124,43 +124,43 @@
 			from.Take(now, rules.Client{Name: ident.Account(fmt.Sprint(i)), RequestsPerMinute: 1e6}, 1)
 		}
 	}
-	for i := range 2 + 100/(maxReport/2) + 1 {
+	for i := range 2 + 100/(maxSummaryAccounts/2) + 1 {
 		round(i < 2)
 	}
-	if got := len(to.names()); got != 100 {
+	if got := len(to.accountNames()); got != 100 {
 		t.Errorf("%d of 100 accounts have reached the other data centre", got)
 	}
 	now = now.Add(5 * time.Minute) // all demand has gone
 	for i := range 21 {
 		round(i < 7)
 	}
-	for _, name := range to.names() {
+	for _, name := range to.accountNames() {
 		if ps := to.accounts[name].centres; len(ps) > 0 {
 			t.Errorf("%s still has demand of %+v", name, ps)
 		}
 	}
-	if got := len(from.names()); got != 0 {
+	if got := len(from.accountNames()); got != 0 {
 		t.Errorf("%d accounts are kept for nothing", got)
 	}
 }
 
 // A lost report of inactivity keeps an account short of its limit for good.
-func TestOldReportLapses(t *testing.T) {
+func TestStaleReportExpires(t *testing.T) {
 	l := New("me", "here")
 	l.CentreReport(0, "x", []event.AccountUse{{Account: "acme", Requests: 600}})
 	var got []bool
-	for range staleReports + 1 {
+	for range maxReportsSince + 1 {
 		l.CentreReport(0, "x", nil)
-		l.Take(0, limited, 0)
+		l.Take(0, limitedClient, 0)
 		got = append(got, l.shares(l.accounts["acme"]).requests == 1)
 	}
-	if first := slices.Index(got, true); first != staleReports {
-		t.Errorf("the old demand lapses after %d reports, want %d", first, staleReports)
+	if first := slices.Index(got, true); first != maxReportsSince {
+		t.Errorf("the old demand lapses after %d reports, want %d", first, maxReportsSince)
 	}
 }
 
 // A caller that returns after Retry-After is refused again, or could have returned sooner.
-func TestRetryAfterHolds(t *testing.T) {
+func TestRetryAfterIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New("me", "here")
 		c := rules.Client{
@@ -177,14 +177,14 @@
 				used += n / 2
 				continue
 			}
-			if after <= 0 || after > maxRetry {
+			if after <= 0 || after > maxRetryAfter {
 				t.Fatalf("refused, and to come back after %v", after)
 			}
 			if early, _ := l.Take(now.Add(after-after/4-time.Microsecond), c, n); early && after > time.Millisecond {
 				t.Fatalf("admitted before %v had passed", after)
 			}
 			now = now.Add(after + time.Microsecond)
-			if ok, again := l.Take(now, c, n); !ok && after < maxRetry {
+			if ok, again := l.Take(now, c, n); !ok && after < maxRetryAfter {
 				t.Fatalf("refused after %v, and to come back after %v more", after, again)
 			}
 			used += n
@@ -197,7 +197,7 @@
 }
 
 // Tokens that were reserved and not used stay charged.
-func TestSettleGivesBack(t *testing.T) {
+func TestSettleRefundsUnusedTokens(t *testing.T) {
 	l := New("me", "here")
 	c := rules.Client{Name: "acme", TokensPerMinute: 600}
 	l.Take(0, c, 100)
@@ -211,12 +211,12 @@
 }
 
 // An account that was idle for long sends all that it saved up at once.
-func TestRestSavesUpOneBurst(t *testing.T) {
+func TestIdleAccountSavesOneBurst(t *testing.T) {
 	l := New("me", "here")
-	l.Take(0, limited, 0)
+	l.Take(0, limitedClient, 0)
 	n := 0
 	for ok := true; ok; n++ {
-		ok, _ = l.Take(ident.Time(time.Hour), limited, 0)
+		ok, _ = l.Take(ident.Time(time.Hour), limitedClient, 0)
 	}
 	if want := 100 + 1; n != want {
 		t.Errorf("%d requests at once, want %d", n, want)
@@ -224,7 +224,7 @@
 }
 
 // Use from before a limit was set counts against it.
-func TestNewLimitStartsAfresh(t *testing.T) {
+func TestNewLimitIgnoresEarlierUse(t *testing.T) {
 	l := New("me", "here")
 	c := rules.Client{Name: "acme", RequestsPerMinute: 1e6}
 	for i := range 1000 {
@@ -244,8 +244,8 @@
 	l.CentreReport(0, "x", []event.AccountUse{{Account: "a", Requests: nan, Tokens: 100}, {Account: "b", Requests: -1}})
 	want := []event.AccountUse{{Account: "a", Tokens: 100}}
 	var got []event.AccountUse
-	for _, name := range l.names() {
-		got = append(got, l.accounts[name].centres[0].rate.use(name))
+	for _, name := range l.accountNames() {
+		got = append(got, l.accounts[name].centres[0].rate.accountUse(name))
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("accounts (-want +got):\n%s", diff)
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// maxReport bounds the accounts in a summary, of 17 bytes each.
-	maxReport = 16
-	// staleReports is how many reports of a data centre what it said of an
+	// maxSummaryAccounts bounds the accounts in a summary, of 17 bytes each.
+	maxSummaryAccounts = 16
+	// maxReportsSince is how many reports of a data centre what it said of an
 	// account outlives. It exceeds the rounds in which every account has its
 	// turn, and counts reports rather than time so that it stands while the
 	// data centre is cut off.
-	staleReports = 256
-	// zeroReports is how often it is said that an account became inactive.
-	zeroReports = 3
+	maxReportsSince = 256
+	// inactiveRepeats is how often it is said that an account became inactive.
+	inactiveRepeats = 3
 	// tokensPerRequest weighs a change in tokens against one in requests.
 	tokensPerRequest = 500
-	// smallChange is the share of the demand that counts as no change.
-	smallChange = 0.1
+	// minChange is the share of the demand that counts as no change.
+	minChange = 0.1
 )
 
 // PeerDemand takes the demand of a host of the own data centre, which replaces
@@ -32,26 +32,26 @@
 	if from == l.self {
 		return
 	}
-	l.Drop(from)
+	l.DropPeer(from)
 	names := make([]ident.Account, 0, min(len(uses), maxAccounts))
 	for _, u := range uses[:min(len(uses), maxAccounts)] {
 		r := ratesOf(u)
 		if !r.active() {
 			continue
 		}
-		a := l.account(u.Account)
-		a.last = l.now
-		a.peers = with(a.peers, place[ident.EntryID]{id: from, rate: r})
+		a := l.ensureAccount(u.Account)
+		a.lastActive = l.now
+		a.peers = upsert(a.peers, remoteDemand[ident.EntryID]{id: from, rate: r})
 		names = append(names, u.Account)
 	}
 	l.peers[from] = names
 }
 
-// Drop forgets the demand of a host of the own data centre that has gone.
-func (l *Ledger) Drop(entry ident.EntryID) {
+// DropPeer forgets the demand of a host of the own data centre that has gone.
+func (l *Ledger) DropPeer(entry ident.EntryID) {
 	for _, name := range l.peers[entry] {
 		if a, ok := l.accounts[name]; ok {
-			a.peers = without(a.peers, entry)
+			a.peers = remove(a.peers, entry)
 		}
 	}
 	delete(l.peers, entry)
@@ -69,7 +69,7 @@
 		l.centres[dc] = c
 	}
 	c.lastSeen = l.now
-	l.listen()
+	l.updateUnreachable()
 }
 
 // CentreReport takes the demand of another data centre. An account that it
@@ -80,33 +80,33 @@
 	if !ok {
 		return
 	}
-	c.reports++
+	c.reportCount++
 	for _, u := range uses[:min(len(uses), maxAccounts)] {
-		l.centreUse(dc, c, u)
+		l.applyCentreUse(dc, c, u)
 	}
 }
 
-func (l *Ledger) centreUse(dc ident.DataCentre, c *centre, u event.AccountUse) {
+func (l *Ledger) applyCentreUse(dc ident.DataCentre, c *centre, u event.AccountUse) {
 	r := ratesOf(u)
 	if !r.active() {
 		if a, ok := l.accounts[u.Account]; ok {
-			a.centres = without(a.centres, dc)
+			a.centres = remove(a.centres, dc)
 		}
 		return
 	}
-	a := l.account(u.Account)
-	a.last = l.now
-	a.centres = with(a.centres, place[ident.DataCentre]{id: dc, rate: r, report: c.reports})
+	a := l.ensureAccount(u.Account)
+	a.lastActive = l.now
+	a.centres = upsert(a.centres, remoteDemand[ident.DataCentre]{id: dc, rate: r, reportNumber: c.reportCount})
 }
 
-// holds reports whether what a data centre said still counts.
-func (l *Ledger) holds(p *place[ident.DataCentre]) bool {
+// isCurrent reports whether what a data centre said still counts.
+func (l *Ledger) isCurrent(p *remoteDemand[ident.DataCentre]) bool {
 	c, ok := l.centres[p.id]
-	return ok && c.reports-p.report <= staleReports
+	return ok && c.reportCount-p.reportNumber <= maxReportsSince
 }
 
-// centreDemand is an account that may go into a summary.
-type centreDemand struct {
+// summaryCandidate is an account that may go into a summary.
+type summaryCandidate struct {
 	*account
 	rate rates
 	// change is how far the demand has moved since it was last sent, zero if
@@ -121,53 +121,53 @@
 	l.advance(now)
 	l.sweep()
 	l.round++
-	var all []centreDemand
-	for _, name := range l.names() {
-		d := l.centreDemand(l.accounts[name])
-		if d.rate.active() || d.zeros > 0 {
+	var all []summaryCandidate
+	for _, name := range l.accountNames() {
+		d := l.summaryCandidate(l.accounts[name])
+		if d.rate.active() || d.pendingZeros > 0 {
 			all = append(all, d)
 		}
 	}
 	var uses []event.AccountUse
-	for _, d := range chosen(all) {
-		uses = append(uses, d.rate.use(d.name))
-		d.sent = d.rate
-		d.sentRound = l.round
-		d.zeros = max(d.zeros-1, 0)
+	for _, d := range selectForSummary(all) {
+		uses = append(uses, d.rate.accountUse(d.name))
+		d.lastSent = d.rate
+		d.lastSentRound = l.round
+		d.pendingZeros = max(d.pendingZeros-1, 0)
 	}
 	slices.SortFunc(uses, func(a, b event.AccountUse) int { return cmp.Compare(a.Account, b.Account) })
 	return uses
 }
 
-// chosen picks what goes into a summary: for half of the places those that
+// selectForSummary picks what goes into a summary: for half of the places those that
 // changed most, and for the rest those that waited longest. Were all places
 // given by change, a few large accounts that change all the time would keep
 // the others out for ever, and what was lost of these would stay lost.
-func chosen(all []centreDemand) []centreDemand {
-	slices.SortStableFunc(all, func(a, b centreDemand) int {
-		return cmp.Or(cmp.Compare(b.change, a.change), cmp.Compare(a.sentRound, b.sentRound))
+func selectForSummary(all []summaryCandidate) []summaryCandidate {
+	slices.SortStableFunc(all, func(a, b summaryCandidate) int {
+		return cmp.Or(cmp.Compare(b.change, a.change), cmp.Compare(a.lastSentRound, b.lastSentRound))
 	})
-	rest := all[min(len(all), maxReport/2):]
-	slices.SortStableFunc(rest, func(a, b centreDemand) int { return cmp.Compare(a.sentRound, b.sentRound) })
-	return all[:min(len(all), maxReport)]
+	rest := all[min(len(all), maxSummaryAccounts/2):]
+	slices.SortStableFunc(rest, func(a, b summaryCandidate) int { return cmp.Compare(a.lastSentRound, b.lastSentRound) })
+	return all[:min(len(all), maxSummaryAccounts)]
 }
 
-func (l *Ledger) centreDemand(a *account) centreDemand {
-	a.centres = slices.DeleteFunc(a.centres, func(p place[ident.DataCentre]) bool { return !l.holds(&p) })
-	rate := a.own.read(l.now)
+func (l *Ledger) summaryCandidate(a *account) summaryCandidate {
+	a.centres = slices.DeleteFunc(a.centres, func(p remoteDemand[ident.DataCentre]) bool { return !l.isCurrent(&p) })
+	rate := a.localDemand.rateAt(l.now)
 	for _, p := range a.peers {
 		rate = rate.plus(p.rate)
 	}
 	switch {
 	case rate.active():
-		a.zeros = 0
-	case a.sent.active():
-		rate, a.zeros = rates{}, zeroReports
+		a.pendingZeros = 0
+	case a.lastSent.active():
+		rate, a.pendingZeros = rates{}, inactiveRepeats
 	default:
 		rate = rates{}
 	}
-	d := centreDemand{account: a, rate: rate, change: distance(rate, a.sent)}
-	if d.change <= smallChange*distance(a.sent, rates{}) {
+	d := summaryCandidate{account: a, rate: rate, change: distance(rate, a.lastSent)}
+	if d.change <= minChange*distance(a.lastSent, rates{}) {
 		d.change = 0
 	}
 	return d
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -9,13 +9,13 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// decay is what remains of a demand after one second.
-const decay = 0.9
+// decayPerSecond is what remains of a demand after one second.
+const decayPerSecond = 0.9
 
 // Least rates at which an account counts as active.
 const (
-	leastRequests ident.PerMinute = 0.05
-	leastTokens   ident.PerMinute = 1
+	minActiveRequests ident.PerMinute = 0.05
+	minActiveTokens   ident.PerMinute = 1
 )
 
 // rates is a demand or limit in requests and tokens a minute.
@@ -24,7 +24,7 @@
 	tokens   ident.PerMinute
 }
 
-func (r rates) active() bool { return r.requests >= leastRequests || r.tokens >= leastTokens }
+func (r rates) active() bool { return r.requests >= minActiveRequests || r.tokens >= minActiveTokens }
 
 func (r rates) plus(o rates) rates {
 	return rates{requests: r.requests + o.requests, tokens: r.tokens + o.tokens}
@@ -38,17 +38,17 @@
 	return rates{requests: min(r.requests, most.requests), tokens: min(r.tokens, most.tokens)}
 }
 
-func (r rates) use(name ident.Account) event.AccountUse {
+func (r rates) accountUse(name ident.Account) event.AccountUse {
 	return event.AccountUse{Account: name, Requests: r.requests, Tokens: r.tokens}
 }
 
 // ratesOf reads a report. What is no sensible rate counts as none: a NaN would
 // spread to every share that it is added to.
 func ratesOf(u event.AccountUse) rates {
-	return rates{requests: sane(u.Requests), tokens: sane(u.Tokens)}
+	return rates{requests: validRate(u.Requests), tokens: validRate(u.Tokens)}
 }
 
-func sane(r ident.PerMinute) ident.PerMinute {
+func validRate(r ident.PerMinute) ident.PerMinute {
 	if r > 0 && !math.IsInf(float64(r), 0) {
 		return r
 	}
@@ -60,37 +60,37 @@
 // second a report made after the step lies below the demand that its reader
 // compares it with, and the shares add up to more than the limit.
 type demand struct {
-	rate rates
-	at   ident.Time
+	rate      rates
+	updatedAt ident.Time
 }
 
 func (d *demand) add(now ident.Time, tokens ident.Tokens) {
 	// perMinute is -ln(decay)*60, so that a steady demand reads as itself.
 	const perMinute = 6.321630939
-	d.rate = d.read(now)
-	d.at = now
+	d.rate = d.rateAt(now)
+	d.updatedAt = now
 	d.rate.requests += perMinute
 	d.rate.tokens += perMinute * ident.PerMinute(max(tokens, 0))
 }
 
-func (d *demand) read(now ident.Time) rates {
-	f := ident.PerMinute(math.Pow(decay, now.Sub(d.at).Seconds()))
+func (d *demand) rateAt(now ident.Time) rates {
+	f := ident.PerMinute(math.Pow(decayPerSecond, now.Sub(d.updatedAt).Seconds()))
 	return d.rate.times(f)
 }
 
-// place is the demand of an account at another host or data centre.
-type place[T cmp.Ordered] struct {
+// remoteDemand is the demand of an account at another host or data centre.
+type remoteDemand[T cmp.Ordered] struct {
 	id   T
 	rate rates
-	// report is the number of the report that contained it.
-	report uint64
+	// reportNumber is the number of the reportNumber that contained it.
+	reportNumber uint64
 }
 
-func find[T cmp.Ordered](ps []place[T], id T) (int, bool) {
-	return slices.BinarySearchFunc(ps, id, func(p place[T], id T) int { return cmp.Compare(p.id, id) })
+func find[T cmp.Ordered](ps []remoteDemand[T], id T) (int, bool) {
+	return slices.BinarySearchFunc(ps, id, func(p remoteDemand[T], id T) int { return cmp.Compare(p.id, id) })
 }
 
-func with[T cmp.Ordered](ps []place[T], p place[T]) []place[T] {
+func upsert[T cmp.Ordered](ps []remoteDemand[T], p remoteDemand[T]) []remoteDemand[T] {
 	i, ok := find(ps, p.id)
 	if ok {
 		ps[i] = p
@@ -99,54 +99,54 @@
 	return slices.Insert(ps, i, p)
 }
 
-func without[T cmp.Ordered](ps []place[T], id T) []place[T] {
+func remove[T cmp.Ordered](ps []remoteDemand[T], id T) []remoteDemand[T] {
 	if i, ok := find(ps, id); ok {
 		return slices.Delete(ps, i, i+1)
 	}
 	return ps
 }
 
-// sharing gathers demand, capped at the limits: a caller that asks for more
+// demandSum gathers demand, capped at the limits: a caller that asks for more
 // than its limit at one place must not starve the others.
-type sharing struct {
+type demandSum struct {
 	limits rates
-	own    rates
-	sum    rates
+	local  rates
+	total  rates
 }
 
-func (s *sharing) mine(r rates, floor ident.PerMinute) {
-	s.own = r.capped(s.limits).plus(s.limits.times(floor))
-	s.sum = s.sum.plus(s.own)
+func (s *demandSum) addLocal(r rates, floor ident.PerMinute) {
+	s.local = r.capped(s.limits).plus(s.limits.times(floor))
+	s.total = s.total.plus(s.local)
 }
 
-func (s *sharing) others(r rates, floor ident.PerMinute) {
-	s.sum = s.sum.plus(r.capped(s.limits)).plus(s.limits.times(floor))
+func (s *demandSum) addRemote(r rates, floor ident.PerMinute) {
+	s.total = s.total.plus(r.capped(s.limits)).plus(s.limits.times(floor))
 }
 
 // shares returns the own share of each limit of an account.
 func (l *Ledger) shares(a *account) rates {
-	sum := a.own.read(l.now)
-	hosts := sharing{limits: a.limits}
-	hosts.mine(sum, floorShare)
+	sum := a.localDemand.rateAt(l.now)
+	hosts := demandSum{limits: a.limits}
+	hosts.addLocal(sum, floorShare)
 	for i := range a.peers {
-		hosts.others(a.peers[i].rate, floorShare)
+		hosts.addRemote(a.peers[i].rate, floorShare)
 		sum = sum.plus(a.peers[i].rate)
 	}
-	centres := sharing{limits: a.limits}
-	centres.mine(sum, l.floor(a, l.dc))
+	centres := demandSum{limits: a.limits}
+	centres.addLocal(sum, l.floorFor(a, l.dc))
 	for i := range a.centres {
-		if p := &a.centres[i]; l.holds(p) {
-			centres.others(p.rate, l.floor(a, p.id))
+		if p := &a.centres[i]; l.isCurrent(p) {
+			centres.addRemote(p.rate, l.floorFor(a, p.id))
 		}
 	}
-	for _, dc := range l.quiet {
+	for _, dc := range l.unreachable {
 		if _, ok := find(a.centres, dc); !ok {
-			centres.others(rates{}, floorShare)
+			centres.addRemote(rates{}, floorShare)
 		}
 	}
 	return rates{
-		requests: ratio(hosts.own.requests, hosts.sum.requests) * ratio(centres.own.requests, centres.sum.requests),
-		tokens:   ratio(hosts.own.tokens, hosts.sum.tokens) * ratio(centres.own.tokens, centres.sum.tokens),
+		requests: ratio(hosts.local.requests, hosts.total.requests) * ratio(centres.local.requests, centres.total.requests),
+		tokens:   ratio(hosts.local.tokens, hosts.total.tokens) * ratio(centres.local.tokens, centres.total.tokens),
 	}
 }
 
@@ -157,23 +157,23 @@
 	return part / whole
 }
 
-// floor is what a data centre counts on top of its demand.
-func (l *Ledger) floor(a *account, dc ident.DataCentre) ident.PerMinute {
+// floorFor is what a data centre counts on top of its demand.
+func (l *Ledger) floorFor(a *account, dc ident.DataCentre) ident.PerMinute {
 	if a.home != "" && l.regions[dc] == a.home {
-		return homeFloor
+		return homeFloorShare
 	}
 	return floorShare
 }
 
-// listen finds the data centres that are cut off. They may have demand that
+// updateUnreachable finds the data centres that are cut off. They may have demand that
 // has begun since, so each counts its floor for every account.
-func (l *Ledger) listen() {
-	l.listened = l.now
-	l.quiet = l.quiet[:0]
+func (l *Ledger) updateUnreachable() {
+	l.reachabilityAt = l.now
+	l.unreachable = l.unreachable[:0]
 	for dc, c := range l.centres {
-		if l.now.Sub(c.lastSeen) >= silentAfter {
-			l.quiet = append(l.quiet, dc)
+		if l.now.Sub(c.lastSeen) >= unreachableTimeout {
+			l.unreachable = append(l.unreachable, dc)
 		}
 	}
-	slices.Sort(l.quiet)
+	slices.Sort(l.unreachable)
 }
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -24,9 +24,9 @@
 	prime64  = 1099511628211
 )
 
-// mantissa is the number of bits of a float64 between 0 and 1 that a hash can
+// mantissaBits is the number of bits of a float64 between 0 and 1 that a hash can
 // fill.
-const mantissa = 53
+const mantissaBits = 53
 
 // Hash returns a hash of the parts. The boundaries between parts count.
 func Hash(parts ...string) uint64 {
@@ -40,8 +40,8 @@
 	return Mix(h)
 }
 
-// Join returns a hash of a hash and a number.
-func Join(h, n uint64) uint64 { return Mix(h ^ Mix(n+offset64)) }
+// Combine returns a hash of a hash and a number.
+func Combine(h, n uint64) uint64 { return Mix(h ^ Mix(n+offset64)) }
 
 // Mix spreads each bit of h over all others. FNV alone leaves the high bits of
 // keys alike that differ in their last letter.
@@ -55,7 +55,7 @@
 
 // Unit returns h as a number above 0 and below 1.
 func Unit(h uint64) float64 {
-	return (float64(h>>(64-mantissa)) + 0.5) / (1 << mantissa)
+	return (float64(h>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
 }
 
 // Score returns the score of a candidate with a weight: of many keys, each
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -33,77 +33,77 @@
 const MaxTries = 3
 
 const (
-	// defaultShare is high enough for the failure of single targets, and low
+	// defaultRatio is high enough for the failure of single targets, and low
 	// enough that a region that is gone adds a tenth to the load.
-	defaultShare = 0.1
-	// defaultFloor lets a host that sees few requests retry at all.
-	defaultFloor = 3
+	defaultRatio = 0.1
+	// defaultMinRetries lets a host that sees few requests retry at all.
+	defaultMinRetries = 3
 
-	slotTime = time.Second
-	slots    = 10
+	slotDuration = time.Second
+	slotCount    = 10
 
-	firstBackoff = 50 * time.Millisecond
-	maxBackoff   = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
 // Window is the time that a Budget looks back on.
-const Window = slots * slotTime
+const Window = slotCount * slotDuration
 
 // Budget counts arrivals and retries of the last Window. The zero Budget has
 // the default share and floor.
 type Budget struct {
-	// Share is the most retries for each arrival. Zero stands for the
+	// Ratio is the most retries for each arrival. Zero stands for the
 	// default, a negative share for none.
-	Share float64
-	// Floor is the number of retries in a Window that need no arrivals. Zero
+	Ratio float64
+	// MinRetries is the number of retries in a Window that need no arrivals. Zero
 	// stands for the default, a negative floor for none.
-	Floor int
+	MinRetries int
 
-	slot    int64
-	arrived [slots]int
-	spent   [slots]int
+	slot     int64
+	arrivals [slotCount]int
+	retries  [slotCount]int
 }
 
-// Arrived records a request of a caller; retries don't count.
-func (b *Budget) Arrived(now ident.Time) {
+// RecordArrival records a request of a caller; retries don't count.
+func (b *Budget) RecordArrival(now ident.Time) {
 	b.advance(now)
-	b.arrived[b.slot%slots]++
+	b.arrivals[b.slot%slotCount]++
 }
 
 // Spend reports whether a request may be tried again, and records the try.
 func (b *Budget) Spend(now ident.Time) bool {
 	b.advance(now)
-	if float64(sum(b.spent)+1) > b.allowed() {
+	if float64(sum(b.retries)+1) > b.allowed() {
 		return false
 	}
-	b.spent[b.slot%slots]++
+	b.retries[b.slot%slotCount]++
 	return true
 }
 
-// Use returns the retries of the window and the most that are allowed.
-func (b *Budget) Use(now ident.Time) (spent int, allowed float64) {
+// Usage returns the retries of the window and the most that are allowed.
+func (b *Budget) Usage(now ident.Time) (spent int, allowed float64) {
 	b.advance(now)
-	return sum(b.spent), b.allowed()
+	return sum(b.retries), b.allowed()
 }
 
 func (b *Budget) allowed() float64 {
-	share, floor := b.Share, b.Floor
+	share, floor := b.Ratio, b.MinRetries
 	if share == 0 {
-		share = defaultShare
+		share = defaultRatio
 	}
 	if floor == 0 {
-		floor = defaultFloor
+		floor = defaultMinRetries
 	}
-	return max(share, 0)*float64(sum(b.arrived)) + float64(max(floor, 0))
+	return max(share, 0)*float64(sum(b.arrivals)) + float64(max(floor, 0))
 }
 
 // advance empties the slots that time has passed over.
 func (b *Budget) advance(now ident.Time) {
-	to := int64(now) / int64(slotTime)
-	for n := 0; b.slot < to && n < slots; n++ {
+	to := int64(now) / int64(slotDuration)
+	for n := 0; b.slot < to && n < slotCount; n++ {
 		b.slot++
-		b.arrived[b.slot%slots] = 0
-		b.spent[b.slot%slots] = 0
+		b.arrivals[b.slot%slotCount] = 0
+		b.retries[b.slot%slotCount] = 0
 	}
 	if b.slot >= to {
 		return
@@ -112,7 +112,7 @@
 	b.slot = to
 }
 
-func sum(counts [slots]int) int {
+func sum(counts [slotCount]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
@@ -125,7 +125,7 @@
 // upper half, so that requests that failed together don't return together; it
 // needs no random number and is the same on every run.
 func Backoff(n int, id ident.RequestID) time.Duration {
-	pause := firstBackoff
+	pause := initialBackoff
 	for i := 1; i < n && pause < maxBackoff; i++ {
 		pause *= 2
 	}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -17,12 +17,12 @@
 }
 
 // naive keeps the time of everything that ever happened.
-type naive struct{ arrived, spent []ident.Time }
+type naive struct{ arrivals, retries []ident.Time }
 
-func recent(ts []ident.Time, now ident.Time) int {
+func countInWindow(ts []ident.Time, now ident.Time) int {
 	n := 0
 	for _, t := range ts {
-		if int64(now)/int64(slotTime)-int64(t)/int64(slotTime) < slots {
+		if int64(now)/int64(slotDuration)-int64(t)/int64(slotDuration) < slotCount {
 			n++
 		}
 	}
@@ -30,9 +30,9 @@
 }
 
 func (n *naive) spend(now ident.Time, share float64, floor int) bool {
-	ok := float64(recent(n.spent, now)+1) <= share*float64(recent(n.arrived, now))+float64(floor)
+	ok := float64(countInWindow(n.retries, now)+1) <= share*float64(countInWindow(n.arrivals, now))+float64(floor)
 	if ok {
-		n.spent = append(n.spent, now)
+		n.retries = append(n.retries, now)
 	}
 	return ok
 }
@@ -40,7 +40,7 @@
 // Requests and failures come in bursts, and time jumps.
 func TestBudgetAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Budget{Share: 0.25, Floor: 2}
+		b := &Budget{Ratio: 0.25, MinRetries: 2}
 		n := &naive{}
 		now := ident.Time(0)
 		t.Repeat(map[string]func(*rapid.T){
@@ -50,8 +50,8 @@
 			},
 			"arrive": func(t *rapid.T) {
 				for range rapid.IntRange(1, 20).Draw(t, "n") {
-					b.Arrived(now)
-					n.arrived = append(n.arrived, now)
+					b.RecordArrival(now)
+					n.arrivals = append(n.arrivals, now)
 				}
 			},
 			"spend": func(t *rapid.T) {
@@ -69,7 +69,7 @@
 	arrivals, sends := 0, 0
 	for ms := range 60_000 {
 		now := ident.Time(ms) * ident.Time(time.Millisecond)
-		b.Arrived(now)
+		b.RecordArrival(now)
 		arrivals++
 		sends++
 		for tries := 1; tries < MaxTries && b.Spend(now); tries++ {
@@ -77,7 +77,7 @@
 		}
 	}
 	windows := 60_000 * time.Millisecond / Window
-	most := float64(arrivals)*(1+defaultShare) + float64(windows)*defaultFloor
+	most := float64(arrivals)*(1+defaultRatio) + float64(windows)*defaultMinRetries
 	if float64(sends) > most || sends <= arrivals {
 		t.Errorf("%d sends for %d arrivals, want more than the arrivals and at most %v", sends, arrivals, most)
 	}
@@ -90,7 +90,7 @@
 		last := time.Duration(0)
 		for n := 1; n <= 5; n++ {
 			got := Backoff(n, id)
-			if got < last || got >= firstBackoff<<(n-1) || got < firstBackoff<<(n-1)/2 {
+			if got < last || got >= initialBackoff<<(n-1) || got < initialBackoff<<(n-1)/2 {
 				t.Errorf("pause %d of %s: %v after %v", n, id, got, last)
 			}
 			last = got
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -254,7 +254,7 @@
 			continue
 		}
 		many++
-		s := rank.Join(key, rank.Hash(string(t.ID)))
+		s := rank.Combine(key, rank.Hash(string(t.ID)))
 		switch {
 		case first == nil || s > firstScore:
 			first, firstScore, second, secondScore = t, s, first, firstScore
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -333,7 +333,7 @@
 		if c.cost.sum() > limit {
 			continue
 		}
-		if s := rank.Join(key, rank.Hash(string(c.t.ID))); best == nil || s > score {
+		if s := rank.Combine(key, rank.Hash(string(c.t.ID))); best == nil || s > score {
 			best, score = c, s
 		}
 	}
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -54,7 +54,7 @@
 				continue
 			}
 		}
-		score := rank.Score(rank.Join(v.prefixHash(), rank.Hash(string(place.Group()))), r.Room)
+		score := rank.Score(rank.Combine(v.prefixHash(), rank.Hash(string(place.Group()))), r.Room)
 		if score > most {
 			best, most, room = r.Centre, score, r.Room
 		}
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -62,7 +62,7 @@
 	}
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: b.step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: b.step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
 	b.rn = &Runner{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Targets: target.New(),
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -116,12 +116,12 @@
 
 // Run runs a request. A caller that leaves ends ctx.
 func (rn *Runner) Run(ctx context.Context, call Call, req event.Request, sink Sink) {
-	box, ok := rn.Loop.Open(req.ID)
+	box, ok := rn.Loop.OpenMailbox(req.ID)
 	if !ok {
 		sink.Refuse(event.Refuse{Request: req.ID, Code: codes.InProgress.ID, Outcome: event.NotRun})
 		return
 	}
-	defer rn.Loop.Close(req.ID)
+	defer rn.Loop.CloseMailbox(req.ID)
 	rn.running.Add(1)
 	defer rn.running.Add(-1)
 	r := &run{Runner: rn, call: call, req: req, sink: sink, upto: call.Resume}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -63,12 +63,12 @@
 			before := s.Revision()
 			if rapid.Bool().Draw(rt, "snapshot") {
 				rev := ident.Revision(rapid.IntRange(0, 12).Draw(rt, "rev"))
-				s.Snapshot(now, event.SnapshotReceived{From: from, Book: bookAt(rev)})
+				s.ApplySnapshot(now, event.SnapshotReceived{From: from, Book: bookAt(rev)})
 				n.snapshot(rev)
 			} else {
 				first := ident.Revision(rapid.IntRange(1, 12).Draw(rt, "first"))
 				cs := []rules.Change{change(first), change(first + 1)}
-				s.Changes(now, event.ChangesReceived{From: from, Changes: cs}, nil)
+				s.ApplyChanges(now, event.ChangesReceived{From: from, Changes: cs}, nil)
 				n.changes(cs)
 			}
 			if s.Revision() < before {
@@ -87,19 +87,19 @@
 // A peer that lacks old changes waits for them forever.
 func TestLaggingPeerGetsTheWholeBook(t *testing.T) {
 	s := New(event.Host{ID: "uvs-1"})
-	for rev := ident.Revision(1); rev <= keepChanges+10; rev++ {
-		s.Changes(0, event.ChangesReceived{Changes: []rules.Change{change(rev)}}, nil)
+	for rev := ident.Revision(1); rev <= maxRecentChanges+10; rev++ {
+		s.ApplyChanges(0, event.ChangesReceived{Changes: []rules.Change{change(rev)}}, nil)
 	}
 	peer := event.Host{ID: "uvs-2"}
-	for _, after := range []ident.Revision{0, 5, 10, 40, keepChanges + 9, keepChanges + 10} {
+	for _, after := range []ident.Revision{0, 5, 10, 40, maxRecentChanges + 9, maxRecentChanges + 10} {
 		other := New(peer)
 		other.book = bookAt(after)
-		for _, eff := range s.Wanted(peer, after) {
+		for _, eff := range s.AnswerPeer(peer, after) {
 			switch e := eff.(type) {
 			case event.SendChanges:
-				other.Changes(0, event.ChangesReceived{From: "uvs-1", Changes: e.Changes}, nil)
+				other.ApplyChanges(0, event.ChangesReceived{From: "uvs-1", Changes: e.Changes}, nil)
 			case event.SendSnapshot:
-				other.Snapshot(0, event.SnapshotReceived{From: "uvs-1", Book: e.Book})
+				other.ApplySnapshot(0, event.SnapshotReceived{From: "uvs-1", Book: e.Book})
 			}
 		}
 		if diff := cmp.Diff(s.Revision(), other.Revision()); diff != "" {
@@ -109,15 +109,15 @@
 }
 
 // All hosts retry the platform at the same moments.
-func TestRetriesOfHostsAreSpread(t *testing.T) {
+func TestHostsRetryAtDifferentTimes(t *testing.T) {
 	at := make(map[ident.Time]int)
 	for i := range 45 {
 		s := New(event.Host{ID: ident.EntryID(fmt.Sprint("host-", i))})
 		for range 6 {
-			s.Failed(0, event.OpWatchChange)
+			s.PlatformFailed(0, event.OpWatchChange)
 		}
 		at[s.retryAt/ident.Time(500*time.Millisecond)]++
-		if s.retryAt <= 0 || s.retryAt > ident.Time(2*backoffMax) {
+		if s.retryAt <= 0 || s.retryAt > ident.Time(2*maxBackoff) {
 			t.Errorf("host %d asks again after %v", i, time.Duration(s.retryAt))
 		}
 	}
@@ -128,16 +128,16 @@
 	}
 }
 
-// inForceWithin is the time in which an accepted change has to be in force.
-const inForceWithin = 4 * time.Second
+// maxPropagationDelay is the time in which an accepted change has to be in force.
+const maxPropagationDelay = 4 * time.Second
 
 // A backoff delays a change beyond its bound.
-func TestNoWaitOutlastsAChange(t *testing.T) {
+func TestBackoffStaysBelowPropagationBound(t *testing.T) {
 	for i := range 45 {
 		s := New(event.Host{ID: ident.EntryID(fmt.Sprint("host-", i))})
 		for fails := range 40 {
-			s.Failed(0, event.OpWatchChange)
-			if s.retryAt >= ident.Time(inForceWithin) {
+			s.PlatformFailed(0, event.OpWatchChange)
+			if s.retryAt >= ident.Time(maxPropagationDelay) {
 				t.Errorf("host %d waits %v after %d failures", i, time.Duration(s.retryAt), fails+1)
 			}
 		}
@@ -151,12 +151,12 @@
 	asked := func() int {
 		n := 0
 		for _, id := range []ident.EntryID{"e1", "e2", "e3", "e4"} {
-			n += len(sp.Seen(at, event.Host{ID: id}, 7))
+			n += len(sp.RevisionSeen(at, event.Host{ID: id}, 7))
 		}
 		return n
 	}
 	var got []int
-	for _, pause := range []time.Duration{0, askNext / 2, askNext / 2, askNext, askNext} {
+	for _, pause := range []time.Duration{0, answerTimeout / 2, answerTimeout / 2, answerTimeout, answerTimeout} {
 		at = at.Add(pause)
 		got = append(got, asked())
 	}
@@ -168,24 +168,24 @@
 // Active readers are asked by all hosts for each configuration.
 func TestPlatformIsReadBeforePeersAreAsked(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
-	sp.ReadFirst(true)
+	sp.SetPlatformFirst(true)
 	at := ident.Time(time.Second)
 	names := func() []string {
 		var out []string
-		for _, eff := range sp.Seen(at, event.Host{ID: "e1"}, 7) {
+		for _, eff := range sp.RevisionSeen(at, event.Host{ID: "e1"}, 7) {
 			out = append(out, event.TypeName(eff))
 		}
 		return out
 	}
 	got := [][]string{names()}
-	at = at.Add(askNext)
+	at = at.Add(answerTimeout)
 	got = append(got, names())
-	sp.Snapshot(at, event.SnapshotReceived{Book: bookAt(6)})
+	sp.ApplySnapshot(at, event.SnapshotReceived{Book: bookAt(6)})
 	got = append(got, names())
-	sp.Snapshot(at, event.SnapshotReceived{Book: bookAt(6)})
-	sp.Failed(at, event.OpWatchChange)
+	sp.ApplySnapshot(at, event.SnapshotReceived{Book: bookAt(6)})
+	sp.PlatformFailed(at, event.OpWatchChange)
 	sp.unanswered = 0
-	at = at.Add(askMost)
+	at = at.Add(maxAnswerTimeout)
 	got = append(got, names())
 	if diff := cmp.Diff([][]string{{"readSnapshot"}, {"askChanges"}, {"readSnapshot"}, {"askChanges"}}, got); diff != "" {
 		t.Errorf("what is read and asked (-want +got):\n%s", diff)
@@ -195,11 +195,11 @@
 // Hosts that are receiving a large configuration ask a peer for it as well and slow their links down.
 func TestArrivingAnswerAsksNoPeer(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
-	sp.ReadFirst(true)
+	sp.SetPlatformFirst(true)
 	at := ident.Time(time.Second)
 	seen := func(after time.Duration) string {
 		at = at.Add(after)
-		effs := sp.Seen(at, event.Host{ID: "e1"}, 7)
+		effs := sp.RevisionSeen(at, event.Host{ID: "e1"}, 7)
 		if len(effs) == 0 {
 			return ""
 		}
@@ -207,16 +207,16 @@
 	}
 	got := []string{seen(0)}
 	for range 3 {
-		sp.Progress(at.Add(askNext / 2))
-		got = append(got, seen(askNext))
+		sp.PlatformProgress(at.Add(answerTimeout / 2))
+		got = append(got, seen(answerTimeout))
 	}
-	got = append(got, seen(askNext/2))
+	got = append(got, seen(answerTimeout/2))
 	if diff := cmp.Diff([]string{"readSnapshot", "", "", "", "askChanges"}, got); diff != "" {
 		t.Errorf("what is read and asked while an answer arrives (-want +got):\n%s", diff)
 	}
-	for end := at.Add(askMost); at <= end; {
-		sp.Progress(at)
-		if seen(askNext/2) != "" {
+	for end := at.Add(maxAnswerTimeout); at <= end; {
+		sp.PlatformProgress(at)
+		if seen(answerTimeout/2) != "" {
 			return
 		}
 	}
