--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock is the timer service of a process. It is the one place that
+// Package clock is the timer service of a process. It is the only place that
 // reads the monotonic clock for control and that owns timers.
 //
 // # Usage
 //
-// Parts subscribe to a moment or to a period and receive on a channel:
+// Callers subscribe to a due time or to a period and receive on a channel:
 //
 //	svc := clock.New()
 //	defer svc.Stop()
@@ -12,8 +12,8 @@
 //	defer sub.Close()
 //	for now := range sub.C() { ... }
 //
-// A period that the receiver is too slow for is skipped and not made up for,
-// so that a paused process does not wake to a burst of old ticks.
+// Periods that a slow receiver misses are skipped, so that a process that
+// resumes after a pause does not receive a burst of old ticks.
 package clock
 
 import (
@@ -26,7 +26,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Service hands out wake-ups. Its times count from its start.
+// Service delivers timer ticks. Its times count from its start.
 type Service struct {
 	t     tomb.Tomb
 	start time.Time
@@ -37,7 +37,7 @@
 	wakeup  chan struct{}
 }
 
-// Subscription is one subscription.
+// Subscription is a subscription to one due time or to a period.
 type Subscription struct {
 	svc    *Service
 	c      chan ident.Time
@@ -54,25 +54,25 @@
 	return s
 }
 
-// Stop ends the service. Subscriptions receive nothing more.
+// Stop ends the service. No tick is sent after it returns.
 func (s *Service) Stop() {
 	s.t.Kill(nil)
 	_ = s.t.Wait()
 }
 
-// Now returns the time since the start of the service, by the monotonic
-// clock. It goes on while the process is frozen, so that a lease is seen to
-// have lapsed on waking.
+// Now returns the time since the start of the service by the monotonic clock. The clock
+// continues while the process is paused, so that an expired lease is detected on
+// resumption.
 func (s *Service) Now() ident.Time { return ident.Time(time.Since(s.start)) }
 
-// At subscribes to one moment. A moment in the past comes at once.
+// At subscribes to one due time. A time in the past is delivered at once.
 func (s *Service) At(at ident.Time) *Subscription { return s.add(at, 0) }
 
-// Every subscribes to a period, the first time after one period.
+// Every subscribes to a period. The first tick is due after one period.
 func (s *Service) Every(d time.Duration) *Subscription { return s.add(s.Now().Add(d), d) }
 
-func (s *Service) add(at ident.Time, every time.Duration) *Subscription {
-	sub := &Subscription{svc: s, c: make(chan ident.Time, 1), due: at, period: every}
+func (s *Service) add(due ident.Time, period time.Duration) *Subscription {
+	sub := &Subscription{svc: s, c: make(chan ident.Time, 1), due: due, period: period}
 	s.mu.Lock()
 	s.lastSeq++
 	sub.seq = s.lastSeq
@@ -85,11 +85,10 @@
 	return sub
 }
 
-// C is where the moments arrive.
+// C returns the channel on which ticks are delivered.
 func (b *Subscription) C() <-chan ident.Time { return b.c }
 
-// Reset moves the subscription to another moment and drops one that waits to
-// be received.
+// Reset changes the due time and discards a tick that has not been received yet.
 func (b *Subscription) Reset(at ident.Time) {
 	s := b.svc
 	s.mu.Lock()
@@ -123,8 +122,7 @@
 	}
 }
 
-// maxSleep is how long the loop sleeps with no subscription; a new one pokes
-// it.
+// maxSleep is how long the loop sleeps without subscriptions; a new one wakes it.
 const maxSleep = time.Hour
 
 func (s *Service) run() error {
@@ -141,7 +139,7 @@
 	}
 }
 
-// fire delivers all that is due and returns the wait until the next.
+// fire delivers all due ticks and returns the time until the next.
 func (s *Service) fire() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,13 +163,13 @@
 	return s.queue[0].due.Sub(now)
 }
 
-// nextAfter returns the first moment of the period after now.
-func nextAfter(at ident.Time, every time.Duration, now ident.Time) ident.Time {
-	missed := now.Sub(at) / every
-	return at.Add(every * (missed + 1))
+// nextAfter returns the first tick of the period after now.
+func nextAfter(due ident.Time, period time.Duration, now ident.Time) ident.Time {
+	missed := now.Sub(due) / period
+	return due.Add(period * (missed + 1))
 }
 
-// subHeap is a heap of subscriptions by time, then by order of subscription.
+// subHeap is a heap of subscriptions by due time, then by order of subscription.
 type subHeap []*Subscription
 
 func (q subHeap) Len() int { return len(q) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,16 +15,16 @@
 	now := s.Now()
 	late := s.At(now.Add(40 * time.Millisecond))
 	early := s.At(now.Add(5 * time.Millisecond))
-	gone := s.At(now.Add(10 * time.Millisecond))
-	gone.Close()
+	closed := s.At(now.Add(10 * time.Millisecond))
+	closed.Close()
 	first := <-early.C()
 	second := <-late.C()
 	if first > second {
-		t.Errorf("the early moment came at %d, after the late one at %d", first, second)
+		t.Errorf("early tick received at %d, after the late one at %d", first, second)
 	}
 	select {
-	case <-gone.C():
-		t.Error("a closed subscription was delivered")
+	case <-closed.C():
+		t.Error("closed subscription received a tick")
 	default:
 	}
 }
@@ -36,16 +36,16 @@
 	want := s.Now().Add(20 * time.Millisecond)
 	sub.Reset(want)
 	if got := <-sub.C(); got < want {
-		t.Errorf("woke at %d, before %d", got, want)
+		t.Errorf("tick received at %d, before the due time %d", got, want)
 	}
 }
 
-// A process that wakes from a pause fires all missed periods at once.
+// Guards against a burst of all missed ticks when a process resumes after a pause.
 func TestMissedPeriodsAreSkipped(t *testing.T) {
-	at := ident.Time(100)
-	every := 10 * time.Nanosecond
-	got := []ident.Time{nextAfter(at, every, 100), nextAfter(at, every, 109), nextAfter(at, every, 1055)}
+	due := ident.Time(100)
+	period := 10 * time.Nanosecond
+	got := []ident.Time{nextAfter(due, period, 100), nextAfter(due, period, 109), nextAfter(due, period, 1055)}
 	if diff := cmp.Diff([]ident.Time{110, 110, 1060}, got); diff != "" {
-		t.Errorf("next moments (-want +got):\n%s", diff)
+		t.Errorf("next ticks (-want +got):\n%s", diff)
 	}
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,5 +1,5 @@
-// Package group holds the goroutines of one owner, and lets more of them start at any
-// time, also while the owner stops.
+// Package group manages the goroutines of one owner. More of them can be started at
+// any time, also while the owner stops.
 //
 // # Usage
 //
@@ -10,15 +10,14 @@
 //	s.group.Kill(nil)
 //	err := s.group.Wait()
 //
-// A tomb dies when the last of its goroutines has returned, and starting one more on a
-// dead tomb panics. Whoever starts several from outside, one after the other, meets that
-// where the first returns before the second begins: a listener that fails at once, a
-// request that comes while the host stops. A process with hundreds of requests then ends
-// in the middle of all of them. A group keeps one goroutine of its own, which is the
-// last to return, so that the question whether another may start has one answer at any
-// moment.
+// A tomb dies when the last of its goroutines has returned, and starting another one on
+// a dead tomb panics. This happens to an owner that starts several goroutines in turn if
+// the first returns before the second is started: a listener that fails at once, or a
+// request that arrives while the host stops. The panic then ends a process with hundreds
+// of running requests. A group therefore keeps one goroutine of its own, which is the
+// last to return, so that at any moment it is defined whether another may start.
 //
-// The zero value is ready.
+// The zero value is ready to use.
 package group
 
 import (
@@ -28,17 +27,18 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Group holds goroutines. Its methods may be called by any goroutine.
+// Group manages goroutines. Its methods may be called concurrently.
 type Group struct {
 	t tomb.Tomb
 
 	mu sync.Mutex
-	// started says that the group's own goroutine was started, closed that it takes no more.
+	// started is set once the group's own goroutine runs, closed once no more
+	// goroutines are accepted.
 	started, closed bool
 	joining         chan struct{}
 }
 
-// Go starts a goroutine, and reports false for a group that has ended.
+// Go starts a goroutine. It returns false if the group has ended.
 func (g *Group) Go(run func() error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +59,7 @@
 	g.t.Go(g.keepAlive)
 }
 
-// keepAlive keeps the tomb from dying before the group has ended.
+// keepAlive prevents the tomb from dying before the group has ended.
 func (g *Group) keepAlive() error {
 	select {
 	case <-g.t.Dying():
@@ -81,20 +81,19 @@
 	g.t.Kill(reason)
 }
 
-// Wait returns when all goroutines have returned, with the first error. A group in
-// which none was started is not waited for.
+// Wait waits until all goroutines have returned, and returns the first error. It
+// returns at once if none was started.
 func (g *Group) Wait() error {
 	g.mu.Lock()
-	begun := g.started
+	started := g.started
 	g.mu.Unlock()
-	if !begun {
+	if !started {
 		return nil
 	}
 	return g.t.Wait()
 }
 
-// Join takes no more goroutines and waits for those that there are, which end by
-// themselves.
+// Join accepts no more goroutines and waits for the running ones to end by themselves.
 func (g *Group) Join() error {
 	g.mu.Lock()
 	if g.started && !g.closed {
@@ -105,8 +104,8 @@
 	return g.Wait()
 }
 
-// Dying is closed when the goroutines are asked to end.
+// Dying returns a channel that is closed when the goroutines are asked to end.
 func (g *Group) Dying() <-chan struct{} { return g.t.Dying() }
 
-// Context returns a context that ends with the group.
+// Context returns a context that is cancelled when the group ends.
 func (g *Group) Context(parent context.Context) context.Context { return g.t.Context(parent) }
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -9,12 +9,12 @@
 
 func returnAtOnce() error { return nil }
 
-// A goroutine that is started after the first has returned panics.
+// Guards against a panic when a goroutine is started after the first has returned.
 func TestStartsAfterTheFirstHasReturned(t *testing.T) {
 	var g Group
 	for range 100 {
 		if !g.Go(returnAtOnce) {
-			t.Fatal("not started")
+			t.Fatal("goroutine not started")
 		}
 		time.Sleep(10 * time.Microsecond)
 	}
@@ -22,11 +22,12 @@
 		t.Error(err)
 	}
 	if g.Go(returnAtOnce) {
-		t.Error("started after the end")
+		t.Error("goroutine started after the group has ended")
 	}
 }
 
-// Requests come while the owner stops, or while one of its goroutines fails.
+// Guards against a panic when goroutines are started while the owner stops or one of
+// its goroutines fails.
 func TestConcurrentGoWhileEnding(t *testing.T) {
 	failed := errors.New("failed")
 	for _, end := range map[string]func(g *Group){
@@ -52,7 +53,7 @@
 				t.Fatal(err)
 			}
 			if g.Go(returnAtOnce) {
-				t.Fatal("started after the end")
+				t.Fatal("goroutine started after the group has ended")
 			}
 		}
 	}
@@ -65,6 +66,6 @@
 		t.Error(err)
 	}
 	if g.Go(returnAtOnce) {
-		t.Error("started after the end")
+		t.Error("goroutine started after the group has ended")
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,23 +1,23 @@
 // Package loop is the control thread of an entry host: the one goroutine that
-// steps the reducer and carries out its effects.
+// steps the reducer and executes its effects.
 //
 // # Usage
 //
-//	lp := loop.New(loop.Config{Step: red.Step, Clock: svc, Log: log, Carry: carry})
+//	lp := loop.New(loop.Config{Step: red.Step, Clock: svc, Log: log, Execute: execute})
 //	defer lp.Stop()
 //
-//	box := lp.Open(id)                  // a request's mailbox
-//	defer lp.Close(id)
+//	mailbox, _ := lp.OpenMailbox(id)
+//	defer lp.CloseMailbox(id)
 //	lp.Post(event.RequestArrived{...})
-//	eff := <-box                        // Dispatch, Forward, Refuse, ...
+//	eff := <-mailbox // Dispatch, Forward, Refuse, ...
 //
 //	answer, err := lp.Ask(ctx, func(n event.Ask) event.Event {
 //		return event.StatusAsked{Ask: n}
 //	})
 //
-// Effects that name a request go to its mailbox, answers go to who asked, and
-// all others to the Carry function. Neither may block the loop: a slow peer
-// or caller must not hold up the decisions for the rest.
+// Effects that name a request go to its mailbox, answers go to the caller of Ask,
+// and all others to the Execute function. None of them may block the loop: a slow
+// peer or caller must not delay the decisions for all others.
 package loop
 
 import (
@@ -33,26 +33,26 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ErrStopped says that the loop has ended.
+// ErrStopped is returned by Ask when the loop has ended.
 var ErrStopped = errors.New("loop: stopped")
 
-// Sizes of the queues. A request never has more than a few effects that wait,
-// so its mailbox does not fill unless its goroutine has ended.
+// Sizes of the queues. A request never has more than a few pending effects, so its
+// mailbox fills up only if its goroutine has ended.
 const (
 	eventQueueSize = 4096
 	mailboxSize    = 16
 )
 
-// Config is what a loop needs.
+// Config configures a loop.
 type Config struct {
 	// Step is the reducer.
 	Step  func(now ident.Time, ev event.Event) []event.Effect
 	Clock *clock.Service
 	Log   logr.Logger
-	// Execute takes the effects that name no request and answer no question.
-	// It must not block.
+	// Execute receives the effects that neither name a request nor answer an Ask. It
+	// must not block.
 	Execute func(eff event.Effect)
-	// Record, where set, sees each event and its effects, for replay.
+	// Record, if set, receives each event and its effects for replay.
 	Record func(now ident.Time, ev event.Event, effs []event.Effect)
 }
 
@@ -82,17 +82,17 @@
 	return l
 }
 
-// Stop ends the loop.
+// Stop ends the loop and waits for it.
 func (l *Loop) Stop() {
 	l.t.Kill(nil)
 	_ = l.t.Wait()
 }
 
-// Done is closed when the loop ends.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.t.Dead() }
 
-// Post hands an event to the loop. It waits while the queue is full, which
-// slows the senders down instead of losing events.
+// Post queues an event. It blocks while the queue is full, which slows the senders down
+// instead of losing events.
 func (l *Loop) Post(ev event.Event) {
 	select {
 	case l.events <- ev:
@@ -100,28 +100,28 @@
 	}
 }
 
-// OpenMailbox makes the mailbox of a request. It reports false for an id that has
-// one.
+// OpenMailbox creates the mailbox of a request. It returns false if the request already
+// has one.
 func (l *Loop) OpenMailbox(id ident.RequestID) (<-chan event.Effect, bool) {
-	box := make(chan event.Effect, mailboxSize)
+	mailbox := make(chan event.Effect, mailboxSize)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.mailboxes[id]; ok {
 		return nil, false
 	}
-	l.mailboxes[id] = box
-	return box, true
+	l.mailboxes[id] = mailbox
+	return mailbox, true
 }
 
-// CloseMailbox drops the mailbox of a request.
+// CloseMailbox removes the mailbox of a request.
 func (l *Loop) CloseMailbox(id ident.RequestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.mailboxes, id)
 }
 
-// Ask puts a question and waits for the answer.
-func (l *Loop) Ask(ctx context.Context, question func(n event.Ask) event.Event) (event.Effect, error) {
+// Ask posts a query event and waits for the answer.
+func (l *Loop) Ask(ctx context.Context, newEvent func(n event.Ask) event.Event) (event.Effect, error) {
 	c := make(chan event.Effect, 1)
 	l.mu.Lock()
 	l.lastAsk++
@@ -129,7 +129,7 @@
 	l.pendingAsks[n] = c
 	l.mu.Unlock()
 	defer l.dropAsk(n)
-	l.Post(question(n))
+	l.Post(newEvent(n))
 	select {
 	case eff := <-c:
 		return eff, nil
@@ -186,7 +186,7 @@
 	case event.BreakOff:
 		l.deliver(e.Request, e)
 	case event.KeepAttempt:
-		// The log has it.
+		// Nothing to execute: Config.Record has already stored the effect.
 	case event.Replay:
 		l.deliver(e.Request, e)
 	case event.TicketIssued:
@@ -204,18 +204,18 @@
 
 func (l *Loop) deliver(id ident.RequestID, eff event.Effect) {
 	l.mu.Lock()
-	box, ok := l.mailboxes[id]
+	mailbox, ok := l.mailboxes[id]
 	l.mu.Unlock()
 	if !ok {
 		return
 	}
 	select {
-	case box <- eff:
+	case mailbox <- eff:
 	default:
-		// A full mailbox means that the request's goroutine no longer reads.
-		// Blocking here would stop every decision of the host; the request
-		// ends by its deadline instead.
-		l.cfg.Log.Info("mailbox is full", "request", id, "effect", event.TypeName(eff))
+		// A full mailbox means that the request's goroutine no longer reads. Blocking
+		// here would stop all decisions of the host; the request ends at its deadline
+		// instead.
+		l.cfg.Log.Info("mailbox is full, effect dropped", "request", id, "effect", event.TypeName(eff))
 	}
 }
 
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -27,7 +27,8 @@
 	return l
 }
 
-// The loop waits for a mailbox that is no longer read, and all other callers with it.
+// Guards against the loop blocking on a mailbox that is no longer read, which would
+// stop all other requests.
 func TestFullMailboxDoesNotBlockLoop(t *testing.T) {
 	l := start(t, func(_ ident.Time, ev event.Event) []event.Effect {
 		if e, ok := ev.(event.RequestArrived); ok {
@@ -36,7 +37,7 @@
 		return nil
 	})
 	if _, ok := l.OpenMailbox("stuck"); !ok {
-		t.Fatal("no mailbox")
+		t.Fatal("mailbox not opened")
 	}
 	for range 10 * mailboxSize {
 		l.Post(event.RequestArrived{Request: event.Request{ID: "stuck"}})
@@ -49,11 +50,12 @@
 			t.Errorf("effect (-want +got):\n%s", diff)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the loop waits for a mailbox that nobody reads")
+		t.Fatal("loop is blocked by a mailbox that nobody reads")
 	}
 }
 
-// The end of a request overtakes its sending, and a request that ran is reported as not run.
+// Guards against reordered events: if the end of a request overtook its sending, a
+// request that ran would be reported as not run.
 func TestEventsOfOneSenderKeepTheirOrder(t *testing.T) {
 	var seen []uint64
 	done := make(chan struct{})
@@ -104,6 +106,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if eff, err := l.Ask(ctx, func(event.Ask) event.Event { return event.Tick{} }); err == nil {
-		t.Errorf("a question without an answer gets %s", fmt.Sprint(eff))
+		t.Errorf("cancelled Ask returned %s, want an error", fmt.Sprint(eff))
 	}
 }
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -18,40 +18,40 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkKeys measures one key from the claim to the end with the memory
-// full, and what a record takes.
+// BenchmarkKeys measures a key from its claim to its end with a full registry, and the
+// memory per record.
 func BenchmarkKeys(b *testing.B) {
 	before := heapInUse()
 	rg := New("host", 1)
 	i, now := 0, ident.Time(0)
-	one := func() {
+	runOne := func() {
 		i++
 		now = now.Add(time.Millisecond)
-		key, fprint := rules.Digest(fmt.Sprint(i)), rules.Digest(fmt.Sprint(-i))
+		key, fingerprint := rules.Digest(fmt.Sprint(i)), rules.Digest(fmt.Sprint(-i))
 		req := ident.RequestID(fmt.Sprintf("%032d", i))
-		rg.UseKey(now, key, fprint, req)
+		rg.UseKey(now, key, fingerprint, req)
 		rg.ClaimAnswered(now, req, event.ClaimWon, event.KeyRecord{})
 		rg.Ended(now, req, event.Done, true)
 		rg.Expire(now)
 	}
 	for range maxRecords {
-		one()
+		runOne()
 	}
 	full := heapInUse()
 	b.ReportAllocs()
 	for b.Loop() {
-		one()
+		runOne()
 	}
 	b.ReportMetric(float64(full-before)/maxRecords, "heap-B/record")
 }
 
-// BenchmarkAttempts measures one attempt of a peer from its arrival to its end
-// with the memory full, and what an attempt takes.
+// BenchmarkAttempts measures a peer's attempt from its arrival to its end with a full
+// registry, and the memory per attempt.
 func BenchmarkAttempts(b *testing.B) {
 	before := heapInUse()
 	rg := New("host", 1)
 	i, now := uint64(0), ident.Time(0)
-	one := func() {
+	runOne := func() {
 		i++
 		now = now.Add(time.Millisecond)
 		a := ident.Attempt{Entry: ident.EntryID(fmt.Sprint("host", i%370)), Incarnation: 1, Number: i}
@@ -59,12 +59,12 @@
 		rg.AttemptEnded(now, a, event.Ended)
 	}
 	for range 370 * maxSenderAttempts {
-		one()
+		runOne()
 	}
 	full := heapInUse()
 	b.ReportAllocs()
 	for b.Loop() {
-		one()
+		runOne()
 	}
 	b.ReportMetric(float64(full-before)/float64(rg.attemptCount), "heap-B/attempt")
 	b.ReportMetric(float64(rg.attemptCount), "attempts")
--- a/internal/once/key_test.go
+++ b/internal/once/key_test.go
@@ -10,10 +10,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// A record whose write was lost and lands late blocks the key of a request that never ran.
+// Guards against a claim whose write is reported as failed but lands late: the key of a
+// request that never ran must not be blocked.
 func TestLateClaimWriteIsRecognised(t *testing.T) {
 	rg := New("a", 5)
-	rg.usedKeyDropped = true // as at any host that has run for an hour
+	rg.usedKeyDropped = true // the usual state after an hour, when records have expired
 	first := rg.UseKey(0, "k", "p", "r1")
 	got := []Verdict{
 		rg.ClaimAnswered(0, "r1", event.ClaimFailed, event.KeyRecord{}),
@@ -30,7 +31,8 @@
 	}
 }
 
-// A request whose key is on record for another run is run again, or reported as not run.
+// Guards against running a request again, or reporting it as not run, when its key is
+// on record for another run.
 func TestKeyTaken(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rec  event.KeyRecord
@@ -50,7 +52,8 @@
 	}
 }
 
-// A ticket is redeemed by guessing, by another account, at another host or too late.
+// Guards against a ticket being redeemed with a guessed secret, by another account, at
+// another host or after it has expired.
 func TestRedeemRefused(t *testing.T) {
 	const text = "a/5/1/s3cret"
 	late := ident.Time(0).Add(ticketTTL)
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,53 +1,53 @@
-// Package once makes non-idempotent requests run at most once, and says that
-// one was not run only when that is proved.
+// Package once executes non-idempotent requests at most once, and reports a
+// request as not run only when that is proved.
 //
 // # Usage
 //
-// A caller takes a ticket and sends it with its request, or sends an
-// idempotency key of its own:
+// A caller requests a ticket and sends it with its request, or sends its own
+// idempotency key:
 //
 //	ticket, valid, code := rg.IssueTicket(now, account, profile, secret)
-//	v := rg.Redeem(now, ticket, account, profile, req, print)
-//	v := rg.Key(now, key, print, req)
+//	v := rg.Redeem(now, ticket, account, profile, req, fingerprint)
+//	v := rg.UseKey(now, key, fingerprint, req)
 //
-// The Verdict says how to go on. Claim asks the platform's store first, and
-// its answer goes to Claimed, which gives the next verdict. Each Run must be
-// followed by exactly one Ended, also when the caller has left, and each Claim
-// that is given up by an Ended with NotRun.
+// The Verdict says how to proceed. Claim means to claim the key in the platform's
+// store first and to pass its answer to ClaimAnswered, which returns the next
+// verdict. Each Run must be followed by exactly one Ended, also when the caller has
+// disconnected. A Claim that is abandoned must be followed by an Ended with NotRun.
 //
-// A request that another entry host has passed on is judged by its attempt:
+// A request that another entry host has forwarded is identified by its attempt:
 //
-//	v := rg.Arrive(now, envelope)
-//	rg.PeerEnded(now, attempt, event.Ended) // or event.Refused
+//	v := rg.AdmitAttempt(now, envelope)
+//	rg.AttemptEnded(now, attempt, event.Ended) // or event.Refused
 //	answer := rg.Bar(now, attempt, to)
 //
-// # What is promised
+// # Guarantees
 //
 // A ticket runs at most once, because only the incarnation that issued it may
-// run it, and that incarnation remembers. After a restart the memory is gone,
-// so the answer is "unknown": a restarted host that said "not run" would make
-// the caller send a second van.
+// run it, and that incarnation remembers. A restart loses this memory, so the
+// answer is then "unknown": if a restarted host answered "not run", the caller
+// would send the request again and it could take effect twice.
 //
-// A key runs at most once, because one record in the platform's store names
-// the one incarnation that may run it, and that incarnation remembers.
+// A key runs at most once, because one record in the platform's store names the
+// only incarnation that may run it, and that incarnation remembers.
 //
-// An attempt of a peer runs at most once, because its number is remembered, or
-// lies at or below a floor under which nothing new is accepted.
+// A peer's attempt runs at most once, because its number is either remembered or
+// not above a floor at or below which no new attempt is accepted.
 //
 // # Bounds
 //
-// A record of a ticket or key lasts recordKept after its end, and its answer
-// answerKept. There are at most maxRecords records of some 480 bytes, so 31 MB;
-// an unused ticket lasts ticketValid, and an account has at most
-// maxAccountTickets of them. Where there is no room the record that is due
-// next goes early. Running requests are never dropped: when they fill the
-// memory, new ones are refused. Attempts of peers take at most maxAttempts
-// entries of 27 bytes over maxSenders senders, so 7 MB.
+// The record of a ticket or key is kept for recordTTL after its end, and its answer
+// for answerTTL. There are at most maxRecords records of about 480 bytes, 31 MB in
+// all. An unused ticket expires after ticketTTL, and an account has at most
+// maxAccountTickets of them. When memory is full, the record that is due next is
+// dropped early. Running requests are never dropped: when they fill the memory, new
+// ones are refused. Attempts of peers take at most maxAttempts entries of 27 bytes
+// over maxSenders senders, 7 MB in all.
 //
-// Dropping a record never turns "ran" into "not run". For tickets a floor
-// holds the highest number that ran and was dropped; for keys a flag says that
-// any was; for attempts each sender has its floor. At or below the floor the
-// answer is "unknown".
+// Dropping a record never turns "ran" into "not run". For tickets, a floor holds
+// the highest dropped number that may have run; for keys, a flag records that such
+// a key was dropped; for attempts, each sender has its own floor. At or below the
+// floor the answer is "unknown".
 package once
 
 import (
@@ -59,44 +59,45 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Never is what Next returns when nothing is due.
+// Never is returned by Next when nothing is due.
 const Never ident.Time = math.MaxInt64
 
 // Retention and bounds of tickets and keys.
 const (
 	// ticketTTL is how long an unused ticket may be redeemed.
 	ticketTTL = 15 * time.Minute
-	// answerTTL is how long an answer is kept for repeats.
+	// answerTTL is how long an answer is kept for repeated requests.
 	answerTTL = 10 * time.Minute
-	// recordTTL is how long it is remembered that a ticket or key has ended.
+	// recordTTL is how long the record of a ticket or key is kept after its end.
 	recordTTL = time.Hour
 
 	maxRecords        = 1 << 16
 	maxTickets        = 1 << 15
 	maxAccountTickets = 1 << 12
 
-	// busyRetryAfter is when a repeat may find more than it found now.
+	// busyRetryAfter is the RetryAfter of refusals that may have changed by then.
 	busyRetryAfter = time.Second
 )
 
-// bounds are the sizes that a registry keeps to.
+// bounds are the size limits of a registry.
 type bounds struct {
 	records, tickets, accountTickets  int
 	senders, attempts, senderAttempts int
 }
 
-// Action says how to go on with a request.
+// Action is how to proceed with a request.
 type Action string
 
-// The ways to go on.
+// The possible actions.
 const (
 	// Run allows the request to be sent.
 	Run Action = "run"
-	// Claim asks the platform's store first, with the Record.
+	// Claim requires a claim of the key with Record in the platform's store first.
 	Claim Action = "claim"
-	// Replay answers with the kept answer of the request Of.
+	// Replay answers with the stored answer of the request ReplayOf.
 	Replay Action = "replay"
-	// Owner leaves the request to the host Entry, which alone can know.
+	// Owner leaves the request to the host Entry, the only one that can know its
+	// outcome.
 	Owner Action = "owner"
 	// Refuse gives the final answer.
 	Refuse Action = "refuse"
@@ -105,46 +106,46 @@
 // Verdict is the decision on one request.
 type Verdict struct {
 	Action Action
-	// Record is what to claim the key with.
+	// Record is the record with which to claim the key.
 	Record event.KeyRecord
-	// ReplayOf is the request whose answer is kept.
+	// ReplayOf is the request whose answer is stored.
 	ReplayOf ident.RequestID
 	// Entry and Incarnation name the owner of the ticket or key.
 	Entry       ident.EntryID
 	Incarnation ident.Incarnation
-	// Code, Outcome and RetryAfter are the final answer of Refuse, and of
-	// Owner where the request isn't passed on.
+	// Code, Outcome and RetryAfter are the final answer of Refuse, and of Owner if the
+	// request isn't forwarded.
 	Code       codes.ID
 	Outcome    event.Outcome
 	RetryAfter time.Duration
 }
 
-// Registry holds the tickets, keys and attempts of peers that one incarnation
-// of an entry host knows.
+// Registry holds the tickets, keys and peer attempts known to one incarnation of an
+// entry host.
 type Registry struct {
 	self   ident.EntryID
 	inc    ident.Incarnation
 	now    ident.Time
 	bounds bounds
 
-	// issued is the number of the last ticket.
+	// issued is the number of the last ticket issued.
 	issued uint64
-	// ticketFloor is the highest number of a ticket that may have run and
-	// was dropped from memory.
+	// ticketFloor is the highest number of a dropped ticket that may have run.
 	ticketFloor uint64
-	// usedKeyDropped says that a key that may have run was dropped.
+	// usedKeyDropped records that a key that may have run was dropped.
 	usedKeyDropped bool
 
 	tickets map[uint64]*record
 	keys    map[string]*record
 	// byRequest finds a record by the request that claims or runs it.
 	byRequest map[ident.RequestID]*record
-	// unusedByAccount counts the tickets that may still be redeemed, by account.
+	// unusedByAccount counts the redeemable tickets by account.
 	unusedByAccount map[ident.Account]int
 	unusedTotal     int
 	queue           dueQueue
 	seq             uint64
-	// droppedAnswers lists answers that were dropped early, for the next Expire.
+	// droppedAnswers lists the answers that were dropped early; the next Expire returns
+	// them.
 	droppedAnswers []ident.RequestID
 
 	senders               map[ident.EntryID]*sender
@@ -152,7 +153,7 @@
 	attemptCount          int
 }
 
-// New returns an empty registry of one incarnation of an entry host.
+// New returns an empty registry for one incarnation of an entry host.
 func New(self ident.EntryID, inc ident.Incarnation) *Registry {
 	return &Registry{
 		self: self, inc: inc,
@@ -168,9 +169,9 @@
 	}
 }
 
-// Ended takes the end of a request that was allowed to run, or of a claim that
-// was given up. NotRun must be proved: the ticket or key may be used again.
-// Done and Unknown are for good. A second end of one request changes nothing.
+// Ended records the end of a running request or of an abandoned claim. NotRun must be
+// proved, since it makes the ticket or key usable again. Done and Unknown are final. A
+// second call for the same request has no effect.
 func (rg *Registry) Ended(now ident.Time, req ident.RequestID, outcome event.Outcome, kept bool) {
 	rg.advance(now)
 	rec, ok := rg.byRequest[req]
@@ -185,21 +186,21 @@
 	rec.state = ended
 	rec.outcome = outcome
 	rec.endedAt = rg.now
-	rec.answerKept = kept && outcome == event.Done
-	if rec.answerKept {
+	rec.kept = kept && outcome == event.Done
+	if rec.kept {
 		rg.setDue(rec, rg.now.Add(answerTTL))
 		return
 	}
 	rg.setDue(rec, rg.now.Add(recordTTL))
 }
 
-// Expire drops what has outlived its retention and returns the requests whose
-// kept answers are to be forgotten.
+// Expire drops what has exceeded its retention and returns the requests whose stored
+// answers must be deleted.
 func (rg *Registry) Expire(now ident.Time) []ident.RequestID {
 	rg.advance(now)
 	for len(rg.queue) > 0 && rg.queue[0].due <= rg.now {
 		rec := rg.queue[0]
-		if rec.state == ended && rec.answerKept {
+		if rec.state == ended && rec.kept {
 			rg.dropAnswer(rec)
 			rg.setDue(rec, rec.endedAt.Add(recordTTL))
 			continue
@@ -211,7 +212,7 @@
 	return forget
 }
 
-// Next returns when Expire has work, or Never.
+// Next returns the time at which Expire must be called, or Never.
 func (rg *Registry) Next() ident.Time {
 	if len(rg.droppedAnswers) > 0 {
 		return rg.now
@@ -222,8 +223,8 @@
 	return rg.queue[0].due
 }
 
-// advance keeps time from going back: a record that is given a time in the
-// past would be dropped before its retention.
+// advance moves the clock forward, never back: a record that is given a time in the
+// past would be dropped before its retention ends.
 func (rg *Registry) advance(now ident.Time) { rg.now = max(rg.now, now) }
 
 func refuse(c codes.Code, outcome event.Outcome) Verdict {
@@ -235,6 +236,6 @@
 }
 
 func ownedBy(entry ident.EntryID, inc ident.Incarnation) Verdict {
-	// The outcome is unknown and not "not run": the owner may have run it.
+	// The outcome is "unknown" rather than "not run" because the owner may have run it.
 	return Verdict{Action: Owner, Entry: entry, Incarnation: inc, Code: codes.ForeignTicket.ID, Outcome: event.Unknown}
 }
--- a/internal/once/peer.go
+++ b/internal/once/peer.go
@@ -11,21 +11,20 @@
 
 // Bounds of the attempts of peers.
 const (
-	// maxSenderAttempts is the history of one sender. A sender asks "run or
-	// bar" within seconds, while the history spans its last thousand attempts
-	// at this host.
+	// maxSenderAttempts bounds the history of one sender. A sender asks "run or bar"
+	// within seconds, while the history covers its last thousand attempts at this host.
 	maxSenderAttempts = 1 << 10
 	maxSenders        = 1 << 12
 	maxAttempts       = 1 << 18
 )
 
-// sender is what is known of the attempts of one entry host. Only its newest
-// incarnation counts: an earlier one has ended and can't ask any more.
+// sender holds the attempts of one entry host. Only its newest incarnation counts: an
+// earlier one has ended and can't ask any more.
 type sender struct {
 	inc ident.Incarnation
-	// floor is the highest number that was dropped. At or below it nothing
-	// new is accepted, since it may have run, and what isn't in seen is
-	// Forgotten, never Barred.
+	// floor is the highest dropped number. At or below it no new attempt is accepted,
+	// since it may have run, and Bar answers Forgotten, never Barred, for numbers
+	// missing from attempts.
 	floor uint64
 	// attempts is sorted by number.
 	attempts   []attemptRecord
@@ -41,11 +40,11 @@
 	return slices.BinarySearchFunc(s.attempts, n, func(a attemptRecord, n uint64) int { return cmp.Compare(a.number, n) })
 }
 
-// AdmitAttempt judges an attempt that a peer has passed on. Not run is said where
-// this host proves it: the attempt is barred, was refused, or is meant for
-// another incarnation, given that a sender writes an attempt to one
-// connection once. A copy of one that runs or ran is refused as unknown: to
-// say "not run" of the copy would be said of the attempt.
+// AdmitAttempt decides on an attempt that a peer has forwarded. It answers "not run"
+// only with proof: the attempt is barred, was refused, or is addressed to another
+// incarnation, given that a sender writes an attempt to one connection only once. A
+// copy of an attempt that runs or ran is refused as unknown, because a "not run" for
+// the copy would be taken as one for the attempt.
 func (rg *Registry) AdmitAttempt(now ident.Time, env event.Envelope) Verdict {
 	rg.advance(now)
 	if env.To != rg.inc {
@@ -70,8 +69,8 @@
 	return refuse(codes.OutcomeUnknown, event.Unknown)
 }
 
-// AttemptEnded takes the end of an attempt that Arrive allowed to run: Refused
-// where it is proved not to have run, Ended otherwise.
+// AttemptEnded records the end of an attempt that AdmitAttempt allowed to run: Refused
+// if it provably did not run, Ended otherwise.
 func (rg *Registry) AttemptEnded(now ident.Time, a ident.Attempt, answer event.Answer) {
 	rg.advance(now)
 	s, ok := rg.senders[a.Entry]
@@ -83,9 +82,9 @@
 	}
 }
 
-// Bar answers a peer's "run or bar" about an attempt meant for an incarnation
-// of this host. Barred is said only of an attempt that has not arrived and
-// from now on never will be accepted.
+// Bar answers a peer's "run or bar" query about an attempt addressed to an incarnation
+// of this host. Barred means that the attempt has not arrived and will be rejected if
+// it does.
 func (rg *Registry) Bar(now ident.Time, a ident.Attempt, to ident.Incarnation) event.Answer {
 	rg.advance(now)
 	if to != rg.inc {
@@ -106,8 +105,8 @@
 	return event.Barred
 }
 
-// sender returns the state of the incarnation that made an attempt, or nil if
-// it is not the newest or may have been dropped.
+// sender returns the state of the incarnation that made an attempt, or nil if that
+// incarnation is not the newest or may have been dropped.
 func (rg *Registry) sender(a ident.Attempt) *sender {
 	s, ok := rg.senders[a.Entry]
 	if ok && a.Incarnation < s.inc {
@@ -130,8 +129,8 @@
 	return s
 }
 
-// addAttempt stores an attempt, and drops the lowest numbers where there is no
-// room. The floor rises with each drop.
+// addAttempt stores an attempt at index i. If there is no room it drops the lowest
+// numbers and raises the floor.
 func (rg *Registry) addAttempt(s *sender, i int, a attemptRecord) {
 	s.attempts = slices.Insert(s.attempts, i, a)
 	rg.attemptCount++
@@ -145,9 +144,10 @@
 	}
 }
 
-// evictHistory empties the history of the sender that was silent longest.
-func (rg *Registry) evictHistory(but *sender) {
-	_, s := rg.idlestSender(func(s *sender) bool { return s != but && len(s.attempts) > 0 })
+// evictHistory clears the history of the sender that has been idle longest, except for
+// the given one.
+func (rg *Registry) evictHistory(except *sender) {
+	_, s := rg.idlestSender(func(s *sender) bool { return s != except && len(s.attempts) > 0 })
 	if s == nil {
 		return
 	}
@@ -156,8 +156,8 @@
 	s.attempts = nil
 }
 
-// evictSender forgets the sender that was silent longest. What is not known and
-// no newer than a dropped one is treated as forgotten.
+// evictSender removes the sender that has been idle longest. Attempts of unknown
+// senders whose incarnation is not newer are treated as forgotten from then on.
 func (rg *Registry) evictSender() {
 	id, s := rg.idlestSender(func(*sender) bool { return true })
 	rg.maxDroppedIncarnation = max(rg.maxDroppedIncarnation, s.inc)
@@ -165,13 +165,13 @@
 	delete(rg.senders, id)
 }
 
-// idlestSender finds the sender that was silent longest, the least id among equals,
-// so that no map order shows.
-func (rg *Registry) idlestSender(counts func(*sender) bool) (ident.EntryID, *sender) {
+// idlestSender returns the matching sender that has been idle longest. Ties go to the
+// smallest id, which keeps the result independent of map order.
+func (rg *Registry) idlestSender(match func(*sender) bool) (ident.EntryID, *sender) {
 	var id ident.EntryID
 	var s *sender
 	for oid, o := range rg.senders {
-		if !counts(o) {
+		if !match(o) {
 			continue
 		}
 		if s == nil || o.lastActive < s.lastActive || (o.lastActive == s.lastActive && oid < id) {
--- a/internal/once/peer_test.go
+++ b/internal/once/peer_test.go
@@ -10,10 +10,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// naiveAttempts remembers every attempt for ever.
+// naiveAttempts remembers every attempt without limit.
 type naiveAttempts map[ident.Attempt]event.Answer
 
-// An attempt that has run is barred and sent to another target.
+// Guards against an attempt that has run being answered as barred, whereupon the sender
+// would send the request to another target.
 func TestRunOrBar(t *testing.T) {
 	small := bounds{senders: 2, attempts: 5, senderAttempts: 4}
 	for name, b := range map[string]bounds{"full": New("", 0).bounds, "small": small} {
@@ -38,7 +39,7 @@
 	naive := naiveAttempts{}
 	newest := map[ident.EntryID]ident.Incarnation{}
 	now := ident.Time(0)
-	// known says that the naive answer is the only one allowed.
+	// known reports whether the naive answer is the only one allowed.
 	known := func(a ident.Attempt) bool {
 		newest[a.Entry] = max(newest[a.Entry], a.Incarnation)
 		return exact && a.Incarnation == newest[a.Entry]
@@ -46,16 +47,16 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"arrive": func(t *rapid.T) {
 			a := drawAttempt(t)
-			was, seen := naive[a]
+			previous, seen := naive[a]
 			v := rg.AdmitAttempt(now, event.Envelope{Attempt: a, To: inc})
 			if v.Action == Run && seen {
-				t.Fatalf("%v runs, and was %s", a, was)
+				t.Fatalf("%v runs again, previous answer %s", a, previous)
 			}
-			if v.Action == Refuse && v.Outcome == event.NotRun && was != event.Barred && was != event.Refused {
-				t.Fatalf("%v is said not to have run, and was %q", a, was)
+			if v.Action == Refuse && v.Outcome == event.NotRun && previous != event.Barred && previous != event.Refused {
+				t.Fatalf("%v is reported as not run, previous answer %q", a, previous)
 			}
 			if known(a) && (v.Action == Run) == seen {
-				t.Fatalf("%v: got %s, was %q", a, v.Action, was)
+				t.Fatalf("%v: got %s, previous answer %q", a, v.Action, previous)
 			}
 			if v.Action == Run {
 				naive[a] = event.Running
@@ -71,9 +72,9 @@
 		},
 		"bar": func(t *rapid.T) {
 			a := drawAttempt(t)
-			was, seen := naive[a]
+			previous, seen := naive[a]
 			got := rg.Bar(now, a, inc)
-			want := was
+			want := previous
 			if !seen {
 				want = event.Barred
 			}
@@ -89,18 +90,19 @@
 		},
 		"": func(t *rapid.T) {
 			now++
-			held := 0
+			total := 0
 			for _, s := range rg.senders {
-				held += len(s.attempts)
+				total += len(s.attempts)
 			}
-			if held != rg.attemptCount || held > b.attempts || len(rg.senders) > b.senders {
-				t.Fatalf("%d attempts of %d senders held, %d counted", held, len(rg.senders), rg.attemptCount)
+			if total != rg.attemptCount || total > b.attempts || len(rg.senders) > b.senders {
+				t.Fatalf("registry holds %d attempts of %d senders, but counts %d", total, len(rg.senders), rg.attemptCount)
 			}
 		},
 	})
 }
 
-// A restarted host bars an attempt that its former run may have run.
+// Guards against a restarted host barring an attempt that its previous incarnation may
+// have run.
 func TestBarOtherIncarnation(t *testing.T) {
 	rg := New("me", 8)
 	a := ident.Attempt{Entry: "a", Incarnation: 1, Number: 1}
@@ -108,6 +110,6 @@
 		t.Errorf("asked about another incarnation: got %s", got)
 	}
 	if v := rg.AdmitAttempt(0, event.Envelope{Attempt: a, To: 7}); v.Action != Refuse {
-		t.Errorf("meant for another incarnation: got %s", v.Action)
+		t.Errorf("addressed to another incarnation: got %s", v.Action)
 	}
 }
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -8,18 +8,19 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// state is how far a ticket or key has come.
+// state is the progress of a ticket or key.
 type state uint8
 
 const (
-	// available may be used: it is new, or its last run is proved not to have run.
+	// available is the state of a new record, or of one whose last request provably did
+	// not run.
 	available state = iota
-	// claiming waits for the platform's store.
+	// claiming waits for the answer of the platform's store.
 	claiming
 	running
-	// ended is for good.
+	// ended is final.
 	ended
-	// foreign belongs to another incarnation, by the record in the store.
+	// foreign means that the record in the store names another incarnation as owner.
 	foreign
 )
 
@@ -34,28 +35,29 @@
 	expires ident.Time
 
 	key string
-	// claimID is the request that every claim of this record names, so that
-	// a late write of an earlier claim is recognised as this record's own.
+	// claimID is the request named by every claim of this record, so that a late write
+	// of an earlier claim is recognised as its own.
 	claimID ident.RequestID
-	// stored says that the store holds this record.
+	// stored reports whether the platform's store holds this record.
 	stored bool
-	// noEarlierRun says that no key that may have run had been dropped from memory
-	// when this record was made, so that this key can't have run before.
+	// noEarlierRun is set if no key that may have run had been dropped from memory when
+	// this record was created, so that this key can't have run before.
 	noEarlierRun bool
 	owner        event.KeyRecord
 
-	fingerprint string
-	req         ident.RequestID
-	outcome     event.Outcome
-	endedAt     ident.Time
-	answerKept  bool
+	// print is the fingerprint of the request.
+	print   string
+	req     ident.RequestID
+	outcome event.Outcome
+	endedAt ident.Time
+	kept    bool
 
 	due       ident.Time
 	seq       uint64
 	heapIndex int
 }
 
-// dueQueue is a heap of all records, the one that is due next first.
+// dueQueue is a heap of all records, ordered by due time.
 type dueQueue []*record
 
 func (q dueQueue) Len() int { return len(q) }
@@ -72,14 +74,14 @@
 	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
-// Push adds a record; it is called by package heap.
+// Push implements heap.Interface.
 func (q *dueQueue) Push(x any) {
 	rec := x.(*record)
 	rec.heapIndex = len(*q)
 	*q = append(*q, rec)
 }
 
-// Pop removes the last record; it is called by package heap.
+// Pop implements heap.Interface.
 func (q *dueQueue) Pop() any {
 	old := *q
 	rec := old[len(old)-1]
@@ -100,8 +102,9 @@
 	heap.Fix(&rg.queue, rec.heapIndex)
 }
 
-// makeRoom makes makeRoom for one more record and reports whether there is any. A
-// record that claims or runs is never dropped: its repeat would run again.
+// makeRoom makes room for one more record and reports whether there is any. A record
+// that is claiming or running is never dropped, since a repeat would run the request
+// again.
 func (rg *Registry) makeRoom() bool {
 	if len(rg.queue) < rg.bounds.records {
 		return true
@@ -114,9 +117,8 @@
 	return true
 }
 
-// drop forgets a record. One that may have run leaves its mark, since the
-// answer to a repeat would else be "not run", and the caller would have it run
-// a second time.
+// drop removes a record. If it may have run, the floor or flag is updated: otherwise a
+// repeat would be answered with "not run", and the caller would run it a second time.
 func (rg *Registry) drop(rec *record) {
 	heap.Remove(&rg.queue, rec.heapIndex)
 	rg.dropAnswer(rec)
@@ -134,13 +136,13 @@
 }
 
 func (rg *Registry) dropAnswer(rec *record) {
-	if rec.answerKept {
-		rec.answerKept = false
+	if rec.kept {
+		rec.kept = false
 		rg.droppedAnswers = append(rg.droppedAnswers, rec.req)
 	}
 }
 
-// start lets a request run.
+// start marks a request as running.
 func (rg *Registry) start(rec *record, req ident.RequestID) Verdict {
 	if rec.ticket != 0 {
 		rg.countUnused(rec.account, -1)
@@ -152,7 +154,7 @@
 	return Verdict{Action: Run}
 }
 
-// release makes a record usable again after a proof that it did not run.
+// release makes a record usable again after proof that its request did not run.
 func (rg *Registry) release(rec *record) {
 	rec.state = available
 	rec.req = ""
@@ -173,21 +175,21 @@
 }
 
 // verdictForRepeat answers a request whose ticket or key is in use or has been used.
-func verdictForRepeat(rec *record, fprint string) Verdict {
+func verdictForRepeat(rec *record, fingerprint string) Verdict {
 	switch {
 	case rec.state == claiming:
-		// The key may turn out to be on record with any content.
+		// The store may hold the key with any content.
 		return refuse(codes.InProgress, event.Unknown)
-	case fprint != rec.fingerprint:
+	case fingerprint != rec.print:
 		return refuse(codes.KeyReused, event.NotRun)
 	case rec.state == foreign:
 		return ownedBy(rec.owner.Entry, rec.owner.Incarnation)
 	case rec.state != ended:
-		// Unknown and not "not run": the first request may yet run.
+		// "Unknown" rather than "not run": the first request may still run.
 		return refuse(codes.InProgress, event.Unknown)
 	case rec.outcome != event.Done:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case rec.answerKept:
+	case rec.kept:
 		return Verdict{Action: Replay, ReplayOf: rec.req, Outcome: event.Done}
 	}
 	return refuse(codes.NoOutcome, event.Done)
--- a/internal/once/ticket.go
+++ b/internal/once/ticket.go
@@ -11,8 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ticketFields is what the text of a ticket says. The number finds the record,
-// the secret proves that the ticket was issued and not guessed.
+// ticketFields are the parts of a ticket's text. The number finds the record, the
+// secret proves that the ticket was issued and not guessed.
 type ticketFields struct {
 	entry  ident.EntryID
 	inc    ident.Incarnation
@@ -20,7 +20,7 @@
 	secret string
 }
 
-// ticketParts is the number of parts in the text of a ticket.
+// ticketParts is the number of parts of a ticket's text, separated by slashes.
 const ticketParts = 4
 
 func (t ticketFields) String() string {
@@ -45,16 +45,16 @@
 	return ticketFields{entry: ident.EntryID(parts[0]), inc: ident.Incarnation(inc), number: n, secret: parts[3]}, true
 }
 
-// TicketOwner returns which incarnation of which entry host a ticket names. Any host can
-// read it; only the owner can verify it.
+// TicketOwner returns the entry host and incarnation that a ticket names. Any host can
+// parse a ticket; only its owner can verify it.
 func TicketOwner(ticket string) (ident.EntryID, ident.Incarnation, bool) {
 	t, ok := parseTicket(ticket)
 	return t.entry, t.inc, ok
 }
 
-// IssueTicket gives a ticket for one request of an account with a profile. The
-// secret comes from outside, since the registry has no randomness. A code
-// says that none is given.
+// IssueTicket issues a ticket for one request of an account with a profile and returns
+// its validity. The caller passes the secret, since the registry has no source of
+// randomness. A non-empty code means that no ticket was issued.
 func (rg *Registry) IssueTicket(
 	now ident.Time, account ident.Account, profile ident.Profile, secret string,
 ) (string, time.Duration, codes.ID) {
@@ -79,9 +79,9 @@
 	return ticketFields{entry: rg.self, inc: rg.inc, number: rec.ticket, secret: secret}.String(), ticketTTL, ""
 }
 
-// Redeem judges a request that came with a ticket.
+// Redeem decides on a request with a ticket.
 func (rg *Registry) Redeem(
-	now ident.Time, ticket string, account ident.Account, profile ident.Profile, req ident.RequestID, fprint string,
+	now ident.Time, ticket string, account ident.Account, profile ident.Profile, req ident.RequestID, fingerprint string,
 ) Verdict {
 	rg.advance(now)
 	t, ok := parseTicket(ticket)
@@ -102,12 +102,12 @@
 		rec.account != account || rec.profile != profile {
 		return refuse(codes.BadTicket, event.NotRun)
 	}
-	return rg.redeem(rec, req, fprint)
+	return rg.redeem(rec, req, fingerprint)
 }
 
-func (rg *Registry) redeem(rec *record, req ident.RequestID, fprint string) Verdict {
+func (rg *Registry) redeem(rec *record, req ident.RequestID, fingerprint string) Verdict {
 	if rec.state != available {
-		return verdictForRepeat(rec, fprint)
+		return verdictForRepeat(rec, fingerprint)
 	}
 	if rg.now >= rec.expires {
 		return refuse(codes.BadTicket, event.NotRun)
@@ -115,12 +115,12 @@
 	if _, ok := rg.byRequest[req]; ok {
 		return refuse(codes.InProgress, event.Unknown)
 	}
-	rec.fingerprint = fprint
+	rec.print = fingerprint
 	return rg.start(rec, req)
 }
 
-// unknownTicket answers for a ticket that is not in memory. Above the floor it
-// can't have run: what ran and was dropped has raised the floor.
+// unknownTicket answers for a ticket that is not in memory. A number above the floor
+// can't have run, because dropping a ticket that may have run raises the floor.
 func (rg *Registry) unknownTicket(t ticketFields) Verdict {
 	if t.number <= rg.ticketFloor {
 		return refuse(codes.OutcomeUnknown, event.Unknown)
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -23,17 +23,16 @@
 	tick            = 100 * time.Millisecond
 )
 
-// limitedClient is an account with a limit of 600 requests a minute.
+// limitedClient is an account with a limit of 600 requests per minute.
 var limitedClient = rules.Client{Name: "acme", RequestsPerMinute: 600}
 
-// fleet is a number of hosts in data centres of their own regions, in virtual
-// time.
+// fleet simulates hosts in data centres, each in its own region, in virtual time.
 type fleet struct {
 	now   ident.Time
 	hosts [][]*Ledger
-	// partitioned says which data centres reach no other.
+	// partitioned holds the data centres that can't reach any other.
 	partitioned map[int]bool
-	// demand is the demand at each host in requests a minute.
+	// demand is the demand at each host in requests per minute.
 	demand   [][]float64
 	credit   [][]float64
 	admitted int
@@ -84,8 +83,8 @@
 	}
 }
 
-// run lets time pass and returns what all hosts admitted, as a share of the
-// limit over that time.
+// run advances the time by d and returns the number of requests admitted by all hosts
+// relative to the limit over d.
 func (f *fleet) run(c rules.Client, d time.Duration) float64 {
 	f.admitted = 0
 	for range int(d / tick) {
@@ -114,7 +113,8 @@
 	}
 }
 
-// An account that moves passes its limit by far, or is refused after it has moved.
+// Guards against an account that moves to another data centre exceeding its limit
+// beyond the documented bound, or being refused after the move.
 func TestErrorBound(t *testing.T) {
 	for _, tc := range []struct {
 		name                   string
@@ -143,13 +143,14 @@
 		t.Logf("%s: steady %.3f, first 20 s %.3f, later %.3f of the limit", tc.name, steady, shifted, later)
 		for i, got := range []float64{steady, shifted, later} {
 			if want := [][2]float64{tc.steady, tc.shifted, tc.later}[i]; got < want[0] || got > want[1] {
-				t.Errorf("%s, phase %d: %.3f of the limit, want %v", tc.name, i, got, want)
+				t.Errorf("%s, phase %d: admitted %.3f of the limit, want %v", tc.name, i, got, want)
 			}
 		}
 	}
 }
 
-// Data centres that are cut off each admit the whole limit, or never get it when left alone.
+// Guards against partitioned data centres that know of no demand each admitting the
+// whole limit at once, or still not admitting it after the others count as gone.
 func TestPartitionWithoutKnownDemand(t *testing.T) {
 	f := newFleet(3, 2)
 	f.run(limitedClient, time.Minute)
@@ -162,13 +163,13 @@
 	early := f.run(limitedClient, 5*time.Minute)
 	f.run(limitedClient, centreTTL)
 	late := f.run(limitedClient, 5*time.Minute)
-	t.Logf("3 centres that know of nothing: %.3f of the limit, later %.3f", early, late)
+	t.Logf("3 partitioned centres without known demand: admitted %.3f of the limit, later %.3f", early, late)
 	if want := 3 * 1.05 / 1.15; early > want*1.01 || early < want*0.99 || late < 2.97 {
-		t.Errorf("%.3f of the limit, want %.3f; later %.3f, want 3", early, want, late)
+		t.Errorf("admitted %.3f of the limit, want %.3f; later %.3f, want 3", early, want, late)
 	}
 }
 
-// The shares of two data centres add up to more than the limit.
+// Guards against the shares of several data centres adding up to more than the limit.
 func TestSharesAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(3, 3)
@@ -200,15 +201,15 @@
 			}
 		}
 		if sum.requests > 1+1e-9 || sum.tokens > 1+1e-9 || (sum.requests > 0 && sum.requests < 1-1e-9) {
-			t.Fatalf("the shares add up to %+v", sum)
+			t.Fatalf("sum of the shares is %+v, want 1", sum)
 		}
 	})
 }
 
-// naiveShare works out a share of requests from the demand of all hosts.
+// naiveShare computes a share of requests from the demand of all hosts.
 func naiveShare(f *fleet, c rules.Client, centre, host int) float64 {
 	limit := float64(c.RequestsPerMinute)
-	var hosts, centres, mine, ofCentre float64
+	var hosts, centres, local, localCentre float64
 	for i, ls := range f.hosts {
 		sum, floor := 0.0, 0.05*limit
 		if c.Home == ident.Region(centreName(i)) {
@@ -225,15 +226,15 @@
 				hosts += min(own, limit) + 0.05*limit
 			}
 			if i == centre && j == host {
-				mine = min(own, limit) + 0.05*limit
+				local = min(own, limit) + 0.05*limit
 			}
 		}
 		if sum > 0 {
 			centres += min(sum, limit) + floor
 		}
 		if i == centre {
-			ofCentre = min(sum, limit) + floor
+			localCentre = min(sum, limit) + floor
 		}
 	}
-	return mine / hosts * ofCentre / centres
+	return local / hosts * localCentre / centres
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,11 +1,11 @@
-// Package quota limits client accounts over all entry hosts without a central
-// counter: each host admits its share of an account's limit, and the shares
-// follow the demand.
+// Package quota enforces the limits of client accounts across all entry hosts
+// without a central counter: each host admits its share of an account's limit,
+// and the shares follow the demand.
 //
 // # Usage
 //
 //	l := quota.New(self, dataCentre)
-//	l.Place(dataCentre, region)
+//	l.SetRegion(dataCentre, region)
 //	ok, retryAfter := l.Take(now, client, tokens)
 //	l.Settle(now, account, tokens, used) // when the answer has ended
 //
@@ -18,42 +18,42 @@
 //
 // # Shares
 //
-// A data centre's share of a limit is its demand by the known demand of all
-// data centres, and a host's share is its demand by that of its data centre.
-// Demand counts what callers asked for, refused or not, up to the limit.
-// Each active place counts floorShare of the limit on top of its demand, so
-// that one whose demand has just begun gets a place; a data centre in the home
-// of the account counts homeFloor, so that the limit is first found where the
-// data is. When all know the same demand the shares add up to one.
+// A data centre's share of a limit is its demand divided by the known demand of
+// all data centres. A host's share is its demand divided by that of its data
+// centre. Demand counts all requests, admitted or refused, up to the limit.
+// Each active host or data centre adds floorShare of the limit to its demand, so
+// that one that has just become active gets a share. A data centre in the home
+// region of the account adds homeFloorShare, so that the limit is available first
+// where the data is. When all hosts know the same demand, the shares add up to one.
 //
 // # Error bound
 //
 // With L the limit, over a window of W seconds all hosts together admit at
-// most L*(W+burst)/60 and one request for each active host, once the demand
-// has been exchanged. A data centre that becomes active with demand d beside a
-// known demand K adds (d+floor)/(d+K+2*floor) of L, at most 0.52 when K is the
-// whole limit, until the others have received it. In a partition the last
-// known demand stands, so the others keep their shares and each newly active
-// part adds that much for as long as the partition lasts: k of them beside a
-// busy one admit at most 1+0.52*k times the limit. A data centre that is silent
-// and had no demand counts its floor, so that parts where nothing was known of
-// an account admit at most 1.05/(1.05+0.05*s) of the limit each, s being the
-// number of silent data centres. A data centre that was silent for
-// silentForgotten counts as gone: its callers have moved.
+// most L*(W+burst)/60 plus one request per active host, once the demand
+// has been exchanged; burst is burstWindow in seconds. A data centre that becomes
+// active with demand d next to a known demand K adds (d+floor)/(d+K+2*floor) of L,
+// at most 0.52 when K is the whole limit, until the others have received its demand.
+// During a partition the last known demand remains in force, so the others keep their
+// shares and each newly active part adds that much for as long as the partition lasts:
+// k such parts next to a busy one admit at most 1+0.52*k times the limit. A data centre
+// that is unreachable and had no demand counts its floor. Parts that knew of no demand
+// for an account therefore admit at most 1.05/(1.05+0.05*s) of the limit each, where s
+// is the number of unreachable data centres. A data centre that has been silent for
+// centreTTL counts as gone, because its callers have moved.
 //
-// Under the limit: while an old demand stands for demand that has gone, the
-// others admit that much less, for one exchange and the decay of the demand
-// (half in 7 s), or after a loss of a whole data centre for silentForgotten at
-// most. A caller that moves with all its demand finds about half of its limit
-// at the new place at first. A host that has just started and has received nothing yet admits up to
-// the whole limit, until the first digest and the first summaries.
+// Fewer requests than the limit are admitted while demand that no longer exists is
+// still counted: for one exchange plus the decay of the demand (half in 7 s), or for
+// at most centreTTL after the loss of a whole data centre. A caller that moves with
+// all its demand gets about half of its limit at the new place at first. A host
+// that has just started admits up to the whole limit until it receives the first
+// digest and the first summaries.
 //
 // # Bounds
 //
-// At most maxAccounts accounts are held. An account takes about 400 bytes, and
-// 40 to 80 for each place at which it is active: 1 KB with seven peers and four
-// data centres, 4 KB with 44. At most maxReport accounts go into
-// a summary: half for those whose demand changed most, half for all in turn.
+// The ledger holds at most maxAccounts accounts. An account takes about 400 bytes,
+// plus 40 to 80 for each place where it is active: 1 KB with seven peers and four
+// data centres, 4 KB with 44. A summary contains at most maxSummaryAccounts accounts:
+// half of them those whose demand changed most, half those that were sent longest ago.
 package quota
 
 import (
@@ -68,16 +68,16 @@
 )
 
 const (
-	// floorShare and homeFloor are what an active place counts on top of its
-	// demand, as shares of the limit.
+	// floorShare and homeFloorShare are added to the demand of an active host or data
+	// centre, as shares of the limit.
 	floorShare     = 0.05
 	homeFloorShare = 0.25
 
-	// burstWindow is how much of its rate an unused share saves up.
+	// burstWindow is how long an unused share accumulates.
 	burstWindow = 10 * time.Second
 
-	// unreachableTimeout is when a data centre counts as cut off, silentForgotten
-	// when it counts as gone.
+	// A data centre counts as unreachable after a silence of unreachableTimeout and as
+	// gone after centreTTL.
 	unreachableTimeout = 30 * time.Second
 	centreTTL          = 15 * time.Minute
 
@@ -86,24 +86,24 @@
 	maxRetryAfter = time.Minute
 )
 
-// Ledger holds the demand and the shares as one host knows them.
+// Ledger holds the demand and the shares as known to one host.
 type Ledger struct {
 	self ident.EntryID
 	dc   ident.DataCentre
 	now  ident.Time
 
 	accounts map[ident.Account]*account
-	// peers lists the accounts that each peer reported last.
+	// peers lists the accounts in the last report of each peer.
 	peers   map[ident.EntryID][]ident.Account
 	centres map[ident.DataCentre]*centre
 	regions map[ident.DataCentre]ident.Region
 	round   uint64
-	// unreachable lists the data centres that were cut off when last listened to.
-	unreachable    []ident.DataCentre
-	reachabilityAt ident.Time
+	// unreachable lists the data centres that were unreachable at reachabilityCheckedAt.
+	unreachable           []ident.DataCentre
+	reachabilityCheckedAt ident.Time
 }
 
-// account is one client account.
+// account is the state of one client account.
 type account struct {
 	name        ident.Account
 	limits      rates
@@ -117,22 +117,22 @@
 	peers   []remoteDemand[ident.EntryID]
 	centres []remoteDemand[ident.DataCentre]
 
-	// lastSent is what the last summary that held the account said.
+	// lastSent is the demand in the last summary that contained the account.
 	lastSent      rates
 	lastSentRound uint64
-	// pendingZeros counts the summaries that are still to say that the account has
-	// become inactive; more than one, since a summary may be lost.
+	// pendingZeros is the number of summaries that have yet to report the account as
+	// inactive. It starts above one because a summary may be lost.
 	pendingZeros int
 }
 
 // centre is another data centre that has reported.
 type centre struct {
 	lastSeen ident.Time
-	// reportCount counts its reportCount, for the age of what each said.
+	// reportCount numbers the reports, so that the age of an entry can be computed.
 	reportCount uint64
 }
 
-// New returns the ledger of a host that knows of no demand.
+// New returns a ledger without any known demand.
 func New(self ident.EntryID, dc ident.DataCentre) *Ledger {
 	return &Ledger{
 		self: self, dc: dc,
@@ -143,16 +143,16 @@
 	}
 }
 
-// SetRegion sets the region of a data centre, the own one included. One without a region counts
-// as away from every home.
+// SetRegion sets the region of a data centre, including the local one. A data centre
+// without a region is in no account's home region.
 func (l *Ledger) SetRegion(dc ident.DataCentre, r ident.Region) {
 	if _, ok := l.regions[dc]; ok || len(l.regions) < maxCentres {
 		l.regions[dc] = r
 	}
 }
 
-// Take admits a request of an account that asks for a number of tokens, if the
-// own share of its limits allows it. Otherwise retryAfter is when it will.
+// Take admits a request of an account that needs the given number of tokens if the
+// local share of its limits allows it. Otherwise retryAfter is the time until it will.
 func (l *Ledger) Take(now ident.Time, c rules.Client, tokens ident.Tokens) (ok bool, retryAfter time.Duration) {
 	l.advance(now)
 	if c.RequestsPerMinute <= 0 && c.TokensPerMinute <= 0 {
@@ -173,7 +173,7 @@
 	return true, 0
 }
 
-// Settle corrects a reservation by what the answer really took.
+// Settle replaces a reservation by the number of tokens that the answer used.
 func (l *Ledger) Settle(now ident.Time, name ident.Account, reserved, used ident.Tokens) {
 	l.advance(now)
 	a, ok := l.accounts[name]
@@ -184,15 +184,16 @@
 	a.tokens.take(float64(used - reserved))
 }
 
-// refill brings the buckets of an account up to now, at its present share.
+// refill brings the buckets of an account up to now at its current share.
 func (l *Ledger) refill(a *account) {
 	share := l.shares(a)
 	a.requests.refill(l.now, a.limits.requests*share.requests, 1)
 	a.tokens.refill(l.now, a.limits.tokens*share.tokens, 0)
 }
 
-// ensureAccount returns the state of an ensureAccount. Where there is no room the one that
-// was silent longest goes; its bucket starts full when it comes back.
+// ensureAccount returns the state of an account and creates it if needed. When the
+// ledger is full it evicts the account that has been idle longest, whose bucket is full
+// when it returns.
 func (l *Ledger) ensureAccount(name ident.Account) *account {
 	a, ok := l.accounts[name]
 	if ok {
@@ -216,16 +217,17 @@
 	delete(l.accounts, idlest.name)
 }
 
-// advance keeps time from going back, which would take tokens out of buckets.
+// advance moves the clock forward, never back: going back would take tokens out of the
+// buckets.
 func (l *Ledger) advance(now ident.Time) {
 	l.now = max(l.now, now)
-	if l.now.Sub(l.reachabilityAt) >= time.Second {
+	if l.now.Sub(l.reachabilityCheckedAt) >= time.Second {
 		l.updateUnreachable()
 	}
 }
 
-// sweep drops the accounts of which nothing is known that a new record would
-// not have, and the data centres that are gone.
+// sweep drops the accounts whose state equals that of a new one, and the data centres
+// that are gone.
 func (l *Ledger) sweep() {
 	for dc, c := range l.centres {
 		if l.now.Sub(c.lastSeen) >= centreTTL {
@@ -252,10 +254,11 @@
 		a.requests.full(now) && a.tokens.full(now) && a.pendingZeros == 0 && !a.lastSent.active()
 }
 
-// accountNames returns the accounts in order, so that no map order shows.
+// accountNames returns the accounts in sorted order, which keeps the output independent
+// of map order.
 func (l *Ledger) accountNames() []ident.Account { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// Demand returns the own demand for a digest, sorted by account.
+// Demand returns the local demand for a digest, sorted by account.
 func (l *Ledger) Demand(now ident.Time) []event.AccountUse {
 	l.advance(now)
 	l.sweep()
@@ -268,25 +271,25 @@
 	return uses
 }
 
-// bucket is a token bucket of which a request may take more than it holds at
-// once: the rest is a debt that is paid before the next. A large request would
-// otherwise never fit a small share.
+// bucket is a token bucket. A request for more than its capacity is admitted once the
+// bucket is full and leaves a debt that is paid before the next request; otherwise a
+// large request would never fit a small share.
 type bucket struct {
 	level float64
-	// rate is in units a second, zero for no limit.
+	// rate is in units per second, zero for no limit.
 	rate       float64
 	capacity   float64
 	refilledAt ident.Time
 }
 
-func (b *bucket) refill(now ident.Time, limit ident.PerMinute, least float64) {
-	// A bucket with no limit before starts full: what was taken from it is a
-	// debt that nothing has paid, and would shut the account out for hours on
-	// the day it is given a limit.
-	made := b.rate > 0
+func (b *bucket) refill(now ident.Time, limit ident.PerMinute, minCapacity float64) {
+	// A bucket that had no limit before starts full. What was taken from it is a debt
+	// that nothing has paid, and would block the account for hours once it is given a
+	// limit.
+	hadRate := b.rate > 0
 	b.rate = float64(limit) / time.Minute.Seconds()
-	b.capacity = max(b.rate*burstWindow.Seconds(), least)
-	if !made {
+	b.capacity = max(b.rate*burstWindow.Seconds(), minCapacity)
+	if !hadRate {
 		b.refilledAt, b.level = now, b.capacity
 		return
 	}
@@ -294,14 +297,13 @@
 	b.refilledAt = now
 }
 
-// wait returns when n units can be taken. A bucket that is full lets any
-// number go.
+// wait returns the time until n units can be taken. A full bucket admits any number.
 func (b *bucket) wait(n float64) time.Duration {
-	lack := min(n, b.capacity) - b.level
-	if b.rate == 0 || lack <= 0 {
+	missing := min(n, b.capacity) - b.level
+	if b.rate == 0 || missing <= 0 {
 		return 0
 	}
-	seconds := math.Min(lack/b.rate, maxRetryAfter.Seconds())
+	seconds := math.Min(missing/b.rate, maxRetryAfter.Seconds())
 	return max(time.Duration(math.Ceil(seconds*1e9)), 1)
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,7 +16,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// naiveReports keeps what each place said last of each account.
+// naiveReports keeps the last report of each place for each account.
 type naiveReports struct {
 	peers   map[ident.EntryID]map[ident.Account]rates
 	centres map[ident.DataCentre]map[ident.Account]rates
@@ -33,13 +33,13 @@
 
 func sumForAccount[K comparable](all map[K]map[ident.Account]rates, a ident.Account) rates {
 	var sum rates
-	for _, said := range all {
-		sum = sum.plus(said[a])
+	for _, reported := range all {
+		sum = sum.plus(reported[a])
 	}
 	return sum
 }
 
-// Late or doubled reports leave a share that never comes back.
+// Guards against late or duplicate reports leaving demand behind that never expires.
 func TestReportsAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New("me", "here")
@@ -103,7 +103,8 @@
 	})
 }
 
-// After lost summaries an account never has its turn and is admitted in full everywhere.
+// Guards against lost summaries: an account that is never sent again would be admitted
+// in full everywhere.
 func TestLostSummariesAreRepaired(t *testing.T) {
 	from, to := New("f", "from"), New("t", "to")
 	now := ident.Time(0)
@@ -113,7 +114,7 @@
 		if len(uses) > maxSummaryAccounts || !slices.IsSortedFunc(uses, func(a, b event.AccountUse) int {
 			return strings.Compare(string(a.Account), string(b.Account))
 		}) {
-			t.Fatalf("summary of %d accounts, or not sorted", len(uses))
+			t.Fatalf("summary of %d accounts is too large or not sorted", len(uses))
 		}
 		if !lost {
 			to.CentreReport(now, "from", uses)
@@ -130,21 +131,22 @@
 	if got := len(to.accountNames()); got != 100 {
 		t.Errorf("%d of 100 accounts have reached the other data centre", got)
 	}
-	now = now.Add(5 * time.Minute) // all demand has gone
+	now = now.Add(5 * time.Minute) // all demand has decayed
 	for i := range 21 {
 		round(i < 7)
 	}
 	for _, name := range to.accountNames() {
 		if ps := to.accounts[name].centres; len(ps) > 0 {
-			t.Errorf("%s still has demand of %+v", name, ps)
+			t.Errorf("%s still has remote demand %+v", name, ps)
 		}
 	}
 	if got := len(from.accountNames()); got != 0 {
-		t.Errorf("%d accounts are kept for nothing", got)
+		t.Errorf("%d idle accounts were not dropped", got)
 	}
 }
 
-// A lost report of inactivity keeps an account short of its limit for good.
+// Guards against a lost report of inactivity that keeps an account below its limit for
+// ever.
 func TestStaleReportExpires(t *testing.T) {
 	l := New("me", "here")
 	l.CentreReport(0, "x", []event.AccountUse{{Account: "acme", Requests: 600}})
@@ -155,11 +157,12 @@
 		got = append(got, l.shares(l.accounts["acme"]).requests == 1)
 	}
 	if first := slices.Index(got, true); first != maxReportsSince {
-		t.Errorf("the old demand lapses after %d reports, want %d", first, maxReportsSince)
+		t.Errorf("stale demand expires after %d reports, want %d", first, maxReportsSince)
 	}
 }
 
-// A caller that returns after Retry-After is refused again, or could have returned sooner.
+// Guards against a Retry-After that is too short, so that the caller is refused again,
+// or too long.
 func TestRetryAfterIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New("me", "here")
@@ -178,39 +181,39 @@
 				continue
 			}
 			if after <= 0 || after > maxRetryAfter {
-				t.Fatalf("refused, and to come back after %v", after)
+				t.Fatalf("refused with invalid Retry-After %v", after)
 			}
 			if early, _ := l.Take(now.Add(after-after/4-time.Microsecond), c, n); early && after > time.Millisecond {
-				t.Fatalf("admitted before %v had passed", after)
+				t.Fatalf("admitted before Retry-After %v had passed", after)
 			}
 			now = now.Add(after + time.Microsecond)
 			if ok, again := l.Take(now, c, n); !ok && after < maxRetryAfter {
-				t.Fatalf("refused after %v, and to come back after %v more", after, again)
+				t.Fatalf("refused again after Retry-After %v, new Retry-After %v", after, again)
 			}
 			used += n
-			most := float64(c.TokensPerMinute)*time.Duration(now).Minutes() + float64(c.TokensPerMinute)/6 + 400
-			if float64(used) > most {
-				t.Fatalf("%d tokens admitted in %v, at most %v may be", used, time.Duration(now), most)
+			maxTokens := float64(c.TokensPerMinute)*time.Duration(now).Minutes() + float64(c.TokensPerMinute)/6 + 400
+			if float64(used) > maxTokens {
+				t.Fatalf("%d tokens admitted in %v, want at most %v", used, time.Duration(now), maxTokens)
 			}
 		}
 	})
 }
 
-// Tokens that were reserved and not used stay charged.
+// Guards against reserved tokens that were not used staying charged.
 func TestSettleRefundsUnusedTokens(t *testing.T) {
 	l := New("me", "here")
 	c := rules.Client{Name: "acme", TokensPerMinute: 600}
 	l.Take(0, c, 100)
 	if ok, _ := l.Take(0, c, 100); ok {
-		t.Errorf("admitted with nothing left")
+		t.Errorf("admitted with no tokens left")
 	}
 	l.Settle(0, c.Name, 100, 0)
 	if ok, after := l.Take(0, c, 100); !ok {
-		t.Errorf("refused after the tokens were given back, to come back after %v", after)
+		t.Errorf("refused after the refund of the tokens, Retry-After %v", after)
 	}
 }
 
-// An account that was idle for long sends all that it saved up at once.
+// Guards against a long idle account sending more than one burst at once.
 func TestIdleAccountSavesOneBurst(t *testing.T) {
 	l := New("me", "here")
 	l.Take(0, limitedClient, 0)
@@ -223,7 +226,7 @@
 	}
 }
 
-// Use from before a limit was set counts against it.
+// Guards against use from before a limit was set counting against it.
 func TestNewLimitIgnoresEarlierUse(t *testing.T) {
 	l := New("me", "here")
 	c := rules.Client{Name: "acme", RequestsPerMinute: 1e6}
@@ -232,11 +235,12 @@
 	}
 	c.TokensPerMinute = 6000
 	if ok, after := l.Take(ident.Time(time.Second), c, 1); !ok {
-		t.Errorf("refused, to come back after %v", after)
+		t.Errorf("refused with Retry-After %v", after)
 	}
 }
 
-// Reports with invalid rates or without number spoil the shares or fill the memory.
+// Guards against invalid rates that corrupt the shares, and against unbounded memory
+// when accounts or data centres are without number.
 func TestLedgerBounded(t *testing.T) {
 	l := New("me", "here")
 	nan := ident.PerMinute(0)
@@ -255,12 +259,12 @@
 		l.CentreReport(0, ident.DataCentre(fmt.Sprint(i)), []event.AccountUse{{Account: ident.Account(fmt.Sprint(i)), Requests: 1}})
 	}
 	if len(l.accounts) > maxAccounts || len(l.centres) > maxCentres {
-		t.Errorf("%d accounts of %d data centres are held", len(l.accounts), len(l.centres))
+		t.Errorf("ledger exceeds its bounds: %d accounts, %d data centres", len(l.accounts), len(l.centres))
 	}
 }
 
-// BenchmarkLedger measures a Take and the memory of an account, with 890
-// accounts that are active at 7 peers and some of 44 other data centres.
+// BenchmarkLedger measures a Take and the memory of an account, with 890 accounts that
+// are active at 7 peers and some of 44 other data centres.
 func BenchmarkLedger(b *testing.B) {
 	for _, active := range []int{4, 44} {
 		b.Run(fmt.Sprint("centres=", active), func(b *testing.B) {
@@ -279,11 +283,11 @@
 				l.PeerDemand(0, ident.EntryID(fmt.Sprint("p", i)), uses)
 			}
 			for i := range 44 {
-				said := uses
+				reported := uses
 				if i >= active {
-					said = nil
+					reported = nil
 				}
-				l.CentreReport(0, ident.DataCentre(fmt.Sprint("dc", i)), said)
+				l.CentreReport(0, ident.DataCentre(fmt.Sprint("dc", i)), reported)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -12,21 +12,21 @@
 const (
 	// maxSummaryAccounts bounds the accounts in a summary, of 17 bytes each.
 	maxSummaryAccounts = 16
-	// maxReportsSince is how many reports of a data centre what it said of an
-	// account outlives. It exceeds the rounds in which every account has its
-	// turn, and counts reports rather than time so that it stands while the
-	// data centre is cut off.
+	// An entry of a data centre's report expires after maxReportsSince later reports
+	// that don't repeat it. This exceeds the number of rounds in which every account is
+	// sent once. Reports are counted rather than time so that entries persist while the
+	// data centre is unreachable.
 	maxReportsSince = 256
-	// inactiveRepeats is how often it is said that an account became inactive.
+	// inactiveRepeats is the number of summaries that report an account as inactive.
 	inactiveRepeats = 3
-	// tokensPerRequest weighs a change in tokens against one in requests.
+	// tokensPerRequest is the weight of a change in tokens relative to one in requests.
 	tokensPerRequest = 500
-	// minChange is the share of the demand that counts as no change.
+	// minChange is the relative change of demand up to which it counts as unchanged.
 	minChange = 0.1
 )
 
-// PeerDemand takes the demand of a host of the own data centre, which replaces
-// what it said before.
+// PeerDemand stores the demand reported by a host of the local data centre, replacing
+// its previous report.
 func (l *Ledger) PeerDemand(now ident.Time, from ident.EntryID, uses []event.AccountUse) {
 	l.advance(now)
 	if from == l.self {
@@ -47,7 +47,7 @@
 	l.peers[from] = names
 }
 
-// DropPeer forgets the demand of a host of the own data centre that has gone.
+// DropPeer removes the demand of a host of the local data centre that has gone.
 func (l *Ledger) DropPeer(entry ident.EntryID) {
 	for _, name := range l.peers[entry] {
 		if a, ok := l.accounts[name]; ok {
@@ -57,7 +57,8 @@
 	delete(l.peers, entry)
 }
 
-// CentreSeen records that a message of another data centre came, with or without its demand.
+// CentreSeen records that a message from another data centre has arrived, with or
+// without its demand.
 func (l *Ledger) CentreSeen(now ident.Time, dc ident.DataCentre) {
 	l.advance(now)
 	c, ok := l.centres[dc]
@@ -72,8 +73,8 @@
 	l.updateUnreachable()
 }
 
-// CentreReport takes the demand of another data centre. An account that it
-// doesn't name keeps what was said of it before.
+// CentreReport stores the demand of another data centre. Accounts missing from the
+// report keep their previous values.
 func (l *Ledger) CentreReport(now ident.Time, dc ident.DataCentre, uses []event.AccountUse) {
 	l.CentreSeen(now, dc)
 	c, ok := l.centres[dc]
@@ -99,24 +100,24 @@
 	a.centres = upsert(a.centres, remoteDemand[ident.DataCentre]{id: dc, rate: r, reportNumber: c.reportCount})
 }
 
-// isCurrent reports whether what a data centre said still counts.
+// isCurrent reports whether an entry from a data centre's report still counts.
 func (l *Ledger) isCurrent(p *remoteDemand[ident.DataCentre]) bool {
 	c, ok := l.centres[p.id]
 	return ok && c.reportCount-p.reportNumber <= maxReportsSince
 }
 
-// summaryCandidate is an account that may go into a summary.
+// summaryCandidate is an account that may be included in a summary.
 type summaryCandidate struct {
 	*account
 	rate rates
-	// change is how far the demand has moved since it was last sent, zero if
-	// that is little.
+	// change is the difference between the demand and the value last sent, zero if it
+	// is at most minChange of that value.
 	change float64
 }
 
-// CentreDemand returns the demand of the own data centre for a summary. It
-// records what it returns: call it once a round and send the same to all. The turns of
-// the accounts repair a lost one.
+// CentreDemand returns the demand of the local data centre for a summary. It records
+// what it returns, so call it once a round and send the same summary to all. A lost
+// summary is repaired when its accounts are next sent.
 func (l *Ledger) CentreDemand(now ident.Time) []event.AccountUse {
 	l.advance(now)
 	l.sweep()
@@ -139,10 +140,10 @@
 	return uses
 }
 
-// selectForSummary picks what goes into a summary: for half of the places those that
-// changed most, and for the rest those that waited longest. Were all places
-// given by change, a few large accounts that change all the time would keep
-// the others out for ever, and what was lost of these would stay lost.
+// selectForSummary picks the accounts of a summary: half are those that changed most,
+// the rest those that were sent longest ago. Selection by change alone would let a few
+// large accounts that change all the time exclude the others for ever, and their lost
+// reports would never be repeated.
 func selectForSummary(all []summaryCandidate) []summaryCandidate {
 	slices.SortStableFunc(all, func(a, b summaryCandidate) int {
 		return cmp.Or(cmp.Compare(b.change, a.change), cmp.Compare(a.lastSentRound, b.lastSentRound))
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -9,16 +9,16 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// decayPerSecond is what remains of a demand after one second.
+// decayPerSecond is the factor by which a demand decays each second.
 const decayPerSecond = 0.9
 
-// Least rates at which an account counts as active.
+// Minimum rates at which an account counts as active.
 const (
 	minActiveRequests ident.PerMinute = 0.05
 	minActiveTokens   ident.PerMinute = 1
 )
 
-// rates is a demand or limit in requests and tokens a minute.
+// rates is a demand or limit in requests and tokens per minute.
 type rates struct {
 	requests ident.PerMinute
 	tokens   ident.PerMinute
@@ -34,16 +34,16 @@
 	return rates{requests: r.requests * f, tokens: r.tokens * f}
 }
 
-func (r rates) capped(most rates) rates {
-	return rates{requests: min(r.requests, most.requests), tokens: min(r.tokens, most.tokens)}
+func (r rates) capped(limit rates) rates {
+	return rates{requests: min(r.requests, limit.requests), tokens: min(r.tokens, limit.tokens)}
 }
 
 func (r rates) accountUse(name ident.Account) event.AccountUse {
 	return event.AccountUse{Account: name, Requests: r.requests, Tokens: r.tokens}
 }
 
-// ratesOf reads a report. What is no sensible rate counts as none: a NaN would
-// spread to every share that it is added to.
+// ratesOf reads a report. An invalid rate counts as zero: a NaN would spread to every
+// share that it is added to.
 func ratesOf(u event.AccountUse) rates {
 	return rates{requests: validRate(u.Requests), tokens: validRate(u.Tokens)}
 }
@@ -55,17 +55,18 @@
 	return 0
 }
 
-// demand is a smoothed rate: each second a tenth of the weight of what came
-// before is lost. It decays all the time and not in steps: with a step each
-// second a report made after the step lies below the demand that its reader
-// compares it with, and the shares add up to more than the limit.
+// demand is an exponentially smoothed rate that loses a tenth of its value each second.
+// It decays continuously: with a step each second, a report made after the step would
+// be lower than the demand that its receiver compares it with, and the shares would add
+// up to more than the limit.
 type demand struct {
 	rate      rates
 	updatedAt ident.Time
 }
 
 func (d *demand) add(now ident.Time, tokens ident.Tokens) {
-	// perMinute is -ln(decay)*60, so that a steady demand reads as itself.
+	// perMinute is -ln(decayPerSecond)*60, which makes a steady demand converge to its
+	// true rate.
 	const perMinute = 6.321630939
 	d.rate = d.rateAt(now)
 	d.updatedAt = now
@@ -82,7 +83,7 @@
 type remoteDemand[T cmp.Ordered] struct {
 	id   T
 	rate rates
-	// reportNumber is the number of the reportNumber that contained it.
+	// reportNumber is the number of the report that contained the demand.
 	reportNumber uint64
 }
 
@@ -106,7 +107,7 @@
 	return ps
 }
 
-// demandSum gathers demand, capped at the limits: a caller that asks for more
+// demandSum adds up demand, each part capped at the limits: a caller that asks for more
 // than its limit at one place must not starve the others.
 type demandSum struct {
 	limits rates
@@ -123,7 +124,7 @@
 	s.total = s.total.plus(r.capped(s.limits)).plus(s.limits.times(floor))
 }
 
-// shares returns the own share of each limit of an account.
+// shares returns the local share of each limit of an account.
 func (l *Ledger) shares(a *account) rates {
 	sum := a.localDemand.rateAt(l.now)
 	hosts := demandSum{limits: a.limits}
@@ -157,7 +158,7 @@
 	return part / whole
 }
 
-// floorFor is what a data centre counts on top of its demand.
+// floorFor returns the share of the limit that is added to the demand of a data centre.
 func (l *Ledger) floorFor(a *account, dc ident.DataCentre) ident.PerMinute {
 	if a.home != "" && l.regions[dc] == a.home {
 		return homeFloorShare
@@ -165,10 +166,10 @@
 	return floorShare
 }
 
-// updateUnreachable finds the data centres that are cut off. They may have demand that
-// has begun since, so each counts its floor for every account.
+// updateUnreachable finds the unreachable data centres. They may have become active
+// since their last report, so each counts its floor for every account.
 func (l *Ledger) updateUnreachable() {
-	l.reachabilityAt = l.now
+	l.reachabilityCheckedAt = l.now
 	l.unreachable = l.unreachable[:0]
 	for dc, c := range l.centres {
 		if l.now.Sub(c.lastSeen) >= unreachableTimeout {
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -1,5 +1,5 @@
-// Package rank orders hosts and targets by rendezvous hashing, so that many
-// hosts agree on who does what without asking each other.
+// Package rank orders hosts and targets by rendezvous hashing, so that hosts
+// agree on an assignment without communication.
 //
 // # Usage
 //
@@ -7,28 +7,27 @@
 //
 //	h := rank.Hash("watch", string(host.ID))
 //
-// When a candidate goes, only the keys that it held move. Scores with weights
-// give each candidate a share of the keys by its weight:
+// When a candidate is removed, only its own keys move. Weighted scores give each
+// candidate a share of the keys in proportion to its weight:
 //
 //	s := rank.Score(rank.Hash(key, id), slots)
 //
-// The hash is the same in every process and on every run. It is no defence
-// against someone who picks the keys.
+// The hash is the same in every process and on every run. It does not resist an
+// attacker who chooses the keys.
 package rank
 
 import "math"
 
-// The constants of FNV-1a with 64 bits.
+// Constants of 64-bit FNV-1a.
 const (
 	offset64 = 14695981039346656037
 	prime64  = 1099511628211
 )
 
-// mantissaBits is the number of bits of a float64 between 0 and 1 that a hash can
-// fill.
+// mantissaBits is the number of hash bits that Unit keeps in a float64.
 const mantissaBits = 53
 
-// Hash returns a hash of the parts. The boundaries between parts count.
+// Hash returns a hash of the parts. Boundaries between parts are significant.
 func Hash(parts ...string) uint64 {
 	h := uint64(offset64)
 	for _, p := range parts {
@@ -43,8 +42,8 @@
 // Combine returns a hash of a hash and a number.
 func Combine(h, n uint64) uint64 { return Mix(h ^ Mix(n+offset64)) }
 
-// Mix spreads each bit of h over all others. FNV alone leaves the high bits of
-// keys alike that differ in their last letter.
+// Mix spreads each bit of h over all others. Plain FNV gives keys that differ only in
+// their last character almost equal high bits.
 func Mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
@@ -53,12 +52,12 @@
 	return h ^ h>>31
 }
 
-// Unit returns h as a number above 0 and below 1.
+// Unit maps h to a number strictly between 0 and 1.
 func Unit(h uint64) float64 {
 	return (float64(h>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
 }
 
-// Score returns the score of a candidate with a weight: of many keys, each
+// Score returns the score of a candidate with the given weight. Over many keys, each
 // candidate wins a share in proportion to its weight.
 func Score(h uint64, weight float64) float64 {
 	if weight <= 0 {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,24 +1,24 @@
-// Package retry bounds how often requests are tried again, so that the failure
-// of a region does not multiply the load on the others.
+// Package retry limits the number of retries, so that the failure of a region
+// does not multiply the load on the others.
 //
 // # Usage
 //
 //	var b retry.Budget
-//	b.Arrived(now) // for each request of a caller
+//	b.RecordArrival(now) // for each request of a caller
 //	if tries < retry.MaxTries && b.Spend(now) {
 //		// try again after retry.Backoff(tries, id)
 //	}
 //
-// Without a budget, each request that fails at a region that is gone is sent
-// MaxTries times, and the other regions see up to three times their load just
-// when capacity is short. With it, the sends of a window are at most its
-// arrivals times 1+Share, plus Floor. A retry that is refused is the final
-// answer at once. A stream that goes on elsewhere after it had given tokens is
-// bound by MaxTries alone, since it asks only for those that are left.
+// Without a budget, each request that fails at a lost region is sent MaxTries
+// times, and the other regions receive up to three times their load just when
+// capacity is short. With it, the sends of a window are at most its arrivals
+// times 1+Ratio, plus MinRetries. When a retry is refused, the request fails at
+// once. A stream that continues at another target after it has returned tokens
+// is limited by MaxTries alone, since it requests only the remaining tokens.
 //
 // # Bounds
 //
-// A Budget is one fixed array of counts, with no memory for each request.
+// A Budget is one fixed array of counts and keeps no state per request.
 package retry
 
 import (
@@ -29,14 +29,14 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// MaxTries bounds the tries of one request, the first included.
+// MaxTries is the maximum number of tries of one request, including the first.
 const MaxTries = 3
 
 const (
-	// defaultRatio is high enough for the failure of single targets, and low
-	// enough that a region that is gone adds a tenth to the load.
+	// defaultRatio is high enough for the failure of single targets, and low enough
+	// that a lost region adds only a tenth to the load.
 	defaultRatio = 0.1
-	// defaultMinRetries lets a host that sees few requests retry at all.
+	// defaultMinRetries allows retries on a host that receives few requests.
 	defaultMinRetries = 3
 
 	slotDuration = time.Second
@@ -46,17 +46,17 @@
 	maxBackoff     = time.Second
 )
 
-// Window is the time that a Budget looks back on.
+// Window is the period over which a Budget counts.
 const Window = slotCount * slotDuration
 
-// Budget counts arrivals and retries of the last Window. The zero Budget has
-// the default share and floor.
+// Budget counts the arrivals and retries of the last Window. The zero Budget uses the
+// default ratio and minimum.
 type Budget struct {
-	// Ratio is the most retries for each arrival. Zero stands for the
-	// default, a negative share for none.
+	// Ratio is the maximum number of retries per arrival. Zero selects the default, a
+	// negative value allows none.
 	Ratio float64
-	// MinRetries is the number of retries in a Window that need no arrivals. Zero
-	// stands for the default, a negative floor for none.
+	// MinRetries is the number of retries per Window that are allowed regardless of
+	// arrivals. Zero selects the default, a negative value allows none.
 	MinRetries int
 
 	slot     int64
@@ -64,13 +64,13 @@
 	retries  [slotCount]int
 }
 
-// RecordArrival records a request of a caller; retries don't count.
+// RecordArrival records a caller's request. Retries are not arrivals.
 func (b *Budget) RecordArrival(now ident.Time) {
 	b.advance(now)
 	b.arrivals[b.slot%slotCount]++
 }
 
-// Spend reports whether a request may be tried again, and records the try.
+// Spend reports whether a request may be retried, and if so records the retry.
 func (b *Budget) Spend(now ident.Time) bool {
 	b.advance(now)
 	if float64(sum(b.retries)+1) > b.allowed() {
@@ -80,36 +80,36 @@
 	return true
 }
 
-// Usage returns the retries of the window and the most that are allowed.
-func (b *Budget) Usage(now ident.Time) (spent int, allowed float64) {
+// Usage returns the retries in the window and the number allowed.
+func (b *Budget) Usage(now ident.Time) (retries int, allowed float64) {
 	b.advance(now)
 	return sum(b.retries), b.allowed()
 }
 
 func (b *Budget) allowed() float64 {
-	share, floor := b.Ratio, b.MinRetries
-	if share == 0 {
-		share = defaultRatio
+	ratio, minRetries := b.Ratio, b.MinRetries
+	if ratio == 0 {
+		ratio = defaultRatio
 	}
-	if floor == 0 {
-		floor = defaultMinRetries
+	if minRetries == 0 {
+		minRetries = defaultMinRetries
 	}
-	return max(share, 0)*float64(sum(b.arrivals)) + float64(max(floor, 0))
+	return max(ratio, 0)*float64(sum(b.arrivals)) + float64(max(minRetries, 0))
 }
 
-// advance empties the slots that time has passed over.
+// advance clears the slots between the last call and now.
 func (b *Budget) advance(now ident.Time) {
-	to := int64(now) / int64(slotDuration)
-	for n := 0; b.slot < to && n < slotCount; n++ {
+	current := int64(now) / int64(slotDuration)
+	for n := 0; b.slot < current && n < slotCount; n++ {
 		b.slot++
 		b.arrivals[b.slot%slotCount] = 0
 		b.retries[b.slot%slotCount] = 0
 	}
-	if b.slot >= to {
+	if b.slot >= current {
 		return
 	}
-	// More than a window has passed, and every slot is empty.
-	b.slot = to
+	// More than a window has passed: all slots are already clear.
+	b.slot = current
 }
 
 func sum(counts [slotCount]int) int {
@@ -120,19 +120,19 @@
 	return total
 }
 
-// Backoff returns the pause after the n-th try of a request, counted from 1.
-// It doubles up to a second. A digest of the request's id spreads it over its
-// upper half, so that requests that failed together don't return together; it
-// needs no random number and is the same on every run.
+// Backoff returns the delay after the n-th try of a request, counted from 1. It doubles
+// with each try up to maxBackoff. A hash of the request id adds jitter over the upper
+// half of the delay, so that requests that failed together are not retried together.
+// The hash needs no random number and makes runs reproducible.
 func Backoff(n int, id ident.RequestID) time.Duration {
-	pause := initialBackoff
-	for i := 1; i < n && pause < maxBackoff; i++ {
-		pause *= 2
+	delay := initialBackoff
+	for i := 1; i < n && delay < maxBackoff; i++ {
+		delay *= 2
 	}
-	pause = min(pause, maxBackoff)
+	delay = min(delay, maxBackoff)
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(n)))
-	half := pause / 2
+	half := delay / 2
 	return half + time.Duration(h.Sum64()%uint64(half))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -16,7 +16,7 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// naive keeps the time of everything that ever happened.
+// naive keeps the time of every arrival and retry.
 type naive struct{ arrivals, retries []ident.Time }
 
 func countInWindow(ts []ident.Time, now ident.Time) int {
@@ -29,15 +29,16 @@
 	return n
 }
 
-func (n *naive) spend(now ident.Time, share float64, floor int) bool {
-	ok := float64(countInWindow(n.retries, now)+1) <= share*float64(countInWindow(n.arrivals, now))+float64(floor)
+func (n *naive) spend(now ident.Time, ratio float64, minRetries int) bool {
+	ok := float64(countInWindow(n.retries, now)+1) <= ratio*float64(countInWindow(n.arrivals, now))+float64(minRetries)
 	if ok {
 		n.retries = append(n.retries, now)
 	}
 	return ok
 }
 
-// Requests and failures come in bursts, and time jumps.
+// Guards against miscounted slots when requests and failures come in bursts and time
+// jumps.
 func TestBudgetAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Budget{Ratio: 0.25, MinRetries: 2}
@@ -63,7 +64,7 @@
 	})
 }
 
-// Retries multiply the load of a region that fails.
+// Guards against retries multiplying the load of a region that fails.
 func TestNoRetryStorm(t *testing.T) {
 	var b Budget
 	arrivals, sends := 0, 0
@@ -77,13 +78,13 @@
 		}
 	}
 	windows := 60_000 * time.Millisecond / Window
-	most := float64(arrivals)*(1+defaultRatio) + float64(windows)*defaultMinRetries
-	if float64(sends) > most || sends <= arrivals {
-		t.Errorf("%d sends for %d arrivals, want more than the arrivals and at most %v", sends, arrivals, most)
+	maxSends := float64(arrivals)*(1+defaultRatio) + float64(windows)*defaultMinRetries
+	if float64(sends) > maxSends || sends <= arrivals {
+		t.Errorf("%d sends for %d arrivals, want more than the arrivals and at most %v", sends, arrivals, maxSends)
 	}
 }
 
-// Requests that failed together are retried at the same moment.
+// Guards against requests that failed together being retried at the same moment.
 func TestBackoffSpreads(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for _, id := range []ident.RequestID{"a", "b", "c", "d"} {
@@ -91,16 +92,16 @@
 		for n := 1; n <= 5; n++ {
 			got := Backoff(n, id)
 			if got < last || got >= initialBackoff<<(n-1) || got < initialBackoff<<(n-1)/2 {
-				t.Errorf("pause %d of %s: %v after %v", n, id, got, last)
+				t.Errorf("backoff %d of %s: %v after %v", n, id, got, last)
 			}
 			last = got
 		}
 		seen[last] = true
 		if got := Backoff(100, id); got > maxBackoff {
-			t.Errorf("pause 100: %v", got)
+			t.Errorf("backoff 100 exceeds the maximum: %v", got)
 		}
 	}
 	if len(seen) != 4 {
-		t.Errorf("%d pauses for 4 requests", len(seen))
+		t.Errorf("%d distinct backoffs for 4 requests", len(seen))
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,18 +1,18 @@
 // Package spread holds the configuration in force at one entry host and
-// decides how changes reach it and go on: from the platform, from peers of
-// the same data centre, and from other data centres.
+// distributes its changes: from the platform, from peers of the same data
+// centre, and from other data centres.
 //
 // # Usage
 //
 //	sp := spread.New(self)
-//	effs := sp.Changes(now, ev, peers)
-//	effs = append(effs, sp.Tick(now, watches)...)
+//	effs := sp.ApplyChanges(now, ev, peers)
+//	effs = append(effs, sp.Tick(now, isWatcher)...)
 //
-// One host of a data centre watches the platform and pushes each change to the others. A host
-// that observes a higher revision than its own asks for what it lacks, so that the next
-// heartbeat repairs a lost push, and a data centre that is cut off from the platform
-// learns from another one. A book is only replaced by one of a higher revision, so that
-// no change reverts.
+// One host of a data centre watches the platform and pushes each change to the others.
+// A host that sees a higher revision than its own asks for the missing changes. The next
+// heartbeat thereby repairs a lost push, and a data centre that is cut off from the
+// platform gets changes from another one. A book is replaced only by one of a higher
+// revision, so that no change is reverted.
 //
 // The state belongs to the reducer and reads no clock.
 package spread
@@ -27,34 +27,34 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Times of the spreading.
+// Timeouts and intervals of the distribution.
 const (
-	// watchTimeout bounds the silence of a watch. It is longer than the longest wait of
-	// one.
+	// watchTimeout is the time without an answer after which a watch is restarted. It
+	// is longer than the longest time for which the platform holds a watch.
 	watchTimeout = 40 * time.Second
-	// minBackoff and backoffMax bound the wait after a failed call to the
-	// platform. With the part that each host adds, the longest wait is one and
-	// a half times backoffMax. It has to stay under the time in which a change
-	// is to be in force: a data centre that the platform's return finds waiting
-	// has no other way to a change while it is cut off from the others.
+	// minBackoff and maxBackoff bound the delay after a failed call to the platform.
+	// With the jitter of each host, the longest delay is one and a half times
+	// maxBackoff. It must stay below the time in which a change has to be in force: a
+	// data centre that is cut off from the others when the platform recovers gets the
+	// change only by its own retry.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 2500 * time.Millisecond
-	// peerAskInterval is the time between two questions to one peer.
+	// peerAskInterval is the minimum time between two queries to the same peer.
 	peerAskInterval = 500 * time.Millisecond
-	// answerTimeout is how long an answer is waited for before another peer is asked, doubled with
-	// each question in vain up to askMost.
+	// answerTimeout is how long the host waits for an answer before it asks another
+	// peer. It doubles with each unanswered query up to maxAnswerTimeout.
 	answerTimeout    = time.Second
 	maxAnswerTimeout = 4 * time.Second
 )
 
-// maxRecentChanges is how many changes are kept to be sent one by one; a peer that
+// maxRecentChanges bounds the changes that are kept to be sent one by one. A peer that
 // lacks more gets the whole book.
 const maxRecentChanges = 64
 
-// maxAskedPeers bounds the peers whose last question is remembered.
+// maxAskedPeers bounds the peers whose last query is remembered.
 const maxAskedPeers = 1024
 
-// Distributor is the state.
+// Distributor is the configuration in force and the state of its distribution.
 type Distributor struct {
 	self          event.Host
 	book          *rules.Book
@@ -68,27 +68,28 @@
 	answeredAt   ident.Time
 	hasAnswer    bool
 	lastAsked    map[ident.EntryID]ident.Time
-	// askedAt is when any peer was last asked, unanswered how many questions
-	// since the last change in force brought none.
+	// askedAt is the time of the last query to any peer. unanswered counts the queries
+	// since the last change came into force.
 	askedAt    ident.Time
 	unanswered int
-	// platformProgressAt is when an answer of the platform was last seen to arrive.
+	// platformProgressAt is the last time at which an answer of the platform was in
+	// transfer.
 	platformProgressAt ident.Time
-	// platformFirst says that the platform is asked before a peer.
+	// platformFirst makes the host query the platform before a peer.
 	platformFirst bool
 }
 
-// SetPlatformFirst has a higher revision be read from the platform, and from a peer only if that
-// fails. Where few hosts read the platform for all, their links could not carry the book to all
-// of them.
-func (s *Distributor) SetPlatformFirst(yes bool) { s.platformFirst = yes }
+// SetPlatformFirst selects whether a higher revision is read from the platform first,
+// and from a peer only if that fails. When few hosts read the platform for all others,
+// their links can't carry the book to all of them.
+func (s *Distributor) SetPlatformFirst(enabled bool) { s.platformFirst = enabled }
 
 // New returns the state of a host without a configuration.
 func New(self event.Host) *Distributor {
 	return &Distributor{self: self, lastAsked: make(map[ident.EntryID]ident.Time)}
 }
 
-// Book returns the configuration in force, nil before the first.
+// Book returns the configuration in force, or nil if there is none yet.
 func (s *Distributor) Book() *rules.Book { return s.book }
 
 // Revision returns the revision in force.
@@ -99,31 +100,31 @@
 	return now.Sub(s.answeredAt), s.hasAnswer
 }
 
-// PlatformFailing reports whether this host is meant to watch and has not been answered
-// for a while.
+// PlatformFailing reports whether this host has to watch the platform and its last call
+// failed.
 func (s *Distributor) PlatformFailing() bool { return s.failures > 0 }
 
-// ApplyChanges takes changes from the platform or a peer and pushes those that are
-// new to peers.
+// ApplyChanges applies changes from the platform or a peer and pushes the new ones to
+// the peers.
 func (s *Distributor) ApplyChanges(now ident.Time, ev event.ChangesReceived, peers []event.Host) []event.Effect {
 	fromPlatform := ev.From == ""
 	var effs []event.Effect
-	var fresh []rules.Change
+	var applied []rules.Change
 	for _, c := range ev.Changes {
 		next, err := s.book.Apply(c)
 		if err != nil {
-			// An old change, one with a gap before it, or one that this
-			// version can't read. Nothing of it may be put in force.
+			// An old change, one after a gap, or one that this version can't read. No
+			// part of it may come into force.
 			continue
 		}
 		s.book = next
 		s.addRecent(c)
-		fresh = append(fresh, c)
+		applied = append(applied, c)
 	}
-	if len(fresh) > 0 {
+	if len(applied) > 0 {
 		s.unanswered = 0
 		effs = append(effs, event.InForceNow{Book: s.book})
-		effs = s.push(effs, ev.From, fresh, peers)
+		effs = s.push(effs, ev.From, applied, peers)
 	}
 	if fromPlatform {
 		s.platformAnswered(now)
@@ -132,9 +133,9 @@
 	return effs
 }
 
-// push sends fresh changes to the peers of the data centre, unless one of
-// them sent them and has done the same.
-func (s *Distributor) push(effs []event.Effect, from ident.EntryID, fresh []rules.Change, peers []event.Host) []event.Effect {
+// push sends new changes to the peers of the data centre, unless they came from one of
+// these peers, which has already pushed them.
+func (s *Distributor) push(effs []event.Effect, from ident.EntryID, applied []rules.Change, peers []event.Host) []event.Effect {
 	for _, h := range peers {
 		if h.ID == from {
 			return effs
@@ -143,7 +144,7 @@
 	if len(peers) == 0 {
 		return effs
 	}
-	return append(effs, event.SendChanges{To: peers, Changes: fresh})
+	return append(effs, event.SendChanges{To: peers, Changes: applied})
 }
 
 func (s *Distributor) addRecent(c rules.Change) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// ApplySnapshot takes a whole book.
+// ApplySnapshot replaces the book if the new one has a higher revision.
 func (s *Distributor) ApplySnapshot(now ident.Time, ev event.SnapshotReceived) []event.Effect {
 	if ev.From == "" {
 		s.platformAnswered(now)
@@ -169,7 +170,7 @@
 	return []event.Effect{event.InForceNow{Book: s.book}}
 }
 
-// AnswerPeer answers a peer that asks for all after a revision.
+// AnswerPeer answers a peer's query for all changes after a revision.
 func (s *Distributor) AnswerPeer(to event.Host, after ident.Revision) []event.Effect {
 	if after >= s.Revision() {
 		return nil
@@ -182,9 +183,9 @@
 	return []event.Effect{event.SendSnapshot{To: to, Book: s.book}}
 }
 
-// RevisionSeen handles the revision of another host, and asks for what this one lacks. One peer is
-// asked at a time, since a host that starts observes a higher revision at all its peers and
-// each would send the whole book.
+// RevisionSeen handles the revision of another host and asks for missing changes. It
+// asks one peer at a time: a host that starts sees a higher revision at all its peers,
+// and each of them would send the whole book.
 func (s *Distributor) RevisionSeen(now ident.Time, host event.Host, rev ident.Revision) []event.Effect {
 	if rev <= s.Revision() {
 		return nil
@@ -212,11 +213,12 @@
 	return []event.Effect{event.AskChanges{To: host, After: s.Revision()}}
 }
 
-// PlatformProgress records that an answer of the platform is arriving.
+// PlatformProgress records that an answer of the platform is in transfer.
 func (s *Distributor) PlatformProgress(now ident.Time) { s.platformProgressAt = now }
 
-// platformAnswerArriving reports whether an answer of the platform that may hold the newer book is still
-// platformAnswerArriving. Peers that sent the book beside it would slow it down.
+// platformAnswerArriving reports whether an answer of the platform that may contain the
+// newer book is still in transfer. Peers that sent the book at the same time would slow
+// it down.
 func (s *Distributor) platformAnswerArriving(now ident.Time) bool {
 	return s.platformFirst && s.platformProgressAt > 0 && now.Sub(s.platformProgressAt) < answerTimeout && now.Sub(s.askedAt) < maxAnswerTimeout
 }
@@ -227,7 +229,7 @@
 	s.watching = false
 }
 
-// PlatformFailed records a call to the platform that brought no answer.
+// PlatformFailed records a call to the platform that got no answer.
 func (s *Distributor) PlatformFailed(now ident.Time, op event.PlatformOp) {
 	if op == event.OpReadHosts {
 		return
@@ -243,9 +245,9 @@
 	s.answeredAt = now
 }
 
-// backoff returns the wait after the last failure. Each host adds a part of
-// its own: without it, all data centres would come back to a platform that
-// has just recovered at the same moment, and bring it down again.
+// backoff returns the delay after the last failure, with a jitter that depends on the
+// host. Without it, all data centres would retry at the same moment when the platform
+// has just recovered, and overload it again.
 func (s *Distributor) backoff() time.Duration {
 	d := minBackoff << min(s.failures-1, 10)
 	d = min(d, maxBackoff)
@@ -253,9 +255,10 @@
 	return d/2 + time.Duration(h%uint64(d))
 }
 
-// Tick starts or ends the watch as the duty asks.
-func (s *Distributor) Tick(now ident.Time, watches bool) []event.Effect {
-	if !watches {
+// Tick starts or stops the watch, depending on whether this host has to watch the
+// platform.
+func (s *Distributor) Tick(now ident.Time, isWatcher bool) []event.Effect {
+	if !isWatcher {
 		if !s.watching {
 			return nil
 		}
@@ -277,7 +280,7 @@
 	return []event.Effect{event.WatchChange{After: s.Revision()}}
 }
 
-// NextTick returns when Tick is due at the latest.
+// NextTick returns the latest time for the next call of Tick.
 func (s *Distributor) NextTick(now ident.Time) ident.Time {
 	if s.watching {
 		return s.watchStart.Add(watchTimeout)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -15,8 +15,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// TestMain fixes the seed, so that a run has the same verdict every time. A
-// longer run with other seeds is asked for by -rapid.seed and -rapid.checks.
+// TestMain fixes the seed, so that every run gives the same result. For a longer run
+// with other seeds, set -rapid.seed and -rapid.checks.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
@@ -30,8 +30,8 @@
 	}
 }
 
-// naive is the configuration as a plain number: the longest run of changes
-// from the first that has been seen without a gap, or the highest snapshot.
+// naive models the configuration as a number: the last change received without a gap,
+// or the highest snapshot.
 type naive struct{ rev ident.Revision }
 
 func (n *naive) changes(cs []rules.Change) {
@@ -52,7 +52,7 @@
 	return b
 }
 
-// A late or doubled change reverts the configuration.
+// Guards against a late or duplicate change reverting the configuration.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := New(event.Host{ID: "uvs-1"})
@@ -84,7 +84,8 @@
 	})
 }
 
-// A peer that lacks old changes waits for them forever.
+// Guards against a peer that lacks changes no longer kept one by one waiting for them
+// for ever.
 func TestLaggingPeerGetsTheWholeBook(t *testing.T) {
 	s := New(event.Host{ID: "uvs-1"})
 	for rev := ident.Revision(1); rev <= maxRecentChanges+10; rev++ {
@@ -103,12 +104,12 @@
 			}
 		}
 		if diff := cmp.Diff(s.Revision(), other.Revision()); diff != "" {
-			t.Errorf("a peer at %d ends at (-want +got):\n%s", after, diff)
+			t.Errorf("revision of a peer that was at %d (-want +got):\n%s", after, diff)
 		}
 	}
 }
 
-// All hosts retry the platform at the same moments.
+// Guards against all hosts retrying the platform at the same moments.
 func TestHostsRetryAtDifferentTimes(t *testing.T) {
 	at := make(map[ident.Time]int)
 	for i := range 45 {
@@ -118,20 +119,20 @@
 		}
 		at[s.retryAt/ident.Time(500*time.Millisecond)]++
 		if s.retryAt <= 0 || s.retryAt > ident.Time(2*maxBackoff) {
-			t.Errorf("host %d asks again after %v", i, time.Duration(s.retryAt))
+			t.Errorf("host %d retries after %v", i, time.Duration(s.retryAt))
 		}
 	}
 	for slot, n := range at {
 		if n > 15 {
-			t.Errorf("%d of 45 hosts ask within the same half second, slot %d", n, slot)
+			t.Errorf("%d of 45 hosts retry within the same half second, slot %d", n, slot)
 		}
 	}
 }
 
-// maxPropagationDelay is the time in which an accepted change has to be in force.
+// maxPropagationDelay is the time within which an accepted change must be in force.
 const maxPropagationDelay = 4 * time.Second
 
-// A backoff delays a change beyond its bound.
+// Guards against a backoff that delays a change beyond its bound.
 func TestBackoffStaysBelowPropagationBound(t *testing.T) {
 	for i := range 45 {
 		s := New(event.Host{ID: ident.EntryID(fmt.Sprint("host-", i))})
@@ -144,7 +145,8 @@
 	}
 }
 
-// All peers send the whole configuration, or a dead one is asked forever.
+// Guards against all peers sending the whole configuration at once, and against asking
+// an unresponsive peer for ever.
 func TestOnePeerIsAskedAtATime(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
 	at := ident.Time(time.Second)
@@ -161,11 +163,12 @@
 		got = append(got, asked())
 	}
 	if diff := cmp.Diff([]int{1, 0, 1, 0, 1}, got); diff != "" {
-		t.Errorf("questions, with no answer (-want +got):\n%s", diff)
+		t.Errorf("queries without an answer (-want +got):\n%s", diff)
 	}
 }
 
-// Active readers are asked by all hosts for each configuration.
+// Guards against all hosts asking the few that read the platform for each
+// configuration.
 func TestPlatformIsReadBeforePeersAreAsked(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
 	sp.SetPlatformFirst(true)
@@ -188,11 +191,12 @@
 	at = at.Add(maxAnswerTimeout)
 	got = append(got, names())
 	if diff := cmp.Diff([][]string{{"readSnapshot"}, {"askChanges"}, {"readSnapshot"}, {"askChanges"}}, got); diff != "" {
-		t.Errorf("what is read and asked (-want +got):\n%s", diff)
+		t.Errorf("effects (-want +got):\n%s", diff)
 	}
 }
 
-// Hosts that are receiving a large configuration ask a peer for it as well and slow their links down.
+// Guards against hosts that are receiving a large configuration from the platform also
+// asking a peer for it, which slows down their links.
 func TestArrivingAnswerAsksNoPeer(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
 	sp.SetPlatformFirst(true)
@@ -212,7 +216,7 @@
 	}
 	got = append(got, seen(answerTimeout/2))
 	if diff := cmp.Diff([]string{"readSnapshot", "", "", "", "askChanges"}, got); diff != "" {
-		t.Errorf("what is read and asked while an answer arrives (-want +got):\n%s", diff)
+		t.Errorf("effects while an answer arrives (-want +got):\n%s", diff)
 	}
 	for end := at.Add(maxAnswerTimeout); at <= end; {
 		sp.PlatformProgress(at)
