--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock is the timer service of a process. It is the one place that
+// Package clock is the timer service of a process. It is the only place that
 // reads the monotonic clock for control and that owns timers.
 //
 // # Usage
 //
-// Parts subscribe to a moment or to a period and receive on a channel:
+// Callers subscribe to a due time or to a period and receive on a channel:
 //
 //	svc := clock.New()
 //	defer svc.Stop()
@@ -12,8 +12,8 @@
 //	defer sub.Close()
 //	for now := range sub.C() { ... }
 //
-// A period that the receiver is too slow for is skipped and not made up for,
-// so that a paused process does not wake to a burst of old ticks.
+// Periods that a slow receiver misses are skipped, so that a process that
+// resumes after a pause does not receive a burst of old ticks.
 package clock
 
 import (
@@ -26,58 +26,58 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Service hands out wake-ups. Its times count from its start.
+// Service delivers timer ticks. Its times count from its start.
 type Service struct {
 	t     tomb.Tomb
 	start time.Time
 
-	mu    sync.Mutex
-	due   queue
-	order uint64
-	poke  chan struct{}
+	mu      sync.Mutex
+	queue   subHeap
+	lastSeq uint64
+	wakeup  chan struct{}
 }
 
-// Sub is one subscription.
-type Sub struct {
-	svc   *Service
-	c     chan ident.Time
-	at    ident.Time
-	every time.Duration
-	order uint64
-	index int
+// Subscription is a subscription to one due time or to a period.
+type Subscription struct {
+	svc    *Service
+	c      chan ident.Time
+	due    ident.Time
+	period time.Duration
+	seq    uint64
+	index  int
 }
 
 // New starts a timer service.
 func New() *Service {
-	s := &Service{start: time.Now(), poke: make(chan struct{}, 1)}
+	s := &Service{start: time.Now(), wakeup: make(chan struct{}, 1)}
 	s.t.Go(s.run)
 	return s
 }
 
-// Stop ends the service. Subscriptions receive nothing more.
+// Stop ends the service. No tick is sent after it returns.
 func (s *Service) Stop() {
 	s.t.Kill(nil)
 	_ = s.t.Wait()
 }
 
-// Now returns the time since the start of the service, by the monotonic
-// clock. It goes on while the process is frozen, so that a lease is seen to
-// have lapsed on waking.
+// Now returns the time since the start of the service by the monotonic clock. The clock
+// continues while the process is paused, so that an expired lease is detected on
+// resumption.
 func (s *Service) Now() ident.Time { return ident.Time(time.Since(s.start)) }
 
-// At subscribes to one moment. A moment in the past comes at once.
-func (s *Service) At(at ident.Time) *Sub { return s.add(at, 0) }
+// At subscribes to one due time. A time in the past is delivered at once.
+func (s *Service) At(at ident.Time) *Subscription { return s.add(at, 0) }
 
-// Every subscribes to a period, the first time after one period.
-func (s *Service) Every(d time.Duration) *Sub { return s.add(s.Now().Add(d), d) }
+// Every subscribes to a period. The first tick is due after one period.
+func (s *Service) Every(d time.Duration) *Subscription { return s.add(s.Now().Add(d), d) }
 
-func (s *Service) add(at ident.Time, every time.Duration) *Sub {
-	sub := &Sub{svc: s, c: make(chan ident.Time, 1), at: at, every: every}
+func (s *Service) add(due ident.Time, period time.Duration) *Subscription {
+	sub := &Subscription{svc: s, c: make(chan ident.Time, 1), due: due, period: period}
 	s.mu.Lock()
-	s.order++
-	sub.order = s.order
-	heap.Push(&s.due, sub)
-	first := s.due[0] == sub
+	s.lastSeq++
+	sub.seq = s.lastSeq
+	heap.Push(&s.queue, sub)
+	first := s.queue[0] == sub
 	s.mu.Unlock()
 	if first {
 		s.wake()
@@ -85,117 +85,115 @@
 	return sub
 }
 
-// C is where the moments arrive.
-func (b *Sub) C() <-chan ident.Time { return b.c }
+// C returns the channel on which ticks are delivered.
+func (b *Subscription) C() <-chan ident.Time { return b.c }
 
-// Reset moves the subscription to another moment and drops one that waits to
-// be received.
-func (b *Sub) Reset(at ident.Time) {
+// Reset changes the due time and discards a tick that has not been received yet.
+func (b *Subscription) Reset(at ident.Time) {
 	s := b.svc
 	s.mu.Lock()
 	if b.index >= 0 {
-		heap.Remove(&s.due, b.index)
+		heap.Remove(&s.queue, b.index)
 	}
 	select {
 	case <-b.c:
 	default:
 	}
-	b.at = at
-	heap.Push(&s.due, b)
+	b.due = at
+	heap.Push(&s.queue, b)
 	s.mu.Unlock()
 	s.wake()
 }
 
 // Close ends the subscription.
-func (b *Sub) Close() {
+func (b *Subscription) Close() {
 	s := b.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b.index >= 0 {
-		heap.Remove(&s.due, b.index)
+		heap.Remove(&s.queue, b.index)
 	}
 }
 
 func (s *Service) wake() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// idleWait is how long the loop sleeps with no subscription; a new one pokes
-// it.
-const idleWait = time.Hour
+// maxSleep is how long the loop sleeps without subscriptions; a new one wakes it.
+const maxSleep = time.Hour
 
 func (s *Service) run() error {
-	timer := time.NewTimer(idleWait)
+	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
 	for {
 		timer.Reset(s.fire())
 		select {
 		case <-timer.C:
-		case <-s.poke:
+		case <-s.wakeup:
 		case <-s.t.Dying():
 			return nil
 		}
 	}
 }
 
-// fire delivers all that is due and returns the wait until the next.
+// fire delivers all due ticks and returns the time until the next.
 func (s *Service) fire() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	for len(s.due) > 0 && s.due[0].at <= now {
-		sub := s.due[0]
+	for len(s.queue) > 0 && s.queue[0].due <= now {
+		sub := s.queue[0]
 		select {
 		case sub.c <- now:
 		default:
 		}
-		if sub.every == 0 {
-			heap.Pop(&s.due)
+		if sub.period == 0 {
+			heap.Pop(&s.queue)
 			continue
 		}
-		sub.at = next(sub.at, sub.every, now)
-		heap.Fix(&s.due, 0)
+		sub.due = nextAfter(sub.due, sub.period, now)
+		heap.Fix(&s.queue, 0)
 	}
-	if len(s.due) == 0 {
-		return idleWait
+	if len(s.queue) == 0 {
+		return maxSleep
 	}
-	return s.due[0].at.Sub(now)
+	return s.queue[0].due.Sub(now)
 }
 
-// next returns the first moment of the period after now.
-func next(at ident.Time, every time.Duration, now ident.Time) ident.Time {
-	missed := now.Sub(at) / every
-	return at.Add(every * (missed + 1))
+// nextAfter returns the first tick of the period after now.
+func nextAfter(due ident.Time, period time.Duration, now ident.Time) ident.Time {
+	missed := now.Sub(due) / period
+	return due.Add(period * (missed + 1))
 }
 
-// queue is a heap of subscriptions by time, then by order of subscription.
-type queue []*Sub
+// subHeap is a heap of subscriptions by due time, then by order of subscription.
+type subHeap []*Subscription
 
-func (q queue) Len() int { return len(q) }
+func (q subHeap) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+func (q subHeap) Less(i, j int) bool {
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
-	return q[i].order < q[j].order
+	return q[i].seq < q[j].seq
 }
 
-func (q queue) Swap(i, j int) {
+func (q subHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index = i
 	q[j].index = j
 }
 
-func (q *queue) Push(x any) {
-	sub := x.(*Sub)
+func (q *subHeap) Push(x any) {
+	sub := x.(*Subscription)
 	sub.index = len(*q)
 	*q = append(*q, sub)
 }
 
-func (q *queue) Pop() any {
+func (q *subHeap) Pop() any {
 	old := *q
 	n := len(old) - 1
 	sub := old[n]
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-func quick() error { return nil }
+func returnAtOnce() error { return nil }
 
-// A goroutine that is started after the first has returned panics.
+// Guards against a panic when a goroutine is started after the first has returned.
 func TestStartsAfterTheFirstHasReturned(t *testing.T) {
 	var g Group
 	for range 100 {
-		if !g.Go(quick) {
-			t.Fatal("not started")
+		if !g.Go(returnAtOnce) {
+			t.Fatal("goroutine not started")
 		}
 		time.Sleep(10 * time.Microsecond)
 	}
 	if err := g.Join(); err != nil {
 		t.Error(err)
 	}
-	if g.Go(quick) {
-		t.Error("started after the end")
+	if g.Go(returnAtOnce) {
+		t.Error("goroutine started after the group has ended")
 	}
 }
 
-// Requests come while the owner stops, or while one of its goroutines fails.
-func TestStartsWhileItEnds(t *testing.T) {
+// Guards against a panic when goroutines are started while the owner stops or one of
+// its goroutines fails.
+func TestConcurrentGoWhileEnding(t *testing.T) {
 	failed := errors.New("failed")
 	for _, end := range map[string]func(g *Group){
 		"killed": func(g *Group) { g.Kill(nil) },
@@ -36,12 +37,12 @@
 	} {
 		for range 300 {
 			var g Group
-			g.Go(quick)
+			g.Go(returnAtOnce)
 			var all sync.WaitGroup
 			for range 4 {
 				all.Go(func() {
 					for range 5 {
-						g.Go(quick)
+						g.Go(returnAtOnce)
 					}
 				})
 			}
@@ -51,8 +52,8 @@
 			if err := g.Wait(); err != nil && !errors.Is(err, failed) {
 				t.Fatal(err)
 			}
-			if g.Go(quick) {
-				t.Fatal("started after the end")
+			if g.Go(returnAtOnce) {
+				t.Fatal("goroutine started after the group has ended")
 			}
 		}
 	}
@@ -64,7 +65,7 @@
 	if err := g.Wait(); err != nil {
 		t.Error(err)
 	}
-	if g.Go(quick) {
-		t.Error("started after the end")
+	if g.Go(returnAtOnce) {
+		t.Error("goroutine started after the group has ended")
 	}
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -14,12 +14,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func start(t *testing.T, step func(now ident.Time, ev event.Event) []event.Effect) *Loop {
 	t.Helper()
 	svc := clock.New()
-	l := New(Config{Step: step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	l := New(Config{Step: step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(func() {
 		l.Stop()
 		svc.Stop()
@@ -27,33 +27,35 @@
 	return l
 }
 
-// The loop waits for a mailbox that is no longer read, and all other callers with it.
-func TestFullMailboxHoldsUpNobody(t *testing.T) {
+// Guards against the loop blocking on a mailbox that is no longer read, which would
+// stop all other requests.
+func TestFullMailboxDoesNotBlockLoop(t *testing.T) {
 	l := start(t, func(_ ident.Time, ev event.Event) []event.Effect {
 		if e, ok := ev.(event.RequestArrived); ok {
 			return []event.Effect{event.Finish{Request: e.Request.ID}}
 		}
 		return nil
 	})
-	if _, ok := l.Open("stuck"); !ok {
-		t.Fatal("no mailbox")
+	if _, ok := l.OpenMailbox("stuck"); !ok {
+		t.Fatal("mailbox not opened")
 	}
-	for range 10 * boxSize {
+	for range 10 * mailboxSize {
 		l.Post(event.RequestArrived{Request: event.Request{ID: "stuck"}})
 	}
-	box, _ := l.Open("other")
+	box, _ := l.OpenMailbox("other")
 	l.Post(event.RequestArrived{Request: event.Request{ID: "other"}})
 	select {
 	case eff := <-box:
 		if diff := cmp.Diff(event.Effect(event.Finish{Request: "other"}), eff); diff != "" {
 			t.Errorf("effect (-want +got):\n%s", diff)
 		}
-	case <-time.After(waitLimit):
-		t.Fatal("the loop waits for a mailbox that nobody reads")
+	case <-time.After(testTimeout):
+		t.Fatal("loop is blocked by a mailbox that nobody reads")
 	}
 }
 
-// The end of a request overtakes its sending, and a request that ran is reported as not run.
+// Guards against reordered events: if the end of a request overtook its sending, a
+// request that ran would be reported as not run.
 func TestEventsOfOneSenderKeepTheirOrder(t *testing.T) {
 	var seen []uint64
 	done := make(chan struct{})
@@ -73,7 +75,7 @@
 	}
 	select {
 	case <-done:
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("events were lost")
 	}
 	if diff := cmp.Diff(want, seen); diff != "" {
@@ -104,6 +106,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if eff, err := l.Ask(ctx, func(event.Ask) event.Event { return event.Tick{} }); err == nil {
-		t.Errorf("a question without an answer gets %s", fmt.Sprint(eff))
+		t.Errorf("cancelled Ask returned %s, want an error", fmt.Sprint(eff))
 	}
 }
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -6,97 +6,97 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Key judges a request that came with the caller's own key, given as a digest
-// that includes the account. fprint is a digest of the request.
-func (rg *Registry) Key(now ident.Time, key, fprint string, req ident.RequestID) Verdict {
+// UseKey decides on a request with an idempotency key of the caller. The key is given
+// as a digest that includes the account, the fingerprint is a digest of the request.
+func (rg *Registry) UseKey(now ident.Time, key, fingerprint string, req ident.RequestID) Verdict {
 	rg.advance(now)
-	if _, ok := rg.live[req]; ok {
+	if _, ok := rg.byRequest[req]; ok {
 		return refuse(codes.InProgress, event.Unknown)
 	}
 	rec, ok := rg.keys[key]
 	if !ok {
-		if !rg.room() {
+		if !rg.makeRoom() {
 			return refuse(codes.Overloaded, event.NotRun)
 		}
-		rec = &record{key: key, print: fprint, claimID: req, clean: !rg.keyForgotten}
+		rec = &record{key: key, print: fingerprint, claimID: req, noEarlierRun: !rg.usedKeyDropped}
 		rg.keys[key] = rec
 		rg.add(rec, Never)
 		return rg.claim(rec, req)
 	}
 	switch {
-	case rec.state == idle && !rec.claimed:
-		// What the store holds is not known, so the content may change yet.
-		rec.print = fprint
+	case rec.state == available && !rec.stored:
+		// The store's record is not yet known, so the content may still change.
+		rec.print = fingerprint
 		return rg.claim(rec, req)
-	case rec.state == idle && fprint == rec.print:
+	case rec.state == available && fingerprint == rec.print:
 		return rg.start(rec, req)
 	}
-	return repeat(rec, fprint)
+	return verdictForRepeat(rec, fingerprint)
 }
 
 func (rg *Registry) claim(rec *record, req ident.RequestID) Verdict {
 	rec.state = claiming
 	rec.req = req
-	rg.live[req] = rec
+	rg.byRequest[req] = rec
 	rg.setDue(rec, Never)
-	return Verdict{Do: Claim, Record: event.KeyRecord{
+	return Verdict{Action: Claim, Record: event.KeyRecord{
 		Entry: rg.self, Incarnation: rg.inc, Request: rec.claimID, Print: rec.print,
 	}}
 }
 
-// Claimed judges the store's answer to a claim. record is what the store holds
-// where the key was taken. An answer that nothing waits for, because it came
-// twice or after the claim was given up, runs nothing and claims nothing.
-func (rg *Registry) Claimed(now ident.Time, req ident.RequestID, claim event.Claim, rec event.KeyRecord) Verdict {
+// ClaimAnswered processes the store's answer to a claim. If the key was taken, rec is
+// the record in the store. An answer without a pending claim, because it is a duplicate
+// or the claim was abandoned, neither runs nor claims anything.
+func (rg *Registry) ClaimAnswered(now ident.Time, req ident.RequestID, claim event.Claim, rec event.KeyRecord) Verdict {
 	rg.advance(now)
-	r, ok := rg.live[req]
+	r, ok := rg.byRequest[req]
 	if !ok || r.state != claiming {
 		return refuse(codes.OutcomeUnknown, event.Unknown)
 	}
 	switch claim {
 	case event.ClaimWon:
-		r.claimed = true
+		r.stored = true
 		return rg.start(r, req)
 	case event.ClaimTaken:
-		return rg.taken(r, req, rec)
+		return rg.applyTakenClaim(r, req, rec)
 	}
-	// The write may still land. It then names this incarnation and claimID,
-	// and the next claim of this record recognises it. "Not run" is said of
-	// this request: an earlier one with the key may have run at a host that
-	// only the store could name.
-	delete(rg.live, req)
+	// The write may still land. It then names this incarnation and claimID, and the
+	// next claim of this record recognises it. "Not run" refers to this request only:
+	// an earlier one with the same key may have run at a host that only the store
+	// could name.
+	delete(rg.byRequest, req)
 	rg.release(r)
 	return refuse(codes.StoreDown, event.NotRun)
 }
 
-// taken judges a claim that met a record.
-func (rg *Registry) taken(r *record, req ident.RequestID, rec event.KeyRecord) Verdict {
-	own := rec.Entry == rg.self && rec.Incarnation == rg.inc && (rec.Request == r.claimID || r.clean)
+// applyTakenClaim decides on a claim whose key is already on record.
+func (rg *Registry) applyTakenClaim(r *record, req ident.RequestID, rec event.KeyRecord) Verdict {
+	own := rec.Entry == rg.self && rec.Incarnation == rg.inc && (rec.Request == r.claimID || r.noEarlierRun)
 	if own && rec.Print == r.print {
-		r.claimed = true
+		r.stored = true
 		return rg.start(r, req)
 	}
-	delete(rg.live, req)
+	delete(rg.byRequest, req)
 	if own {
-		r.claimed = true
+		r.stored = true
 		r.print = rec.Print
 		rg.release(r)
 		return refuse(codes.KeyReused, event.NotRun)
 	}
 	r.req = ""
-	rg.setDue(r, rg.now.Add(recordKept))
+	rg.setDue(r, rg.now.Add(recordTTL))
 	if rec.Print != r.print {
-		// Later repeats are measured by the print on record.
+		// Later repeats are compared with the fingerprint on record.
 		r.print = rec.Print
-		rg.settle(r, rec)
+		rg.applyForeignRecord(r, rec)
 		return refuse(codes.KeyReused, event.NotRun)
 	}
-	return rg.settle(r, rec)
+	return rg.applyForeignRecord(r, rec)
 }
 
-// settle applies the record of the store: another host owns the key, or
-// an incarnation whose memory is gone.
-func (rg *Registry) settle(r *record, rec event.KeyRecord) Verdict {
+// applyForeignRecord applies a store record that was written by another host, or by an
+// incarnation whose memory is lost.
+func (rg *Registry) applyForeignRecord(r *record, rec event.KeyRecord) Verdict {
 	if rec.Entry == rg.self && rec.Incarnation <= rg.inc {
 		r.state = ended
 		r.outcome = event.Unknown
@@ -105,5 +105,5 @@
 		r.state = foreign
 		r.owner = rec
 	}
-	return repeat(r, r.print)
+	return verdictForRepeat(r, r.print)
 }
--- a/internal/once/peer_test.go
+++ b/internal/once/peer_test.go
@@ -10,10 +10,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// naivePeers remembers every attempt for ever.
-type naivePeers map[ident.Attempt]event.Answer
+// naiveAttempts remembers every attempt without limit.
+type naiveAttempts map[ident.Attempt]event.Answer
 
-// An attempt that has run is barred and sent to another target.
+// Guards against an attempt that has run being answered as barred, whereupon the sender
+// would send the request to another target.
 func TestRunOrBar(t *testing.T) {
 	small := bounds{senders: 2, attempts: 5, senderAttempts: 4}
 	for name, b := range map[string]bounds{"full": New("", 0).bounds, "small": small} {
@@ -35,10 +36,10 @@
 	const inc = 7
 	rg := New("me", inc)
 	rg.bounds = b
-	naive := naivePeers{}
+	naive := naiveAttempts{}
 	newest := map[ident.EntryID]ident.Incarnation{}
 	now := ident.Time(0)
-	// known says that the naive answer is the only one allowed.
+	// known reports whether the naive answer is the only one allowed.
 	known := func(a ident.Attempt) bool {
 		newest[a.Entry] = max(newest[a.Entry], a.Incarnation)
 		return exact && a.Incarnation == newest[a.Entry]
@@ -46,34 +47,34 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"arrive": func(t *rapid.T) {
 			a := drawAttempt(t)
-			was, seen := naive[a]
-			v := rg.Arrive(now, event.Envelope{Attempt: a, To: inc})
-			if v.Do == Run && seen {
-				t.Fatalf("%v runs, and was %s", a, was)
+			previous, seen := naive[a]
+			v := rg.AdmitAttempt(now, event.Envelope{Attempt: a, To: inc})
+			if v.Action == Run && seen {
+				t.Fatalf("%v runs again, previous answer %s", a, previous)
 			}
-			if v.Do == Refuse && v.Outcome == event.NotRun && was != event.Barred && was != event.Refused {
-				t.Fatalf("%v is said not to have run, and was %q", a, was)
+			if v.Action == Refuse && v.Outcome == event.NotRun && previous != event.Barred && previous != event.Refused {
+				t.Fatalf("%v is reported as not run, previous answer %q", a, previous)
 			}
-			if known(a) && (v.Do == Run) == seen {
-				t.Fatalf("%v: got %s, was %q", a, v.Do, was)
+			if known(a) && (v.Action == Run) == seen {
+				t.Fatalf("%v: got %s, previous answer %q", a, v.Action, previous)
 			}
-			if v.Do == Run {
+			if v.Action == Run {
 				naive[a] = event.Running
 			}
 		},
 		"end": func(t *rapid.T) {
 			a := drawAttempt(t)
 			ans := rapid.SampledFrom([]event.Answer{event.Ended, event.Refused}).Draw(t, "answer")
-			rg.PeerEnded(now, a, ans)
+			rg.AttemptEnded(now, a, ans)
 			if naive[a] == event.Running {
 				naive[a] = ans
 			}
 		},
 		"bar": func(t *rapid.T) {
 			a := drawAttempt(t)
-			was, seen := naive[a]
+			previous, seen := naive[a]
 			got := rg.Bar(now, a, inc)
-			want := was
+			want := previous
 			if !seen {
 				want = event.Barred
 			}
@@ -89,25 +90,26 @@
 		},
 		"": func(t *rapid.T) {
 			now++
-			held := 0
+			total := 0
 			for _, s := range rg.senders {
-				held += len(s.seen)
+				total += len(s.attempts)
 			}
-			if held != rg.attempts || held > b.attempts || len(rg.senders) > b.senders {
-				t.Fatalf("%d attempts of %d senders held, %d counted", held, len(rg.senders), rg.attempts)
+			if total != rg.attemptCount || total > b.attempts || len(rg.senders) > b.senders {
+				t.Fatalf("registry holds %d attempts of %d senders, but counts %d", total, len(rg.senders), rg.attemptCount)
 			}
 		},
 	})
 }
 
-// A restarted host bars an attempt that its former run may have run.
+// Guards against a restarted host barring an attempt that its previous incarnation may
+// have run.
 func TestBarOtherIncarnation(t *testing.T) {
 	rg := New("me", 8)
 	a := ident.Attempt{Entry: "a", Incarnation: 1, Number: 1}
 	if got := rg.Bar(0, a, 7); got != event.Forgotten {
 		t.Errorf("asked about another incarnation: got %s", got)
 	}
-	if v := rg.Arrive(0, event.Envelope{Attempt: a, To: 7}); v.Do != Refuse {
-		t.Errorf("meant for another incarnation: got %s", v.Do)
+	if v := rg.AdmitAttempt(0, event.Envelope{Attempt: a, To: 7}); v.Action != Refuse {
+		t.Errorf("addressed to another incarnation: got %s", v.Action)
 	}
 }
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -54,7 +54,7 @@
 				continue
 			}
 		}
-		score := rank.Score(rank.Join(v.prefixHash(), rank.Hash(string(place.Group()))), r.Work)
+		score := rank.Score(rank.Combine(v.prefixHash(), rank.Hash(string(place.Group()))), r.Work)
 		if score > most {
 			best, most, room = r.Centre, score, r.Work
 		}
