--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -187,7 +187,7 @@
 func (rd *Reducer) firstToken(now ident.Time, e event.FirstToken) {
 	if a, ok := rd.attempts[e.Attempt]; ok && a.req.live == a && rd.isCurrent(a) {
 		rd.table.Answered(a.target)
-		rd.table.Began(a.target, a.dec.Prefill, a.before, now.Sub(a.start))
+		rd.table.FirstTokenReceived(a.target, a.dec.Prefill, a.before, now.Sub(a.start))
 		rd.readDone(a)
 		rd.slack.Began(a.req.profile.Name, now.Sub(a.start))
 	}
@@ -253,7 +253,7 @@
 	r := a.req
 	rd.forget(a, healthOf(now, a, e))
 	if rd.isCurrent(a) && e.Result != event.ResultNotRun {
-		rd.table.Outcome(now, a.target, e.Result == event.ResultDone)
+		rd.table.RecordOutcome(now, a.target, e.Result == event.ResultDone)
 	}
 	r.delivered = max(r.delivered, e.Delivered)
 	r.generated += e.Generated
@@ -265,7 +265,7 @@
 	}
 	switch e.Result {
 	case event.ResultDone:
-		rd.table.Ran(a.target, now.Sub(a.start))
+		rd.table.AnswerCompleted(a.target, now.Sub(a.start))
 		r.kept = e.Kept
 		rd.pools.of(r).ran(now.Sub(a.start), e.Generated)
 		rd.streamed(r)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -104,7 +104,7 @@
 	rd.table.SetCold(member.Cold{PerSecond: rd.coldPerSecond, Span: rd.coldSpan})
 	rd.spread.ReadFirst(bounds.SharedReads)
 	if bounds.Pace > 0 {
-		rd.table.SetPace(bounds.Pace)
+		rd.table.SetSummaryInterval(bounds.Pace)
 	}
 	return rd
 }
@@ -128,7 +128,7 @@
 		rd.questions(now, ev)
 	}
 	rd.tick(now)
-	for _, n := range rd.table.Notes() {
+	for _, n := range rd.table.TakeNotes() {
 		rd.emit(n)
 	}
 	return rd.out
@@ -252,7 +252,7 @@
 	if !s.AccountsKept {
 		rd.quota.CentreReport(now, s.Place.Group(), s.Accounts)
 	}
-	if !direct && !rd.table.Represents(now) {
+	if !direct && !rd.table.IsRepresentative(now) {
 		return
 	}
 	if h, ok := rd.table.Host(s.From); ok {
@@ -268,11 +268,11 @@
 
 // tick does what is due by time, after each event.
 func (rd *Reducer) tick(now ident.Time) {
-	rd.table.SetBlind(rd.spread.Blind())
+	rd.table.SetPlatformUnreachable(rd.spread.Blind())
 	if now >= rd.table.Next(now) {
 		rd.emit(rd.table.Tick(now, rd.own(now))...)
 	}
-	rd.emit(rd.spread.Tick(now, rd.table.Watches(now))...)
+	rd.emit(rd.spread.Tick(now, rd.table.IsWatcher(now))...)
 	rd.paceReads(now)
 	rd.targetsRestarted()
 	rd.agendaDue(now)
@@ -290,7 +290,7 @@
 // paceReads emits how to read the platform's store when that changes. A host begins as an
 // active reader.
 func (rd *Reducer) paceReads(now ident.Time) {
-	if !rd.bounds.SharedReads || rd.table.Reads(now) == rd.reads {
+	if !rd.bounds.SharedReads || rd.table.IsActiveReader(now) == rd.reads {
 		return
 	}
 	rd.reads = !rd.reads
@@ -318,17 +318,17 @@
 	}
 }
 
-func (rd *Reducer) own(now ident.Time) member.Own {
+func (rd *Reducer) own(now ident.Time) member.LocalState {
 	rd.dropGone(now)
-	own := member.Own{
+	own := member.LocalState{
 		Revision:       rd.spread.Revision(),
 		CentreAccounts: func() []event.AccountUse { return rd.quota.CentreDemand(now) },
-		After:          rd.router.CacheSeq,
+		LastCacheEvent: rd.router.CacheSeq,
 	}
 	if now >= rd.announceAt {
 		own.Accounts = rd.quota.Demand(now)
 		own.AccountsIncluded = true
-		rd.announceAt = now.Add(member.Period * time.Duration((len(own.Accounts)+accountsPerSecond-1)/accountsPerSecond))
+		rd.announceAt = now.Add(member.HeartbeatInterval * time.Duration((len(own.Accounts)+accountsPerSecond-1)/accountsPerSecond))
 	}
 	return own
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -65,7 +65,7 @@
 // back when the successor of this host has started.
 func (rd *Reducer) refuseDraining(now ident.Time, r *request) refusal {
 	ref := rd.elsewhere(now, r, codes.Draining)
-	if r.profile.Route != nil && !rd.table.Relieved(now) {
+	if r.profile.Route != nil && !rd.table.HasActivePeer(now) {
 		ref.later = max(laterLeast, rd.bounds.DrainEnd-now.Sub(rd.drainAt)+replaceTime)
 	}
 	return ref
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -175,7 +175,7 @@
 		pl.queue.Put(rd.item(pl, pl.head))
 		pl.head = nil
 	}
-	rd.table.Crowded(now)
+	rd.table.RequestsQueued(now)
 }
 
 // shed gives requests that can no longer be met their final answer now, not
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -44,7 +44,7 @@
 
 func (rd *Reducer) allowedEntries(now ident.Time, p rules.Profile, c rules.Client, spread uint64) []event.Host {
 	allowed := func(at event.Place) bool { return p.Allows(c, at.Region) }
-	return rd.table.Entries(now, allowed, spread)
+	return rd.table.EntryHosts(now, allowed, spread)
 }
 
 // refuse gives a request its final answer, at once.
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -191,7 +191,7 @@
 
 func (rd *Reducer) streamPaced(e event.StreamPaced) {
 	if a, ok := rd.attempts[e.Attempt]; ok && a.req.live == a && rd.isCurrent(a) {
-		rd.table.Paced(a.target, e.Gap)
+		rd.table.StreamEventReceived(a.target, e.Gap)
 	}
 }
 
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -12,28 +12,28 @@
 
 // Times and bounds of summaries.
 const (
-	// slowEvery and slowEach give the time between summaries to a data centre
+	// defaultSummaryInterval and slowEach give the time between summaries to a data centre
 	// that wants nothing: a fixed part and a part for each data centre known,
 	// so that the bytes of a representative grow little with their number.
-	slowEvery = 5 * time.Second
-	slowEach  = 250 * time.Millisecond
-	// accountsEach is the same part for the demand of accounts, the largest
+	defaultSummaryInterval   = 5 * time.Second
+	summaryIntervalPerCentre = 250 * time.Millisecond
+	// accountsIntervalPerCentre is the same part for the demand of accounts, the largest
 	// part of a summary.
-	accountsEach = 600 * time.Millisecond
-	// fastEvery is the time between summaries that carry an offer; it renews
+	accountsIntervalPerCentre = 600 * time.Millisecond
+	// fastSummaryInterval is the time between summaries that carry an offer; it renews
 	// the offer before it expires.
-	fastEvery = 2 * time.Second
-	// minGap bounds the summaries on change to one data centre.
-	minGap = 500 * time.Millisecond
-	// cutOffBeats is how many slow summaries a data centre may miss before it
+	fastSummaryInterval = 2 * time.Second
+	// minSummaryGap bounds the summaries on change to one data centre.
+	minSummaryGap = 500 * time.Millisecond
+	// maxMissedSummaries is how many slow summaries a data centre may miss before it
 	// counts as cut off.
-	cutOffBeats = 3
+	maxMissedSummaries = 3
 	// maxSenders bounds the senders of summaries that are distinguished for each
 	// data centre.
 	maxSenders = 16
-	// wholeEvery is the longest time between two summaries to a data centre
+	// hostsInterval is the longest time between two summaries to a data centre
 	// that name the hosts.
-	wholeEvery = 30 * time.Second
+	hostsInterval = 30 * time.Second
 )
 
 // Centre is another data centre as this host knows it.
@@ -48,43 +48,43 @@
 
 	listed []event.Host
 	linked []event.Host
-	// made is when the newest summary was made, by its age, since
+	// summaryMadeAt is when the newest summary was summaryMadeAt, by its age, since
 	// when the data centre came or came back.
-	made  ident.Time
-	since ident.Time
-	// slow is the pace of its summaries, which bounds its silence.
-	slow time.Duration
-	// madePools is the same of the newest pools. A summary without pools must
+	summaryMadeAt  ident.Time
+	reachableSince ident.Time
+	// summaryInterval is the pace of its summaries, which bounds its silence.
+	summaryInterval time.Duration
+	// poolsMadeAt is the same of the newest pools. A summary without pools must
 	// not make an offer look new that it says nothing of.
-	madePools ident.Time
-	// held is the hash of the hosts that are held, zero for none.
-	held    uint64
-	relay   relay
-	senders []sender
-	// given are the offers that the data centre may hold of this one, taken
+	poolsMadeAt ident.Time
+	// hostsHash is the hash of the hosts that are hostsHash, zero for none.
+	hostsHash uint64
+	toRelay   relayState
+	senders   []sender
+	// offersMade are the offers that the data centre may hold of this one, taken
 	// those that hosts of this one may hold of it.
-	given  []given
-	taken  []given
-	passed []*passed
-	// away is when the data centre last turned a request away for want of room, by
+	offersMade     []given
+	offersReceived []given
+	forwarded      []*passed
+	// rejectedAt is when the data centre last turned a request rejectedAt for want of room, by
 	// service.
-	away  map[string]ident.Time
-	sent  lastSent
-	tries uint64
-	// vain counts the summaries in a row that went out again because the data
+	rejectedAt   map[string]ident.Time
+	lastSent     lastSent
+	sendAttempts uint64
+	// unconfirmedRepeats counts the summaries in a row that went out again because the data
 	// centre has not confirmed the highest revision.
-	vain int
+	unconfirmedRepeats int
 }
 
-// relay is what the next digest passes on of a summary that came to this host.
-type relay struct {
+// relayState is what the next digest passes on of a summary that came to this host.
+type relayState struct {
 	due, hosts, pools, accounts bool
-	// direct says that the newest summary came to this host; the others are
+	// receivedHere says that the newest summary came to this host; the others are
 	// what was last passed on.
-	direct  bool
-	inForce ident.Revision
-	highest ident.Revision
-	hash    uint64
+	receivedHere bool
+	inForce      ident.Revision
+	highest      ident.Revision
+	hostsHash    uint64
 }
 
 // sender is the newest summary of one host of a data centre.
@@ -95,19 +95,19 @@
 }
 
 // Age is the age of the newest summary.
-func (c *Centre) Age(now ident.Time) time.Duration { return now.Sub(c.made) }
+func (c *Centre) Age(now ident.Time) time.Duration { return now.Sub(c.summaryMadeAt) }
 
 // poolsAge is how old the newest pools are.
-func (c *Centre) poolsAge(now ident.Time) time.Duration { return now.Sub(c.madePools) }
+func (c *Centre) poolsAge(now ident.Time) time.Duration { return now.Sub(c.poolsMadeAt) }
 
-// lacks reports whether the hosts of the data centre are not known as they are.
-func (c *Centre) lacks() bool {
-	return c.HasSummary && c.Summary.HostsHash != 0 && c.Summary.HostsHash != c.held
+// hostsOutdated reports whether the hosts of the data centre are not known as they are.
+func (c *Centre) hostsOutdated() bool {
+	return c.HasSummary && c.Summary.HostsHash != 0 && c.Summary.HostsHash != c.hostsHash
 }
 
 // CutOff reports whether no summary of the data centre has come for long, or ever.
 func (c *Centre) CutOff(now ident.Time) bool {
-	return !c.HasSummary || c.Age(now) > cutOffBeats*c.slow
+	return !c.HasSummary || c.Age(now) > maxMissedSummaries*c.summaryInterval
 }
 
 // Pool returns the pool of the newest summary, nil for none.
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// ask returns the pool by which the data centre asks for one, nil for none. A
+// requestedPool returns the pool by which the data centre asks for one, nil for none. A
 // pool without a version asks for any version.
-func (c *Centre) ask(id PoolID) *event.Pool {
+func (c *Centre) requestedPool(id PoolID) *event.Pool {
 	p := c.Pool(id)
 	if p == nil && id.Service == "" {
 		id.Serve.Version = ""
@@ -146,24 +146,24 @@
 func (tb *Table) centre(place event.Place) *Centre {
 	i, ok := tb.findCentre(place.Group())
 	if !ok {
-		tb.centres = slices.Insert(tb.centres, i, &Centre{Place: place, slow: tb.slow})
-		slow := tb.slowPace()
+		tb.centres = slices.Insert(tb.centres, i, &Centre{Place: place, summaryInterval: tb.baseSummaryInterval})
+		slow := tb.summaryInterval()
 		for _, c := range tb.centres {
-			c.slow = slow
+			c.summaryInterval = slow
 		}
 	}
 	return tb.centres[i]
 }
 
-// slowPace is the time between two summaries to a data centre that wants
+// summaryInterval is the time between two summaries to a data centre that wants
 // nothing.
-func (tb *Table) slowPace() time.Duration {
-	return tb.slow + time.Duration(len(tb.centres))*slowEach
+func (tb *Table) summaryInterval() time.Duration {
+	return tb.baseSummaryInterval + time.Duration(len(tb.centres))*summaryIntervalPerCentre
 }
 
-// accountsPace is the time between two summaries with the demand of accounts.
-func (tb *Table) accountsPace() time.Duration {
-	return tb.slow + time.Duration(len(tb.centres))*accountsEach
+// accountsInterval is the time between two summaries with the demand of accounts.
+func (tb *Table) accountsInterval() time.Duration {
+	return tb.baseSummaryInterval + time.Duration(len(tb.centres))*accountsIntervalPerCentre
 }
 
 // SummaryReceived merges the state of another data centre and relays it with the next
@@ -178,41 +178,41 @@
 		return
 	}
 	c := tb.centre(s.Place)
-	if !c.newest(s) {
+	if !c.recordIfNewest(s) {
 		return
 	}
-	made := now.Add(-s.Age - tb.late(now))
-	if c.HasSummary && s.From != c.Summary.From && made < c.made {
+	made := now.Add(-s.Age - tb.extraAge(now))
+	if c.HasSummary && s.From != c.Summary.From && made < c.summaryMadeAt {
 		return
 	}
 	if c.CutOff(now) {
-		c.since = now
+		c.reachableSince = now
 	}
-	asked, offers := c.asks(), c.offers()
+	asked, offers := c.requestedPools(), c.hasOffers()
 	c.Place = s.Place
-	c.made = made
+	c.summaryMadeAt = made
 	c.mergeParts(now, s)
-	c.relay.direct = direct
+	c.toRelay.receivedHere = direct
 	switch {
 	case direct:
-		c.relay.add(s)
+		c.toRelay.add(s)
 	case !s.HostsKept:
 		// The peer that relayed the hosts has sent them to all.
-		c.relay.hash = s.HostsHash
+		c.toRelay.hostsHash = s.HostsHash
 	}
 	c.mergeHosts()
-	if !slices.Equal(asked, c.asks()) {
-		tb.beat.asks = true
+	if !slices.Equal(asked, c.requestedPools()) {
+		tb.heartbeat.summaryDue = true
 	}
-	if direct && (!slices.Equal(asked, c.asks()) || offers != c.offers()) {
+	if direct && (!slices.Equal(asked, c.requestedPools()) || offers != c.hasOffers()) {
 		// The peers act on it too, and one of them may be the representative.
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 }
 
-// offers reports whether the data centre offers anything.
-func (c *Centre) offers() bool {
-	return offers(c.Summary.Pools)
+// hasOffers reports whether the data centre hasOffers anything.
+func (c *Centre) hasOffers() bool {
+	return hasOffers(c.Summary.Pools)
 }
 
 // mergeParts replaces the parts that a summary contains and keeps the others.
@@ -221,13 +221,13 @@
 	if s.HostsKept {
 		s.Hosts = old.Hosts
 	} else {
-		c.held = hashHosts(s.Hosts)
+		c.hostsHash = hashHosts(s.Hosts)
 	}
 	if s.PoolsKept {
 		s.Pools = old.Pools
 	} else {
-		c.taken = note(c.taken, now, s.Pools)
-		c.madePools = c.made.Add(-s.PoolsAge)
+		c.offersReceived = note(c.offersReceived, now, s.Pools)
+		c.poolsMadeAt = c.summaryMadeAt.Add(-s.PoolsAge)
 	}
 	if s.AccountsKept {
 		s.Accounts = old.Accounts
@@ -239,16 +239,16 @@
 
 // add marks the parts of a summary that peers need. Hosts are relayed only when they
 // have changed.
-func (r *relay) add(s event.Summary) {
-	r.hosts = r.hosts || !s.HostsKept && s.HostsHash != r.hash
+func (r *relayState) add(s event.Summary) {
+	r.hosts = r.hosts || !s.HostsKept && s.HostsHash != r.hostsHash
 	r.pools = r.pools || !s.PoolsKept
 	r.accounts = r.accounts || !s.AccountsKept
 	r.due = r.due || r.hosts || r.pools || r.accounts || s.InForce != r.inForce || s.Highest != r.highest
 }
 
-// newest reports whether a summary is newer than all before it of the same sender, and
+// recordIfNewest reports whether a summary is newer than all before it of the same sender, and
 // records it. Late and doubled ones would revive offers that were withdrawn.
-func (c *Centre) newest(s event.Summary) bool {
+func (c *Centre) recordIfNewest(s event.Summary) bool {
 	i := slices.IndexFunc(c.senders, func(x sender) bool { return x.id == s.From })
 	if i < 0 {
 		if len(c.senders) == maxSenders {
@@ -265,8 +265,8 @@
 	return true
 }
 
-// asks returns the pools that the data centre is short of.
-func (c *Centre) asks() []PoolID {
+// requestedPools returns the pools that the data centre is short of.
+func (c *Centre) requestedPools() []PoolID {
 	var ids []PoolID
 	for _, p := range c.Summary.Pools {
 		if short(p.Free, p.Slots) {
@@ -276,25 +276,25 @@
 	return ids
 }
 
-// aged returns the newest summary with the time that it was held. Hosts that
+// summaryWithAge returns the newest summary with the time that it was held. Hosts that
 // are not those of the data centre any more are no part of it, nor are pools
 // where none have come.
-func (c *Centre) aged(now ident.Time) event.Summary {
+func (c *Centre) summaryWithAge(now ident.Time) event.Summary {
 	s := c.Summary
 	s.Age = c.Age(now)
-	if c.lacks() || c.held == 0 {
+	if c.hostsOutdated() || c.hostsHash == 0 {
 		s.Hosts, s.HostsKept = nil, true
 	}
-	if c.madePools == 0 {
+	if c.poolsMadeAt == 0 {
 		s.Pools, s.PoolsKept = nil, true
 	}
-	s.PoolsAge = c.made.Sub(c.madePools)
+	s.PoolsAge = c.summaryMadeAt.Sub(c.poolsMadeAt)
 	return s
 }
 
 // putHost adds a host that a link has authenticated.
 func (c *Centre) putHost(h event.Host) {
-	i, ok := slices.BinarySearchFunc(c.linked, h, byHost)
+	i, ok := slices.BinarySearchFunc(c.linked, h, compareHosts)
 	if !ok {
 		c.linked = slices.Insert(c.linked, i, h)
 	} else if h.Incarnation >= c.linked[i].Incarnation {
@@ -308,7 +308,7 @@
 // come.
 func (c *Centre) mergeHosts() {
 	hs := slices.Concat(c.Summary.Hosts, c.listed)
-	if c.held == 0 {
+	if c.hostsHash == 0 {
 		hs = append(hs, c.linked...)
 	} else {
 		c.linked = nil
@@ -328,7 +328,7 @@
 	c.Hosts = out
 }
 
-func byHost(a, b event.Host) int { return cmp.Compare(a.ID, b.ID) }
+func compareHosts(a, b event.Host) int { return cmp.Compare(a.ID, b.ID) }
 
 // HostFor picks the host that a request goes to, spread over the live hosts by
 // a hash of the request.
@@ -348,21 +348,21 @@
 	return c.Summary.Hosts[best], true
 }
 
-// newSummaries returns what came to this host since its last digest.
-func (tb *Table) newSummaries(now ident.Time) []event.Summary {
+// summariesToRelay returns what came to this host since its last digest.
+func (tb *Table) summariesToRelay(now ident.Time) []event.Summary {
 	var ss []event.Summary
 	for _, c := range tb.centres {
-		if c.relay.due {
-			ss = append(ss, c.passOn(now))
+		if c.toRelay.due {
+			ss = append(ss, c.summaryToRelay(now))
 		}
 	}
 	return ss
 }
 
-// passOn returns the parts of the newest summary that peers need.
-func (c *Centre) passOn(now ident.Time) event.Summary {
-	r := &c.relay
-	s := c.aged(now)
+// summaryToRelay returns the parts of the newest summary that peers need.
+func (c *Centre) summaryToRelay(now ident.Time) event.Summary {
+	r := &c.toRelay
+	s := c.summaryWithAge(now)
 	if !r.hosts {
 		s.Hosts, s.HostsKept = nil, true
 	}
@@ -373,31 +373,31 @@
 		s.Accounts, s.AccountsKept = nil, true
 	}
 	if !s.HostsKept {
-		r.hash = s.HostsHash
+		r.hostsHash = s.HostsHash
 	}
-	*r = relay{direct: r.direct, inForce: s.InForce, highest: s.Highest, hash: r.hash}
+	*r = relayState{receivedHere: r.receivedHere, inForce: s.InForce, highest: s.Highest, hostsHash: r.hostsHash}
 	return s
 }
 
-// lacking returns the data centres whose hosts are not known as they are now, as after a
+// outdatedCentres returns the data centres whose hosts are not known as they are now, as after a
 // lost digest. Peers that have them send them with the next digest.
-func (tb *Table) lacking() []ident.DataCentre {
+func (tb *Table) outdatedCentres() []ident.DataCentre {
 	var dcs []ident.DataCentre
 	for _, c := range tb.centres {
-		if c.lacks() {
+		if c.hostsOutdated() {
 			dcs = append(dcs, c.Place.Group())
 		}
 	}
 	return dcs
 }
 
-// supply has the hosts that a peer lacks passed on once more, by the host that
+// resendHosts has the hosts that a peer lacks passed on once more, by the host that
 // the newest summary came to, so that not every peer answers.
-func (tb *Table) supply(dcs []ident.DataCentre) {
+func (tb *Table) resendHosts(dcs []ident.DataCentre) {
 	for _, dc := range dcs {
 		i, ok := tb.findCentre(dc)
-		if ok && tb.centres[i].relay.direct && !tb.centres[i].lacks() {
-			tb.centres[i].relay.due, tb.centres[i].relay.hosts = true, true
+		if ok && tb.centres[i].toRelay.receivedHere && !tb.centres[i].hostsOutdated() {
+			tb.centres[i].toRelay.due, tb.centres[i].toRelay.hosts = true, true
 		}
 	}
 }
--- a/internal/member/cold.go
+++ b/internal/member/cold.go
@@ -51,7 +51,7 @@
 		return
 	}
 	t.coldUntil, t.coldGuess = until, true
-	tb.probe = append(tb.probe, t.ID)
+	tb.coldProbeQueue = append(tb.coldProbeQueue, t.ID)
 }
 
 // ProbeAnswered merges the answer of a target to a probe.
@@ -64,19 +64,19 @@
 	tb.answer(t)
 	if t.coldGuess {
 		t.coldUntil, t.coldGuess = now.Add(e.ColdFor), false
-		tb.note(t, map[bool]string{true: "target reports that it is cold", false: "target reports that it is warm"}[e.ColdFor > 0])
+		tb.addNote(t, map[bool]string{true: "target reports that it is cold", false: "target reports that it is warm"}[e.ColdFor > 0])
 	}
 }
 
 // coldProbes returns the probes of targets whose coldness is a guess.
 func (tb *Table) coldProbes() []event.Effect {
 	var effs []event.Effect
-	for _, id := range tb.probe {
+	for _, id := range tb.coldProbeQueue {
 		if t, ok := tb.byID[id]; ok && t.coldGuess {
 			effs = append(effs, event.PollLoad{Target: t.Target})
 		}
 	}
-	tb.probe = tb.probe[:0]
+	tb.coldProbeQueue = tb.coldProbeQueue[:0]
 	return effs
 }
 
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -206,7 +206,7 @@
 			at = at.Add(10 * time.Second)
 			tb.HostsRead(at, listOf(2, reachTarget("a")))
 			asked := 0
-			for _, eff := range tb.Tick(at, Own{}) {
+			for _, eff := range tb.Tick(at, LocalState{}) {
 				if e, ok := eff.(event.PollLoad); ok && e.Target.ID == "a" {
 					asked++
 				}
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -16,34 +16,34 @@
 	for _, w := range d.Draining {
 		tb.observeDraining(now, w.Target, w.Incarnation)
 	}
-	tb.mergeBeat(now, d)
+	tb.mergeHeartbeat(now, d)
 	tb.removalsObserved(now, d.Removed)
 	// Loads and summaries have numbers of their own.
 	for _, ld := range d.Loads {
-		tb.mergeRelayed(now, ld)
+		tb.mergeRelayedLoad(now, ld)
 	}
 	for _, s := range d.Summaries {
 		tb.mergeSummary(now, s, false)
 	}
 }
 
-// mergeBeat merges what only the newest digest of the newest incarnation says.
-func (tb *Table) mergeBeat(now ident.Time, d event.Digest) {
+// mergeHeartbeat merges what only the newest digest of the newest incarnation says.
+func (tb *Table) mergeHeartbeat(now ident.Time, d event.Digest) {
 	p := tb.putPeer(now, d.Host)
 	if p == nil || d.Seq <= p.seq {
 		return
 	}
 	p.seq = d.Seq
 	p.revision = d.Revision
-	p.blind = d.Blind
-	p.away = slices.Clone(d.Away)
+	p.platformUnreachable = d.Blind
+	p.forwarded = slices.Clone(d.Away)
 	p.flows = slices.Clone(d.Flows)
 	tb.observe(now, p)
 	tb.mergeList(now, d)
 	tb.mergeUse(p, d.Use)
-	tb.supply(d.Lacks)
+	tb.resendHosts(d.Lacks)
 	for _, w := range d.Wants {
-		tb.want(now, PoolID{Serve: w.Serve, Service: w.Service})
+		tb.recordPoolRequest(now, PoolID{Serve: w.Serve, Service: w.Service})
 	}
 }
 
@@ -59,7 +59,7 @@
 	p.use = slices.Clone(use)
 	for i := range p.use {
 		u := &p.use[i]
-		tb.nameUse(u)
+		tb.resolveUse(u)
 		if t, ok := tb.byID[u.Target]; ok {
 			t.PeerSent += u.Running
 			t.PeerTokens += u.Tokens
@@ -68,9 +68,9 @@
 	}
 }
 
-// nameUse resolves the key of a use to the id of its target, if that is known. The key might
+// resolveUse resolves the key of a use to the id of its target, if that is known. The key might
 // mean another target when the use is subtracted later.
-func (tb *Table) nameUse(u *event.TargetUse) {
+func (tb *Table) resolveUse(u *event.TargetUse) {
 	if u.Target != "" {
 		return
 	}
@@ -79,12 +79,12 @@
 	}
 }
 
-// sumUse adds up the use that peers announced of a target before it was known here.
-func (tb *Table) sumUse(t *Target) {
+// addPeerUse adds up the use that peers announced of a target before it was known here.
+func (tb *Table) addPeerUse(t *Target) {
 	for _, p := range tb.peers {
 		for i := range p.use {
 			u := &p.use[i]
-			tb.nameUse(u)
+			tb.resolveUse(u)
 			if u.Target == t.ID {
 				t.PeerSent += u.Running
 				t.PeerTokens += u.Tokens
@@ -96,10 +96,10 @@
 
 // digest returns what every digest carries.
 func (tb *Table) digest(now ident.Time) event.Digest {
-	tb.beat.seq++
+	tb.heartbeat.seq++
 	d := event.Digest{
-		Host: tb.self, Seq: tb.beat.seq, Revision: tb.own.Revision, Blind: tb.blind,
-		Accounts: tb.own.Accounts, AccountsIncluded: tb.own.AccountsIncluded, Draining: tb.drainNotices(now, false), Away: slices.Clone(tb.away), Wants: tb.wants(now),
+		Host: tb.self, Seq: tb.heartbeat.seq, Revision: tb.local.Revision, Blind: tb.platformUnreachable,
+		Accounts: tb.local.Accounts, AccountsIncluded: tb.local.AccountsIncluded, Draining: tb.drainNotices(now, false), Away: slices.Clone(tb.forwarded), Wants: tb.ownPoolRequests(now),
 		Flows: tb.ownFlows(now), Removed: tb.recentRemovals(now),
 	}
 	for _, t := range tb.targets {
@@ -116,36 +116,36 @@
 	return d
 }
 
-// beats returns the digests that are due. The first goes to all live peers, with the changes
+// dueDigests returns the digests that are due. The first goes to all live peers, with the changes
 // since the last, and at intervals to silent hosts, to find those that have come back. The
 // second goes to new peers and is complete.
-func (tb *Table) beats(now ident.Time, regular bool) []event.Effect {
+func (tb *Table) dueDigests(now ident.Time, regular bool) []event.Effect {
 	var effs []event.Effect
-	if regular || tb.beat.urgent {
-		effs = tb.usualBeat(now, regular)
+	if regular || tb.heartbeat.urgent {
+		effs = tb.incrementalDigest(now, regular)
 	}
-	tb.beat.urgent = false
-	if tb.beat.peers {
-		effs = append(effs, tb.fullBeat(now)...)
+	tb.heartbeat.urgent = false
+	if tb.heartbeat.fullDigestDue {
+		effs = append(effs, tb.fullDigest(now)...)
 	}
-	tb.beat.peers = false
+	tb.heartbeat.fullDigestDue = false
 	return effs
 }
 
-func (tb *Table) usualBeat(now ident.Time, regular bool) []event.Effect {
+func (tb *Table) incrementalDigest(now ident.Time, regular bool) []event.Effect {
 	to := tb.Peers(now)
 	if regular {
-		to = append(to, tb.probes(now)...)
+		to = append(to, tb.hostsToProbe(now)...)
 	}
 	d := tb.digest(now)
 	d.Holders = tb.nextHolders()
 	if regular {
-		d.Loads = tb.newLoads(now)
-		d.Summaries = tb.newSummaries(now)
-		d.Lacks = tb.lacking()
+		d.Loads = tb.relayedLoads(now)
+		d.Summaries = tb.summariesToRelay(now)
+		d.Lacks = tb.outdatedCentres()
 	}
 	if regular || tb.list.urgent {
-		tb.addList(now, &d)
+		tb.addListIfDue(now, &d)
 	}
 	if len(to) == 0 {
 		return nil
@@ -153,11 +153,11 @@
 	return []event.Effect{event.SendDigest{To: to, Digest: d}}
 }
 
-// probes returns the silent hosts that a digest is due to.
-func (tb *Table) probes(now ident.Time) []event.Host {
+// hostsToProbe returns the silent hosts that a digest is due to.
+func (tb *Table) hostsToProbe(now ident.Time) []event.Host {
 	var to []event.Host
 	for _, p := range tb.peers {
-		if p.live(now) || p.probedAt > 0 && now.Sub(p.probedAt) < probeEvery {
+		if p.live(now) || p.probedAt > 0 && now.Sub(p.probedAt) < probeInterval {
 			continue
 		}
 		p.probedAt = now
@@ -166,32 +166,32 @@
 	return to
 }
 
-func (tb *Table) newLoads(now ident.Time) []event.Load {
-	loads := make([]event.Load, 0, len(tb.relay))
-	for _, ld := range tb.relay {
+func (tb *Table) relayedLoads(now ident.Time) []event.Load {
+	loads := make([]event.Load, 0, len(tb.loadsToRelay))
+	for _, ld := range tb.loadsToRelay {
 		t, ok := tb.byID[ld.Target]
 		if !ok || ld.Incarnation != t.Incarnation || ld.Seq != t.Load.Seq {
 			continue // A newer one follows in the list, or came from a peer.
 		}
 		ld.Age = now.Sub(t.LoadAt)
-		loads = append(loads, tb.shorten(now, t, ld))
+		loads = append(loads, tb.omitKnownFields(now, t, ld))
 	}
-	tb.relay = tb.relay[:0]
+	tb.loadsToRelay = tb.loadsToRelay[:0]
 	return loads
 }
 
-// addList adds the platform's list to a digest if it has changed. The watcher sends it, and
+// addListIfDue adds the platform's list to a digest if it has changed. The watcher sends it, and
 // each host that is the first to read of new targets or a changed evacuation: the watcher may
 // be late, and the representative acts on its own list for the whole data centre.
-func (tb *Table) addList(now ident.Time, d *event.Digest) {
-	changed, urgent := tb.list.changed, tb.list.urgent
-	tb.list.changed, tb.list.urgent = false, false
-	if changed && tb.Watches(now) || urgent {
-		tb.fillList(now, d)
+func (tb *Table) addListIfDue(now ident.Time, d *event.Digest) {
+	changed, urgent := tb.list.unannounced, tb.list.urgent
+	tb.list.unannounced, tb.list.urgent = false, false
+	if changed && tb.IsWatcher(now) || urgent {
+		tb.addList(now, d)
 	}
 }
 
-func (tb *Table) fillList(now ident.Time, d *event.Digest) {
+func (tb *Table) addList(now ident.Time, d *event.Digest) {
 	d.Targets, d.ListVersion = tb.listedTargets(), tb.list.version
 	d.Complete = tb.list.complete && tb.steady(now)
 }
@@ -209,13 +209,13 @@
 	return ts
 }
 
-// fullBeat sends new peers all that this host knows, so that a host that restarts while the
+// fullDigest sends new peers all that this host knows, so that a host that restarts while the
 // platform is unreachable can serve.
-func (tb *Table) fullBeat(now ident.Time) []event.Effect {
+func (tb *Table) fullDigest(now ident.Time) []event.Effect {
 	var to []event.Host
 	for _, p := range tb.peers {
-		if p.fresh && p.live(now) {
-			p.fresh = false
+		if p.needsFullDigest && p.live(now) {
+			p.needsFullDigest = false
 			to = append(to, p.host)
 		}
 	}
@@ -224,7 +224,7 @@
 	}
 	d := tb.digest(now)
 	d.Draining = tb.drainNotices(now, true)
-	tb.fillList(now, &d)
+	tb.addList(now, &d)
 	for _, t := range tb.targets {
 		if t.HasLoad {
 			ld := t.Load
@@ -234,7 +234,7 @@
 	}
 	for _, c := range tb.centres {
 		if c.HasSummary {
-			d.Summaries = append(d.Summaries, c.aged(now))
+			d.Summaries = append(d.Summaries, c.summaryWithAge(now))
 		}
 	}
 	return []event.Effect{event.SendDigest{To: to, Digest: d}}
--- a/internal/member/draining.go
+++ b/internal/member/draining.go
@@ -31,7 +31,7 @@
 func (tb *Table) MarkDraining(now ident.Time, id ident.TargetID, inc ident.Incarnation) {
 	tb.Advance(now)
 	if tb.observeDraining(now, id, inc) {
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 }
 
@@ -49,7 +49,7 @@
 	}
 	if ok {
 		t.Drains = true
-		tb.note(t, "target is draining")
+		tb.addNote(t, "target is draining")
 	}
 	return true
 }
@@ -57,7 +57,7 @@
 // updateDraining updates whether a target drains after its description changed.
 func (tb *Table) updateDraining(now ident.Time, t *Target) {
 	if t.Draining && tb.observeDraining(now, t.ID, t.Incarnation) {
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 	w, ok := tb.draining[t.ID]
 	t.Drains = ok && w.incarnation >= t.Incarnation
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -13,7 +13,7 @@
 const (
 	// flowSpan is the time that one sample of the work covers. Digests go out as
 	// often.
-	flowSpan = Period
+	flowSpan = HeartbeatInterval
 	// flowWeight is the weight of the newest sample.
 	flowWeight = 0.6
 	// missWeight is the weight of one prompt in the part of prompts that engines
@@ -58,10 +58,10 @@
 	if r.Prompt == 0 {
 		f := tb.flow(now, r.Service)
 		f.turn(now)
-		f.alone += tb.usual.Run(r.Service).Seconds()
+		f.alone += tb.serviceStats.Run(r.Service).Seconds()
 		return
 	}
-	miss, ok := tb.misses[r.Service]
+	miss, ok := tb.missRatios[r.Service]
 	if !ok {
 		miss = 1
 	}
@@ -87,11 +87,11 @@
 		return
 	}
 	sample := min(1, float64(read)/float64(prompt))
-	miss, ok := tb.misses[service]
+	miss, ok := tb.missRatios[service]
 	if !ok {
 		miss = 1
 	}
-	tb.misses[service] = miss + missWeight*(sample-miss)
+	tb.missRatios[service] = miss + missWeight*(sample-miss)
 }
 
 func (tb *Table) flow(now ident.Time, service string) *flow {
@@ -162,7 +162,7 @@
 	id := PoolID{Service: service}
 	size, easy := slotsOf, easyUse
 	if prompts {
-		size, easy = enginesOf, easyUse*tb.usual.Rate(service)
+		size, easy = enginesOf, easyUse*tb.serviceStats.Rate(service)
 	}
 	alone, shared := tb.demand(now, service)
 	own := Room{alone: alone}
--- a/internal/member/flow_test.go
+++ b/internal/member/flow_test.go
@@ -31,7 +31,7 @@
 			tb.Brought(at, alonePrompt(), 0)
 		}
 		at = at.Add(time.Second)
-		tb.Tick(at, Own{})
+		tb.Tick(at, LocalState{})
 	}
 	return at
 }
@@ -123,7 +123,7 @@
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a")))
-	tb.Began("a", 10000, 0, time.Second)
+	tb.FirstTokenReceived("a", 10000, 0, time.Second)
 	tb.Prefill("a", 5000)
 	report := func(seq uint64, unread ident.Tokens) {
 		tb.DigestReceived(at, event.Digest{
@@ -147,7 +147,7 @@
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
-	tb.Began("a", 50000, 0, time.Second)
+	tb.FirstTokenReceived("a", 50000, 0, time.Second)
 	reportWork(tb, at, 10, 2, 0, 0)
 	at = bring(tb, at, 10, 1, 1)
 	reportWork(tb, at, 11, 2, 0, 0)
@@ -162,13 +162,13 @@
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a")))
-	tb.Ran("a", 40*time.Millisecond)
+	tb.AnswerCompleted("a", 40*time.Millisecond)
 	for range 10 {
 		for range 400 {
 			tb.Brought(at, &event.Request{Service: "writers"}, 0)
 		}
 		at = at.Add(time.Second)
-		tb.Tick(at, Own{})
+		tb.Tick(at, LocalState{})
 	}
 	tb.SummaryReceived(at, event.Summary{
 		From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: 10,
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -15,31 +15,31 @@
 // ListFailed records that a read of the platform's list has failed.
 func (tb *Table) ListFailed(now ident.Time) {
 	tb.Advance(now)
-	tb.list.away = true
-	tb.list.steadyAt = 0
-	tb.readSoon(now, "failed")
+	tb.list.readFailed = true
+	tb.list.steadySince = 0
+	tb.scheduleRead(now, "failed")
 }
 
 // readSucceeded records that an own read has brought a list.
 func (tb *Table) readSucceeded(now ident.Time) {
-	if tb.list.away {
-		tb.list.away = false
-		tb.list.backAt = now
+	if tb.list.readFailed {
+		tb.list.readFailed = false
+		tb.list.recoveredAt = now
 	}
-	if tb.list.steadyAt == 0 {
-		tb.list.steadyAt = now
+	if tb.list.steadySince == 0 {
+		tb.list.steadySince = now
 	}
 }
 
 // steady reports whether this host has read the platform's list for long enough without a
 // failure to announce removals. Just after an outage an expired entry looks like a removed one.
 func (tb *Table) steady(now ident.Time) bool {
-	return tb.list.steadyAt > 0 && now.Sub(tb.list.steadyAt) >= returnGrace
+	return tb.list.steadySince > 0 && now.Sub(tb.list.steadySince) >= returnGrace
 }
 
 // ListRead reports whether this host, or a peer for it, has read the platform's
 // list.
-func (tb *Table) ListRead() bool { return tb.list.read || len(tb.peers) > 0 }
+func (tb *Table) ListRead() bool { return tb.list.readHere || len(tb.peers) > 0 }
 
 // listComplete marks the targets that the complete list just read lacks.
 func (tb *Table) listComplete(now ident.Time) {
@@ -69,7 +69,7 @@
 	for _, d := range ev.Targets {
 		named.Add(d.ID)
 		if d.Draining && tb.observeDraining(now, d.ID, d.Incarnation) {
-			tb.beat.urgent = true
+			tb.heartbeat.urgent = true
 		}
 	}
 	if !ev.Complete {
@@ -97,7 +97,7 @@
 	t.absent(version)
 	if !t.Gone {
 		t.Gone, t.goneAt = true, now
-		tb.note(t, "target is gone")
+		tb.addNote(t, "target is gone")
 	}
 }
 
@@ -133,7 +133,7 @@
 // of the platform and returnGrace after it nothing is removed, since entries expire though
 // their targets live.
 func (tb *Table) updateGone(now ident.Time) {
-	held := tb.list.away || tb.list.backAt > 0 && now.Sub(tb.list.backAt) < returnGrace
+	held := tb.list.readFailed || tb.list.recoveredAt > 0 && now.Sub(tb.list.recoveredAt) < returnGrace
 	for _, t := range tb.targets {
 		gone := t.missing && (t.Gone || !held)
 		if gone == t.Gone {
@@ -141,11 +141,11 @@
 		}
 		if gone {
 			tb.remove(now, t, t.removedAt)
-			tb.beat.urgent = tb.beat.urgent || !t.Drains && tb.steady(now)
+			tb.heartbeat.urgent = tb.heartbeat.urgent || !t.Drains && tb.steady(now)
 			continue
 		}
 		t.Gone = false
-		tb.note(t, "target is there again")
+		tb.addNote(t, "target is there again")
 	}
 }
 
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -76,7 +76,7 @@
 		t.Error("a target whose entry lapsed is dropped at the platform's return")
 	}
 	at = at.Add(returnGrace)
-	tb.Tick(at, Own{})
+	tb.Tick(at, LocalState{})
 	if usable(t, tb, at, "a") {
 		t.Error("a target that did not come back is still used")
 	}
@@ -161,7 +161,7 @@
 	tb.HostsRead(at, listOf(1, small))
 	seen := func(running int) {
 		at = at.Add(100 * time.Millisecond)
-		tb.Ran("a", 20*time.Millisecond)
+		tb.AnswerCompleted("a", 20*time.Millisecond)
 		tb.LoadSeen(at, event.LoadSeen{Target: "a", Incarnation: 1, Running: running, Slots: 6})
 	}
 	for range 10 {
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -14,7 +14,7 @@
 // its last block. The next digest announces it.
 func (tb *Table) Holds(id ident.TargetID, part uint64) {
 	t, ok := tb.byID[id]
-	if !ok || len(tb.beat.holders) >= maxHolders {
+	if !ok || len(tb.heartbeat.holders) >= maxHolders {
 		return
 	}
 	key := keyOf(id)
@@ -22,15 +22,15 @@
 		return // Another target goes by the same key.
 	}
 	h := event.PrefixHolder{Target: key, Part: part}
-	if !slices.Contains(tb.beat.holders, h) {
-		tb.beat.holders = append(tb.beat.holders, h)
+	if !slices.Contains(tb.heartbeat.holders, h) {
+		tb.heartbeat.holders = append(tb.heartbeat.holders, h)
 	}
 }
 
 // nextHolders returns the holders for the next digest, once.
 func (tb *Table) nextHolders() []event.PrefixHolder {
-	hs := tb.beat.holders
-	tb.beat.holders = nil
+	hs := tb.heartbeat.holders
+	tb.heartbeat.holders = nil
 	return hs
 }
 
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -13,22 +13,22 @@
 
 // Summaries without pools extend an offer.
 func TestOfferExpiresUnderSummariesWithoutPools(t *testing.T) {
-	w := newWorld(21, 2, 1, 4)
-	w.busy("dc1", 10)
+	w := newSimulation(21, 2, 1, 4)
+	w.setRunning("dc1", 10)
 	w.run(30*time.Second, nil)
 	b := w.nodes[1].tb
-	if b.OfferLeft(w.now, "dc0", scribe) == 0 {
+	if b.OfferLeft(w.now, "dc0", scribePool) == 0 {
 		t.Fatal("no offer to begin with")
 	}
 	s := b.Centres(w.now)[0].Summary
-	w.nodes[0].cut = true
+	w.nodes[0].partitioned = true
 	for range 8 {
 		w.run(time.Second, nil)
 		s.Seq++
 		s.Age, s.Pools, s.PoolsKept = 0, nil, true
 		b.SummaryReceived(w.now, s)
 	}
-	if left := b.OfferLeft(w.now, "dc0", scribe); left != 0 {
+	if left := b.OfferLeft(w.now, "dc0", scribePool); left != 0 {
 		t.Errorf("%d may be sent on an offer that has expired", left)
 	}
 }
@@ -42,7 +42,7 @@
 		one = first[keyOf(two)]
 		first[keyOf(two)] = two
 	}
-	w := newWorld(24, 1, 2, 0)
+	w := newSimulation(24, 1, 2, 0)
 	for _, id := range []ident.TargetID{one, two} {
 		tg := event.Target{ID: id, Incarnation: 1, Kind: event.Engine, Place: w.nodes[0].place}
 		w.targets = append(w.targets, &engine{Target: tg, slots: 10})
@@ -65,7 +65,7 @@
 
 // The work of peers at a target that becomes known later is lost.
 func TestWorkAtATargetNotYetKnownCounts(t *testing.T) {
-	w := newWorld(25, 1, 2, 0)
+	w := newSimulation(25, 1, 2, 0)
 	tb, peer := w.nodes[0].tb, w.nodes[1].tb.Self()
 	d := event.Digest{Host: peer, Seq: 1, Use: []event.TargetUse{{Key: keyOf("late"), Running: 3}}}
 	tb.DigestReceived(w.now, d)
@@ -84,7 +84,7 @@
 
 // A summary without hosts makes a data centre look empty.
 func TestPartsLeftOutAreNotNone(t *testing.T) {
-	w := newWorld(22, 2, 1, 1)
+	w := newSimulation(22, 2, 1, 1)
 	tb := w.nodes[0].tb
 	far := w.nodes[1].tb.Self()
 	tb.PeerUp(w.now, far)
@@ -96,49 +96,49 @@
 	if d := cmp.Diff([]event.Host{far}, c.Hosts); d != "" {
 		t.Errorf("hosts (-want +got):\n%s", d)
 	}
-	if d := cmp.Diff(tb.lacking(), []ident.DataCentre{"dc1"}); d != "" {
+	if d := cmp.Diff(tb.outdatedCentres(), []ident.DataCentre{"dc1"}); d != "" {
 		t.Errorf("lacking (-want +got):\n%s", d)
 	}
-	if s := c.aged(w.now); !s.HostsKept || !s.PoolsKept {
+	if s := c.summaryWithAge(w.now); !s.HostsKept || !s.PoolsKept {
 		t.Error("parts that are not known are passed on as none")
 	}
 }
 
 // A new receiver of summaries misses parts that were sent to another one.
 func TestNewReceiverIsToldAll(t *testing.T) {
-	w := newWorld(23, 2, 1, 1)
+	w := newSimulation(23, 2, 1, 1)
 	w.run(20*time.Second, nil)
 	tb := w.nodes[0].tb
 	c := tb.Centres(w.now)[0]
 	full := func(to event.Host) bool {
 		s := tb.summary(w.now)
-		return tb.leaveOut(w.now, c, to, &s, false) && !s.HostsKept && !s.PoolsKept && !s.AccountsKept
+		return tb.omitKnownParts(w.now, c, to, &s, false) && !s.HostsKept && !s.PoolsKept && !s.AccountsKept
 	}
 	far := w.nodes[1].tb.Self()
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	if full(far) {
 		t.Error("a receiver that has all gets all")
 	}
 	next := far
 	next.Incarnation++
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	if !full(next) {
 		t.Error("a receiver that restarted does not get all")
 	}
 	other := next
 	other.ID = "dc1-x"
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	if !full(other) {
 		t.Error("another receiver does not get all")
 	}
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	newer := other
 	newer.Incarnation++
 	tb.PeerUp(w.now, newer)
 	if !full(other) {
 		t.Error("a receiver whose link shows a restart does not get all")
 	}
-	tb.forgetSent()
+	tb.resetLastSent()
 	if !full(other) {
 		t.Error("after a loss of the duty the receiver does not get all")
 	}
@@ -146,7 +146,7 @@
 
 // A short report is completed from that of a former start.
 func TestShortReportOfANewIncarnationIsNotFilledFromTheOld(t *testing.T) {
-	w := newWorld(26, 1, 2, 1)
+	w := newSimulation(26, 1, 2, 1)
 	w.run(5*time.Second, nil)
 	tb := w.nodes[0].tb
 	tg := tb.Targets()[0]
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -11,27 +11,27 @@
 
 // Times of reading the platform's list.
 const (
-	// watchEvery is the time between reads of the host that watches, idleEvery
+	// watcherReadInterval is the time between reads of the host that watches, idleEvery
 	// of the others, which read in case the one that watches is cut off in a
 	// way that no one notices.
-	watchEvery = 2 * time.Second
-	idleEvery  = 30 * time.Second
-	// idleSpread and firstSpread keep hosts that start or come back together
+	watcherReadInterval = 2 * time.Second
+	idleReadInterval    = 30 * time.Second
+	// idleReadJitter and firstSpread keep hosts that start or come back together
 	// from reading together: the store takes about two thousand reads a
 	// second from the whole fleet.
-	idleSpread  = 10 * time.Second
-	firstSpread = 250 * time.Millisecond
-	// versionHolds is how long an older version of the list is refused. After
+	idleReadJitter  = 10 * time.Second
+	firstReadJitter = 250 * time.Millisecond
+	// staleListTimeout is how long an older version of the list is refused. After
 	// that the platform has lost its count.
-	versionHolds = time.Minute
+	staleListTimeout = time.Minute
 )
 
-// firstRead returns how long after its start a host reads the list.
-func firstRead(self event.Host) time.Duration {
-	return spread(rank.Join(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstSpread)
+// firstReadDelay returns how long after its start a host reads the list.
+func firstReadDelay(self event.Host) time.Duration {
+	return jitter(rank.Join(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstReadJitter)
 }
 
-func spread(h uint64, width time.Duration) time.Duration {
+func jitter(h uint64, width time.Duration) time.Duration {
 	return time.Duration(rank.Unit(h) * float64(width))
 }
 
@@ -39,38 +39,38 @@
 func (tb *Table) HostsRead(now ident.Time, ev event.HostsRead) {
 	tb.Advance(now)
 	tb.readSucceeded(now)
-	if tb.older(now, ev.Version) {
+	if tb.isStale(now, ev.Version) {
 		tb.noteStaleList(ev.Version)
 		tb.mergeStale(now, ev)
 		return
 	}
 	tb.list.source, tb.list.complete = tb.self.ID, ev.Complete
-	tb.list.changed = tb.list.changed || !tb.list.read || ev.Version != tb.list.version
-	tb.list.read = true
+	tb.list.unannounced = tb.list.unannounced || !tb.list.readHere || ev.Version != tb.list.version
+	tb.list.readHere = true
 	tb.useVersion(now, ev.Version)
-	tb.list.urgent = tb.list.urgent || tb.hasNews(ev.Targets)
-	tb.beat.urgent = tb.beat.urgent || tb.list.urgent
-	tb.listTargets(now, ev.Targets)
-	tb.listHosts(now, ev.Hosts)
+	tb.list.urgent = tb.list.urgent || tb.hasUrgentChanges(ev.Targets)
+	tb.heartbeat.urgent = tb.heartbeat.urgent || tb.list.urgent
+	tb.mergeListedTargets(now, ev.Targets)
+	tb.mergeListedHosts(now, ev.Hosts)
 	if ev.Complete {
 		tb.listComplete(now)
 	}
 }
 
-// older reports whether a list is older than the one that this host goes by.
-func (tb *Table) older(now ident.Time, version uint64) bool {
-	return version < tb.list.version && now.Sub(tb.list.readAt) <= versionHolds
+// isStale reports whether a list is isStale than the one that this host goes by.
+func (tb *Table) isStale(now ident.Time, version uint64) bool {
+	return version < tb.list.version && now.Sub(tb.list.updatedAt) <= staleListTimeout
 }
 
 // mergeList merges a list that a peer has read, unless a newer one is in use. An older one
 // would revert evacuations.
 func (tb *Table) mergeList(now ident.Time, d event.Digest) {
-	if len(d.Targets) == 0 && !d.Complete || tb.older(now, d.ListVersion) {
+	if len(d.Targets) == 0 && !d.Complete || tb.isStale(now, d.ListVersion) {
 		return
 	}
 	tb.list.source, tb.list.complete = d.Host.ID, false
 	tb.useVersion(now, d.ListVersion)
-	tb.listTargets(now, d.Targets)
+	tb.mergeListedTargets(now, d.Targets)
 	if d.Complete {
 		tb.applyComplete(now)
 	}
@@ -85,12 +85,12 @@
 		}
 	}
 	tb.list.version = version
-	tb.list.readAt = now
+	tb.list.updatedAt = now
 }
 
-// hasNews reports whether a list names targets of the own data centre that are not known here,
+// hasUrgentChanges reports whether a list names targets of the own data centre that are not known here,
 // evacuates targets that are in use, or takes that back.
-func (tb *Table) hasNews(targets []event.Target) bool {
+func (tb *Table) hasUrgentChanges(targets []event.Target) bool {
 	return slices.ContainsFunc(targets, func(d event.Target) bool {
 		t, ok := tb.byID[d.ID]
 		if !ok {
@@ -100,7 +100,7 @@
 	})
 }
 
-func (tb *Table) listHosts(now ident.Time, hosts []event.Host) {
+func (tb *Table) mergeListedHosts(now ident.Time, hosts []event.Host) {
 	for _, p := range tb.peers {
 		p.listed = false
 	}
@@ -113,7 +113,7 @@
 			c.listed = append(c.listed, h)
 			continue
 		}
-		if p := tb.listPeer(now, h); p != nil {
+		if p := tb.mergeListedPeer(now, h); p != nil {
 			p.listed = true
 		}
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// listPeer merges a host of the own data centre from the list.
-func (tb *Table) listPeer(now ident.Time, h event.Host) *peer {
+// mergeListedPeer merges a host of the own data centre from the list.
+func (tb *Table) mergeListedPeer(now ident.Time, h event.Host) *peer {
 	old, ok := tb.peer(h.ID)
 	if ok && h.Incarnation < old.host.Incarnation {
 		// The list lags behind a restart: the host is listed all the same.
@@ -136,8 +136,8 @@
 	return p
 }
 
-// listTargets merges the targets of a list, read here or by a peer.
-func (tb *Table) listTargets(now ident.Time, targets []event.Target) {
+// mergeListedTargets merges the targets of a list, read here or by a peer.
+func (tb *Table) mergeListedTargets(now ident.Time, targets []event.Target) {
 	for _, t := range tb.targets {
 		t.listed = false
 	}
@@ -158,35 +158,35 @@
 	if now < tb.list.nextRead {
 		return nil
 	}
-	tb.list.nextRead = now.Add(tb.readPause(now))
+	tb.list.nextRead = now.Add(tb.readInterval(now))
 	return []event.Effect{event.ReadHosts{}}
 }
 
-func (tb *Table) readPause(now ident.Time) time.Duration {
-	if tb.Watches(now) {
-		return watchEvery
+func (tb *Table) readInterval(now ident.Time) time.Duration {
+	if tb.IsWatcher(now) {
+		return watcherReadInterval
 	}
 	h := rank.Hash("read", string(tb.self.ID))
-	return idleEvery + spread(rank.Join(h, uint64(now)), idleSpread)
+	return idleReadInterval + jitter(rank.Join(h, uint64(now)), idleReadJitter)
 }
 
-// dutyRead brings the next read forward when this host becomes the watcher, spread so that
+// scheduleWatcherRead brings the next read forward when this host becomes the watcher, spread so that
 // many new watchers do not read at once.
-func (tb *Table) dutyRead(now ident.Time) {
-	if !tb.Watches(now) {
+func (tb *Table) scheduleWatcherRead(now ident.Time) {
+	if !tb.IsWatcher(now) {
 		return
 	}
-	tb.readSoon(now, "duty")
+	tb.scheduleRead(now, "duty")
 }
 
-// readSoon brings the next read forward, spread over the hosts of a reason.
-func (tb *Table) readSoon(now ident.Time, reason string) {
+// scheduleRead brings the next read forward, spread over the hosts of a reason.
+func (tb *Table) scheduleRead(now ident.Time, reason string) {
 	h := rank.Join(rank.Hash(reason, string(tb.self.ID)), uint64(now))
-	tb.list.nextRead = min(tb.list.nextRead, now.Add(watchEvery+spread(h, Period)))
+	tb.list.nextRead = min(tb.list.nextRead, now.Add(watcherReadInterval+jitter(h, HeartbeatInterval)))
 }
 
 func sortedHosts(hosts []event.Host) []event.Host {
 	hs := slices.Clone(hosts)
-	slices.SortStableFunc(hs, byHost)
+	slices.SortStableFunc(hs, compareHosts)
 	return hs
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -39,29 +39,29 @@
 
 // Times of the membership.
 const (
-	// Period is the time between two digests and between two load reports of
+	// HeartbeatInterval is the time between two digests and between two load reports of
 	// a target.
-	Period = time.Second
-	// suspectAfter is three missed digests and half a period for the link.
-	suspectAfter = 3*Period + Period/2
-	// brokenAfter replaces it while the link to the host is down.
-	brokenAfter = Period + Period/2
-	// deadAfter is the silence after which a lower incarnation is believed.
-	deadAfter = 10 * time.Second
-	// dropAfter is the silence after which what the platform does not list is
+	HeartbeatInterval = time.Second
+	// suspectTimeout is three missed digests and half a period for the link.
+	suspectTimeout = 3*HeartbeatInterval + HeartbeatInterval/2
+	// linkDownTimeout replaces it while the link to the host is down.
+	linkDownTimeout = HeartbeatInterval + HeartbeatInterval/2
+	// deadTimeout is the silence after which a lower incarnation is believed.
+	deadTimeout = 10 * time.Second
+	// dropTimeout is the silence after which what the platform does not list is
 	// dropped.
-	dropAfter = time.Minute
-	// probeEvery is the time between digests to a host that is silent.
-	probeEvery = 5 * time.Second
-	// jumpAfter is the gap between two steps from which on this host counts as
+	dropTimeout = time.Minute
+	// probeInterval is the time between digests to a host that is silent.
+	probeInterval = 5 * time.Second
+	// minPause is the gap between two steps from which on this host counts as
 	// paused: Tick is due each period.
-	jumpAfter = Period + Period/2
-	// catchUp is how long after a pause messages may have waited through it.
-	catchUp = Period
+	minPause = HeartbeatInterval + HeartbeatInterval/2
+	// pauseCatchUpTime is how long after a pause messages may have waited through it.
+	pauseCatchUpTime = HeartbeatInterval
 )
 
-// Own is the state of this host that the reducer passes at each Tick.
-type Own struct {
+// LocalState is the state of this host that the reducer passes at each Tick.
+type LocalState struct {
 	// Revision is the revision in force at this host.
 	Revision ident.Revision
 	// Accounts is the demand at this host, for peers; CentreAccounts that of
@@ -74,16 +74,16 @@
 	// is called once for each round of summaries, since what it returns counts
 	// as sent. Nil stands for none.
 	CentreAccounts func() []event.AccountUse
-	// After returns the last sequence number seen of the cache events of a
+	// LastCacheEvent returns the last sequence number seen of the cache events of a
 	// target; nil is none.
-	After func(ident.TargetID) uint64
+	LastCacheEvent func(ident.TargetID) uint64
 }
 
-func (o Own) after(id ident.TargetID) uint64 {
-	if o.After == nil {
+func (o LocalState) lastCacheEvent(id ident.TargetID) uint64 {
+	if o.LastCacheEvent == nil {
 		return 0
 	}
-	return o.After(id)
+	return o.LastCacheEvent(id)
 }
 
 // PoolID names a pool: the targets of one data centre that serve one model,
@@ -95,15 +95,15 @@
 
 // Table is the state.
 type Table struct {
-	self  event.Host
-	begun bool
+	self        event.Host
+	initialised bool
 	// started is the first time that the table was given, last the newest.
-	started ident.Time
-	last    ident.Time
-	own     Own
-	// woke is when this host last woke from a pause, paused how long it was.
-	woke   ident.Time
-	paused time.Duration
+	started     ident.Time
+	lastAdvance ident.Time
+	local       LocalState
+	// resumedAt is when this host last resumedAt from a pause, paused how long it was.
+	resumedAt     ident.Time
+	pauseDuration time.Duration
 
 	peers    []*peer
 	targets  []*Target
@@ -112,68 +112,68 @@
 	draining map[ident.TargetID]drainNotice
 	// restarted holds the targets that have started anew since they were last asked for.
 	restarted []ident.TargetID
-	// probe holds the targets that are to be asked whether they are cold.
-	probe   []ident.TargetID
-	centres []*Centre
-	pools   []*pool
-	away    []event.AwayUse
-	// crowdedAt is when requests last began to wait here.
-	crowdedAt ident.Time
-	blind     bool
+	// coldProbeQueue holds the targets that are to be asked whether they are cold.
+	coldProbeQueue []ident.TargetID
+	centres        []*Centre
+	pools          []*pool
+	forwarded      []event.AwayUse
+	// requestsQueuedAt is when requests last began to wait here.
+	requestsQueuedAt    ident.Time
+	platformUnreachable bool
 
-	list  listState
-	beat  beatState
-	relay []event.Load
-	cold  Cold
-	// usual is what is usual for the targets of each service.
-	usual load.Services
+	list         listState
+	heartbeat    heartbeatState
+	loadsToRelay []event.Load
+	cold         Cold
+	// serviceStats is what is serviceStats for the targets of each service.
+	serviceStats load.Services
 	// flows is the work that the callers of this host bring, by service; misses the
 	// part of the prompts of a service that its engines have to read.
-	flows  []*flow
-	misses map[string]float64
+	flows      []*flow
+	missRatios map[string]float64
 	// notes are the changes of belief since Notes was last asked.
 	notes []event.Note
-	// slow is the fixed part of the time between summaries to a data centre
+	// baseSummaryInterval is the fixed part of the time between summaries to a data centre
 	// that wants nothing.
-	slow time.Duration
+	baseSummaryInterval time.Duration
 }
 
 // listState follows the platform's list of hosts.
 type listState struct {
 	// version is that of the list that this host goes by, readAt when it was read
 	// here or came from a peer; read says that this host has read one itself.
-	version uint64
-	read    bool
-	readAt  ident.Time
+	version   uint64
+	readHere  bool
+	updatedAt ident.Time
 	// source is the host that read the list in use from the store; complete says that it
 	// was this host and that the list names all targets.
 	source   ident.EntryID
 	complete bool
 	// nextRead is when this host reads the list again.
 	nextRead ident.Time
-	// changed says that the newest list has not been sent to peers.
-	changed bool
-	// away says that the last read failed, backAt when one came after that, steadyAt
+	// unannounced says that the newest list has not been sent to peers.
+	unannounced bool
+	// readFailed says that the last read failed, backAt when one came after that, steadyAt
 	// since when no own read has failed.
-	away     bool
-	backAt   ident.Time
-	steadyAt ident.Time
+	readFailed  bool
+	recoveredAt ident.Time
+	steadySince ident.Time
 	// urgent says that the newest own read has news for the peers.
 	urgent bool
 }
 
-// beatState follows the digests and summaries that this host sends.
-type beatState struct {
-	due ident.Time
-	// useDue is when the use of targets is next sent to peers.
-	useDue ident.Time
-	seq    uint64
-	sum    uint64
+// heartbeatState follows the digests and summaries that this host sends.
+type heartbeatState struct {
+	nextDigest ident.Time
+	// nextUse is when the use of targets is next sent to peers.
+	nextUse    ident.Time
+	seq        uint64
+	summarySeq uint64
 	// urgent says that a digest is due at once, peers that a new peer waits for
 	// a full digest, asks that another data centre has changed its demand.
-	urgent bool
-	peers  bool
-	asks   bool
+	urgent        bool
+	fullDigestDue bool
+	summaryDue    bool
 	// holders are the prefix holders of the next digest.
 	holders []event.PrefixHolder
 }
@@ -181,19 +181,19 @@
 // New returns an empty table.
 func New(self event.Host) *Table {
 	return &Table{
-		self:     self,
-		byID:     make(map[ident.TargetID]*Target),
-		byKey:    make(map[event.TargetKey]*Target),
-		draining: make(map[ident.TargetID]drainNotice),
-		slow:     slowEvery,
-		misses:   make(map[string]float64),
+		self:                self,
+		byID:                make(map[ident.TargetID]*Target),
+		byKey:               make(map[event.TargetKey]*Target),
+		draining:            make(map[ident.TargetID]drainNotice),
+		baseSummaryInterval: defaultSummaryInterval,
+		missRatios:          make(map[string]float64),
 	}
 }
 
-// SetPace changes the fixed part of the time between summaries to a data centre
+// SetSummaryInterval changes the fixed part of the time between summaries to a data centre
 // that wants nothing. A data centre counts as cut off after three of them, and
 // callers are sent to its hosts for that long after it has gone.
-func (tb *Table) SetPace(slow time.Duration) { tb.slow = slow }
+func (tb *Table) SetSummaryInterval(slow time.Duration) { tb.baseSummaryInterval = slow }
 
 // Self returns this host.
 func (tb *Table) Self() event.Host { return tb.self }
@@ -205,17 +205,17 @@
 		return
 	}
 	tb.self.Draining = true
-	tb.beat.urgent = true
-	tb.beat.asks = true
+	tb.heartbeat.urgent = true
+	tb.heartbeat.summaryDue = true
 }
 
-// SetBlind says whether this host gets no answer from the platform. A blind host passes the
+// SetPlatformUnreachable says whether this host gets no answer from the platform. A blind host passes the
 // duty to watch on, as long as another host is not blind; otherwise a host that is cut off from
 // the platform only would keep it, and the whole data centre would miss changes.
-func (tb *Table) SetBlind(blind bool) {
-	if tb.blind != blind {
-		tb.blind = blind
-		tb.beat.urgent = true
+func (tb *Table) SetPlatformUnreachable(blind bool) {
+	if tb.platformUnreachable != blind {
+		tb.platformUnreachable = blind
+		tb.heartbeat.urgent = true
 	}
 }
 
@@ -224,21 +224,21 @@
 // The time of a pause of this host does not count as silence of others. It counts for
 // all that expires: loads, offers and summaries.
 func (tb *Table) Advance(now ident.Time) {
-	if !tb.begun {
-		tb.begun = true
-		tb.started, tb.last = now, now
-		tb.list.nextRead = now.Add(firstRead(tb.self))
+	if !tb.initialised {
+		tb.initialised = true
+		tb.started, tb.lastAdvance = now, now
+		tb.list.nextRead = now.Add(firstReadDelay(tb.self))
 		return
 	}
-	gap := now.Sub(tb.last)
+	gap := now.Sub(tb.lastAdvance)
 	if gap <= 0 {
 		return
 	}
-	tb.last = now
-	if gap <= jumpAfter {
+	tb.lastAdvance = now
+	if gap <= minPause {
 		return
 	}
-	tb.woke, tb.paused = now, gap
+	tb.resumedAt, tb.pauseDuration = now, gap
 	for _, p := range tb.peers {
 		p.lastSeen = p.lastSeen.Add(gap)
 	}
@@ -247,11 +247,11 @@
 	}
 }
 
-// late returns how much older a message may be than its age says: just after a pause
+// extraAge returns how much older a message may be than its age says: just after a pause
 // of this host it may have waited in a socket.
-func (tb *Table) late(now ident.Time) time.Duration {
-	if tb.paused > 0 && now.Sub(tb.woke) <= catchUp {
-		return tb.paused
+func (tb *Table) extraAge(now ident.Time) time.Duration {
+	if tb.pauseDuration > 0 && now.Sub(tb.resumedAt) <= pauseCatchUpTime {
+		return tb.pauseDuration
 	}
 	return 0
 }
@@ -286,7 +286,7 @@
 // Revisions returns the lowest and the highest revision of the live hosts of
 // the own data centre.
 func (tb *Table) Revisions(now ident.Time) (low, high ident.Revision) {
-	low, high = tb.own.Revision, tb.own.Revision
+	low, high = tb.local.Revision, tb.local.Revision
 	for _, p := range tb.peers {
 		if p.live(now) && p.seq > 0 {
 			low = min(low, p.revision)
--- a/internal/member/member_fail_test.go
+++ b/internal/member/member_fail_test.go
@@ -12,10 +12,10 @@
 
 // A host that restarts during an outage of the platform can't serve.
 func TestRestartedHostLearnsFromPeers(t *testing.T) {
-	w := newWorld(1, 2, 3, 4)
+	w := newSimulation(1, 2, 3, 4)
 	w.run(10*time.Second, nil)
 	for _, n := range w.nodes {
-		n.blind = true
+		n.platformUnreachable = true
 	}
 	n := w.nodes[1]
 	want := ids(n.tb.Targets())
@@ -44,11 +44,11 @@
 
 // A host takes its own pause for the silence of others.
 func TestPausedHostKeepsItsPeersAndDropsItsOffers(t *testing.T) {
-	w := newWorld(2, 2, 2, 2)
-	w.busy("dc1", 10)
+	w := newSimulation(2, 2, 2, 2)
+	w.setRunning("dc1", 10)
 	w.run(30*time.Second, nil)
 	n := w.nodes[2]
-	if n.tb.OfferLeft(w.now, "dc0", scribe) == 0 {
+	if n.tb.OfferLeft(w.now, "dc0", scribePool) == 0 {
 		t.Fatal("no offer before the pause")
 	}
 	n.tb.Advance(w.now)
@@ -68,17 +68,17 @@
 	s.Seq += 100
 	s.Age = 0
 	n.tb.SummaryReceived(now, s)
-	if left := n.tb.OfferLeft(now, "dc0", scribe); left != 0 {
+	if left := n.tb.OfferLeft(now, "dc0", scribePool); left != 0 {
 		t.Errorf("an offer of %d outlives the pause", left)
 	}
 }
 
 // A watcher without the platform keeps the duty.
 func TestBlindWatcherHandsOver(t *testing.T) {
-	w := newWorld(3, 1, 3, 1)
+	w := newSimulation(3, 1, 3, 1)
 	w.run(5*time.Second, nil)
 	old := w.nodes[0].tb.watcher(w.now)
-	w.node(old).blind = true
+	w.node(old).platformUnreachable = true
 	w.run(2*time.Second, nil)
 	for _, n := range w.nodes {
 		if n.tb.watcher(w.now) == old {
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		n.blind = true
+		n.platformUnreachable = true
 	}
 	w.run(3*time.Second, nil)
 	if got := w.nodes[0].tb.watcher(w.now); got != old {
@@ -96,15 +96,15 @@
 
 // The duties of a dead host stay with it.
 func TestDutiesPassOnFromASilentHost(t *testing.T) {
-	w := newWorld(4, 2, 3, 1)
+	w := newSimulation(4, 2, 3, 1)
 	w.run(5*time.Second, nil)
 	for _, old := range []ident.EntryID{w.nodes[0].tb.watcher(w.now), w.nodes[0].tb.representative(w.now)} {
-		w.node(old).cut = true
+		w.node(old).partitioned = true
 	}
 	w.run(4*time.Second, nil)
 	held := 0
 	for _, n := range w.nodes[:3] {
-		if !n.cut && n.tb.Watches(w.now) {
+		if !n.partitioned && n.tb.IsWatcher(w.now) {
 			held++
 		}
 	}
@@ -115,7 +115,7 @@
 
 // A drain notice is late, or reverted by an old list or report.
 func TestLeavingIsToldAtOnceAndSticks(t *testing.T) {
-	w := newWorld(5, 1, 3, 2)
+	w := newSimulation(5, 1, 3, 2)
 	w.run(5050*time.Millisecond, nil)
 	w.nodes[0].tb.MarkDraining(w.now, "dc0-t0", 1)
 	w.run(100*time.Millisecond, nil)
@@ -139,18 +139,18 @@
 
 // A draining host is named to callers.
 func TestLeavingHostIsNotNamed(t *testing.T) {
-	w := newWorld(6, 2, 2, 1)
+	w := newSimulation(6, 2, 2, 1)
 	w.run(10*time.Second, nil)
 	n := w.nodes[0]
 	n.tb.SetDraining()
 	all := func(event.Place) bool { return true }
 	w.run(100*time.Millisecond, nil)
-	if hs := w.nodes[1].tb.Entries(w.now, all, 1); hs[0].ID != w.nodes[1].id {
+	if hs := w.nodes[1].tb.EntryHosts(w.now, all, 1); hs[0].ID != w.nodes[1].id {
 		t.Errorf("the peer names %s first", hs[0].ID)
 	}
-	w.run(2*Period, nil)
+	w.run(2*HeartbeatInterval, nil)
 	for _, m := range w.nodes {
-		for _, h := range m.tb.Entries(w.now, all, 1) {
+		for _, h := range m.tb.EntryHosts(w.now, all, 1) {
 			if h.ID == n.id {
 				t.Errorf("%s names %s", m.id, n.id)
 			}
@@ -163,7 +163,7 @@
 
 // A late load report replaces a newer one.
 func TestOldReportsAreIgnored(t *testing.T) {
-	w := newWorld(7, 1, 1, 1)
+	w := newSimulation(7, 1, 1, 1)
 	w.run(2*time.Second, nil)
 	tb := w.nodes[0].tb
 	report := func(inc ident.Incarnation, seq uint64, running int) int {
@@ -180,7 +180,7 @@
 
 // A burst goes to the target that was idle in the last report.
 func TestSendsSinceTheReportCount(t *testing.T) {
-	w := newWorld(8, 1, 2, 1)
+	w := newSimulation(8, 1, 2, 1)
 	w.run(3*time.Second, nil)
 	a, b := w.nodes[0].tb, w.nodes[1].tb
 	for range 4 {
@@ -195,7 +195,7 @@
 	if got := y.Outstanding(w.now); got != 4 {
 		t.Errorf("the peer counts %d", got)
 	}
-	w.busy("dc0", 4)
+	w.setRunning("dc0", 4)
 	w.run(5*time.Second, nil)
 	if got := x.Outstanding(w.now); got != 4 {
 		t.Errorf("the sender counts %d once they are reported, as if they were others'", got)
@@ -206,7 +206,7 @@
 	if got := x.Outstanding(w.now); got != 7 {
 		t.Errorf("the sender counts %d after three more", got)
 	}
-	w.busy("dc0", 9)
+	w.setRunning("dc0", 9)
 	w.run(time.Second, nil)
 	for range 4 {
 		a.Sent("dc0-t0", 100, 100)
@@ -217,7 +217,7 @@
 	for range 11 {
 		a.Ended("dc0-t0", 100, 100, true)
 	}
-	w.busy("dc0", 0)
+	w.setRunning("dc0", 0)
 	w.run(3*time.Second, nil)
 	if got := y.Outstanding(w.now); got != 0 {
 		t.Errorf("the peer counts %d after the end", got)
@@ -226,7 +226,7 @@
 
 // Hosts that start together read the list at the same moment.
 func TestReadsOfTheListAreSpread(t *testing.T) {
-	w := newWorld(9, 10, 6, 0)
+	w := newSimulation(9, 10, 6, 0)
 	before, most := 0, 0
 	w.run(300*time.Millisecond, func() {
 		most = max(most, w.reads-before)
@@ -253,7 +253,7 @@
 
 // The report of a peer clears failures of the link from this host.
 func TestPeersReportsDoNotClearOwnFailures(t *testing.T) {
-	w := newWorld(10, 1, 2, 4)
+	w := newSimulation(10, 1, 2, 4)
 	w.run(3*time.Second, nil)
 	tb := w.nodes[0].tb
 	for _, x := range tb.Targets() {
@@ -300,8 +300,8 @@
 		old bool
 	}{{time.Second, false}, {2 * time.Second, true}, {70 * time.Second, true}} {
 		// The time goes by in steps, as for a host that is not paused.
-		for tb.last < ident.Time(step.at)-1 {
-			tb.Advance(min(tb.last.Add(Period), ident.Time(step.at)-1))
+		for tb.lastAdvance < ident.Time(step.at)-1 {
+			tb.Advance(min(tb.lastAdvance.Add(HeartbeatInterval), ident.Time(step.at)-1))
 		}
 		n := 2
 		if step.old {
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -21,7 +21,7 @@
 func (tb *Table) askMemory(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
-		if t.Capacity == 0 || t.Memory > 0 || tb.usual.Rate(t.Service) == 0 || !t.Usable(now) {
+		if t.Capacity == 0 || t.Memory > 0 || tb.serviceStats.Rate(t.Service) == 0 || !t.Usable(now) {
 			continue
 		}
 		if t.askedAt > 0 && now.Sub(t.askedAt) < askEvery {
--- a/internal/member/near.go
+++ b/internal/member/near.go
@@ -58,7 +58,7 @@
 			}
 		}
 		for _, h := range c.listed {
-			if !tb.list.away && !seen.Has(h.ID) {
+			if !tb.list.readFailed && !seen.Has(h.ID) {
 				hosts = append(hosts, h)
 			}
 		}
--- a/internal/member/note.go
+++ b/internal/member/note.go
@@ -9,22 +9,22 @@
 // maxNotes bounds the notes of one step.
 const maxNotes = 64
 
-// Notes returns what has changed in what this host believes of the targets whose
+// TakeNotes returns what has changed in what this host believes of the targets whose
 // capacity the platform's list contains, since the last call.
-func (tb *Table) Notes() []event.Note {
+func (tb *Table) TakeNotes() []event.Note {
 	ns := tb.notes
 	tb.notes = nil
 	return ns
 }
 
-// note records a change of belief about a target.
-func (tb *Table) note(t *Target, text string) {
+// addNote records a change of belief about a target.
+func (tb *Table) addNote(t *Target, text string) {
 	if t.Capacity == 0 || len(tb.notes) >= maxNotes {
 		return
 	}
 	silent := "-1"
 	if t.met {
-		silent = strconv.FormatInt(tb.last.Sub(t.lastSeen).Milliseconds(), 10)
+		silent = strconv.FormatInt(tb.lastAdvance.Sub(t.lastSeen).Milliseconds(), 10)
 	}
 	tb.notes = append(tb.notes, event.Note{Text: text, Fields: []event.NotePair{
 		{Key: "target", Value: string(t.ID)},
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -66,8 +66,8 @@
 		}
 		askers := tb.askers(now, p.id)
 		n := spare(p.Free, p.Slots)
-		if tb.isPaced(p.id) {
-			n /= paceStep
+		if tb.hasPace(p.id) {
+			n /= pacedOfferDivisor
 		}
 		for j, n := range split(n, len(askers)) {
 			rows[i][askers[j]] = n
@@ -98,10 +98,10 @@
 // asked reports whether an offer of a pool is made to a data centre. Where the pace of streams is
 // known it need not ask, which would take a round trip by way of both representatives.
 func (tb *Table) asked(now ident.Time, c *Centre, id PoolID) bool {
-	if tb.isPaced(id) {
+	if tb.hasPace(id) {
 		return c.Pool(id) != nil
 	}
-	return c.ask(id) != nil && !holds(c.taken, now, id)
+	return c.requestedPool(id) != nil && !holds(c.offersReceived, now, id)
 }
 
 func (tb *Table) askRank(salt uint64, i int) uint64 {
@@ -162,14 +162,14 @@
 	}
 	c := tb.centres[i]
 	p := c.Pool(id)
-	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerLife || !tb.isPaced(id) && holds(c.given, now, id) {
+	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerLife || !tb.hasPace(id) && holds(c.offersMade, now, id) {
 		return 0
 	}
 	if own, ok := tb.pool(id); ok && own.offering {
 		return 0
 	}
 	share := tb.ownShare(now, dc, p.Offer)
-	grown := int(ramp(now.Sub(c.since))*float64(share) + 0.999999)
+	grown := int(ramp(now.Sub(c.reachableSince))*float64(share) + 0.999999)
 	return max(0, min(share, grown)-tb.unseen(now, c, id))
 }
 
@@ -206,7 +206,7 @@
 // is too old to know them is charged with everything under way.
 func (tb *Table) unseen(now ident.Time, c *Centre, id PoolID) int {
 	running := tb.underWay(c.Place.Group(), id)
-	from := c.madePools.Add(-wayLag)
+	from := c.poolsMadeAt.Add(-wayLag)
 	p := c.passedOn(id)
 	if p == nil || now.Sub(from) > load.RecentSpan {
 		return running
@@ -222,11 +222,11 @@
 }
 
 func (c *Centre) passedOn(id PoolID) *passed {
-	i := slices.IndexFunc(c.passed, func(p *passed) bool { return p.id == id })
+	i := slices.IndexFunc(c.forwarded, func(p *passed) bool { return p.id == id })
 	if i < 0 {
 		return nil
 	}
-	return c.passed[i]
+	return c.forwarded[i]
 }
 
 // notePassed records a request that is forwarded, or, with -1, that has ended.
@@ -238,13 +238,13 @@
 	c := tb.centres[i]
 	p := c.passedOn(id)
 	if p == nil {
-		if len(c.passed) >= maxWants {
+		if len(c.forwarded) >= maxWants {
 			return
 		}
 		p = &passed{id: id}
-		c.passed = append(c.passed, p)
+		c.forwarded = append(c.forwarded, p)
 	}
-	p.recent.Add(tb.last, n, 0)
+	p.recent.Add(tb.lastAdvance, n, 0)
 }
 
 // ownShare is this host's part of an offer to its data centre. The live hosts
@@ -269,8 +269,8 @@
 }
 
 func (tb *Table) awayIndex(dc ident.DataCentre, id PoolID) (int, bool) {
-	return slices.BinarySearchFunc(tb.away, id, func(u event.AwayUse, id PoolID) int {
-		return cmp.Or(cmp.Compare(u.DataCentre, dc), byPool(PoolID{u.Serve, u.Service}, id))
+	return slices.BinarySearchFunc(tb.forwarded, id, func(u event.AwayUse, id PoolID) int {
+		return cmp.Or(cmp.Compare(u.DataCentre, dc), comparePools(PoolID{u.Serve, u.Service}, id))
 	})
 }
 
@@ -279,20 +279,20 @@
 	if !ok {
 		return 0
 	}
-	return tb.away[i].Running
+	return tb.forwarded[i].Running
 }
 
 // OfferTake counts a request that is passed on to a data centre.
 func (tb *Table) OfferTake(dc ident.DataCentre, id PoolID) {
 	i, ok := tb.awayIndex(dc, id)
 	if !ok {
-		tb.away = slices.Insert(tb.away, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
+		tb.forwarded = slices.Insert(tb.forwarded, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
 	}
-	tb.away[i].Running++
+	tb.forwarded[i].Running++
 	tb.notePassed(dc, id, 1)
 	if p, ok := tb.pool(id); ok && p.offering {
 		p.offering = false
-		tb.beat.asks = true
+		tb.heartbeat.summaryDue = true
 	}
 }
 
@@ -302,9 +302,9 @@
 	if !ok {
 		return
 	}
-	tb.away[i].Running--
+	tb.forwarded[i].Running--
 	tb.notePassed(dc, id, -1)
-	if tb.away[i].Running == 0 {
-		tb.away = slices.Delete(tb.away, i, i+1)
+	if tb.forwarded[i].Running == 0 {
+		tb.forwarded = slices.Delete(tb.forwarded, i, i+1)
 	}
 }
--- a/internal/member/pace_test.go
+++ b/internal/member/pace_test.go
@@ -9,7 +9,7 @@
 )
 
 // A region with slow streams offers its free slots.
-func TestSlowStreamsLeaveNoRoom(t *testing.T) {
+func TestSlowStreamsLeaveNoFreeSlots(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
@@ -23,7 +23,7 @@
 		t.Errorf("%d slots are free where no pace is known, want 16", got)
 	}
 	for range 50 {
-		tb.Paced("a", 120*time.Millisecond)
+		tb.StreamEventReceived("a", 120*time.Millisecond)
 	}
 	if got := free(); got != 16 {
 		t.Errorf("%d slots are free where no other pace is known, want 16", got)
@@ -39,7 +39,7 @@
 }
 
 // A region offers nothing until all work that it forwarded has ended.
-func TestRegionThatWasHelpedHelps(t *testing.T) {
+func TestPoolWithPaceOffersWhileForwarding(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a")))
@@ -47,7 +47,7 @@
 	tb.countPools(at)
 	tb.OfferTake("east", id)
 	for range 50 {
-		tb.Paced("a", 30*time.Millisecond)
+		tb.StreamEventReceived("a", 30*time.Millisecond)
 	}
 	tb.countPools(at)
 	if p, _ := tb.pool(id); !p.offering {
@@ -56,7 +56,7 @@
 }
 
 // A region has no offer at the start of its peak.
-func TestOffersOfPacedPoolsStand(t *testing.T) {
+func TestPoolsWithPaceOfferWithoutRequest(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b"), reachTarget("c"), reachTarget("d")))
@@ -74,7 +74,7 @@
 		t.Errorf("%d slots are offered to a region that does not ask, where streams have no pace", got)
 	}
 	for range 50 {
-		tb.Paced("a", 30*time.Millisecond)
+		tb.StreamEventReceived("a", 30*time.Millisecond)
 	}
 	if got := offer(); got < 1 || got > 4 {
 		t.Errorf("%d of 32 slots are offered, want a small part", got)
--- a/internal/member/peer.go
+++ b/internal/member/peer.go
@@ -15,35 +15,35 @@
 	host event.Host
 	// lastSeen is when a message of the host last came, met whether one ever did.
 	lastSeen ident.Time
-	met      bool
-	// down says that the link to it broke and has not come back.
-	down   bool
-	listed bool
+	seen     bool
+	// linkDown says that the link to it broke and has not come back.
+	linkDown bool
+	listed   bool
 	// seq is the number of the newest digest of this incarnation.
-	seq      uint64
-	revision ident.Revision
-	use      []event.TargetUse
-	away     []event.AwayUse
-	flows    []event.Flow
-	blind    bool
-	// fresh says that it is to be sent all that this host knows.
-	fresh    bool
-	probedAt ident.Time
+	seq                 uint64
+	revision            ident.Revision
+	use                 []event.TargetUse
+	forwarded           []event.AwayUse
+	flows               []event.Flow
+	platformUnreachable bool
+	// needsFullDigest says that it is to be sent all that this host knows.
+	needsFullDigest bool
+	probedAt        ident.Time
 }
 
 // live reports whether the host was seen lately. A broken link shortens the time that it
 // may be silent.
 func (p *peer) live(now ident.Time) bool {
-	if !p.met {
+	if !p.seen {
 		return false
 	}
-	if p.down {
-		return now.Sub(p.lastSeen) <= brokenAfter
+	if p.linkDown {
+		return now.Sub(p.lastSeen) <= linkDownTimeout
 	}
-	return now.Sub(p.lastSeen) <= suspectAfter
+	return now.Sub(p.lastSeen) <= suspectTimeout
 }
 
-func (p *peer) dead(now ident.Time) bool { return !p.met || now.Sub(p.lastSeen) > deadAfter }
+func (p *peer) dead(now ident.Time) bool { return !p.seen || now.Sub(p.lastSeen) > deadTimeout }
 
 func (tb *Table) peer(id ident.EntryID) (*peer, bool) {
 	i, ok := tb.peerIndex(id)
@@ -88,13 +88,13 @@
 func (tb *Table) observe(now ident.Time, p *peer) {
 	if !p.live(now) {
 		// It may have restarted, or missed what was sent meanwhile.
-		p.fresh = true
+		p.needsFullDigest = true
 	}
-	p.met = true
-	p.down = false
+	p.seen = true
+	p.linkDown = false
 	p.lastSeen = max(p.lastSeen, now)
-	if p.fresh {
-		tb.beat.peers = true
+	if p.needsFullDigest {
+		tb.heartbeat.fullDigestDue = true
 	}
 }
 
@@ -105,9 +105,9 @@
 	if h.Place.Group() != tb.self.Place.Group() {
 		c := tb.centre(h.Place)
 		c.putHost(h)
-		if c.sent.to == h.ID && c.sent.incarnation != h.Incarnation {
+		if c.lastSent.to == h.ID && c.lastSent.incarnation != h.Incarnation {
 			// It has restarted and lost what was sent to it.
-			c.sent = lastSent{}
+			c.lastSent = lastSent{}
 		}
 		return
 	}
@@ -120,7 +120,7 @@
 func (tb *Table) PeerDown(now ident.Time, id ident.EntryID) {
 	tb.Advance(now)
 	if p, ok := tb.peer(id); ok {
-		p.down = true
+		p.linkDown = true
 	}
 }
 
@@ -135,78 +135,78 @@
 	return hs
 }
 
-// Relieved reports whether a live host of the own data centre is there to stay.
-func (tb *Table) Relieved(now ident.Time) bool {
+// HasActivePeer reports whether a live host of the own data centre is there to stay.
+func (tb *Table) HasActivePeer(now ident.Time) bool {
 	return slices.ContainsFunc(tb.peers, func(p *peer) bool { return p.live(now) && !p.host.Draining })
 }
 
-// Watches reports whether this host watches the platform for its data centre.
-func (tb *Table) Watches(now ident.Time) bool {
+// IsWatcher reports whether this host watches the platform for its data centre.
+func (tb *Table) IsWatcher(now ident.Time) bool {
 	return tb.watcher(now) == tb.self.ID
 }
 
 // Hosts that read the platform's store all the time.
 const (
-	// readers is how many hosts of a data centre do, so that one may freeze.
-	readers = 2
-	// readFresh bounds the silence of a host that is relied on to read.
-	readFresh = 1800 * time.Millisecond
+	// activeReaders is how many hosts of a data centre do, so that one may freeze.
+	activeReaders = 2
+	// maxReaderSilence bounds the silence of a host that is relied on to read.
+	maxReaderSilence = 1800 * time.Millisecond
 )
 
-// Reads reports whether this host is an active reader of the platform's store. Active readers
+// IsActiveReader reports whether this host is an active reader of the platform's store. Active readers
 // announce what they read; more of them than needed do no harm.
-func (tb *Table) Reads(now ident.Time) bool {
-	mine := dutyScore("watch", tb.self, tb.blind)
+func (tb *Table) IsActiveReader(now ident.Time) bool {
+	mine := dutyScore("watch", tb.self, tb.platformUnreachable)
 	before := 0
 	for _, p := range tb.peers {
-		if !p.met || p.down || now.Sub(p.lastSeen) > readFresh {
+		if !p.seen || p.linkDown || now.Sub(p.lastSeen) > maxReaderSilence {
 			continue
 		}
-		if dutyScore("watch", p.host, p.blind) > mine {
+		if dutyScore("watch", p.host, p.platformUnreachable) > mine {
 			before++
 		}
 	}
-	return before < readers
+	return before < activeReaders
 }
 
-// Represents reports whether this host sends the summaries of its data centre.
-func (tb *Table) Represents(now ident.Time) bool { return tb.representative(now) == tb.self.ID }
+// IsRepresentative reports whether this host sends the summaries of its data centre.
+func (tb *Table) IsRepresentative(now ident.Time) bool { return tb.representative(now) == tb.self.ID }
 
 func (tb *Table) watcher(now ident.Time) ident.EntryID {
-	return tb.first(now, "watch", true)
+	return tb.topRanked(now, "watch", true)
 }
 
 func (tb *Table) representative(now ident.Time) ident.EntryID {
-	return tb.first(now, "speak", false)
+	return tb.topRanked(now, "speak", false)
 }
 
-// first returns the live host that ranks first for a duty. Hosts that drain, and for some
+// topRanked returns the live host that ranks topRanked for a duty. Hosts that drain, and for some
 // duties those that are blind, come after all others.
-func (tb *Table) first(now ident.Time, duty string, sight bool) ident.EntryID {
+func (tb *Table) topRanked(now ident.Time, duty string, sight bool) ident.EntryID {
 	best := tb.self.ID
-	bestScore := dutyScore(duty, tb.self, sight && tb.blind)
+	bestScore := dutyScore(duty, tb.self, sight && tb.platformUnreachable)
 	for _, p := range tb.peers {
 		if !p.live(now) {
 			continue
 		}
-		if s := dutyScore(duty, p.host, sight && p.blind); s > bestScore {
+		if s := dutyScore(duty, p.host, sight && p.platformUnreachable); s > bestScore {
 			best, bestScore = p.host.ID, s
 		}
 	}
 	return best
 }
 
-// dutyBits are the highest bits of a score: a host that is fit for a duty comes
+// eligibilityBits are the highest bits of a score: a host that is fit for a duty comes
 // before every host that is not, whatever their hashes.
-const dutyBits = 2
+const eligibilityBits = 2
 
 func dutyScore(duty string, h event.Host, blind bool) uint64 {
-	s := rank.Hash(duty, string(h.ID)) >> dutyBits
+	s := rank.Hash(duty, string(h.ID)) >> eligibilityBits
 	if !h.Draining {
 		s |= 1 << (64 - 1)
 	}
 	if !blind {
-		s |= 1 << (64 - dutyBits)
+		s |= 1 << (64 - eligibilityBits)
 	}
 	return s
 }
@@ -217,10 +217,10 @@
 	for _, p := range tb.peers {
 		if p.dead(now) {
 			tb.mergeUse(p, nil)
-			p.away = nil
+			p.forwarded = nil
 		}
 	}
 	tb.peers = slices.DeleteFunc(tb.peers, func(p *peer) bool {
-		return !p.listed && now.Sub(p.lastSeen) > dropAfter
+		return !p.listed && now.Sub(p.lastSeen) > dropTimeout
 	})
 }
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -14,14 +14,14 @@
 	event.Pool
 	id PoolID
 	// offering is the state of the hysteresis.
-	offering bool
-	wantedAt ident.Time
-	wanted   bool
-	// ownAt is when a request at this host last asked for it; a demand of a peer is
+	offering    bool
+	requestedAt ident.Time
+	requested   bool
+	// requestedHereAt is when a request at this host last asked for it; a demand of a peer is
 	// not relayed.
-	ownAt  ident.Time
-	own    bool
-	prices float64
+	requestedHereAt ident.Time
+	requestedHere   bool
+	priceSum        float64
 }
 
 // update moves the hysteresis after a change of load or of own work sent away.
@@ -34,7 +34,7 @@
 	}
 }
 
-func byPool(a, b PoolID) int {
+func comparePools(a, b PoolID) int {
 	return cmp.Or(
 		strings.Compare(string(a.Serve.Model), string(b.Serve.Model)),
 		strings.Compare(string(a.Serve.Version), string(b.Serve.Version)),
@@ -52,10 +52,10 @@
 }
 
 func (tb *Table) poolIndex(id PoolID) (int, bool) {
-	return slices.BinarySearchFunc(tb.pools, id, func(p *pool, id PoolID) int { return byPool(p.id, id) })
+	return slices.BinarySearchFunc(tb.pools, id, func(p *pool, id PoolID) int { return comparePools(p.id, id) })
 }
 
-func (tb *Table) needPool(id PoolID) *pool {
+func (tb *Table) ensurePool(id PoolID) *pool {
 	i, ok := tb.poolIndex(id)
 	if !ok {
 		p := &pool{id: id}
@@ -65,53 +65,53 @@
 	return tb.pools[i]
 }
 
-// Want says that a request asked for a pool that has no target here, so that
+// PoolRequested says that a request asked for a pool that has no target here, so that
 // the data centre asks the others for it.
-func (tb *Table) Want(now ident.Time, id PoolID) {
-	p, fresh := tb.want(now, id)
+func (tb *Table) PoolRequested(now ident.Time, id PoolID) {
+	p, fresh := tb.recordPoolRequest(now, id)
 	if p == nil {
 		return
 	}
-	if fresh || !p.own || now.Sub(p.ownAt) > wantLife {
+	if fresh || !p.requestedHere || now.Sub(p.requestedHereAt) > wantLife {
 		// Another host may be the representative and has to know at once.
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
-	p.own, p.ownAt = true, now
+	p.requestedHere, p.requestedHereAt = true, now
 }
 
-// Crowded says that requests are queued here for room, so that the data centre asks for help
+// RequestsQueued says that requests are queued here for room, so that the data centre asks for help
 // now and not at the next heartbeat.
-func (tb *Table) Crowded(now ident.Time) {
-	if tb.crowdedAt > 0 && now.Sub(tb.crowdedAt) < minGap {
+func (tb *Table) RequestsQueued(now ident.Time) {
+	if tb.requestsQueuedAt > 0 && now.Sub(tb.requestsQueuedAt) < minSummaryGap {
 		return
 	}
-	tb.crowdedAt = now
+	tb.requestsQueuedAt = now
 	tb.countPools(now)
 	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && short(p.Free, p.Slots) }) {
-		tb.beat.asks, tb.beat.urgent = true, true
+		tb.heartbeat.summaryDue, tb.heartbeat.urgent = true, true
 	}
 }
 
-// want records a demand of this host or of a peer. It returns nil where
+// recordPoolRequest records a demand of this host or of a peer. It returns nil where
 // there are too many.
-func (tb *Table) want(now ident.Time, id PoolID) (p *pool, fresh bool) {
+func (tb *Table) recordPoolRequest(now ident.Time, id PoolID) (p *pool, fresh bool) {
 	p, ok := tb.pool(id)
 	if !ok {
 		if len(tb.pools) >= maxWants {
 			return nil, false
 		}
-		p = tb.needPool(id)
-		tb.beat.asks = true
+		p = tb.ensurePool(id)
+		tb.heartbeat.summaryDue = true
 	}
-	p.wanted, p.wantedAt = true, now
+	p.requested, p.requestedAt = true, now
 	return p, !ok
 }
 
-// wants returns what requests at this host asked for lately in vain.
-func (tb *Table) wants(now ident.Time) []event.Want {
+// ownPoolRequests returns what requests at this host asked for lately in vain.
+func (tb *Table) ownPoolRequests(now ident.Time) []event.Want {
 	var ws []event.Want
 	for _, p := range tb.pools {
-		if p.Targets == 0 && p.own && now.Sub(p.ownAt) <= wantLife {
+		if p.Targets == 0 && p.requestedHere && now.Sub(p.requestedHereAt) <= wantLife {
 			ws = append(ws, event.Want{Serve: p.Serve, Service: p.Service})
 		}
 	}
@@ -123,7 +123,7 @@
 	for _, p := range tb.pools {
 		*p = pool{
 			Pool: event.Pool{Serve: p.Serve, Service: p.Service},
-			id:   p.id, offering: p.offering, wantedAt: p.wantedAt, wanted: p.wanted, ownAt: p.ownAt, own: p.own,
+			id:   p.id, offering: p.offering, requestedAt: p.requestedAt, requested: p.requested, requestedHereAt: p.requestedHereAt, requestedHere: p.requestedHere,
 		}
 	}
 	for _, t := range tb.targets {
@@ -133,19 +133,19 @@
 		tb.countTarget(now, t)
 	}
 	tb.pools = slices.DeleteFunc(tb.pools, func(p *pool) bool {
-		return p.Targets == 0 && (!p.wanted || now.Sub(p.wantedAt) > wantLife)
+		return p.Targets == 0 && (!p.requested || now.Sub(p.requestedAt) > wantLife)
 	})
 	for _, p := range tb.pools {
 		if p.Targets > 0 {
 			n := float64(p.Targets)
 			p.PrefillRate /= n
 			p.DecodeRate /= n
-			p.Price = p.prices / n
+			p.Price = p.priceSum / n
 		}
 		p.Alone, p.Shared = tb.demand(now, p.Service)
 		away := 0
-		if !tb.isPaced(p.id) {
-			away = tb.awayFrom(now, p.id)
+		if !tb.hasPace(p.id) {
+			away = tb.countForwarded(now, p.id)
 		}
 		p.update(away)
 	}
@@ -153,11 +153,11 @@
 
 func (tb *Table) countTarget(now ident.Time, t *Target) {
 	if t.Kind == event.Service {
-		tb.needPool(PoolID{Service: t.Service}).count(now, t, tb.roomAt(now, t.Service))
+		tb.ensurePool(PoolID{Service: t.Service}).count(now, t, tb.remoteShare(now, t.Service))
 		return
 	}
 	for _, sv := range t.Load.Serves {
-		tb.needPool(PoolID{Serve: sv}).count(now, t, 1)
+		tb.ensurePool(PoolID{Serve: sv}).count(now, t, 1)
 	}
 }
 
@@ -172,23 +172,23 @@
 	p.Free += t.Free(now, out, room)
 	p.PrefillRate += t.Load.PrefillRate
 	p.DecodeRate += t.Load.DecodeRate
-	p.prices += t.Price
+	p.priceSum += t.Price
 }
 
-// awayFrom counts the requests of a pool that the hosts of the own data centre
+// countForwarded counts the requests of a pool that the hosts of the own data centre
 // have passed on to others. Such a pool offers nothing, so that no two data centres swap
 // work.
-func (tb *Table) awayFrom(now ident.Time, id PoolID) int {
-	n := countAway(tb.away, id)
+func (tb *Table) countForwarded(now ident.Time, id PoolID) int {
+	n := sumForwarded(tb.forwarded, id)
 	for _, p := range tb.peers {
 		if !p.dead(now) {
-			n += countAway(p.away, id)
+			n += sumForwarded(p.forwarded, id)
 		}
 	}
 	return n
 }
 
-func countAway(uses []event.AwayUse, id PoolID) int {
+func sumForwarded(uses []event.AwayUse, id PoolID) int {
 	n := 0
 	for _, u := range uses {
 		if u.Serve == id.Serve && u.Service == id.Service {
--- a/internal/member/reads_test.go
+++ b/internal/member/reads_test.go
@@ -10,7 +10,7 @@
 )
 
 // Calls to the store grow with the hosts, or none reads after both readers have frozen.
-func TestTwoHostsReadForTheOthers(t *testing.T) {
+func TestActiveReadersAreBounded(t *testing.T) {
 	const n = 20
 	host := func(i int) event.Host { return reachHost(fmt.Sprint("w", i), "west-a", "west") }
 	tables := make([]*Table, n)
@@ -20,7 +20,7 @@
 	now := ident.Time(time.Second)
 	seq := uint64(0)
 	beat := func(frozen map[int]bool) (reading []int) {
-		now = now.Add(Period)
+		now = now.Add(HeartbeatInterval)
 		seq++
 		for i, tb := range tables {
 			if frozen[i] {
@@ -33,7 +33,7 @@
 			}
 		}
 		for i, tb := range tables {
-			if !frozen[i] && tb.Reads(now) {
+			if !frozen[i] && tb.IsActiveReader(now) {
 				reading = append(reading, i)
 			}
 		}
@@ -41,18 +41,18 @@
 	}
 	for i, tb := range tables {
 		tb.Advance(now)
-		if !tb.Reads(now) {
+		if !tb.IsActiveReader(now) {
 			t.Fatalf("host %d knows of no other and does not read", i)
 		}
 	}
 	first := beat(nil)
-	if len(first) != readers {
-		t.Fatalf("hosts %v read, want %d", first, readers)
+	if len(first) != activeReaders {
+		t.Fatalf("hosts %v read, want %d", first, activeReaders)
 	}
 	frozen := map[int]bool{first[0]: true, first[1]: true}
 	beat(frozen)
 	second := beat(frozen)
-	if len(second) != readers {
-		t.Errorf("hosts %v read two seconds after both readers froze, want %d", second, readers)
+	if len(second) != activeReaders {
+		t.Errorf("hosts %v read two seconds after both readers froze, want %d", second, activeReaders)
 	}
 }
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -16,16 +16,16 @@
 	if !ok {
 		return
 	}
-	if !sameLoad(t.relayed, ld) || now.Sub(t.relayedAt) >= relayEvery {
+	if !similarLoad(t.relayed, ld) || now.Sub(t.relayedAt) >= relayEvery {
 		t.relayed, t.relayedAt = ld, now
-		tb.relay = append(tb.relay, ld)
+		tb.loadsToRelay = append(tb.loadsToRelay, ld)
 	}
 }
 
 // mergeLoad merges a report and reports whether it was new.
 func (tb *Table) mergeLoad(now ident.Time, ld event.Load, direct bool) (*Target, bool) {
 	if ld.Draining && tb.observeDraining(now, ld.Target, ld.Incarnation) && direct {
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 	t, ok := tb.byID[ld.Target]
 	if ok {
@@ -49,16 +49,16 @@
 	} else {
 		t.seen(now.Add(-ld.Age))
 	}
-	t.Report(ld, now.Add(-ld.Age-tb.late(now)))
+	t.Report(ld, now.Add(-ld.Age-tb.extraAge(now)))
 	return t, true
 }
 
-// relayPart is the part of the slots by which the requests at a target must
+// relayChangeDivisor is the part of the slots by which the requests at a target must
 // change for its report to be relayed at once.
-const relayPart = 8
+const relayChangeDivisor = 8
 
-// sameLoad reports whether two reports differ by too little to be worth a relay.
-func sameLoad(a, b event.Load) bool {
+// similarLoad reports whether two reports differ by too little to be worth a relay.
+func similarLoad(a, b event.Load) bool {
 	if a.Incarnation != b.Incarnation || a.Slots != b.Slots || a.Draining != b.Draining {
 		return false
 	}
@@ -66,24 +66,24 @@
 		return false
 	}
 	change := a.Running + a.Queued - b.Running - b.Queued
-	return max(change, -change) <= a.Slots/relayPart
+	return max(change, -change) <= a.Slots/relayChangeDivisor
 }
 
-// fixedEvery is the longest time between two relays of a load report with the
+// staticPartInterval is the longest time between two relays of a load report with the
 // fixed part, which makes good one that was lost.
-const fixedEvery = 10 * time.Second
+const staticPartInterval = 10 * time.Second
 
-// ratePart is the part by which a rate must change to be relayed at once.
-const ratePart = 0.1
+// minRateChange is the part by which a rate must change to be relayed at once.
+const minRateChange = 0.1
 
-// shorten leaves out the parts of a report that peers have. The report of a draining target
+// omitKnownFields leaves out the parts of a report that peers have. The report of a draining target
 // goes whole, for hosts that do not know the target yet.
-func (tb *Table) shorten(now ident.Time, t *Target, ld event.Load) event.Load {
+func (tb *Table) omitKnownFields(now ident.Time, t *Target, ld event.Load) event.Load {
 	if ld.Draining {
 		return ld
 	}
 	ld.Target, ld.Key = tb.nameOf(t)
-	if !sameFixed(t.fixed, ld) || now.Sub(t.fixedAt) >= fixedEvery {
+	if !sameStaticPart(t.fixed, ld) || now.Sub(t.fixedAt) >= staticPartInterval {
 		t.fixed, t.fixedAt = ld, now
 		return ld
 	}
@@ -92,18 +92,18 @@
 	return ld
 }
 
-// sameFixed reports whether two reports say the same beside the requests and
+// sameStaticPart reports whether two reports say the same beside the requests and
 // the queue.
-func sameFixed(a, b event.Load) bool {
+func sameStaticPart(a, b event.Load) bool {
 	return a.Incarnation == b.Incarnation && a.Slots == b.Slots && slices.Equal(a.Serves, b.Serves) &&
-		near(a.PrefillRate, b.PrefillRate) && near(a.DecodeRate, b.DecodeRate)
+		similarRate(a.PrefillRate, b.PrefillRate) && similarRate(a.DecodeRate, b.DecodeRate)
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= ratePart*a }
+func similarRate(a, b float64) bool { return math.Abs(a-b) <= minRateChange*a }
 
-// mergeRelayed merges a report that a peer has polled. One that leaves out parts which this
+// mergeRelayedLoad merges a report that a peer has polled. One that leaves out parts which this
 // host does not have is ignored.
-func (tb *Table) mergeRelayed(now ident.Time, ld event.Load) {
+func (tb *Table) mergeRelayedLoad(now ident.Time, ld event.Load) {
 	if t := tb.byKey[ld.Key]; ld.Target == "" && t != nil {
 		ld.Target = t.ID
 	}
--- a/internal/member/seen.go
+++ b/internal/member/seen.go
@@ -18,64 +18,64 @@
 	t.Seen(now, ev.Running, ev.Queued, ev.Slots)
 }
 
-// Ran records how long a whole answer of a target took.
-func (tb *Table) Ran(id ident.TargetID, took time.Duration) {
+// AnswerCompleted records how long a whole answer of a target took.
+func (tb *Table) AnswerCompleted(id ident.TargetID, took time.Duration) {
 	if t, ok := tb.byID[id]; ok {
-		tb.usual.Ran(&t.State, took)
+		tb.serviceStats.Ran(&t.State, took)
 	}
 }
 
-// Began records the time from sending a request to the first token of its answer, the
+// FirstTokenReceived records the time from sending a request to the first token of its answer, the
 // tokens of its prompt that were probably read in it, and those that waited before.
-func (tb *Table) Began(id ident.TargetID, prefill, before ident.Tokens, took time.Duration) {
+func (tb *Table) FirstTokenReceived(id ident.TargetID, prefill, before ident.Tokens, took time.Duration) {
 	if t, ok := tb.byID[id]; ok {
-		tb.usual.Began(&t.State, prefill, before, took)
+		tb.serviceStats.Began(&t.State, prefill, before, took)
 	}
 }
 
-// Paced records the time between two events of a stream at a target.
-func (tb *Table) Paced(id ident.TargetID, gap time.Duration) {
+// StreamEventReceived records the time between two events of a stream at a target.
+func (tb *Table) StreamEventReceived(id ident.TargetID, gap time.Duration) {
 	if t, ok := tb.byID[id]; ok {
-		tb.usual.Paced(tb.last, &t.State, gap)
+		tb.serviceStats.Paced(tb.lastAdvance, &t.State, gap)
 	}
 }
 
-// supposeRates gives targets what is usual for their service.
-func (tb *Table) supposeRates() {
+// inheritServiceRates gives targets what is usual for their service.
+func (tb *Table) inheritServiceRates() {
 	for _, t := range tb.targets {
-		tb.usual.Suppose(tb.last, &t.State)
+		tb.serviceStats.Suppose(tb.lastAdvance, &t.State)
 	}
 }
 
 // Following of the part of requests that fail at a target.
 const (
-	// faultWeight is the weight of one outcome: a target that begins to fail
+	// failureWeight is the weight of one outcome: a target that begins to fail
 	// half of its requests shows within eight of them.
-	faultWeight = 1.0 / 8
-	// faultHalf is the half-life of the part of failed requests.
-	faultHalf = 4 * time.Second
+	failureWeight = 1.0 / 8
+	// failureHalfLife is the half-life of the part of failed requests.
+	failureHalfLife = 4 * time.Second
 )
 
-// Outcome records whether a request at a target succeeded. A target that fails part of its
+// RecordOutcome records whether a request at a target succeeded. A target that fails part of its
 // requests while its health check passes gets less work by it.
-func (tb *Table) Outcome(now ident.Time, id ident.TargetID, ok bool) {
+func (tb *Table) RecordOutcome(now ident.Time, id ident.TargetID, ok bool) {
 	t, found := tb.byID[id]
 	if !found {
 		return
 	}
-	t.faults = t.Faults(now)
+	t.faults = t.FailureRate(now)
 	t.faultsAt = now
 	sample := 1.0
 	if ok {
 		sample = 0
 	}
-	t.faults += faultWeight * (sample - t.faults)
+	t.faults += failureWeight * (sample - t.faults)
 }
 
-// Faults returns the part of the newest requests at a target that failed.
-func (t *Target) Faults(now ident.Time) float64 {
+// FailureRate returns the part of the newest requests at a target that failed.
+func (t *Target) FailureRate(now ident.Time) float64 {
 	if t.faults == 0 {
 		return 0
 	}
-	return t.faults * math.Exp2(-now.Sub(t.faultsAt).Seconds()/faultHalf.Seconds())
+	return t.faults * math.Exp2(-now.Sub(t.faultsAt).Seconds()/failureHalfLife.Seconds())
 }
--- a/internal/member/sent.go
+++ b/internal/member/sent.go
@@ -8,7 +8,7 @@
 // prefix that the target probably caches.
 func (tb *Table) Prefill(id ident.TargetID, tokens ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
-		t.Prefill(tb.last, tokens)
+		t.Prefill(tb.lastAdvance, tokens)
 	}
 }
 
@@ -25,9 +25,9 @@
 	if !ok {
 		return
 	}
-	t.Send(tb.last, prefill, generated)
-	if t.Cold(tb.last) {
-		t.coldSends = append(t.coldSends, tb.last)
+	t.Send(tb.lastAdvance, prefill, generated)
+	if t.Cold(tb.lastAdvance) {
+		t.coldSends = append(t.coldSends, tb.lastAdvance)
 	}
 }
 
@@ -38,7 +38,7 @@
 	if !found {
 		return
 	}
-	t.End(tb.last, prefill, generated)
+	t.End(tb.lastAdvance, prefill, generated)
 	if !ok {
 		tb.fail(t)
 		return
@@ -58,7 +58,7 @@
 // caller left.
 func (tb *Table) Dropped(id ident.TargetID, prefill, generated ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
-		t.End(tb.last, prefill, generated)
+		t.End(tb.lastAdvance, prefill, generated)
 	}
 }
 
@@ -66,16 +66,16 @@
 func (tb *Table) fail(t *Target) {
 	t.Fails++
 	if t.Fails == failsToSuspect {
-		tb.note(t, "target is suspected")
+		tb.addNote(t, "target is suspected")
 	}
 }
 
 // answer records that a target answered this host.
 func (tb *Table) answer(t *Target) {
 	was := t.Fails >= failsToSuspect
-	t.answer(tb.last)
+	t.answer(tb.lastAdvance)
 	if was {
-		tb.note(t, "target answers again")
+		tb.addNote(t, "target answers again")
 	}
 }
 
--- a/internal/member/show.go
+++ b/internal/member/show.go
@@ -23,28 +23,28 @@
 const (
 	classOwn = iota
 	classRegion
-	classFar
+	classOtherRegion
 	classCutOff
 )
 
-// Entries returns the entry hosts that callers should use, best first: those
+// EntryHosts returns the entry hosts that callers should use, best first: those
 // that live, do not leave and stand in an allowed place. Within a class the
 // order is drawn by spread, so that each host gets a share of the callers by
 // its part of the capacity of its data centre.
-func (tb *Table) Entries(now ident.Time, allowed func(event.Place) bool, spread uint64) []event.Host {
+func (tb *Table) EntryHosts(now ident.Time, allowed func(event.Place) bool, spread uint64) []event.Host {
 	var cs []candidate
 	if allowed(tb.self.Place) {
 		for _, h := range tb.liveHosts(now) {
-			cs = add(cs, h, classOwn, 1, spread)
+			cs = addCandidate(cs, h, classOwn, 1, spread)
 		}
 	}
 	for _, c := range tb.centres {
 		if allowed(c.Place) {
-			cs = tb.addCentre(now, cs, c, spread)
+			cs = tb.addCentreCandidates(now, cs, c, spread)
 		}
 	}
 	slices.SortStableFunc(cs, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score), byHost(a.host, b.host))
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score), compareHosts(a.host, b.host))
 	})
 	hs := make([]event.Host, len(cs))
 	for i, c := range cs {
@@ -53,8 +53,8 @@
 	return hs
 }
 
-func (tb *Table) addCentre(now ident.Time, cs []candidate, c *Centre, spread uint64) []candidate {
-	hosts, class := c.Summary.Hosts, classFar
+func (tb *Table) addCentreCandidates(now ident.Time, cs []candidate, c *Centre, spread uint64) []candidate {
+	hosts, class := c.Summary.Hosts, classOtherRegion
 	switch {
 	case c.CutOff(now):
 		hosts, class = c.Hosts, classCutOff
@@ -66,12 +66,12 @@
 		slots += p.Slots
 	}
 	for _, h := range hosts {
-		cs = add(cs, h, class, float64(slots)/float64(len(hosts)), spread)
+		cs = addCandidate(cs, h, class, float64(slots)/float64(len(hosts)), spread)
 	}
 	return cs
 }
 
-func add(cs []candidate, h event.Host, class int, weight float64, spread uint64) []candidate {
+func addCandidate(cs []candidate, h event.Host, class int, weight float64, spread uint64) []candidate {
 	if h.Draining {
 		return cs
 	}
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -11,7 +11,7 @@
 // digestTo returns the newest digest that a table sends at a tick.
 func digestTo(t *testing.T, tb *Table, now ident.Time) event.Digest {
 	t.Helper()
-	for _, eff := range tb.Tick(now, Own{}) {
+	for _, eff := range tb.Tick(now, LocalState{}) {
 		if e, ok := eff.(event.SendDigest); ok {
 			return e.Digest
 		}
@@ -29,7 +29,7 @@
 		tb.PeerUp(at, tables[1-i].Self())
 	}
 	for _, tb := range tables {
-		tb.Tick(at, Own{})
+		tb.Tick(at, LocalState{})
 	}
 	return tables[0], tables[1]
 }
@@ -133,7 +133,7 @@
 func TestFirstReaderAnnouncesNewTargets(t *testing.T) {
 	at := ident.Time(time.Second)
 	a, b := pairOf(at)
-	if a.Watches(at) {
+	if a.IsWatcher(at) {
 		a, b = b, a
 	}
 	at = at.Add(100 * time.Millisecond)
@@ -152,24 +152,24 @@
 func TestFailedReadIsRepeatedSoon(t *testing.T) {
 	at := ident.Time(time.Second)
 	a, b := pairOf(at)
-	if a.Watches(at) {
+	if a.IsWatcher(at) {
 		a, b = b, a
 	}
 	reads := 0
 	for end := at.Add(40 * time.Second); at < end; at = at.Add(100 * time.Millisecond) {
-		b.Tick(at, Own{})
+		b.Tick(at, LocalState{})
 		a.DigestReceived(at, event.Digest{Host: b.Self(), Seq: uint64(at)})
-		for _, eff := range a.Tick(at, Own{}) {
+		for _, eff := range a.Tick(at, LocalState{}) {
 			if _, ok := eff.(event.ReadHosts); ok {
 				reads++
 				a.ListFailed(at)
 			}
 		}
 	}
-	if a.Watches(at) {
+	if a.IsWatcher(at) {
 		t.Fatal("the host is the watcher")
 	}
-	if least := int(30 * time.Second / (watchEvery + Period)); reads < least {
+	if least := int(30 * time.Second / (watcherReadInterval + HeartbeatInterval)); reads < least {
 		t.Errorf("%d reads in 40 s, want %d at least", reads, least)
 	}
 }
@@ -188,7 +188,7 @@
 		}
 	}
 	relayed := func() int {
-		at = at.Add(Period)
+		at = at.Add(HeartbeatInterval)
 		for _, s := range digestTo(t, tb, at).Summaries {
 			if !s.HostsKept {
 				return len(s.Hosts)
@@ -211,7 +211,7 @@
 func TestIncompleteListRemovesNothingAtPeers(t *testing.T) {
 	at := ident.Time(time.Second)
 	reader, follower := pairOf(at)
-	if !reader.Watches(at) {
+	if !reader.IsWatcher(at) {
 		reader, follower = follower, reader
 	}
 	at = at.Add(returnGrace)
--- a/internal/member/start.go
+++ b/internal/member/start.go
@@ -18,7 +18,7 @@
 		i, _ := slices.BinarySearchFunc(tb.targets, d.ID, func(t *Target, id ident.TargetID) int { return cmp.Compare(t.ID, id) })
 		tb.targets = slices.Insert(tb.targets, i, t)
 		tb.addKey(t)
-		tb.sumUse(t)
+		tb.addPeerUse(t)
 		tb.updateDraining(now, t)
 		return
 	}
@@ -32,7 +32,7 @@
 		t.Target = d
 	case d.Incarnation > t.Incarnation:
 		tb.restart(now, t, d)
-	case now.Sub(t.lastSeen) > deadAfter:
+	case now.Sub(t.lastSeen) > deadTimeout:
 		// The clock of the target went back, and its former start is dead.
 		if tb.draining[d.ID].incarnation > d.Incarnation {
 			delete(tb.draining, d.ID)
@@ -68,7 +68,7 @@
 		coldUntil: now.Add(d.ColdFor), coldSends: t.coldSends, listedAt: max(t.listedAt, tb.list.version),
 	}
 	tb.restarted = append(tb.restarted, t.ID)
-	tb.note(t, "target has started anew")
+	tb.addNote(t, "target has started anew")
 }
 
 // Restarted returns the targets that have started anew since the last call.
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -26,7 +26,7 @@
 	if !tb.Runs("a", 0) || !tb.Runs("a", 7) {
 		t.Error("what was sent before the incarnation was known is not at the target that runs")
 	}
-	later := at.Add(2 * deadAfter)
+	later := at.Add(2 * deadTimeout)
 	tb.HostsRead(later, listOf(2, unnamedTarget("a")))
 	if ids := tb.Restarted(); len(ids) > 0 {
 		t.Errorf("%v count as started anew after a list without incarnations", ids)
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -14,14 +14,14 @@
 // own. Each summary goes to one host there, which relays it to its peers with its
 // digests. The host differs between data centres, so that the relaying is shared.
 func (tb *Table) summaries(now ident.Time) []event.Effect {
-	tb.beat.asks = false
+	tb.heartbeat.summaryDue = false
 	if len(tb.centres) == 0 {
 		return nil
 	}
 	offers := tb.offers(now)
-	if !tb.Represents(now) {
-		tb.noteOffers(now, offers)
-		tb.forgetSent()
+	if !tb.IsRepresentative(now) {
+		tb.recordOffers(now, offers)
+		tb.resetLastSent()
 		return nil
 	}
 	base := tb.summary(now)
@@ -31,43 +31,43 @@
 	for i, c := range tb.centres {
 		s := base
 		s.Pools = withOffers(base.Pools, offers, i)
-		repeat := c.repeat(now, s)
+		repeat := c.needsRepeat(now, s)
 		to, ok := tb.recipient(now, c)
-		if !ok || !tb.leaveOut(now, c, to, &s, repeat) {
+		if !ok || !tb.omitKnownParts(now, c, to, &s, repeat) {
 			continue
 		}
-		if !s.AccountsKept && !asked && tb.own.CentreAccounts != nil {
-			accounts, asked = tb.own.CentreAccounts(), true
+		if !s.AccountsKept && !asked && tb.local.CentreAccounts != nil {
+			accounts, asked = tb.local.CentreAccounts(), true
 		}
 		if !s.AccountsKept {
 			s.Accounts = accounts
 		}
-		c.tries++
-		tb.beat.sum++
-		s.Seq = tb.beat.sum
-		c.given = note(c.given, now, s.Pools)
+		c.sendAttempts++
+		tb.heartbeat.summarySeq++
+		s.Seq = tb.heartbeat.summarySeq
+		c.offersMade = note(c.offersMade, now, s.Pools)
 		effs = append(effs, event.SendSummary{To: to, Summary: s})
 	}
 	return effs
 }
 
-// forgetSent has a new representative begin with all parts: another one may have replaced what it
+// resetLastSent has a new representative begin with all parts: another one may have replaced what it
 // sent when it last was the representative.
-func (tb *Table) forgetSent() {
+func (tb *Table) resetLastSent() {
 	for _, c := range tb.centres {
-		c.sent = lastSent{}
+		c.lastSent = lastSent{}
 	}
 }
 
-// noteOffers records what the representative probably offers now, which each host computes from
+// recordOffers records what the representative probably offers now, which each host computes from
 // the same loads, so that none uses the offer of a data centre that holds one of its own.
-func (tb *Table) noteOffers(now ident.Time, offers [][]int) {
+func (tb *Table) recordOffers(now ident.Time, offers [][]int) {
 	pools := make([]event.Pool, len(tb.pools))
 	for i, p := range tb.pools {
 		pools[i] = p.Pool
 	}
 	for i, c := range tb.centres {
-		c.given = note(c.given, now, withOffers(pools, offers, i))
+		c.offersMade = note(c.offersMade, now, withOffers(pools, offers, i))
 	}
 }
 
@@ -76,60 +76,60 @@
 	// at is when the last went out, and to whom. Another receiver may lack
 	// every part.
 	at          ident.Time
-	sent        bool
+	everSent    bool
 	to          ident.EntryID
 	incarnation ident.Incarnation
 	inForce     ident.Revision
 	highest     ident.Revision
-	hosts       uint64
+	hostsHash   uint64
 	hostsAt     ident.Time
-	pools       uint64
+	poolsHash   uint64
 	poolsAt     ident.Time
 	accountsAt  ident.Time
 }
 
-// leaveOut removes the parts of a summary that its receiver has, and reports whether
+// omitKnownParts removes the parts of a summary that its receiver has, and reports whether
 // the rest is worth a message. The pools go out at the slow pace,
 // on change, and often while they carry an offer; the accounts at a pace of
 // their own; the hosts on change and each wholeEvery, which makes good a
 // summary that was lost.
-func (tb *Table) leaveOut(now ident.Time, c *Centre, to event.Host, s *event.Summary, repeat bool) bool {
-	t := &c.sent
-	if t.sent && now.Sub(t.at) < minGap {
+func (tb *Table) omitKnownParts(now ident.Time, c *Centre, to event.Host, s *event.Summary, repeat bool) bool {
+	t := &c.lastSent
+	if t.everSent && now.Sub(t.at) < minSummaryGap {
 		return false
 	}
 	if t.to != to.ID || t.incarnation != to.Incarnation {
 		*t = lastSent{at: t.at, to: to.ID, incarnation: to.Incarnation}
 	}
-	news := poolNews(s.Pools)
-	accounts := !t.sent || now.Sub(t.accountsAt) >= tb.accountsPace()
-	pools := !t.sent || now.Sub(t.poolsAt) >= tb.slowPace() || news != t.pools || offers(s.Pools) && now.Sub(t.poolsAt) >= fastEvery
-	hosts := !t.sent || s.HostsHash != t.hosts || now.Sub(t.hostsAt) >= wholeEvery
-	if !pools && !hosts && !accounts && !repeat && !t.revisionNews(s) {
+	news := hashPools(s.Pools)
+	accounts := !t.everSent || now.Sub(t.accountsAt) >= tb.accountsInterval()
+	pools := !t.everSent || now.Sub(t.poolsAt) >= tb.summaryInterval() || news != t.poolsHash || hasOffers(s.Pools) && now.Sub(t.poolsAt) >= fastSummaryInterval
+	hosts := !t.everSent || s.HostsHash != t.hostsHash || now.Sub(t.hostsAt) >= hostsInterval
+	if !pools && !hosts && !accounts && !repeat && !t.revisionsChanged(s) {
 		return false
 	}
 	s.HostsKept, s.PoolsKept, s.AccountsKept = !hosts, !pools, !accounts
 	if hosts {
-		t.hosts, t.hostsAt = s.HostsHash, now
+		t.hostsHash, t.hostsAt = s.HostsHash, now
 	} else {
 		s.Hosts = nil
 	}
 	if pools {
-		t.pools, t.poolsAt = news, now
+		t.poolsHash, t.poolsAt = news, now
 	} else {
 		s.Pools = nil
 	}
 	if accounts {
 		t.accountsAt = now
 	}
-	t.at, t.sent, t.inForce, t.highest = now, true, s.InForce, s.Highest
+	t.at, t.everSent, t.inForce, t.highest = now, true, s.InForce, s.Highest
 	return true
 }
 
-// revisionNews reports whether the revisions are worth a summary of their own. By the lowest
+// revisionsChanged reports whether the revisions are worth a summary of their own. By the lowest
 // operators learn that a change is in force everywhere; the highest may be what the other
 // data centre lacks or waits for.
-func (t *lastSent) revisionNews(s *event.Summary) bool {
+func (t *lastSent) revisionsChanged(s *event.Summary) bool {
 	return s.InForce != t.inForce || s.Highest != t.highest
 }
 
@@ -138,28 +138,28 @@
 	return c.HasSummary && c.Summary.Highest < s.Highest
 }
 
-// repeat reports whether a summary goes out again because no answer shows its revision, and
+// needsRepeat reports whether a summary goes out again because no answer shows its revision, and
 // counts those in vain. Each goes to the next host, since the last one may be frozen.
-func (c *Centre) repeat(now ident.Time, s event.Summary) bool {
-	t := &c.sent
-	if !t.sent || s.Highest != t.highest || !c.behind(s) {
-		c.vain = 0
+func (c *Centre) needsRepeat(now ident.Time, s event.Summary) bool {
+	t := &c.lastSent
+	if !t.everSent || s.Highest != t.highest || !c.behind(s) {
+		c.unconfirmedRepeats = 0
 		return false
 	}
-	if now.Sub(t.at) < fastEvery {
+	if now.Sub(t.at) < fastSummaryInterval {
 		return false
 	}
-	c.vain++
+	c.unconfirmedRepeats++
 	return true
 }
 
-func offers(pools []event.Pool) bool {
+func hasOffers(pools []event.Pool) bool {
 	return slices.ContainsFunc(pools, func(p event.Pool) bool { return p.Offer > 0 })
 }
 
-// poolNews returns a hash of what another data centre acts on at once: the demand, the size of
+// hashPools returns a hash of what another data centre acts on at once: the demand, the size of
 // the offers by powers of two, and the number of targets.
-func poolNews(pools []event.Pool) uint64 {
+func hashPools(pools []event.Pool) uint64 {
 	h := uint64(0)
 	for _, p := range pools {
 		h = rank.Join(h, rank.Hash(string(p.Serve.Model), string(p.Serve.Version), string(p.Serve.Adapter), p.Service))
@@ -211,10 +211,10 @@
 		}
 		// The salt spreads the summaries of several data centres over the hosts
 		// after a partition has healed.
-		return c.Hosts[(salt+c.tries)%uint64(len(c.Hosts))], true
+		return c.Hosts[(salt+c.sendAttempts)%uint64(len(c.Hosts))], true
 	}
 	if h, ok := c.HostFor(salt); ok {
-		return c.after(h, c.vain), true
+		return c.hostAfter(h, c.unconfirmedRepeats), true
 	}
 	if len(c.Hosts) == 0 {
 		return event.Host{}, false
@@ -222,8 +222,8 @@
 	return c.Hosts[0], true
 }
 
-// after returns the host n places after another one among those that live.
-func (c *Centre) after(h event.Host, n int) event.Host {
+// hostAfter returns the host n places hostAfter another one among those that live.
+func (c *Centre) hostAfter(h event.Host, n int) event.Host {
 	hs := c.Summary.Hosts
 	i := slices.IndexFunc(hs, func(x event.Host) bool { return x.ID == h.ID })
 	return hs[(i+n)%len(hs)]
--- a/internal/member/summary_test.go
+++ b/internal/member/summary_test.go
@@ -20,22 +20,22 @@
 
 // summariesOf ticks a table for some seconds and returns its summaries to the other
 // data centre.
-func summariesOf(tb *Table, from ident.Time, seconds int, own Own) []sentSummary {
+func summariesOf(tb *Table, from ident.Time, seconds int, own LocalState) []sentSummary {
 	var out []sentSummary
 	for n := range seconds {
-		now := from.Add(time.Duration(n) * Period)
+		now := from.Add(time.Duration(n) * HeartbeatInterval)
 		for _, eff := range tb.Tick(now, own) {
 			if e, ok := eff.(event.SendSummary); ok {
-				out = append(out, sentSummary{time.Duration(n) * Period, e.To.ID, e.Summary.InForce, e.Summary.Highest})
+				out = append(out, sentSummary{time.Duration(n) * HeartbeatInterval, e.To.ID, e.Summary.InForce, e.Summary.Highest})
 			}
 		}
 	}
 	return out
 }
 
-// representative returns a table that represents its data centre, with one peer and
+// newRepresentative returns a table that represents its data centre, with one peer and
 // another data centre of two hosts at revision 1.
-func representative(now ident.Time) (*Table, func(at ident.Time, rev ident.Revision)) {
+func newRepresentative(now ident.Time) (*Table, func(at ident.Time, rev ident.Revision)) {
 	here := event.Place{DataCentre: "uvs", Region: "uvs"}
 	there := event.Place{DataCentre: "khovd", Region: "khovd"}
 	tb := New(event.Host{ID: "uvs-1", Incarnation: 1, Place: here})
@@ -51,14 +51,14 @@
 }
 
 // A frozen receiver delays a change in a data centre that is cut off.
-func TestNewRevisionIsToldToTheNextHost(t *testing.T) {
+func TestUnconfirmedRevisionIsSentToNextHost(t *testing.T) {
 	start := ident.Time(time.Hour)
-	tb, _ := representative(start)
-	got := summariesOf(tb, start, 4, Own{Revision: 2})
+	tb, _ := newRepresentative(start)
+	got := summariesOf(tb, start, 4, LocalState{Revision: 2})
 	if len(got) < 2 {
 		t.Fatalf("only sent %v", got)
 	}
-	if diff := cmp.Diff([]time.Duration{0, fastEvery}, []time.Duration{got[0].After, got[1].After}); diff != "" {
+	if diff := cmp.Diff([]time.Duration{0, fastSummaryInterval}, []time.Duration{got[0].After, got[1].After}); diff != "" {
 		t.Errorf("times of the summaries (-want +got):\n%s", diff)
 	}
 	if got[0].To == got[1].To {
@@ -67,13 +67,13 @@
 }
 
 // A change in force everywhere is reported seconds late.
-func TestLowestRevisionIsToldAtOnce(t *testing.T) {
+func TestLowestRevisionIsSentAtOnce(t *testing.T) {
 	start := ident.Time(time.Hour)
-	tb, peer := representative(start)
+	tb, peer := newRepresentative(start)
 	peer(start, 1)
-	first := summariesOf(tb, start, 1, Own{Revision: 2})
-	peer(start.Add(Period/2), 2)
-	second := summariesOf(tb, start.Add(Period), 1, Own{Revision: 2})
+	first := summariesOf(tb, start, 1, LocalState{Revision: 2})
+	peer(start.Add(HeartbeatInterval/2), 2)
+	second := summariesOf(tb, start.Add(HeartbeatInterval), 1, LocalState{Revision: 2})
 	got := [][2]ident.Revision{}
 	for _, x := range append(first, second...) {
 		got = append(got, [2]ident.Revision{x.InForce, x.Highest})
@@ -84,10 +84,10 @@
 }
 
 // Work is forwarded to a region that has lost its targets.
-func TestLossOfTargetsIsNews(t *testing.T) {
+func TestPoolHashIncludesTargets(t *testing.T) {
 	two := []event.Pool{{Service: "writers", Targets: 2, Slots: 256, Free: 200}}
 	none := []event.Pool{{Service: "writers", Targets: 0, Slots: 256, Free: 200}}
-	if poolNews(two) == poolNews(none) {
+	if hashPools(two) == hashPools(none) {
 		t.Error("two targets and none are reported as the same")
 	}
 }
--- a/internal/member/target.go
+++ b/internal/member/target.go
@@ -140,7 +140,7 @@
 func (tb *Table) reapTargets(now ident.Time) {
 	before := len(tb.targets)
 	tb.targets = slices.DeleteFunc(tb.targets, func(t *Target) bool {
-		gone := !t.listed && now.Sub(t.lastSeen) > dropAfter && t.Sent == 0 && t.PeerSent == 0
+		gone := !t.listed && now.Sub(t.lastSeen) > dropTimeout && t.Sent == 0 && t.PeerSent == 0
 		if gone {
 			delete(tb.byID, t.ID)
 		}
@@ -160,7 +160,7 @@
 	var effs []event.Effect
 	for _, t := range tb.targets {
 		if t.Suspect(now) || t.Capacity == 0 && tb.poller(now, t.ID) == tb.self.ID {
-			effs = append(effs, event.PollLoad{Target: t.Target, After: tb.own.after(t.ID)})
+			effs = append(effs, event.PollLoad{Target: t.Target, After: tb.local.lastCacheEvent(t.ID)})
 		}
 	}
 	return effs
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -12,29 +12,29 @@
 
 // Tick returns what is to be sent and read now. It is cheap when nothing is
 // due, so that the reducer may call it at each step.
-func (tb *Table) Tick(now ident.Time, own Own) []event.Effect {
+func (tb *Table) Tick(now ident.Time, own LocalState) []event.Effect {
 	tb.Advance(now)
-	tb.own = own
-	regular := now >= tb.beat.due
-	if regular || now >= tb.beat.useDue {
-		tb.beat.urgent = tb.beat.urgent || !regular && tb.reads()
-		tb.beat.useDue = now.Add(tb.usePace(now))
+	tb.local = own
+	regular := now >= tb.heartbeat.nextDigest
+	if regular || now >= tb.heartbeat.nextUse {
+		tb.heartbeat.urgent = tb.heartbeat.urgent || !regular && tb.hasPendingPrefill()
+		tb.heartbeat.nextUse = now.Add(tb.useInterval(now))
 	}
 	if !regular && !tb.urgent() && now < tb.list.nextRead {
 		return nil
 	}
 	var effs []event.Effect
 	if regular {
-		tb.beat.due = now.Add(Period)
+		tb.heartbeat.nextDigest = now.Add(HeartbeatInterval)
 		tb.reap(now)
-		tb.dutyRead(now)
-		tb.supposeRates()
+		tb.scheduleWatcherRead(now)
+		tb.inheritServiceRates()
 		tb.countPools(now)
 	}
 	effs = append(effs, tb.coldProbes()...)
 	effs = append(effs, tb.readHosts(now)...)
-	effs = append(effs, tb.beats(now, regular)...)
-	if regular || tb.beat.asks {
+	effs = append(effs, tb.dueDigests(now, regular)...)
+	if regular || tb.heartbeat.summaryDue {
 		effs = append(effs, tb.summaries(now)...)
 	}
 	if regular {
@@ -45,7 +45,7 @@
 }
 
 func (tb *Table) urgent() bool {
-	return tb.beat.urgent || tb.beat.peers || tb.beat.asks || len(tb.probe) > 0
+	return tb.heartbeat.urgent || tb.heartbeat.fullDigestDue || tb.heartbeat.summaryDue || len(tb.coldProbeQueue) > 0
 }
 
 // Intervals between two announcements of the use of targets.
@@ -57,17 +57,17 @@
 	maxUseMessages = 12
 )
 
-// usePace returns the interval between two announcements of the use of targets.
-func (tb *Table) usePace(now ident.Time) time.Duration {
+// useInterval returns the interval between two announcements of the use of targets.
+func (tb *Table) useInterval(now ident.Time) time.Duration {
 	if !mech.On(codes.AnnouncedSends) {
-		return Period
+		return HeartbeatInterval
 	}
 	n := len(tb.Peers(now))
-	return min(max(minUseInterval, Period*time.Duration(n)/maxUseMessages), Period)
+	return min(max(minUseInterval, HeartbeatInterval*time.Duration(n)/maxUseMessages), HeartbeatInterval)
 }
 
-// reads reports whether a target still has prompts of this host to prefill.
-func (tb *Table) reads() bool {
+// hasPendingPrefill reports whether a target still has prompts of this host to prefill.
+func (tb *Table) hasPendingPrefill() bool {
 	return slices.ContainsFunc(tb.targets, func(t *Target) bool { return t.Unread > 0 })
 }
 
@@ -83,5 +83,5 @@
 	if tb.urgent() {
 		return now
 	}
-	return min(tb.beat.due, tb.beat.useDue, tb.list.nextRead)
+	return min(tb.heartbeat.nextDigest, tb.heartbeat.nextUse, tb.list.nextRead)
 }
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -19,14 +19,14 @@
 		return
 	}
 	c := tb.centres[i]
-	if c.away == nil {
-		c.away = make(map[string]ident.Time)
+	if c.rejectedAt == nil {
+		c.rejectedAt = make(map[string]ident.Time)
 	}
-	c.away[service] = now
+	c.rejectedAt[service] = now
 }
 
 // TurnedAway reports whether a data centre has turned a request of a service away just now.
 func (tb *Table) TurnedAway(now ident.Time, c *Centre, service string) bool {
-	at, ok := c.away[service]
+	at, ok := c.rejectedAt[service]
 	return ok && mech.On(codes.LeftAlone) && now.Sub(at) < turnedSpan
 }
--- a/internal/member/use_test.go
+++ b/internal/member/use_test.go
@@ -36,7 +36,7 @@
 					tb.PeerUp(now, reachHost(fmt.Sprintf("w%d", i+1), "west-a", "west"))
 				}
 			}
-			for _, eff := range tb.Tick(now, Own{}) {
+			for _, eff := range tb.Tick(now, LocalState{}) {
 				if e, ok := eff.(event.SendDigest); ok && len(e.To) == c.peers {
 					words++
 				}
--- a/internal/member/world_fail_test.go
+++ b/internal/member/world_fail_test.go
@@ -15,12 +15,12 @@
 )
 
 // State of hosts diverges under pauses, restarts, partitions and lost messages.
-func TestWorldKeepsItsInvariants(t *testing.T) {
-	rapid.Check(t, playWorld)
+func TestSimulationKeepsInvariants(t *testing.T) {
+	rapid.Check(t, runSimulation)
 }
 
 // Worlds that failed once.
-func TestWorldKeepsItsInvariantsOnFormerSeeds(t *testing.T) {
+func TestSimulationKeepsInvariantsOnFormerSeeds(t *testing.T) {
 	seed, checks := flag.Lookup("rapid.seed").Value.String(), flag.Lookup("rapid.checks").Value.String()
 	defer func() {
 		_ = flag.Set("rapid.seed", seed)
@@ -30,45 +30,45 @@
 	for _, former := range []string{"277", "58998", "22796"} {
 		t.Run(former, func(t *testing.T) {
 			_ = flag.Set("rapid.seed", former)
-			rapid.Check(t, playWorld)
+			rapid.Check(t, runSimulation)
 		})
 	}
 }
 
-func playWorld(rt *rapid.T) {
-	w := newWorld(rapid.Int64().Draw(rt, "seed"), 3, rapid.IntRange(1, 3).Draw(rt, "hosts"), 3)
-	w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss")
-	w.delay = rapid.SampledFrom([]time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}).Draw(rt, "delay")
+func runSimulation(rt *rapid.T) {
+	w := newSimulation(rapid.Int64().Draw(rt, "seed"), 3, rapid.IntRange(1, 3).Draw(rt, "hosts"), 3)
+	w.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(rt, "loss")
+	w.maxDelay = rapid.SampledFrom([]time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}).Draw(rt, "delay")
 	check := func() { w.check(rt) }
 	for range rapid.IntRange(5, 15).Draw(rt, "steps") {
-		w.disturb(rt)
+		w.injectFault(rt)
 		w.run(time.Duration(rapid.IntRange(1, 80).Draw(rt, "pause"))*100*time.Millisecond, check)
 	}
-	w.calm()
+	w.clearFaults()
 	w.run(25*time.Second, check)
-	w.checkCalm(rt)
-	w.run(wholeEvery+5*time.Second-25*time.Second, check)
-	w.checkKept(rt)
+	w.checkConverged(rt)
+	w.run(hostsInterval+5*time.Second-25*time.Second, check)
+	w.checkOmittedParts(rt)
 }
 
-func (w *world) disturb(rt *rapid.T) {
+func (w *simulation) injectFault(rt *rapid.T) {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(rt, "node")]
 	e := w.targets[rapid.IntRange(0, len(w.targets)-1).Draw(rt, "target")]
 	switch rapid.IntRange(0, 17).Draw(rt, "what") {
 	case 0:
 		w.restart(n)
 	case 1:
-		w.froze = true
+		w.anyFrozen = true
 		n.frozen = w.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "frozen")) * time.Second)
 	case 2:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 3:
-		n.blind = !n.blind
+		n.platformUnreachable = !n.platformUnreachable
 	case 4:
-		e.leaving = true
+		e.stopping = true
 	case 5:
 		e.Incarnation++
-		e.leaving, e.seq = false, 0
+		e.stopping, e.seq = false, 0
 	case 6:
 		e.down = !e.down
 	case 7:
@@ -90,28 +90,28 @@
 		e.slots = rapid.IntRange(8, 12).Draw(rt, "slots")
 		e.running = min(e.running, e.slots)
 	default:
-		w.busy(e.Place.DataCentre, rapid.IntRange(0, e.slots).Draw(rt, "running"))
+		w.setRunning(e.Place.DataCentre, rapid.IntRange(0, e.slots).Draw(rt, "running"))
 	}
 }
 
-func (w *world) calm() {
-	w.loss, w.delay = 0, 10*time.Millisecond
+func (w *simulation) clearFaults() {
+	w.lossRate, w.maxDelay = 0, 10*time.Millisecond
 	for _, n := range w.nodes {
-		n.cut, n.blind, n.frozen = false, false, 0
+		n.partitioned, n.platformUnreachable, n.frozen = false, false, 0
 	}
 }
 
-func (w *world) check(rt *rapid.T) {
+func (w *simulation) check(rt *rapid.T) {
 	for _, n := range w.nodes {
 		w.checkNotices(rt, n)
-		w.checkNewest(rt, n)
+		w.checkNewestMerged(rt, n)
 		w.checkAges(rt, n)
 	}
 	w.checkOffers(rt)
 }
 
 // checkNotices: a drain notice that a host has received holds for the incarnation.
-func (w *world) checkNotices(rt *rapid.T, n *node) {
+func (w *simulation) checkNotices(rt *rapid.T, n *node) {
 	for _, t := range n.tb.Targets() {
 		if drained, ok := n.notices[t.ID]; ok && t.Incarnation == drained && !t.Drains {
 			rt.Fatalf("%v: %s has a drain notice of %s/%d and sends to it", w.now, n.id, t.ID, drained)
@@ -119,20 +119,20 @@
 	}
 }
 
-// checkNewest: of each sender the newest digest and summary that came counts,
+// checkNewestMerged: of each sender the newest digest and summary that came counts,
 // in whatever order they came, and what peers have at a target is the sum over
 // those digests.
-func (w *world) checkNewest(rt *rapid.T, n *node) {
+func (w *simulation) checkNewestMerged(rt *rapid.T, n *node) {
 	want := make(map[ident.TargetID]int)
 	for _, p := range n.tb.peers {
-		if got, want := p.seq, n.newest[fmt.Sprint("digest", p.host.ID, p.host.Incarnation)]; got != want {
+		if got, want := p.seq, n.highestSeq[fmt.Sprint("digest", p.host.ID, p.host.Incarnation)]; got != want {
 			rt.Fatalf("%v: %s goes by digest %d of %s, %d has come", w.now, n.id, got, p.host.ID, want)
 		}
 		if p.dead(w.now) {
 			return
 		}
-		for _, u := range w.uses[fmt.Sprint(p.host.ID, p.host.Incarnation, p.seq)] {
-			if p.seq > n.dropped[useKey(p, u.Target)] {
+		for _, u := range w.workByDigest[fmt.Sprint(p.host.ID, p.host.Incarnation, p.seq)] {
+			if p.seq > n.droppedUseSeq[useKey(p, u.Target)] {
 				want[u.Target] += u.Running
 			}
 		}
@@ -144,7 +144,7 @@
 	}
 	for _, c := range n.tb.Centres(w.now) {
 		s := c.Summary
-		if want := n.newest[fmt.Sprint("summary", s.From, s.Incarnation)]; s.Seq != want {
+		if want := n.highestSeq[fmt.Sprint("summary", s.From, s.Incarnation)]; s.Seq != want {
 			rt.Fatalf("%v: %s goes by summary %d of %s, %d has come", w.now, n.id, s.Seq, s.From, want)
 		}
 	}
@@ -155,18 +155,18 @@
 // relay's, and one more where a host that restarted gets it from a third. A host that was paused can't know how
 // long a message waited for it, and may take it for older; a
 // short pause it does not notice.
-func (w *world) checkAges(rt *rapid.T, n *node) {
+func (w *simulation) checkAges(rt *rapid.T, n *node) {
 	slack := 3*1500*time.Millisecond + 300*time.Millisecond
-	if w.froze {
-		slack += jumpAfter
+	if w.anyFrozen {
+		slack += minPause
 	}
 	for _, c := range n.tb.Centres(w.now) {
 		if !c.HasSummary {
 			continue
 		}
 		s := c.Summary
-		truth := w.now.Sub(w.made[fmt.Sprint(s.From, s.Incarnation, s.Seq)])
-		if got := c.Age(w.now); got > truth && !w.froze || got < truth-slack {
+		truth := w.now.Sub(w.summarySentAt[fmt.Sprint(s.From, s.Incarnation, s.Seq)])
+		if got := c.Age(w.now); got > truth && !w.anyFrozen || got < truth-slack {
 			rt.Fatalf("%v: %s takes the summary of %s for %v old, it is %v", w.now, n.id, s.From, got, truth)
 		}
 		w.checkPools(rt, n, c, slack)
@@ -176,14 +176,14 @@
 // checkPools: pools that are held are those of a summary that contained them, and
 // look neither older nor newer than they are by more than the links explain,
 // however many summaries without pools have come since.
-func (w *world) checkPools(rt *rapid.T, n *node, c *Centre, slack time.Duration) {
-	if c.madePools == 0 {
+func (w *simulation) checkPools(rt *rapid.T, n *node, c *Centre, slack time.Duration) {
+	if c.poolsMadeAt == 0 {
 		return
 	}
 	got := c.poolsAge(w.now)
 	for _, t := range slices.Backward(w.sentPools[fmt.Sprint(c.Place, n.place)]) {
 		truth := w.now.Sub(t.at)
-		if (got <= truth || w.froze) && got >= truth-slack && slices.Equal(t.pools, c.Summary.Pools) {
+		if (got <= truth || w.anyFrozen) && got >= truth-slack && slices.Equal(t.pools, c.Summary.Pools) {
 			return
 		}
 	}
@@ -192,7 +192,7 @@
 
 // checkOffers: what a host sends offers no more than its spare slots, and no
 // two data centres hold offers of each other at once.
-func (w *world) checkOffers(rt *rapid.T) {
+func (w *simulation) checkOffers(rt *rapid.T) {
 	sums := make(map[string]int)
 	seen := make(map[string]bool)
 	for _, l := range w.sent {
@@ -225,8 +225,8 @@
 			if a.frozen > w.now || b.frozen > w.now {
 				continue
 			}
-			there := a.tb.OfferLeft(w.now, b.place.DataCentre, scribe)
-			back := b.tb.OfferLeft(w.now, a.place.DataCentre, scribe)
+			there := a.tb.OfferLeft(w.now, b.place.DataCentre, scribePool)
+			back := b.tb.OfferLeft(w.now, a.place.DataCentre, scribePool)
 			if there > 0 && back > 0 {
 				rt.Fatalf("%v: %s may send %d to %s, which may send %d back", w.now, a.id, there, b.id, back)
 			}
@@ -234,9 +234,9 @@
 	}
 }
 
-// checkCalm: after a while without faults all agree on each duty, see each
+// checkConverged: after a while without faults all agree on each duty, see each
 // other, and know every leaving word.
-func (w *world) checkCalm(rt *rapid.T) {
+func (w *simulation) checkConverged(rt *rapid.T) {
 	for _, n := range w.nodes {
 		for _, m := range w.nodes {
 			if n.place != m.place {
@@ -253,7 +253,7 @@
 			}
 		}
 		for _, e := range w.targets {
-			if t, ok := n.tb.Target(e.ID); ok && e.leaving && !e.down && e.Incarnation == t.Incarnation && !t.Drains {
+			if t, ok := n.tb.Target(e.ID); ok && e.stopping && !e.down && e.Incarnation == t.Incarnation && !t.Drains {
 				rt.Fatalf("%s does not know that %s leaves", n.id, e.ID)
 			}
 		}
@@ -265,12 +265,12 @@
 	}
 }
 
-// checkKept: parts that summaries leave out are known all the same. A host that
+// checkOmittedParts: parts that summaries leave out are known all the same. A host that
 // missed the summary that contained them has them from the next whole one at the
 // latest.
-func (w *world) checkKept(rt *rapid.T) {
+func (w *simulation) checkOmittedParts(rt *rapid.T) {
 	for _, n := range w.nodes {
-		w.checkFixed(rt, n)
+		w.checkStaticPart(rt, n)
 		for _, m := range w.nodes {
 			if n.place == m.place {
 				continue
@@ -286,15 +286,15 @@
 			if got, want := len(c.Summary.Pools), len(m.tb.pools); got != want {
 				rt.Fatalf("%s knows %d pools of %s, there are %d", n.id, got, m.place.DataCentre, want)
 			}
-			if age := c.poolsAge(w.now); age > n.tb.slowPace()+3*time.Second {
+			if age := c.poolsAge(w.now); age > n.tb.summaryInterval()+3*time.Second {
 				rt.Fatalf("%s knows the pools of %s as they were %v ago", n.id, m.place.DataCentre, age)
 			}
 		}
 	}
 }
 
-// checkFixed: the part of a load report that most relays leave out is known.
-func (w *world) checkFixed(rt *rapid.T, n *node) {
+// checkStaticPart: the part of a load report that most relays leave out is known.
+func (w *simulation) checkStaticPart(rt *rapid.T, n *node) {
 	for _, t := range n.tb.Targets() {
 		e := w.engine(t.ID)
 		if e.down || e.Incarnation != t.Incarnation {
@@ -309,12 +309,12 @@
 // A recorded run replays with other effects.
 func TestSameInputsGiveSameEffects(t *testing.T) {
 	play := func() []byte {
-		w := newWorld(7, 3, 3, 4)
-		w.loss, w.delay, w.traced = 0.1, 300*time.Millisecond, true
+		w := newSimulation(7, 3, 3, 4)
+		w.lossRate, w.maxDelay, w.traced = 0.1, 300*time.Millisecond, true
 		w.run(8*time.Second, nil)
-		w.busy("dc1", 10)
-		w.targets[0].leaving = true
-		w.targets[5].leaving = true
+		w.setRunning("dc1", 10)
+		w.targets[0].stopping = true
+		w.targets[5].stopping = true
 		w.run(8*time.Second, nil)
 		w.restart(w.nodes[2])
 		w.run(8*time.Second, nil)
@@ -326,25 +326,25 @@
 }
 
 // A data centre gets no offer after a partition, or keeps it.
-func TestOfferGrowsAfterAHeal(t *testing.T) {
-	w := newWorld(3, 2, 1, 4)
-	w.busy("dc1", 10)
+func TestOfferGrowsAfterPartitionHeals(t *testing.T) {
+	w := newSimulation(3, 2, 1, 4)
+	w.setRunning("dc1", 10)
 	a, b := w.nodes[0], w.nodes[1]
 	w.run(30*time.Second, nil)
-	whole := b.tb.OfferLeft(w.now, "dc0", scribe)
+	whole := b.tb.OfferLeft(w.now, "dc0", scribePool)
 	if want := 4*10 - 8; whole != want {
 		t.Fatalf("offer is %d, want %d", whole, want)
 	}
-	b.cut = true
+	b.partitioned = true
 	w.run(20*time.Second, nil)
-	if left := b.tb.OfferLeft(w.now, "dc0", scribe); left != 0 {
+	if left := b.tb.OfferLeft(w.now, "dc0", scribePool); left != 0 {
 		t.Fatalf("an offer of %d outlives the link", left)
 	}
-	b.cut = false
+	b.partitioned = false
 	var seen []int
 	var healed ident.Time
 	w.run(25*time.Second, func() {
-		left := b.tb.OfferLeft(w.now, "dc0", scribe)
+		left := b.tb.OfferLeft(w.now, "dc0", scribePool)
 		if left > 0 && healed == 0 {
 			healed = w.now
 		}
@@ -355,25 +355,25 @@
 	if !slices.IsSorted(seen) || seen[0] > whole/4 || seen[len(seen)-1] != whole {
 		t.Errorf("offer after the heal went %v", seen)
 	}
-	if left := a.tb.OfferLeft(w.now, "dc1", scribe); left != 0 {
+	if left := a.tb.OfferLeft(w.now, "dc1", scribePool); left != 0 {
 		t.Errorf("the giver may send %d back", left)
 	}
 }
 
 // Two data centres hold offers of each other.
-func TestTwoDataCentresNeverSwapWork(t *testing.T) {
+func TestDataCentresDoNotExchangeOffers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rapid.Int64().Draw(rt, "seed"), 2, rapid.IntRange(1, 2).Draw(rt, "hosts"), 2)
-		w.loss = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "loss")
-		w.delay = rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 1500 * time.Millisecond}).Draw(rt, "delay")
+		w := newSimulation(rapid.Int64().Draw(rt, "seed"), 2, rapid.IntRange(1, 2).Draw(rt, "hosts"), 2)
+		w.lossRate = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "loss")
+		w.maxDelay = rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 1500 * time.Millisecond}).Draw(rt, "delay")
 		rich := ident.DataCentre("dc0")
 		for range rapid.IntRange(4, 12).Draw(rt, "turns") {
 			poor := ident.DataCentre("dc1")
 			if rich == "dc1" {
 				poor = "dc0"
 			}
-			w.busy(rich, 0)
-			w.busy(poor, 10)
+			w.setRunning(rich, 0)
+			w.setRunning(poor, 10)
 			w.run(time.Duration(rapid.IntRange(10, 100).Draw(rt, "pause"))*100*time.Millisecond, func() { w.checkOffers(rt) })
 			rich = poor
 		}
@@ -412,14 +412,14 @@
 
 // Spare slots are offered to several data centres at once.
 func TestOfferIsSplit(t *testing.T) {
-	w := newWorld(13, 4, 2, 4)
+	w := newSimulation(13, 4, 2, 4)
 	for _, dc := range []ident.DataCentre{"dc1", "dc2", "dc3"} {
-		w.busy(dc, 10)
+		w.setRunning(dc, 10)
 	}
 	w.run(30*time.Second, nil)
 	sum := 0
 	for _, n := range w.nodes[2:] {
-		left := n.tb.OfferLeft(w.now, "dc0", scribe)
+		left := n.tb.OfferLeft(w.now, "dc0", scribePool)
 		sum += left
 		if left < 5 || left > 6 {
 			t.Errorf("%s may send %d", n.id, left)
@@ -431,12 +431,12 @@
 }
 
 // A data centre that forwards work accepts that of others.
-func TestPoolThatSendsWorkAwayOffersNothing(t *testing.T) {
-	w := newWorld(11, 2, 2, 4)
-	w.busy("dc1", 10)
+func TestPoolThatForwardsWorkOffersNothing(t *testing.T) {
+	w := newSimulation(11, 2, 2, 4)
+	w.setRunning("dc1", 10)
 	w.run(15*time.Second, nil)
 	giver := w.nodes[0]
-	if !giver.tb.Represents(w.now) {
+	if !giver.tb.IsRepresentative(w.now) {
 		giver = w.nodes[1]
 	}
 	other := w.nodes[0]
@@ -444,17 +444,17 @@
 		other = w.nodes[1]
 	}
 	held := func() int {
-		return w.nodes[2].tb.OfferLeft(w.now, "dc0", scribe) + w.nodes[3].tb.OfferLeft(w.now, "dc0", scribe)
+		return w.nodes[2].tb.OfferLeft(w.now, "dc0", scribePool) + w.nodes[3].tb.OfferLeft(w.now, "dc0", scribePool)
 	}
 	if held() == 0 {
 		t.Fatal("no offer to begin with")
 	}
-	other.tb.OfferTake("dc9", scribe)
+	other.tb.OfferTake("dc9", scribePool)
 	w.run(3*time.Second, nil)
 	if n := held(); n != 0 {
 		t.Errorf("%d are offered while a host sends work away", n)
 	}
-	other.tb.OfferGive("dc9", scribe)
+	other.tb.OfferGive("dc9", scribePool)
 	w.run(5*time.Second, nil)
 	if held() == 0 {
 		t.Error("no offer after the end")
@@ -462,8 +462,8 @@
 }
 
 // A late offer is used while the other side holds one of this one.
-func TestOfferIsNotUsedAgainstTheOwnOffer(t *testing.T) {
-	w := newWorld(12, 2, 1, 4)
+func TestOfferIsNotUsedWhileOwnOfferIsHeld(t *testing.T) {
+	w := newSimulation(12, 2, 1, 4)
 	w.run(15*time.Second, nil)
 	a := w.nodes[0].tb
 	seq := uint64(0)
@@ -474,18 +474,18 @@
 		s.Seq = seq
 		s.Pools = []event.Pool{{Serve: model, Slots: 40, Free: 40, Offer: 20}}
 		a.SummaryReceived(w.now, s)
-		return a.OfferLeft(w.now, "dc1", scribe)
+		return a.OfferLeft(w.now, "dc1", scribePool)
 	}
 	if n := late(); n != 0 {
 		t.Errorf("%d may be sent away with room at home", n)
 	}
-	w.busy("dc1", 10)
+	w.setRunning("dc1", 10)
 	w.run(15*time.Second, nil)
 	a.pools[0].offering = false
 	if n := late(); n != 0 {
 		t.Errorf("%d may be sent to where an own offer is held", n)
 	}
-	w.busy("dc0", 8)
+	w.setRunning("dc0", 8)
 	w.run(offerLife+transit+2*time.Second, nil)
 	if n := late(); n == 0 {
 		t.Error("none may be sent away once the own offer is gone")
--- a/internal/member/world_test.go
+++ b/internal/member/world_test.go
@@ -28,8 +28,8 @@
 }
 
 var (
-	model  = rules.Serve{Model: "scribe", Version: "1"}
-	scribe = PoolID{Serve: model}
+	model      = rules.Serve{Model: "scribe", Version: "1"}
+	scribePool = PoolID{Serve: model}
 )
 
 // node is one entry host of a world.
@@ -38,18 +38,18 @@
 	place  event.Place
 	id     ident.EntryID
 	frozen ident.Time
-	// cut nodes reach no one, blind ones not the platform.
-	cut, blind bool
+	// partitioned nodes reach no one, platformUnreachable ones not the platform.
+	partitioned, platformUnreachable bool
 	// notices holds every drain notice that the node has received.
 	notices map[ident.TargetID]ident.Incarnation
-	// newest holds the highest number of each sender's digests and summaries
+	// highestSeq holds the highest number of each sender's digests and summaries
 	// that reached the node.
-	newest map[string]uint64
-	// starts holds the incarnation of each target that the node last knew, dropped the number
+	highestSeq map[string]uint64
+	// incarnations holds the incarnation of each target that the node last knew, dropped the number
 	// of the newest digest of each peer when it learned of a new one: what that digest says of
 	// the target concerns its former start.
-	starts  map[ident.TargetID]ident.Incarnation
-	dropped map[string]uint64
+	incarnations  map[ident.TargetID]ident.Incarnation
+	droppedUseSeq map[string]uint64
 }
 
 type message struct {
@@ -60,24 +60,24 @@
 	eff  event.Effect
 }
 
-// world passes the effects of several tables to each other as events, in
+// simulation passes the effects of several tables to each other as events, in
 // virtual time, and loses, doubles and delays some.
-type world struct {
-	now     ident.Time
-	rng     *rand.Rand
-	nodes   []*node
-	targets []*engine
-	post    []message
-	loss    float64
-	delay   time.Duration
-	list    event.HostsRead
-	reads   int
-	traced  bool
-	trace   []byte
-	made    map[string]ident.Time
-	uses    map[string][]event.TargetUse
-	froze   bool
-	sent    []message
+type simulation struct {
+	now           ident.Time
+	rng           *rand.Rand
+	nodes         []*node
+	targets       []*engine
+	inFlight      []message
+	lossRate      float64
+	maxDelay      time.Duration
+	list          event.HostsRead
+	reads         int
+	traced        bool
+	trace         []byte
+	summarySentAt map[string]ident.Time
+	workByDigest  map[string][]event.TargetUse
+	anyFrozen     bool
+	sent          []message
 	// revision is that in force at every host, sentPools the pools of the
 	// summaries that contain them, by the data centres from and to.
 	revision  ident.Revision
@@ -95,13 +95,13 @@
 	event.Target
 	running, slots int
 	seq            uint64
-	leaving, down  bool
+	stopping, down bool
 }
 
-func newWorld(seed int64, centres, hosts, engines int) *world {
-	w := &world{
-		rng: rand.New(rand.NewSource(seed)), now: 1, delay: 20 * time.Millisecond, made: make(map[string]ident.Time),
-		uses: make(map[string][]event.TargetUse), sentPools: make(map[string][]sentPools), revision: 1,
+func newSimulation(seed int64, centres, hosts, engines int) *simulation {
+	w := &simulation{
+		rng: rand.New(rand.NewSource(seed)), now: 1, maxDelay: 20 * time.Millisecond, summarySentAt: make(map[string]ident.Time),
+		workByDigest: make(map[string][]event.TargetUse), sentPools: make(map[string][]sentPools), revision: 1,
 	}
 	for c := range centres {
 		place := event.Place{DataCentre: ident.DataCentre(fmt.Sprint("dc", c)), Region: ident.Region(fmt.Sprint("r", c))}
@@ -122,28 +122,28 @@
 	return w
 }
 
-func (w *world) restart(n *node) {
+func (w *simulation) restart(n *node) {
 	inc := ident.Incarnation(uint64(w.now) + 1)
 	n.frozen = 0
 	// What was under way breaks off with its links.
-	w.post = slices.DeleteFunc(w.post, func(l message) bool { return l.to == n.id })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(l message) bool { return l.to == n.id })
 	n.tb = New(event.Host{ID: n.id, Incarnation: inc, Place: n.place})
 	n.tb.Advance(w.now)
 	n.notices = make(map[ident.TargetID]ident.Incarnation)
-	n.newest = make(map[string]uint64)
-	n.starts = make(map[ident.TargetID]ident.Incarnation)
-	n.dropped = make(map[string]uint64)
+	n.highestSeq = make(map[string]uint64)
+	n.incarnations = make(map[ident.TargetID]ident.Incarnation)
+	n.droppedUseSeq = make(map[string]uint64)
 }
 
-// noteStarts records which targets the node has learned to have started anew.
-func (n *node) noteStarts() {
+// recordIncarnations records which targets the node has learned to have started anew.
+func (n *node) recordIncarnations() {
 	for _, t := range n.tb.targets {
-		if old, ok := n.starts[t.ID]; ok && t.Incarnation != old {
+		if old, ok := n.incarnations[t.ID]; ok && t.Incarnation != old {
 			for _, p := range n.tb.peers {
-				n.dropped[useKey(p, t.ID)] = p.seq
+				n.droppedUseSeq[useKey(p, t.ID)] = p.seq
 			}
 		}
-		n.starts[t.ID] = t.Incarnation
+		n.incarnations[t.ID] = t.Incarnation
 	}
 }
 
@@ -151,23 +151,23 @@
 	return fmt.Sprint(p.host.ID, "/", p.host.Incarnation, "/", id)
 }
 
-func (w *world) node(id ident.EntryID) *node {
+func (w *simulation) node(id ident.EntryID) *node {
 	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.id == id })]
 }
 
-func (w *world) engine(id ident.TargetID) *engine {
+func (w *simulation) engine(id ident.TargetID) *engine {
 	return w.targets[slices.IndexFunc(w.targets, func(e *engine) bool { return e.ID == id })]
 }
 
 // run advances the world by steps of 50 ms and calls check after each.
-func (w *world) run(d time.Duration, check func()) {
+func (w *simulation) run(d time.Duration, check func()) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(50 * time.Millisecond)
 		w.deliver()
 		for _, n := range w.nodes {
 			if n.frozen <= w.now && n.tb.Next(w.now) <= w.now {
-				n.tb.SetBlind(n.blind)
-				w.carry(n, n.tb.Tick(w.now, Own{Revision: w.revision}))
+				n.tb.SetPlatformUnreachable(n.platformUnreachable)
+				w.applyEffects(n, n.tb.Tick(w.now, LocalState{Revision: w.revision}))
 			}
 		}
 		if check != nil {
@@ -176,13 +176,13 @@
 	}
 }
 
-func (w *world) deliver() {
-	post := w.post
-	w.post = nil
+func (w *simulation) deliver() {
+	post := w.inFlight
+	w.inFlight = nil
 	for _, l := range post {
 		to := w.node(l.to)
 		if l.at > w.now || to.frozen > w.now {
-			w.post = append(w.post, l)
+			w.inFlight = append(w.inFlight, l)
 			continue
 		}
 		switch e := l.eff.(type) {
@@ -191,25 +191,25 @@
 				to.notices[x.Target] = max(to.notices[x.Target], x.Incarnation)
 			}
 			h := e.Digest.Host
-			to.reached("digest", h.ID, h.Incarnation, e.Digest.Seq)
+			to.recordSeq("digest", h.ID, h.Incarnation, e.Digest.Seq)
 			for _, s := range e.Digest.Summaries {
-				to.reached("summary", s.From, s.Incarnation, s.Seq)
+				to.recordSeq("summary", s.From, s.Incarnation, s.Seq)
 			}
 			to.tb.DigestReceived(w.now, e.Digest)
-			to.noteStarts()
+			to.recordIncarnations()
 		case event.SendSummary:
-			to.reached("summary", e.Summary.From, e.Summary.Incarnation, e.Summary.Seq)
+			to.recordSeq("summary", e.Summary.From, e.Summary.Incarnation, e.Summary.Seq)
 			to.tb.SummaryReceived(w.now, e.Summary)
 		}
 	}
 }
 
-func (n *node) reached(what string, from ident.EntryID, inc ident.Incarnation, seq uint64) {
+func (n *node) recordSeq(what string, from ident.EntryID, inc ident.Incarnation, seq uint64) {
 	key := fmt.Sprint(what, from, inc)
-	n.newest[key] = max(n.newest[key], seq)
+	n.highestSeq[key] = max(n.highestSeq[key], seq)
 }
 
-func (w *world) carry(n *node, effs []event.Effect) {
+func (w *simulation) applyEffects(n *node, effs []event.Effect) {
 	for _, eff := range effs {
 		if w.traced {
 			line, _ := event.EncodeEffect(w.now, eff)
@@ -217,33 +217,33 @@
 		}
 		switch e := eff.(type) {
 		case event.SendDigest:
-			w.uses[fmt.Sprint(n.id, e.Digest.Host.Incarnation, e.Digest.Seq)] = n.uses()
+			w.workByDigest[fmt.Sprint(n.id, e.Digest.Host.Incarnation, e.Digest.Seq)] = n.workAtTargets()
 			for _, h := range e.To {
-				w.mail(n, h.ID, e)
+				w.send(n, h.ID, e)
 			}
 		case event.SendSummary:
-			w.made[fmt.Sprint(e.Summary.From, e.Summary.Incarnation, e.Summary.Seq)] = w.now
+			w.summarySentAt[fmt.Sprint(e.Summary.From, e.Summary.Incarnation, e.Summary.Seq)] = w.now
 			if key := fmt.Sprint(n.place, e.To.Place); !e.Summary.PoolsKept {
 				w.sentPools[key] = append(w.sentPools[key], sentPools{w.now, e.Summary.Pools})
 			}
-			w.mail(n, e.To.ID, e)
+			w.send(n, e.To.ID, e)
 		case event.ReadHosts:
 			w.reads++
-			if n.cut || n.blind {
+			if n.partitioned || n.platformUnreachable {
 				n.tb.ListFailed(w.now)
 				continue
 			}
 			n.tb.HostsRead(w.now, w.list)
-			n.noteStarts()
+			n.recordIncarnations()
 		case event.PollLoad:
 			w.poll(n, e.Target.ID)
 		}
 	}
 }
 
-// uses returns the work that the node has at targets, by their ids whatever
+// workAtTargets returns the work that the node has at targets, by their ids whatever
 // the digest names them by.
-func (n *node) uses() []event.TargetUse {
+func (n *node) workAtTargets() []event.TargetUse {
 	var uses []event.TargetUse
 	for _, t := range n.tb.Targets() {
 		uses = append(uses, event.TargetUse{Target: t.ID, Running: t.Sent})
@@ -251,41 +251,41 @@
 	return uses
 }
 
-func (w *world) mail(n *node, to ident.EntryID, eff event.Effect) {
-	if n.cut || w.node(to).cut || w.rng.Float64() < w.loss {
+func (w *simulation) send(n *node, to ident.EntryID, eff event.Effect) {
+	if n.partitioned || w.node(to).partitioned || w.rng.Float64() < w.lossRate {
 		return
 	}
 	times := 1
-	if w.loss > 0 && w.rng.Float64() < 0.1 {
+	if w.lossRate > 0 && w.rng.Float64() < 0.1 {
 		times = 2
 	}
 	for range times {
-		at := w.now.Add(time.Duration(w.rng.Int63n(int64(w.delay))))
+		at := w.now.Add(time.Duration(w.rng.Int63n(int64(w.maxDelay))))
 		l := message{at: at, sent: w.now, from: n.id, to: to, eff: eff}
-		w.post = append(w.post, l)
+		w.inFlight = append(w.inFlight, l)
 		w.sent = append(w.sent, l)
 	}
 }
 
-func (w *world) poll(n *node, id ident.TargetID) {
+func (w *simulation) poll(n *node, id ident.TargetID) {
 	e := w.engine(id)
 	if e.down {
 		n.tb.LoadFailed(w.now, id, n.tb.byID[id].Incarnation)
 		return
 	}
 	e.seq++
-	if e.leaving {
+	if e.stopping {
 		n.notices[id] = max(n.notices[id], e.Incarnation)
 	}
 	n.tb.LoadReported(w.now, event.Load{
 		Target: id, Incarnation: e.Incarnation, Seq: e.seq, Age: 100 * time.Millisecond, Slots: e.slots, Running: e.running,
-		PrefillRate: 1000, DecodeRate: 50, Serves: []rules.Serve{model}, Draining: e.leaving,
+		PrefillRate: 1000, DecodeRate: 50, Serves: []rules.Serve{model}, Draining: e.stopping,
 	})
-	n.noteStarts()
+	n.recordIncarnations()
 }
 
-// busy sets the requests running at each engine of a data centre.
-func (w *world) busy(dc ident.DataCentre, running int) {
+// setRunning sets the requests running at each engine of a data centre.
+func (w *simulation) setRunning(dc ident.DataCentre, running int) {
 	for _, e := range w.targets {
 		if e.Place.DataCentre == dc {
 			e.running = running
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -113,7 +113,7 @@
 	}
 	if q.Profile.Route != nil {
 		c.cost.prefill += crowdWeight * prefill * float64(before)
-		c.cost.wait += faultCost * t.Faults(v.now)
+		c.cost.wait += faultCost * t.FailureRate(v.now)
 	}
 	c.ready = t.Wait(v.now, before, 1) + q.Backlog + toTime(prefill)
 }
--- a/internal/route/pace_test.go
+++ b/internal/route/pace_test.go
@@ -29,13 +29,13 @@
 	for seq := range uint64(20) {
 		now = now.Add(time.Second)
 		for range 100 {
-			tb.Paced("t0", here)
+			tb.StreamEventReceived("t0", here)
 		}
 		tb.SummaryReceived(now, event.Summary{
 			From: h.ID, Place: east, Incarnation: 1, Seq: seq + 1, Hosts: []event.Host{h},
 			Pools: []event.Pool{{Service: "writers", Slots: 640, Free: 600, Offer: 10000, PrefillRate: 50000, DecodeRate: 1 / there.Seconds()}},
 		})
-		tb.Tick(now, member.Own{})
+		tb.Tick(now, member.LocalState{})
 	}
 	return tb, now
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -147,10 +147,10 @@
 		rt.noteCrossing(now, dec.Centre, dec.Pool)
 	}
 	if dec.Target == nil && !dec.Full && len(q.Profile.Models) > 0 {
-		tb.Want(now, member.PoolID{Serve: q.Profile.Models[0]})
+		tb.PoolRequested(now, member.PoolID{Serve: q.Profile.Models[0]})
 	}
 	if dec.Target == nil && !dec.Full && q.Profile.Service != "" {
-		tb.Want(now, member.PoolID{Service: q.Profile.Service})
+		tb.PoolRequested(now, member.PoolID{Service: q.Profile.Service})
 	}
 	return dec
 }
--- a/internal/route/spill_test.go
+++ b/internal/route/spill_test.go
@@ -31,7 +31,7 @@
 	}
 	tb.HostsRead(now, ev)
 	for _, tg := range ev.Targets {
-		tb.Began(tg.ID, 10000, 0, 200*time.Millisecond)
+		tb.FirstTokenReceived(tg.ID, 10000, 0, 200*time.Millisecond)
 	}
 	tb.DigestReceived(now, event.Digest{Host: event.Host{ID: "w2", Incarnation: 1, Place: west}, Seq: 1, Flows: []event.Flow{here}})
 	h := event.Host{ID: "e1", Incarnation: 1, Place: east}
@@ -39,7 +39,7 @@
 		From: h.ID, Place: east, Incarnation: 1, Seq: 1, Hosts: []event.Host{h},
 		Pools: []event.Pool{{Service: "writers", Slots: 640, Free: 640, PrefillRate: 50000, Targets: 10, Alone: there.Alone, Shared: there.Shared}},
 	})
-	tb.Tick(now, member.Own{})
+	tb.Tick(now, member.LocalState{})
 	return tb, now
 }
 
@@ -223,7 +223,7 @@
 		for range 9 {
 			tb.Sent("b", 0, 0)
 		}
-		tb.Ran("b", c.run)
+		tb.AnswerCompleted("b", c.run)
 		dec := New().Choose(now, Query{
 			Request: event.Request{ID: "r", Service: "board"},
 			Profile: rules.Profile{Service: "board", Route: &rules.Route{Kind: rules.Idempotent, GoalMs: 500}},
--- a/internal/route/strand_test.go
+++ b/internal/route/strand_test.go
@@ -59,7 +59,7 @@
 		}
 		tb.HostsRead(now, ev)
 		for _, tg := range ev.Targets {
-			tb.Began(tg.ID, 10000, 0, 200*time.Millisecond)
+			tb.FirstTokenReceived(tg.ID, 10000, 0, 200*time.Millisecond)
 		}
 		rt := New()
 		for r := range 5 {
