--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -10,107 +10,110 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times and bounds of summaries.
+// Intervals and bounds of summaries.
 const (
-	// defaultSummaryInterval and slowEach give the time between summaries to a data centre
-	// that wants nothing: a fixed part and a part for each data centre known,
-	// so that the bytes of a representative grow little with their number.
+	// defaultSummaryInterval and summaryIntervalPerCentre determine the interval between
+	// summaries to a data centre that requests nothing: a fixed part and a part for each known
+	// data centre, so that the traffic of a representative grows little with their number.
 	defaultSummaryInterval   = 5 * time.Second
 	summaryIntervalPerCentre = 250 * time.Millisecond
-	// accountsIntervalPerCentre is the same part for the demand of accounts, the largest
-	// part of a summary.
+	// accountsIntervalPerCentre is the part for each data centre in the interval between
+	// summaries that include the demand of accounts, the largest part of a summary.
 	accountsIntervalPerCentre = 600 * time.Millisecond
-	// fastSummaryInterval is the time between summaries that carry an offer; it renews
+	// fastSummaryInterval is the interval between summaries that carry an offer. They renew
 	// the offer before it expires.
 	fastSummaryInterval = 2 * time.Second
-	// minSummaryGap bounds the summaries on change to one data centre.
+	// minSummaryGap is the shortest time between two summaries to one data centre, also after
+	// changes.
 	minSummaryGap = 500 * time.Millisecond
-	// maxMissedSummaries is how many slow summaries a data centre may miss before it
-	// counts as cut off.
+	// maxMissedSummaries is the number of summary intervals that a data centre may be silent
+	// before it counts as cut off.
 	maxMissedSummaries = 3
-	// maxSenders bounds the senders of summaries that are distinguished for each
-	// data centre.
+	// maxSenders bounds the number of senders of summaries that are tracked for each data
+	// centre.
 	maxSenders = 16
-	// hostsInterval is the longest time between two summaries to a data centre
-	// that name the hosts.
+	// hostsInterval is the longest time between two summaries to a data centre that include
+	// the hosts.
 	hostsInterval = 30 * time.Second
 )
 
-// Centre is another data centre as this host knows it.
+// Centre is another data centre as seen by this host.
 type Centre struct {
 	Place event.Place
-	// Hosts are its entry hosts by id, from its summary and the platform's
+	// Hosts holds its entry hosts in order of their IDs, from its summary and the platform's
 	// list.
 	Hosts []event.Host
-	// Summary is its newest summary, as it came.
+	// Summary is its newest summary, as received.
 	Summary    event.Summary
 	HasSummary bool
 
 	listed []event.Host
 	linked []event.Host
-	// summaryMadeAt is when the newest summary was summaryMadeAt, by its age, since
-	// when the data centre came or came back.
+	// summaryMadeAt is when the newest summary was made, derived from its age. reachableSince
+	// is when the data centre was first reached or last came back.
 	summaryMadeAt  ident.Time
 	reachableSince ident.Time
-	// summaryInterval is the pace of its summaries, which bounds its silence.
+	// summaryInterval is the interval of its summaries, by which CutOff bounds its silence.
 	summaryInterval time.Duration
-	// poolsMadeAt is the same of the newest pools. A summary without pools must
-	// not make an offer look new that it says nothing of.
+	// poolsMadeAt is when the newest pools were made. It is separate from summaryMadeAt, so
+	// that a summary without pools does not make an old offer look new.
 	poolsMadeAt ident.Time
-	// hostsHash is the hash of the hosts that are hostsHash, zero for none.
+	// hostsHash is the hash of Summary.Hosts, zero if no hosts have been received.
 	hostsHash uint64
 	toRelay   relayState
 	senders   []sender
-	// offersMade are the offers that the data centre may hold of this one, taken
-	// those that hosts of this one may hold of it.
+	// offersMade are the offers of this data centre that the other one may still hold,
+	// offersReceived the offers of the other one that hosts of this data centre may still
+	// hold.
 	offersMade     []given
 	offersReceived []given
 	forwarded      []*passed
-	// rejectedAt is when the data centre last turned a request rejectedAt for want of room, by
+	// rejectedAt is when the data centre last rejected a request for lack of capacity, by
 	// service.
 	rejectedAt   map[string]ident.Time
 	lastSent     lastSent
 	sendAttempts uint64
-	// unconfirmedRepeats counts the summaries in a row that went out again because the data
-	// centre has not confirmed the highest revision.
+	// unconfirmedRepeats counts the consecutive repeated summaries since the data centre last
+	// confirmed the highest revision.
 	unconfirmedRepeats int
 }
 
-// relayState is what the next digest passes on of a summary that came to this host.
+// relayState marks the parts of a received summary that the next digest relays.
 type relayState struct {
 	due, hosts, pools, accounts bool
-	// receivedHere says that the newest summary came to this host; the others are
-	// what was last passed on.
+	// receivedHere reports whether the newest summary was sent to this host. The fields below
+	// hold the values that were last relayed.
 	receivedHere bool
 	inForce      ident.Revision
 	highest      ident.Revision
 	hostsHash    uint64
 }
 
-// sender is the newest summary of one host of a data centre.
+// sender identifies the newest summary of one host of a data centre.
 type sender struct {
 	id          ident.EntryID
 	incarnation ident.Incarnation
 	seq         uint64
 }
 
-// Age is the age of the newest summary.
+// Age returns the age of the newest summary.
 func (c *Centre) Age(now ident.Time) time.Duration { return now.Sub(c.summaryMadeAt) }
 
-// poolsAge is how old the newest pools are.
+// poolsAge returns the age of the newest pools.
 func (c *Centre) poolsAge(now ident.Time) time.Duration { return now.Sub(c.poolsMadeAt) }
 
-// hostsOutdated reports whether the hosts of the data centre are not known as they are.
+// hostsOutdated reports whether the known hosts of the data centre differ from its current
+// ones.
 func (c *Centre) hostsOutdated() bool {
 	return c.HasSummary && c.Summary.HostsHash != 0 && c.Summary.HostsHash != c.hostsHash
 }
 
-// CutOff reports whether no summary of the data centre has come for long, or ever.
+// CutOff reports whether no summary of the data centre has arrived recently, or none ever.
 func (c *Centre) CutOff(now ident.Time) bool {
 	return !c.HasSummary || c.Age(now) > maxMissedSummaries*c.summaryInterval
 }
 
-// Pool returns the pool of the newest summary, nil for none.
+// Pool returns a pool from the newest summary, or nil.
 func (c *Centre) Pool(id PoolID) *event.Pool {
 	for i := range c.Summary.Pools {
 		p := &c.Summary.Pools[i]
@@ -121,8 +124,8 @@
 	return nil
 }
 
-// requestedPool returns the pool by which the data centre asks for one, nil for none. A
-// pool without a version asks for any version.
+// requestedPool returns the pool of the data centre that requests capacity for the given one,
+// or nil. A pool without a version requests any version.
 func (c *Centre) requestedPool(id PoolID) *event.Pool {
 	p := c.Pool(id)
 	if p == nil && id.Service == "" {
@@ -135,39 +138,40 @@
 	return p
 }
 
-// Centres returns the other data centres by name. The slice is the table's.
+// Centres returns the other data centres in order of their names. The caller must not change
+// the slice.
 func (tb *Table) Centres(ident.Time) []*Centre { return tb.centres }
 
 func (tb *Table) findCentre(dc ident.DataCentre) (int, bool) {
 	return slices.BinarySearchFunc(tb.centres, dc, func(c *Centre, dc ident.DataCentre) int { return cmp.Compare(c.Place.Group(), dc) })
 }
 
-// centre returns a data centre, made if it is new.
+// centre returns a data centre and adds it if it is new.
 func (tb *Table) centre(place event.Place) *Centre {
 	i, ok := tb.findCentre(place.Group())
 	if !ok {
 		tb.centres = slices.Insert(tb.centres, i, &Centre{Place: place, summaryInterval: tb.baseSummaryInterval})
-		slow := tb.summaryInterval()
+		interval := tb.summaryInterval()
 		for _, c := range tb.centres {
-			c.summaryInterval = slow
+			c.summaryInterval = interval
 		}
 	}
 	return tb.centres[i]
 }
 
-// summaryInterval is the time between two summaries to a data centre that wants
+// summaryInterval returns the interval between two summaries to a data centre that requests
 // nothing.
 func (tb *Table) summaryInterval() time.Duration {
 	return tb.baseSummaryInterval + time.Duration(len(tb.centres))*summaryIntervalPerCentre
 }
 
-// accountsInterval is the time between two summaries with the demand of accounts.
+// accountsInterval returns the interval between two summaries that include the demand of
+// accounts.
 func (tb *Table) accountsInterval() time.Duration {
 	return tb.baseSummaryInterval + time.Duration(len(tb.centres))*accountsIntervalPerCentre
 }
 
-// SummaryReceived merges the state of another data centre and relays it with the next
-// digest.
+// SummaryReceived merges the summary of another data centre. The next digest relays it.
 func (tb *Table) SummaryReceived(now ident.Time, s event.Summary) {
 	tb.Advance(now)
 	tb.mergeSummary(now, s, true)
@@ -188,7 +192,7 @@
 	if c.CutOff(now) {
 		c.reachableSince = now
 	}
-	asked, offers := c.requestedPools(), c.hasOffers()
+	oldRequests, hadOffers := c.requestedPools(), c.hasOffers()
 	c.Place = s.Place
 	c.summaryMadeAt = made
 	c.mergeParts(now, s)
@@ -197,20 +201,20 @@
 	case direct:
 		c.toRelay.add(s)
 	case !s.HostsKept:
-		// The peer that relayed the hosts has sent them to all.
+		// The peer that relayed the hosts has sent them to all peers.
 		c.toRelay.hostsHash = s.HostsHash
 	}
 	c.mergeHosts()
-	if !slices.Equal(asked, c.requestedPools()) {
+	if !slices.Equal(oldRequests, c.requestedPools()) {
 		tb.heartbeat.summaryDue = true
 	}
-	if direct && (!slices.Equal(asked, c.requestedPools()) || offers != c.hasOffers()) {
-		// The peers act on it too, and one of them may be the representative.
+	if direct && (!slices.Equal(oldRequests, c.requestedPools()) || hadOffers != c.hasOffers()) {
+		// The peers act on the change too, and one of them may be the representative.
 		tb.heartbeat.urgent = true
 	}
 }
 
-// hasOffers reports whether the data centre hasOffers anything.
+// hasOffers reports whether the data centre offers any capacity.
 func (c *Centre) hasOffers() bool {
 	return hasOffers(c.Summary.Pools)
 }
@@ -237,8 +241,8 @@
 	c.HasSummary = true
 }
 
-// add marks the parts of a summary that peers need. Hosts are relayed only when they
-// have changed.
+// add marks the parts of a summary that peers need. Hosts are relayed only when they have
+// changed.
 func (r *relayState) add(s event.Summary) {
 	r.hosts = r.hosts || !s.HostsKept && s.HostsHash != r.hostsHash
 	r.pools = r.pools || !s.PoolsKept
@@ -246,8 +250,9 @@
 	r.due = r.due || r.hosts || r.pools || r.accounts || s.InForce != r.inForce || s.Highest != r.highest
 }
 
-// recordIfNewest reports whether a summary is newer than all before it of the same sender, and
-// records it. Late and doubled ones would revive offers that were withdrawn.
+// recordIfNewest records a summary if it is newer than all earlier ones of its sender, and
+// reports whether it is. Late and duplicate summaries would restore offers that were
+// withdrawn.
 func (c *Centre) recordIfNewest(s event.Summary) bool {
 	i := slices.IndexFunc(c.senders, func(x sender) bool { return x.id == s.From })
 	if i < 0 {
@@ -265,7 +270,7 @@
 	return true
 }
 
-// requestedPools returns the pools that the data centre is short of.
+// requestedPools returns the pools for which the data centre requests capacity.
 func (c *Centre) requestedPools() []PoolID {
 	var ids []PoolID
 	for _, p := range c.Summary.Pools {
@@ -276,9 +281,8 @@
 	return ids
 }
 
-// summaryWithAge returns the newest summary with the time that it was held. Hosts that
-// are not those of the data centre any more are no part of it, nor are pools
-// where none have come.
+// summaryWithAge returns the newest summary with its current age. It omits outdated hosts, and
+// pools that have never been received.
 func (c *Centre) summaryWithAge(now ident.Time) event.Summary {
 	s := c.Summary
 	s.Age = c.Age(now)
@@ -292,7 +296,7 @@
 	return s
 }
 
-// putHost adds a host that a link has authenticated.
+// putHost adds a host that was authenticated on a link.
 func (c *Centre) putHost(h event.Host) {
 	i, ok := slices.BinarySearchFunc(c.linked, h, compareHosts)
 	if !ok {
@@ -303,9 +307,9 @@
 	c.mergeHosts()
 }
 
-// mergeHosts joins the hosts of the summary, the list and the links. A summary
-// names the live hosts of its data centre, so links only count until one has
-// come.
+// mergeHosts combines the hosts of the summary, the list and the links. A summary names the
+// live hosts of its data centre, so that hosts known by links count only until the first
+// summary that contains hosts.
 func (c *Centre) mergeHosts() {
 	hs := slices.Concat(c.Summary.Hosts, c.listed)
 	if c.hostsHash == 0 {
@@ -330,16 +334,16 @@
 
 func compareHosts(a, b event.Host) int { return cmp.Compare(a.ID, b.ID) }
 
-// HostFor picks the host that a request goes to, spread over the live hosts by
-// a hash of the request.
+// HostFor returns the host to send a request to. A hash of the request spreads requests over
+// the live hosts that are not draining.
 func (c *Centre) HostFor(key uint64) (event.Host, bool) {
-	best, found := -1, uint64(0)
+	best, bestScore := -1, uint64(0)
 	for i, h := range c.Summary.Hosts {
 		if h.Draining {
 			continue
 		}
-		if s := rank.Join(key, rank.Hash(string(h.ID))); best < 0 || s > found {
-			best, found = i, s
+		if s := rank.Join(key, rank.Hash(string(h.ID))); best < 0 || s > bestScore {
+			best, bestScore = i, s
 		}
 	}
 	if best < 0 {
@@ -348,7 +352,7 @@
 	return c.Summary.Hosts[best], true
 }
 
-// summariesToRelay returns what came to this host since its last digest.
+// summariesToRelay returns the summaries that this host has received since its last digest.
 func (tb *Table) summariesToRelay(now ident.Time) []event.Summary {
 	var ss []event.Summary
 	for _, c := range tb.centres {
@@ -359,7 +363,8 @@
 	return ss
 }
 
-// summaryToRelay returns the parts of the newest summary that peers need.
+// summaryToRelay returns the parts of the newest summary that peers need, and marks them as
+// relayed.
 func (c *Centre) summaryToRelay(now ident.Time) event.Summary {
 	r := &c.toRelay
 	s := c.summaryWithAge(now)
@@ -379,8 +384,8 @@
 	return s
 }
 
-// outdatedCentres returns the data centres whose hosts are not known as they are now, as after a
-// lost digest. Peers that have them send them with the next digest.
+// outdatedCentres returns the data centres whose known hosts are outdated, for example after a
+// lost digest. Peers with the current hosts send them with the next digest.
 func (tb *Table) outdatedCentres() []ident.DataCentre {
 	var dcs []ident.DataCentre
 	for _, c := range tb.centres {
@@ -391,8 +396,8 @@
 	return dcs
 }
 
-// resendHosts has the hosts that a peer lacks passed on once more, by the host that
-// the newest summary came to, so that not every peer answers.
+// resendHosts relays the hosts of the given data centres to a peer again. Only the host that
+// received the newest summary does so, so that not every peer answers.
 func (tb *Table) resendHosts(dcs []ident.DataCentre) {
 	for _, dc := range dcs {
 		i, ok := tb.findCentre(dc)
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -7,18 +7,18 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// DigestReceived merges the heartbeat of a host of the own data centre. A host that no list
-// names is added all the same: its link is authenticated, and the list lags.
+// DigestReceived merges the digest of a host of this data centre. A host that is not on the
+// list is added too: its link is authenticated, and the list lags.
 func (tb *Table) DigestReceived(now ident.Time, d event.Digest) {
 	tb.Advance(now)
-	// Drain notices hold in late digests too, and come first, so that a draining
-	// target is not usable in between.
+	// Drain notices are valid even in late digests. They are merged first, so that a draining
+	// target is not used in the meantime.
 	for _, w := range d.Draining {
 		tb.observeDraining(now, w.Target, w.Incarnation)
 	}
 	tb.mergeHeartbeat(now, d)
 	tb.removalsObserved(now, d.Removed)
-	// Loads and summaries have numbers of their own.
+	// Loads and summaries have their own sequence numbers.
 	for _, ld := range d.Loads {
 		tb.mergeRelayedLoad(now, ld)
 	}
@@ -27,7 +27,8 @@
 	}
 }
 
-// mergeHeartbeat merges what only the newest digest of the newest incarnation says.
+// mergeHeartbeat merges the parts of a digest that are valid only in the newest digest of the
+// newest incarnation.
 func (tb *Table) mergeHeartbeat(now ident.Time, d event.Digest) {
 	p := tb.putPeer(now, d.Host)
 	if p == nil || d.Seq <= p.seq {
@@ -47,7 +48,7 @@
 	}
 }
 
-// mergeUse replaces the work that a peer has at the targets.
+// mergeUse replaces the work of a peer at the targets.
 func (tb *Table) mergeUse(p *peer, use []event.TargetUse) {
 	for _, u := range p.use {
 		if t, ok := tb.byID[u.Target]; ok {
@@ -68,8 +69,8 @@
 	}
 }
 
-// resolveUse resolves the key of a use to the id of its target, if that is known. The key might
-// mean another target when the use is subtracted later.
+// resolveUse replaces the key of a use by the ID of its target, if that is known. The key
+// might name another target by the time the use is subtracted.
 func (tb *Table) resolveUse(u *event.TargetUse) {
 	if u.Target != "" {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// addPeerUse adds up the use that peers announced of a target before it was known here.
+// addPeerUse adds the use that peers announced of a target before this host knew it.
 func (tb *Table) addPeerUse(t *Target) {
 	for _, p := range tb.peers {
 		for i := range p.use {
@@ -94,7 +95,7 @@
 	}
 }
 
-// digest returns what every digest carries.
+// digest returns a digest with the parts that every digest contains.
 func (tb *Table) digest(now ident.Time) event.Digest {
 	tb.heartbeat.seq++
 	d := event.Digest{
@@ -107,7 +108,7 @@
 			id, key := tb.nameOf(t)
 			use := event.TargetUse{Target: id, Key: key, Running: t.Sent, Tokens: t.SentTokens}
 			if t.Capacity > 0 {
-				// The others report their queue with their load.
+				// Other targets report their queue with their load.
 				use.Unread = t.Unread
 			}
 			d.Use = append(d.Use, use)
@@ -116,9 +117,9 @@
 	return d
 }
 
-// dueDigests returns the digests that are due. The first goes to all live peers, with the changes
-// since the last, and at intervals to silent hosts, to find those that have come back. The
-// second goes to new peers and is complete.
+// dueDigests returns the digests that are due. The first one goes to all live peers and
+// contains the changes since the last one; at intervals it also goes to silent hosts, to
+// detect those that have come back. The second one goes to new peers and is complete.
 func (tb *Table) dueDigests(now ident.Time, regular bool) []event.Effect {
 	var effs []event.Effect
 	if regular || tb.heartbeat.urgent {
@@ -153,7 +154,7 @@
 	return []event.Effect{event.SendDigest{To: to, Digest: d}}
 }
 
-// hostsToProbe returns the silent hosts that a digest is due to.
+// hostsToProbe returns the silent hosts that are due a digest.
 func (tb *Table) hostsToProbe(now ident.Time) []event.Host {
 	var to []event.Host
 	for _, p := range tb.peers {
@@ -171,7 +172,7 @@
 	for _, ld := range tb.loadsToRelay {
 		t, ok := tb.byID[ld.Target]
 		if !ok || ld.Incarnation != t.Incarnation || ld.Seq != t.Load.Seq {
-			continue // A newer one follows in the list, or came from a peer.
+			continue // A newer report follows in the list, or a peer has sent it.
 		}
 		ld.Age = now.Sub(t.LoadAt)
 		loads = append(loads, tb.omitKnownFields(now, t, ld))
@@ -180,9 +181,9 @@
 	return loads
 }
 
-// addListIfDue adds the platform's list to a digest if it has changed. The watcher sends it, and
-// each host that is the first to read of new targets or a changed evacuation: the watcher may
-// be late, and the representative acts on its own list for the whole data centre.
+// addListIfDue adds the platform's list to a digest if it has changed. The watcher sends it,
+// and so does each host that is the first to read of new targets or a changed evacuation: the
+// watcher may be late, and the representative acts on its own list for the whole data centre.
 func (tb *Table) addListIfDue(now ident.Time, d *event.Digest) {
 	changed, urgent := tb.list.unannounced, tb.list.urgent
 	tb.list.unannounced, tb.list.urgent = false, false
@@ -209,8 +210,8 @@
 	return ts
 }
 
-// fullDigest sends new peers all that this host knows, so that a host that restarts while the
-// platform is unreachable can serve.
+// fullDigest returns a digest of everything that this host knows for new peers, so that a host
+// that restarts while the platform is unreachable can serve requests.
 func (tb *Table) fullDigest(now ident.Time) []event.Effect {
 	var to []event.Host
 	for _, p := range tb.peers {
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -9,24 +9,23 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times of reading the platform's list.
+// Intervals and timeouts for reads of the platform's list.
 const (
-	// watcherReadInterval is the time between reads of the host that watches, idleEvery
-	// of the others, which read in case the one that watches is cut off in a
-	// way that no one notices.
+	// watcherReadInterval is the interval between reads of the watcher, idleReadInterval that
+	// of the other hosts. These read in case the watcher is cut off without being detected.
 	watcherReadInterval = 2 * time.Second
 	idleReadInterval    = 30 * time.Second
-	// idleReadJitter and firstSpread keep hosts that start or come back together
-	// from reading together: the store takes about two thousand reads a
-	// second from the whole fleet.
+	// idleReadJitter and firstReadJitter keep hosts that start or come back together from
+	// reading together: the store handles about two thousand reads a second from the whole
+	// fleet.
 	idleReadJitter  = 10 * time.Second
 	firstReadJitter = 250 * time.Millisecond
-	// staleListTimeout is how long an older version of the list is refused. After
-	// that the platform has lost its count.
+	// staleListTimeout is how long an older version of the list is rejected. After that the
+	// platform is assumed to have reset its version counter.
 	staleListTimeout = time.Minute
 )
 
-// firstReadDelay returns how long after its start a host reads the list.
+// firstReadDelay returns the delay between the start of a host and its first read of the list.
 func firstReadDelay(self event.Host) time.Duration {
 	return jitter(rank.Join(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstReadJitter)
 }
@@ -35,7 +34,8 @@
 	return time.Duration(rank.Unit(h) * float64(width))
 }
 
-// HostsRead merges a list that this host has read from the platform. The list lags.
+// HostsRead merges a list that this host has read from the platform. The list lags behind the
+// actual state.
 func (tb *Table) HostsRead(now ident.Time, ev event.HostsRead) {
 	tb.Advance(now)
 	tb.readSucceeded(now)
@@ -57,7 +57,7 @@
 	}
 }
 
-// isStale reports whether a list is isStale than the one that this host goes by.
+// isStale reports whether a list is older than the one in use.
 func (tb *Table) isStale(now ident.Time, version uint64) bool {
 	return version < tb.list.version && now.Sub(tb.list.updatedAt) <= staleListTimeout
 }
@@ -76,8 +76,8 @@
 	}
 }
 
-// useVersion sets the version of the list in use. One that is lower than before comes from a
-// store that has lost its count, which makes all versions seen so far meaningless.
+// useVersion sets the version of the list in use. A lower version than before means that the
+// store has reset its version counter, which makes all earlier versions meaningless.
 func (tb *Table) useVersion(now ident.Time, version uint64) {
 	if version < tb.list.version {
 		for _, t := range tb.targets {
@@ -88,8 +88,8 @@
 	tb.list.updatedAt = now
 }
 
-// hasUrgentChanges reports whether a list names targets of the own data centre that are not known here,
-// evacuates targets that are in use, or takes that back.
+// hasUrgentChanges reports whether a list names unknown targets of this data centre, or starts
+// or ends the evacuation of known ones.
 func (tb *Table) hasUrgentChanges(targets []event.Target) bool {
 	return slices.ContainsFunc(targets, func(d event.Target) bool {
 		t, ok := tb.byID[d.ID]
@@ -122,11 +122,11 @@
 	}
 }
 
-// mergeListedPeer merges a host of the own data centre from the list.
+// mergeListedPeer merges a listed host of this data centre.
 func (tb *Table) mergeListedPeer(now ident.Time, h event.Host) *peer {
 	old, ok := tb.peer(h.ID)
 	if ok && h.Incarnation < old.host.Incarnation {
-		// The list lags behind a restart: the host is listed all the same.
+		// The list lags behind a restart, but it does list the host.
 		return old
 	}
 	p := tb.putPeer(now, h)
@@ -136,7 +136,7 @@
 	return p
 }
 
-// mergeListedTargets merges the targets of a list, read here or by a peer.
+// mergeListedTargets merges the targets of a list that this host or a peer has read.
 func (tb *Table) mergeListedTargets(now ident.Time, targets []event.Target) {
 	for _, t := range tb.targets {
 		t.listed = false
@@ -153,7 +153,7 @@
 	}
 }
 
-// readHosts returns the read of the list that is due, and settles the next.
+// readHosts returns a read of the list if one is due, and schedules the next.
 func (tb *Table) readHosts(now ident.Time) []event.Effect {
 	if now < tb.list.nextRead {
 		return nil
@@ -170,8 +170,8 @@
 	return idleReadInterval + jitter(rank.Join(h, uint64(now)), idleReadJitter)
 }
 
-// scheduleWatcherRead brings the next read forward when this host becomes the watcher, spread so that
-// many new watchers do not read at once.
+// scheduleWatcherRead schedules an early read when this host becomes the watcher, with jitter
+// so that many new watchers do not read at once.
 func (tb *Table) scheduleWatcherRead(now ident.Time) {
 	if !tb.IsWatcher(now) {
 		return
@@ -179,7 +179,7 @@
 	tb.scheduleRead(now, "duty")
 }
 
-// scheduleRead brings the next read forward, spread over the hosts of a reason.
+// scheduleRead moves the next read forward, with jitter for each host and reason.
 func (tb *Table) scheduleRead(now ident.Time, reason string) {
 	h := rank.Join(rank.Hash(reason, string(tb.self.ID)), uint64(now))
 	tb.list.nextRead = min(tb.list.nextRead, now.Add(watcherReadInterval+jitter(h, HeartbeatInterval)))
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,6 @@
-// Package member holds what one entry host knows of the others, of the targets
-// of its data centre and of the other data centres: which are alive, which drain, how
-// loaded each is, and what spare capacity was offered.
+// Package member tracks the state that one entry host knows of the other entry hosts, of the
+// targets of its data centre and of the other data centres: which of them are alive, which are
+// draining, their load, and the spare capacity that other data centres offer.
 //
 // # Usage
 //
@@ -10,22 +10,22 @@
 //	tb.Advance(now)
 //	tb.HostsRead(now, ev)
 //	tb.DigestReceived(now, digest)
-//	effs := tb.Tick(now, member.Own{Revision: rev})
+//	effs := tb.Tick(now, member.LocalState{Revision: rev})
 //	wake := tb.Next(now)
 //
-// Entry hosts of one data centre send each other a digest each second. Three
-// missed digests make a host suspect: its duties pass on. Duties that one host
-// does for its data centre go to the live host that ranks first by rendezvous
-// hashing, so they need no election, and two hosts that hold a duty for a
-// moment do no harm. Data centres send each other summaries, which carry the
-// spare capacity that each offers; see OfferLeft.
+// The entry hosts of one data centre send each other a digest every second. A host from which
+// three digests are missing is suspect, and its duties pass to another host. A duty that one
+// host does for the whole data centre belongs to the live host that ranks first by rendezvous
+// hashing. This needs no election, and it does no harm if two hosts hold a duty for a moment.
+// Data centres send each other summaries, which include the spare capacity that each of them
+// offers.
 //
-// No absolute time travels: what is relayed carries its age, and each host
-// adds the time that it held it. Everything held has a bound in age or number.
+// Messages contain no absolute times. A relayed message carries its age, and each host adds
+// the time for which it held the message. All state is bounded in age or number.
 //
-// The table belongs to the reducer. It is not safe for several goroutines,
-// reads no clock and no source of randomness, and iterates over sorted slices
-// only, so that the same calls give the same effects.
+// A Table belongs to the reducer and is not safe for concurrent use. It reads no clock and no
+// source of randomness, and iterates over sorted slices only, so that the same calls return
+// the same effects.
 package member
 
 import (
@@ -37,45 +37,45 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Times of the membership.
+// Intervals and timeouts of the membership.
 const (
-	// HeartbeatInterval is the time between two digests and between two load reports of
-	// a target.
+	// HeartbeatInterval is the time between two digests, and between two load reports of a
+	// target.
 	HeartbeatInterval = time.Second
-	// suspectTimeout is three missed digests and half a period for the link.
+	// suspectTimeout allows for three missed digests and half an interval of network delay.
 	suspectTimeout = 3*HeartbeatInterval + HeartbeatInterval/2
-	// linkDownTimeout replaces it while the link to the host is down.
+	// linkDownTimeout replaces suspectTimeout while the link to the host is down.
 	linkDownTimeout = HeartbeatInterval + HeartbeatInterval/2
-	// deadTimeout is the silence after which a lower incarnation is believed.
+	// deadTimeout is the silence of a host or target after which a lower incarnation of it is
+	// accepted.
 	deadTimeout = 10 * time.Second
-	// dropTimeout is the silence after which what the platform does not list is
-	// dropped.
+	// dropTimeout is the silence after which a host or target that the platform does not list
+	// is dropped.
 	dropTimeout = time.Minute
-	// probeInterval is the time between digests to a host that is silent.
+	// probeInterval is the time between two digests to a silent host.
 	probeInterval = 5 * time.Second
-	// minPause is the gap between two steps from which on this host counts as
-	// paused: Tick is due each period.
+	// minPause is the gap between two steps above which this host counts as paused. Tick is
+	// due every HeartbeatInterval.
 	minPause = HeartbeatInterval + HeartbeatInterval/2
-	// pauseCatchUpTime is how long after a pause messages may have waited through it.
+	// pauseCatchUpTime is the time after a pause in which received messages may be delayed by
+	// it.
 	pauseCatchUpTime = HeartbeatInterval
 )
 
-// LocalState is the state of this host that the reducer passes at each Tick.
+// LocalState is the state of this host that the reducer passes to each Tick.
 type LocalState struct {
 	// Revision is the revision in force at this host.
 	Revision ident.Revision
-	// Accounts is the demand at this host, for peers; CentreAccounts that of
-	// the whole data centre, for other data centres.
+	// Accounts is the demand at this host, which is sent to peers.
 	Accounts []event.AccountUse
-	// AccountsIncluded says that Accounts goes into the next digest; it is left out
-	// otherwise.
+	// AccountsIncluded reports whether the next digest includes Accounts.
 	AccountsIncluded bool
-	// CentreAccounts returns the demand of the data centre for a summary. It
-	// is called once for each round of summaries, since what it returns counts
-	// as sent. Nil stands for none.
+	// CentreAccounts returns the demand of the whole data centre, which is sent to other data
+	// centres. It is called at most once for each round of summaries, because the returned
+	// demand counts as sent. Nil means no demand.
 	CentreAccounts func() []event.AccountUse
-	// LastCacheEvent returns the last sequence number seen of the cache events of a
-	// target; nil is none.
+	// LastCacheEvent returns the sequence number of the last cache event received from a
+	// target. It may be nil.
 	LastCacheEvent func(ident.TargetID) uint64
 }
 
@@ -86,22 +86,22 @@
 	return o.LastCacheEvent(id)
 }
 
-// PoolID names a pool: the targets of one data centre that serve one model,
-// or one plain service.
+// PoolID names a pool: the targets of one data centre that serve one model or one plain
+// service.
 type PoolID struct {
 	Serve   rules.Serve
 	Service string
 }
 
-// Table is the state.
+// Table holds the membership state of one entry host.
 type Table struct {
 	self        event.Host
 	initialised bool
-	// started is the first time that the table was given, last the newest.
+	// started is the time of the first Advance, lastAdvance that of the last one.
 	started     ident.Time
 	lastAdvance ident.Time
 	local       LocalState
-	// resumedAt is when this host last resumedAt from a pause, paused how long it was.
+	// resumedAt is when the last pause of this host ended, pauseDuration its length.
 	resumedAt     ident.Time
 	pauseDuration time.Duration
 
@@ -110,14 +110,14 @@
 	byID     map[ident.TargetID]*Target
 	byKey    map[event.TargetKey]*Target
 	draining map[ident.TargetID]drainNotice
-	// restarted holds the targets that have started anew since they were last asked for.
+	// restarted holds the targets that have restarted since the reducer last took them.
 	restarted []ident.TargetID
-	// coldProbeQueue holds the targets that are to be asked whether they are cold.
+	// coldProbeQueue holds the targets to probe for whether they are cold.
 	coldProbeQueue []ident.TargetID
 	centres        []*Centre
 	pools          []*pool
 	forwarded      []event.AwayUse
-	// requestsQueuedAt is when requests last began to wait here.
+	// requestsQueuedAt is when RequestsQueued last recomputed the pools.
 	requestsQueuedAt    ident.Time
 	platformUnreachable bool
 
@@ -125,60 +125,63 @@
 	heartbeat    heartbeatState
 	loadsToRelay []event.Load
 	cold         Cold
-	// serviceStats is what is serviceStats for the targets of each service.
+	// serviceStats holds the typical times and rates of the targets of each service.
 	serviceStats load.Services
-	// flows is the work that the callers of this host bring, by service; misses the
-	// part of the prompts of a service that its engines have to read.
+	// flows is the demand of the callers of this host by service, missRatios the fraction of
+	// the prompts of a service that its engines have to prefill.
 	flows      []*flow
 	missRatios map[string]float64
-	// notes are the changes of belief since Notes was last asked.
+	// notes holds the changes since the last call of TakeNotes.
 	notes []event.Note
-	// baseSummaryInterval is the fixed part of the time between summaries to a data centre
-	// that wants nothing.
+	// baseSummaryInterval is the fixed part of the interval between summaries to a data centre
+	// that requests nothing.
 	baseSummaryInterval time.Duration
 }
 
-// listState follows the platform's list of hosts.
+// listState tracks the platform's list of hosts and targets.
 type listState struct {
-	// version is that of the list that this host goes by, readAt when it was read
-	// here or came from a peer; read says that this host has read one itself.
+	// version is the version of the list in use. updatedAt is when that list was read or was
+	// received from a peer, and readHere reports whether this host has ever read the list
+	// itself.
 	version   uint64
 	readHere  bool
 	updatedAt ident.Time
-	// source is the host that read the list in use from the store; complete says that it
-	// was this host and that the list names all targets.
+	// source is the host that read the list in use from the store. complete reports whether
+	// that host is this one and the list names all targets.
 	source   ident.EntryID
 	complete bool
 	// nextRead is when this host reads the list again.
 	nextRead ident.Time
-	// unannounced says that the newest list has not been sent to peers.
+	// unannounced reports whether the newest list has not been sent to peers yet.
 	unannounced bool
-	// readFailed says that the last read failed, backAt when one came after that, steadyAt
-	// since when no own read has failed.
+	// readFailed reports whether the last read failed. recoveredAt is when a read last
+	// succeeded after a failure, steadySince when the first one succeeded since the last
+	// failure.
 	readFailed  bool
 	recoveredAt ident.Time
 	steadySince ident.Time
-	// urgent says that the newest own read has news for the peers.
+	// urgent reports whether the newest read of this host has changes that peers need at once.
 	urgent bool
 }
 
-// heartbeatState follows the digests and summaries that this host sends.
+// heartbeatState tracks the digests and summaries that this host sends.
 type heartbeatState struct {
 	nextDigest ident.Time
 	// nextUse is when the use of targets is next sent to peers.
 	nextUse    ident.Time
 	seq        uint64
 	summarySeq uint64
-	// urgent says that a digest is due at once, peers that a new peer waits for
-	// a full digest, asks that another data centre has changed its demand.
+	// urgent reports whether a digest is due at once, fullDigestDue whether a new peer waits
+	// for a full digest, and summaryDue whether summaries are due, for example because another
+	// data centre has changed its demand.
 	urgent        bool
 	fullDigestDue bool
 	summaryDue    bool
-	// holders are the prefix holders of the next digest.
+	// holders are the prefix holders for the next digest.
 	holders []event.PrefixHolder
 }
 
-// New returns an empty table.
+// New returns an empty table for the given host.
 func New(self event.Host) *Table {
 	return &Table{
 		self:                self,
@@ -190,16 +193,15 @@
 	}
 }
 
-// SetSummaryInterval changes the fixed part of the time between summaries to a data centre
-// that wants nothing. A data centre counts as cut off after three of them, and
-// callers are sent to its hosts for that long after it has gone.
-func (tb *Table) SetSummaryInterval(slow time.Duration) { tb.baseSummaryInterval = slow }
+// SetSummaryInterval sets the fixed part of the interval between summaries to a data centre
+// that requests nothing. A data centre counts as cut off after three intervals without a
+// summary, and callers are sent to its hosts for that long after it has failed.
+func (tb *Table) SetSummaryInterval(interval time.Duration) { tb.baseSummaryInterval = interval }
 
 // Self returns this host.
 func (tb *Table) Self() event.Host { return tb.self }
 
-// SetDraining marks this host as draining, and has the next Tick, which is due at once,
-// announce it.
+// SetDraining marks this host as draining. The next Tick, which is due at once, announces it.
 func (tb *Table) SetDraining() {
 	if tb.self.Draining {
 		return
@@ -209,20 +211,21 @@
 	tb.heartbeat.summaryDue = true
 }
 
-// SetPlatformUnreachable says whether this host gets no answer from the platform. A blind host passes the
-// duty to watch on, as long as another host is not blind; otherwise a host that is cut off from
-// the platform only would keep it, and the whole data centre would miss changes.
-func (tb *Table) SetPlatformUnreachable(blind bool) {
-	if tb.platformUnreachable != blind {
-		tb.platformUnreachable = blind
+// SetPlatformUnreachable sets whether this host gets no answer from the platform. Such a host
+// passes the watcher's duty to a host that reaches the platform, if there is one. Otherwise a
+// host that is cut off only from the platform would remain the watcher, and the whole data
+// centre would miss changes.
+func (tb *Table) SetPlatformUnreachable(unreachable bool) {
+	if tb.platformUnreachable != unreachable {
+		tb.platformUnreachable = unreachable
 		tb.heartbeat.urgent = true
 	}
 }
 
-// Advance takes the time. The reducer calls it first at each step.
+// Advance sets the current time. The reducer calls it first in each step.
 //
-// The time of a pause of this host does not count as silence of others. It counts for
-// all that expires: loads, offers and summaries.
+// A pause of this host does not count as silence of others. It does count towards the expiry
+// of loads, offers and summaries.
 func (tb *Table) Advance(now ident.Time) {
 	if !tb.initialised {
 		tb.initialised = true
@@ -247,8 +250,8 @@
 	}
 }
 
-// extraAge returns how much older a message may be than its age says: just after a pause
-// of this host it may have waited in a socket.
+// extraAge returns the time to add to the age of a received message. Just after a pause of
+// this host the message may have waited in a socket.
 func (tb *Table) extraAge(now ident.Time) time.Duration {
 	if tb.pauseDuration > 0 && now.Sub(tb.resumedAt) <= pauseCatchUpTime {
 		return tb.pauseDuration
@@ -256,16 +259,16 @@
 	return 0
 }
 
-// Target returns one target of the own data centre.
+// Target returns a target of this data centre.
 func (tb *Table) Target(id ident.TargetID) (*Target, bool) {
 	t, ok := tb.byID[id]
 	return t, ok
 }
 
-// Targets returns the targets of the own data centre by id.
+// Targets returns the targets of this data centre in order of their IDs.
 func (tb *Table) Targets() []*Target { return tb.targets }
 
-// Host returns an entry host by id, of whichever data centre.
+// Host returns the entry host with the given ID, in any data centre.
 func (tb *Table) Host(id ident.EntryID) (event.Host, bool) {
 	if id == tb.self.ID {
 		return tb.self, true
@@ -283,8 +286,7 @@
 	return event.Host{}, false
 }
 
-// Revisions returns the lowest and the highest revision of the live hosts of
-// the own data centre.
+// Revisions returns the lowest and the highest revision of the live hosts of this data centre.
 func (tb *Table) Revisions(now ident.Time) (low, high ident.Revision) {
 	low, high = tb.local.Revision, tb.local.Revision
 	for _, p := range tb.peers {
--- a/internal/member/note.go
+++ b/internal/member/note.go
@@ -6,18 +6,18 @@
 	"verbenadale.example/verbenadale/internal/event"
 )
 
-// maxNotes bounds the notes of one step.
+// maxNotes bounds the number of notes in one step.
 const maxNotes = 64
 
-// TakeNotes returns what has changed in what this host believes of the targets whose
-// capacity the platform's list contains, since the last call.
+// TakeNotes returns and clears the notes on changes in the state of targets whose capacity is
+// in the platform's list.
 func (tb *Table) TakeNotes() []event.Note {
 	ns := tb.notes
 	tb.notes = nil
 	return ns
 }
 
-// addNote records a change of belief about a target.
+// addNote records a change in the state of a target.
 func (tb *Table) addNote(t *Target, text string) {
 	if t.Capacity == 0 || len(tb.notes) >= maxNotes {
 		return
@@ -36,7 +36,7 @@
 	}})
 }
 
-// noteStaleList reports a list of the store that is older than the one in use.
+// noteStaleList records that the store returned an older list than the one in use.
 func (tb *Table) noteStaleList(version uint64) {
 	if len(tb.notes) >= maxNotes {
 		return
--- a/internal/member/pace_test.go
+++ b/internal/member/pace_test.go
@@ -8,37 +8,37 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// A region with slow streams offers its free slots.
+// Guards against a region with slow streams that offers its free slots.
 func TestSlowStreamsLeaveNoFreeSlots(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
 	tb.HostsRead(at, listOf(1, reachTarget("a"), reachTarget("b")))
 	id := PoolID{Service: "writers"}
-	free := func() int {
+	freeSlots := func() int {
 		tb.countPools(at)
 		p, _ := tb.pool(id)
 		return p.Free
 	}
-	if got := free(); got != 16 {
-		t.Errorf("%d slots are free where no pace is known, want 16", got)
+	if got := freeSlots(); got != 16 {
+		t.Errorf("%d slots are free without a known pace, want 16", got)
 	}
 	for range 50 {
 		tb.StreamEventReceived("a", 120*time.Millisecond)
 	}
-	if got := free(); got != 16 {
-		t.Errorf("%d slots are free where no other pace is known, want 16", got)
+	if got := freeSlots(); got != 16 {
+		t.Errorf("%d slots are free without a known pace elsewhere, want 16", got)
 	}
 	tb.SummaryReceived(at, event.Summary{
 		From: "e1", Place: reachPlace("east-a", "east"), Incarnation: 1, Seq: 2,
 		Hosts: []event.Host{reachHost("e1", "east-a", "east")},
 		Pools: []event.Pool{{Service: "writers", Slots: 16, Free: 16, DecodeRate: 1 / 0.03}},
 	})
-	if got := free(); got != 0 {
-		t.Errorf("%d slots count as room where streams take four times as long as elsewhere", got)
+	if got := freeSlots(); got != 0 {
+		t.Errorf("%d slots are free although streams are four times slower than elsewhere, want 0", got)
 	}
 }
 
-// A region offers nothing until all work that it forwarded has ended.
+// Guards against a region that offers nothing until all requests that it forwarded have ended.
 func TestPoolWithPaceOffersWhileForwarding(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
@@ -51,11 +51,12 @@
 	}
 	tb.countPools(at)
 	if p, _ := tb.pool(id); !p.offering {
-		t.Error("a region with room offers none while its own work runs elsewhere")
+		t.Error("a region with free slots offers none while its forwarded requests run elsewhere")
 	}
 }
 
-// A region has no offer at the start of its peak.
+// Guards against a region that has no offer when its peak load starts. Where the pace is
+// known, offers do not wait for a request.
 func TestPoolsWithPaceOfferWithoutRequest(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := nearWorld(at)
@@ -71,12 +72,12 @@
 		return tb.offers(at)[i][0]
 	}
 	if got := offer(); got != 0 {
-		t.Errorf("%d slots are offered to a region that does not ask, where streams have no pace", got)
+		t.Errorf("%d slots are offered without a request or a known pace, want 0", got)
 	}
 	for range 50 {
 		tb.StreamEventReceived("a", 30*time.Millisecond)
 	}
 	if got := offer(); got < 1 || got > 4 {
-		t.Errorf("%d of 32 slots are offered, want a small part", got)
+		t.Errorf("%d of 32 slots are offered, want 1 to 4", got)
 	}
 }
--- a/internal/member/peer.go
+++ b/internal/member/peer.go
@@ -10,29 +10,31 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// peer is another entry host of the own data centre.
+// peer is another entry host of this data centre.
 type peer struct {
 	host event.Host
-	// lastSeen is when a message of the host last came, met whether one ever did.
+	// lastSeen is when the last message of the host arrived. seen reports whether one has ever
+	// arrived.
 	lastSeen ident.Time
 	seen     bool
-	// linkDown says that the link to it broke and has not come back.
+	// linkDown reports whether the link to the host has failed and has not been restored.
 	linkDown bool
 	listed   bool
-	// seq is the number of the newest digest of this incarnation.
+	// seq is the sequence number of the newest digest of this incarnation.
 	seq                 uint64
 	revision            ident.Revision
 	use                 []event.TargetUse
 	forwarded           []event.AwayUse
 	flows               []event.Flow
 	platformUnreachable bool
-	// needsFullDigest says that it is to be sent all that this host knows.
+	// needsFullDigest reports whether the host is due a digest of everything that this host
+	// knows.
 	needsFullDigest bool
 	probedAt        ident.Time
 }
 
-// live reports whether the host was seen lately. A broken link shortens the time that it
-// may be silent.
+// live reports whether the host was seen recently. A host whose link is down may be silent for
+// a shorter time.
 func (p *peer) live(now ident.Time) bool {
 	if !p.seen {
 		return false
@@ -57,8 +59,8 @@
 	return slices.BinarySearchFunc(tb.peers, id, func(p *peer, id ident.EntryID) int { return cmp.Compare(p.host.ID, id) })
 }
 
-// putPeer adds or updates a host of the own data centre. It returns nil for this host
-// itself and for an incarnation that another has followed.
+// putPeer adds or updates a host of this data centre. It returns nil for this host itself and
+// for an outdated incarnation.
 func (tb *Table) putPeer(now ident.Time, h event.Host) *peer {
 	if h.ID == tb.self.ID || h.Place.Group() != tb.self.Place.Group() {
 		return nil
@@ -71,7 +73,7 @@
 	}
 	p := tb.peers[i]
 	if h.Incarnation == p.host.Incarnation {
-		// Draining holds for the incarnation; a description without it is older.
+		// An incarnation never stops draining, so a description without the flag is older.
 		h.Draining = h.Draining || p.host.Draining
 		p.host = h
 		return p
@@ -84,10 +86,10 @@
 	return p
 }
 
-// observe records a message of a host.
+// observe records that a message of a host has arrived.
 func (tb *Table) observe(now ident.Time, p *peer) {
 	if !p.live(now) {
-		// It may have restarted, or missed what was sent meanwhile.
+		// The host may have restarted, or missed messages in the meantime.
 		p.needsFullDigest = true
 	}
 	p.seen = true
@@ -98,15 +100,14 @@
 	}
 }
 
-// PeerUp says that a link to another entry host stands and that the host has
-// proved who it is.
+// PeerUp records that a link to another entry host is up and that the host is authenticated.
 func (tb *Table) PeerUp(now ident.Time, h event.Host) {
 	tb.Advance(now)
 	if h.Place.Group() != tb.self.Place.Group() {
 		c := tb.centre(h.Place)
 		c.putHost(h)
 		if c.lastSent.to == h.ID && c.lastSent.incarnation != h.Incarnation {
-			// It has restarted and lost what was sent to it.
+			// The host has restarted and lost the parts that were sent to it.
 			c.lastSent = lastSent{}
 		}
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// PeerDown says that the link to another entry host broke.
+// PeerDown records that the link to another entry host has failed.
 func (tb *Table) PeerDown(now ident.Time, id ident.EntryID) {
 	tb.Advance(now)
 	if p, ok := tb.peer(id); ok {
@@ -124,7 +125,7 @@
 	}
 }
 
-// Peers returns the live entry hosts of the own data centre but this one.
+// Peers returns the other live entry hosts of this data centre.
 func (tb *Table) Peers(now ident.Time) []event.Host {
 	var hs []event.Host
 	for _, p := range tb.peers {
@@ -135,7 +136,7 @@
 	return hs
 }
 
-// HasActivePeer reports whether a live host of the own data centre is there to stay.
+// HasActivePeer reports whether another live host of this data centre is not draining.
 func (tb *Table) HasActivePeer(now ident.Time) bool {
 	return slices.ContainsFunc(tb.peers, func(p *peer) bool { return p.live(now) && !p.host.Draining })
 }
@@ -145,16 +146,18 @@
 	return tb.watcher(now) == tb.self.ID
 }
 
-// Hosts that read the platform's store all the time.
+// Hosts that read the platform's store continuously.
 const (
-	// activeReaders is how many hosts of a data centre do, so that one may freeze.
+	// activeReaders is the number of active readers in a data centre. A second one covers for
+	// a reader that freezes.
 	activeReaders = 2
-	// maxReaderSilence bounds the silence of a host that is relied on to read.
+	// maxReaderSilence is the longest silence of a host that still counts as an active reader.
 	maxReaderSilence = 1800 * time.Millisecond
 )
 
-// IsActiveReader reports whether this host is an active reader of the platform's store. Active readers
-// announce what they read; more of them than needed do no harm.
+// IsActiveReader reports whether this host is an active reader of the platform's store. Active
+// readers announce the changes that they read. It does no harm if there are more of them than
+// needed.
 func (tb *Table) IsActiveReader(now ident.Time) bool {
 	mine := dutyScore("watch", tb.self, tb.platformUnreachable)
 	before := 0
@@ -180,39 +183,38 @@
 	return tb.topRanked(now, "speak", false)
 }
 
-// topRanked returns the live host that ranks topRanked for a duty. Hosts that drain, and for some
-// duties those that are blind, come after all others.
-func (tb *Table) topRanked(now ident.Time, duty string, sight bool) ident.EntryID {
+// topRanked returns the live host that ranks first for a duty. Draining hosts rank after all
+// others, and so do hosts that cannot reach the platform if the duty needs it.
+func (tb *Table) topRanked(now ident.Time, duty string, needsPlatform bool) ident.EntryID {
 	best := tb.self.ID
-	bestScore := dutyScore(duty, tb.self, sight && tb.platformUnreachable)
+	bestScore := dutyScore(duty, tb.self, needsPlatform && tb.platformUnreachable)
 	for _, p := range tb.peers {
 		if !p.live(now) {
 			continue
 		}
-		if s := dutyScore(duty, p.host, sight && p.platformUnreachable); s > bestScore {
+		if s := dutyScore(duty, p.host, needsPlatform && p.platformUnreachable); s > bestScore {
 			best, bestScore = p.host.ID, s
 		}
 	}
 	return best
 }
 
-// eligibilityBits are the highest bits of a score: a host that is fit for a duty comes
-// before every host that is not, whatever their hashes.
+// eligibilityBits is the number of top bits of a score that encode eligibility. A host that is
+// eligible for a duty ranks before every host that is not, whatever their hashes.
 const eligibilityBits = 2
 
-func dutyScore(duty string, h event.Host, blind bool) uint64 {
+func dutyScore(duty string, h event.Host, platformUnreachable bool) uint64 {
 	s := rank.Hash(duty, string(h.ID)) >> eligibilityBits
 	if !h.Draining {
 		s |= 1 << (64 - 1)
 	}
-	if !blind {
+	if !platformUnreachable {
 		s |= 1 << (64 - eligibilityBits)
 	}
 	return s
 }
 
-// reapPeers drops what has been silent for long and is not listed, and forgets the
-// work of hosts that are dead.
+// reapPeers drops unlisted hosts after a long silence, and the work of dead hosts.
 func (tb *Table) reapPeers(now ident.Time) {
 	for _, p := range tb.peers {
 		if p.dead(now) {
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -9,25 +9,26 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// pool is one pool of the own data centre.
+// pool is one pool of this data centre.
 type pool struct {
 	event.Pool
 	id PoolID
-	// offering is the state of the hysteresis.
+	// offering is the state of the hysteresis for offers.
 	offering    bool
 	requestedAt ident.Time
 	requested   bool
-	// requestedHereAt is when a request at this host last asked for it; a demand of a peer is
-	// not relayed.
+	// requestedHereAt is when a request at this host last asked for the pool. Requests of
+	// peers are not relayed.
 	requestedHereAt ident.Time
 	requestedHere   bool
 	priceSum        float64
 }
 
-// update moves the hysteresis after a change of load or of own work sent away.
-func (p *pool) update(away int) {
+// update sets the hysteresis state after a change in load or in the number of requests
+// forwarded to other data centres.
+func (p *pool) update(forwarded int) {
 	switch {
-	case away > 0 || p.Slots == 0 || p.Free*percent < p.Slots*withdrawMark:
+	case forwarded > 0 || p.Slots == 0 || p.Free*percent < p.Slots*withdrawMark:
 		p.offering = false
 	case p.Free*percent >= p.Slots*offerMark && p.Slots > 0:
 		p.offering = true
@@ -65,22 +66,22 @@
 	return tb.pools[i]
 }
 
-// PoolRequested says that a request asked for a pool that has no target here, so that
-// the data centre asks the others for it.
+// PoolRequested records that a request asked for a pool that has no target here. This data
+// centre then requests it from the others.
 func (tb *Table) PoolRequested(now ident.Time, id PoolID) {
-	p, fresh := tb.recordPoolRequest(now, id)
+	p, added := tb.recordPoolRequest(now, id)
 	if p == nil {
 		return
 	}
-	if fresh || !p.requestedHere || now.Sub(p.requestedHereAt) > wantLife {
-		// Another host may be the representative and has to know at once.
+	if added || !p.requestedHere || now.Sub(p.requestedHereAt) > wantLife {
+		// Another host may be the representative, and must be notified at once.
 		tb.heartbeat.urgent = true
 	}
 	p.requestedHere, p.requestedHereAt = true, now
 }
 
-// RequestsQueued says that requests are queued here for room, so that the data centre asks for help
-// now and not at the next heartbeat.
+// RequestsQueued records that requests are queued here for lack of capacity. The data centre
+// then requests help at once instead of at the next heartbeat.
 func (tb *Table) RequestsQueued(now ident.Time) {
 	if tb.requestsQueuedAt > 0 && now.Sub(tb.requestsQueuedAt) < minSummaryGap {
 		return
@@ -92,9 +93,9 @@
 	}
 }
 
-// recordPoolRequest records a demand of this host or of a peer. It returns nil where
-// there are too many.
-func (tb *Table) recordPoolRequest(now ident.Time, id PoolID) (p *pool, fresh bool) {
+// recordPoolRequest records a request for a pool by this host or a peer. It returns nil if
+// there are too many pools.
+func (tb *Table) recordPoolRequest(now ident.Time, id PoolID) (p *pool, added bool) {
 	p, ok := tb.pool(id)
 	if !ok {
 		if len(tb.pools) >= maxWants {
@@ -107,7 +108,8 @@
 	return p, !ok
 }
 
-// ownPoolRequests returns what requests at this host asked for lately in vain.
+// ownPoolRequests returns the pools without targets that requests at this host recently asked
+// for.
 func (tb *Table) ownPoolRequests(now ident.Time) []event.Want {
 	var ws []event.Want
 	for _, p := range tb.pools {
@@ -118,7 +120,7 @@
 	return ws
 }
 
-// countPools works the pools out anew from the targets.
+// countPools recomputes the pools from the targets.
 func (tb *Table) countPools(now ident.Time) {
 	for _, p := range tb.pools {
 		*p = pool{
@@ -130,7 +132,7 @@
 		if !t.Usable(now) || t.Cold(now) {
 			continue
 		}
-		tb.countTarget(now, t)
+		tb.addToPools(now, t)
 	}
 	tb.pools = slices.DeleteFunc(tb.pools, func(p *pool) bool {
 		return p.Targets == 0 && (!p.requested || now.Sub(p.requestedAt) > wantLife)
@@ -143,41 +145,41 @@
 			p.Price = p.priceSum / n
 		}
 		p.Alone, p.Shared = tb.demand(now, p.Service)
-		away := 0
+		forwarded := 0
 		if !tb.hasPace(p.id) {
-			away = tb.countForwarded(now, p.id)
+			forwarded = tb.countForwarded(now, p.id)
 		}
-		p.update(away)
+		p.update(forwarded)
 	}
 }
 
-func (tb *Table) countTarget(now ident.Time, t *Target) {
+func (tb *Table) addToPools(now ident.Time, t *Target) {
 	if t.Kind == event.Service {
-		tb.ensurePool(PoolID{Service: t.Service}).count(now, t, tb.remoteShare(now, t.Service))
+		tb.ensurePool(PoolID{Service: t.Service}).addTarget(now, t, tb.remoteShare(now, t.Service))
 		return
 	}
 	for _, sv := range t.Load.Serves {
-		tb.ensurePool(PoolID{Serve: sv}).count(now, t, 1)
+		tb.ensurePool(PoolID{Serve: sv}).addTarget(now, t, 1)
 	}
 }
 
-func (p *pool) count(now ident.Time, t *Target, room float64) {
-	out := t.Outstanding(now)
-	wait := t.Wait(now, out, 1)
+func (p *pool) addTarget(now ident.Time, t *Target, remoteShare float64) {
+	outstanding := t.Outstanding(now)
+	wait := t.Wait(now, outstanding, 1)
 	if p.Targets == 0 || wait < p.Wait {
 		p.Wait = wait
 	}
 	p.Targets++
 	p.Slots += t.Slots()
-	p.Free += t.Free(now, out, room)
+	p.Free += t.Free(now, outstanding, remoteShare)
 	p.PrefillRate += t.Load.PrefillRate
 	p.DecodeRate += t.Load.DecodeRate
 	p.priceSum += t.Price
 }
 
-// countForwarded counts the requests of a pool that the hosts of the own data centre
-// have passed on to others. Such a pool offers nothing, so that no two data centres swap
-// work.
+// countForwarded returns how many requests of a pool the hosts of this data centre have
+// forwarded to others. A pool with such requests offers nothing, so that no two data centres
+// exchange work.
 func (tb *Table) countForwarded(now ident.Time, id PoolID) int {
 	n := sumForwarded(tb.forwarded, id)
 	for _, p := range tb.peers {
--- a/internal/member/reads_test.go
+++ b/internal/member/reads_test.go
@@ -9,7 +9,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Calls to the store grow with the hosts, or none reads after both readers have frozen.
+// Guards against store reads that grow with the number of hosts, and against no host reading
+// after both active readers have frozen.
 func TestActiveReadersAreBounded(t *testing.T) {
 	const n = 20
 	host := func(i int) event.Host { return reachHost(fmt.Sprint("w", i), "west-a", "west") }
@@ -42,17 +43,17 @@
 	for i, tb := range tables {
 		tb.Advance(now)
 		if !tb.IsActiveReader(now) {
-			t.Fatalf("host %d knows of no other and does not read", i)
+			t.Fatalf("host %d knows no other host but is not an active reader", i)
 		}
 	}
 	first := beat(nil)
 	if len(first) != activeReaders {
-		t.Fatalf("hosts %v read, want %d", first, activeReaders)
+		t.Fatalf("hosts %v are active readers, want %d of them", first, activeReaders)
 	}
 	frozen := map[int]bool{first[0]: true, first[1]: true}
 	beat(frozen)
 	second := beat(frozen)
 	if len(second) != activeReaders {
-		t.Errorf("hosts %v read two seconds after both readers froze, want %d", second, activeReaders)
+		t.Errorf("hosts %v are active readers two seconds after both readers froze, want %d of them", second, activeReaders)
 	}
 }
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -9,7 +9,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// LoadReported merges a load report that this host has polled or received with an answer.
+// LoadReported merges a load report that this host has polled or has received with an answer.
 func (tb *Table) LoadReported(now ident.Time, ld event.Load) {
 	tb.Advance(now)
 	t, ok := tb.mergeLoad(now, ld, true)
@@ -22,7 +22,7 @@
 	}
 }
 
-// mergeLoad merges a report and reports whether it was new.
+// mergeLoad merges a load report and reports whether it was new.
 func (tb *Table) mergeLoad(now ident.Time, ld event.Load, direct bool) (*Target, bool) {
 	if ld.Draining && tb.observeDraining(now, ld.Target, ld.Incarnation) && direct {
 		tb.heartbeat.urgent = true
@@ -53,11 +53,11 @@
 	return t, true
 }
 
-// relayChangeDivisor is the part of the slots by which the requests at a target must
-// change for its report to be relayed at once.
+// relayChangeDivisor sets the change in the number of requests at a target above which its
+// report is relayed at once: the number of slots divided by it.
 const relayChangeDivisor = 8
 
-// similarLoad reports whether two reports differ by too little to be worth a relay.
+// similarLoad reports whether two load reports differ too little to relay the second.
 func similarLoad(a, b event.Load) bool {
 	if a.Incarnation != b.Incarnation || a.Slots != b.Slots || a.Draining != b.Draining {
 		return false
@@ -69,15 +69,15 @@
 	return max(change, -change) <= a.Slots/relayChangeDivisor
 }
 
-// staticPartInterval is the longest time between two relays of a load report with the
-// fixed part, which makes good one that was lost.
+// staticPartInterval is the longest time between two relays of the static part of a load
+// report, in case one was lost.
 const staticPartInterval = 10 * time.Second
 
-// minRateChange is the part by which a rate must change to be relayed at once.
+// minRateChange is the relative change of a rate above which it is relayed at once.
 const minRateChange = 0.1
 
-// omitKnownFields leaves out the parts of a report that peers have. The report of a draining target
-// goes whole, for hosts that do not know the target yet.
+// omitKnownFields removes the fields of a load report that peers already have. The report of a
+// draining target is sent in full, for hosts that do not know the target yet.
 func (tb *Table) omitKnownFields(now ident.Time, t *Target, ld event.Load) event.Load {
 	if ld.Draining {
 		return ld
@@ -92,8 +92,7 @@
 	return ld
 }
 
-// sameStaticPart reports whether two reports say the same beside the requests and
-// the queue.
+// sameStaticPart reports whether two load reports agree except for their requests and queue.
 func sameStaticPart(a, b event.Load) bool {
 	return a.Incarnation == b.Incarnation && a.Slots == b.Slots && slices.Equal(a.Serves, b.Serves) &&
 		similarRate(a.PrefillRate, b.PrefillRate) && similarRate(a.DecodeRate, b.DecodeRate)
@@ -101,8 +100,8 @@
 
 func similarRate(a, b float64) bool { return math.Abs(a-b) <= minRateChange*a }
 
-// mergeRelayedLoad merges a report that a peer has polled. One that leaves out parts which this
-// host does not have is ignored.
+// mergeRelayedLoad merges a load report that a peer has polled. It ignores a report that omits
+// fields which this host does not have.
 func (tb *Table) mergeRelayedLoad(now ident.Time, ld event.Load) {
 	if t := tb.byKey[ld.Key]; ld.Target == "" && t != nil {
 		ld.Target = t.ID
@@ -121,7 +120,7 @@
 	tb.mergeLoad(now, ld, false)
 }
 
-// LoadFailed records a report that did not come.
+// LoadFailed records that a poll for a load report failed.
 func (tb *Table) LoadFailed(now ident.Time, id ident.TargetID, inc ident.Incarnation) {
 	tb.Advance(now)
 	if t, ok := tb.current(id, inc); ok {
--- a/internal/member/seen.go
+++ b/internal/member/seen.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// LoadSeen merges the load that an answer of a target carried.
+// LoadSeen merges the load that a target reported with an answer.
 func (tb *Table) LoadSeen(now ident.Time, ev event.LoadSeen) {
 	tb.Advance(now)
 	t, ok := tb.current(ev.Target, ev.Incarnation)
@@ -18,15 +18,16 @@
 	t.Seen(now, ev.Running, ev.Queued, ev.Slots)
 }
 
-// AnswerCompleted records how long a whole answer of a target took.
+// AnswerCompleted records how long a complete answer of a target took.
 func (tb *Table) AnswerCompleted(id ident.TargetID, took time.Duration) {
 	if t, ok := tb.byID[id]; ok {
 		tb.serviceStats.Ran(&t.State, took)
 	}
 }
 
-// FirstTokenReceived records the time from sending a request to the first token of its answer, the
-// tokens of its prompt that were probably read in it, and those that waited before.
+// FirstTokenReceived records the time from sending a request to the first token of its answer,
+// the prompt tokens that the target probably prefilled in that time, and the tokens that were
+// queued before them.
 func (tb *Table) FirstTokenReceived(id ident.TargetID, prefill, before ident.Tokens, took time.Duration) {
 	if t, ok := tb.byID[id]; ok {
 		tb.serviceStats.Began(&t.State, prefill, before, took)
@@ -40,24 +41,24 @@
 	}
 }
 
-// inheritServiceRates gives targets what is usual for their service.
+// inheritServiceRates gives each target the typical rates of its service.
 func (tb *Table) inheritServiceRates() {
 	for _, t := range tb.targets {
 		tb.serviceStats.Suppose(tb.lastAdvance, &t.State)
 	}
 }
 
-// Following of the part of requests that fail at a target.
+// Tracking of the fraction of requests that fail at a target.
 const (
-	// failureWeight is the weight of one outcome: a target that begins to fail
-	// half of its requests shows within eight of them.
+	// failureWeight is the weight of one outcome. A target that begins to fail half of its
+	// requests is noticed within eight of them.
 	failureWeight = 1.0 / 8
-	// failureHalfLife is the half-life of the part of failed requests.
+	// failureHalfLife is the half-life of the fraction of failed requests.
 	failureHalfLife = 4 * time.Second
 )
 
-// RecordOutcome records whether a request at a target succeeded. A target that fails part of its
-// requests while its health check passes gets less work by it.
+// RecordOutcome records whether a request at a target succeeded. A target that fails some of
+// its requests although its health check passes gets less work.
 func (tb *Table) RecordOutcome(now ident.Time, id ident.TargetID, ok bool) {
 	t, found := tb.byID[id]
 	if !found {
@@ -72,7 +73,7 @@
 	t.faults += failureWeight * (sample - t.faults)
 }
 
-// FailureRate returns the part of the newest requests at a target that failed.
+// FailureRate returns the fraction of recent requests at a target that failed.
 func (t *Target) FailureRate(now ident.Time) float64 {
 	if t.faults == 0 {
 		return 0
--- a/internal/member/show.go
+++ b/internal/member/show.go
@@ -9,17 +9,16 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// candidate is an entry host that callers may use, and how good it is.
+// candidate is an entry host that callers may use, with its rank.
 type candidate struct {
 	host event.Host
-	// class is 0 for the own data centre, 1 for the own region, 2 for others,
-	// and 3 for data centres that are cut off from here: the caller may reach
-	// them all the same.
+	// class is 0 for hosts of this data centre, 1 for this region, 2 for other regions, and 3
+	// for data centres that are cut off from here but which the caller may still reach.
 	class int
 	score float64
 }
 
-// The classes of candidates.
+// Classes of candidates.
 const (
 	classOwn = iota
 	classRegion
@@ -27,20 +26,20 @@
 	classCutOff
 )
 
-// EntryHosts returns the entry hosts that callers should use, best first: those
-// that live, do not leave and stand in an allowed place. Within a class the
-// order is drawn by spread, so that each host gets a share of the callers by
-// its part of the capacity of its data centre.
-func (tb *Table) EntryHosts(now ident.Time, allowed func(event.Place) bool, spread uint64) []event.Host {
+// EntryHosts returns the entry hosts that callers should use, best first. It omits hosts that
+// are draining or in a place that is not allowed. The seed determines the order within a
+// class, in which each host gets a share of the callers in proportion to its part of the
+// capacity of its data centre.
+func (tb *Table) EntryHosts(now ident.Time, allowed func(event.Place) bool, seed uint64) []event.Host {
 	var cs []candidate
 	if allowed(tb.self.Place) {
 		for _, h := range tb.liveHosts(now) {
-			cs = addCandidate(cs, h, classOwn, 1, spread)
+			cs = addCandidate(cs, h, classOwn, 1, seed)
 		}
 	}
 	for _, c := range tb.centres {
 		if allowed(c.Place) {
-			cs = tb.addCentreCandidates(now, cs, c, spread)
+			cs = tb.addCentreCandidates(now, cs, c, seed)
 		}
 	}
 	slices.SortStableFunc(cs, func(a, b candidate) int {
@@ -53,7 +52,7 @@
 	return hs
 }
 
-func (tb *Table) addCentreCandidates(now ident.Time, cs []candidate, c *Centre, spread uint64) []candidate {
+func (tb *Table) addCentreCandidates(now ident.Time, cs []candidate, c *Centre, seed uint64) []candidate {
 	hosts, class := c.Summary.Hosts, classOtherRegion
 	switch {
 	case c.CutOff(now):
@@ -66,21 +65,21 @@
 		slots += p.Slots
 	}
 	for _, h := range hosts {
-		cs = addCandidate(cs, h, class, float64(slots)/float64(len(hosts)), spread)
+		cs = addCandidate(cs, h, class, float64(slots)/float64(len(hosts)), seed)
 	}
 	return cs
 }
 
-func addCandidate(cs []candidate, h event.Host, class int, weight float64, spread uint64) []candidate {
+func addCandidate(cs []candidate, h event.Host, class int, weight float64, seed uint64) []candidate {
 	if h.Draining {
 		return cs
 	}
-	score := rank.Score(rank.Join(spread, rank.Hash(string(h.ID))), weight)
+	score := rank.Score(rank.Join(seed, rank.Hash(string(h.ID))), weight)
 	return append(cs, candidate{host: h, class: class, score: score})
 }
 
-// Status returns the data centres, the own first, and the targets as this host
-// knows them.
+// Status returns the data centres, with this one first, and the targets as this host knows
+// them.
 func (tb *Table) Status(now ident.Time) ([]event.CentreStatus, []event.TargetStatus) {
 	own := tb.summary(now)
 	centres := []event.CentreStatus{{
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -10,9 +10,10 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// summaries returns what this host sends to the other data centres, if it represents its
-// own. Each summary goes to one host there, which relays it to its peers with its
-// digests. The host differs between data centres, so that the relaying is shared.
+// summaries returns the summaries for the other data centres if this host is the
+// representative. Each summary goes to one host of the other data centre, which relays it to
+// its peers in its digests. Each sending data centre picks a different host, so that the
+// relaying is shared.
 func (tb *Table) summaries(now ident.Time) []event.Effect {
 	tb.heartbeat.summaryDue = false
 	if len(tb.centres) == 0 {
@@ -26,7 +27,7 @@
 	}
 	base := tb.summary(now)
 	var accounts []event.AccountUse
-	asked := false
+	accountsRead := false
 	var effs []event.Effect
 	for i, c := range tb.centres {
 		s := base
@@ -36,8 +37,8 @@
 		if !ok || !tb.omitKnownParts(now, c, to, &s, repeat) {
 			continue
 		}
-		if !s.AccountsKept && !asked && tb.local.CentreAccounts != nil {
-			accounts, asked = tb.local.CentreAccounts(), true
+		if !s.AccountsKept && !accountsRead && tb.local.CentreAccounts != nil {
+			accounts, accountsRead = tb.local.CentreAccounts(), true
 		}
 		if !s.AccountsKept {
 			s.Accounts = accounts
@@ -51,16 +52,17 @@
 	return effs
 }
 
-// resetLastSent has a new representative begin with all parts: another one may have replaced what it
-// sent when it last was the representative.
+// resetLastSent makes a new representative send all parts. Another representative may have
+// replaced the parts that this host sent in an earlier term.
 func (tb *Table) resetLastSent() {
 	for _, c := range tb.centres {
 		c.lastSent = lastSent{}
 	}
 }
 
-// recordOffers records what the representative probably offers now, which each host computes from
-// the same loads, so that none uses the offer of a data centre that holds one of its own.
+// recordOffers records the offers that the representative probably makes now. Each host
+// computes them from the same loads, so that none uses the offer of a data centre that holds
+// an offer of this one.
 func (tb *Table) recordOffers(now ident.Time, offers [][]int) {
 	pools := make([]event.Pool, len(tb.pools))
 	for i, p := range tb.pools {
@@ -71,10 +73,10 @@
 	}
 }
 
-// lastSent is the state that the newest summaries to a data centre contained.
+// lastSent is the state that was last sent to a data centre.
 type lastSent struct {
-	// at is when the last went out, and to whom. Another receiver may lack
-	// every part.
+	// at is when the last summary was sent, to and incarnation its receiver. Any other
+	// receiver may lack every part.
 	at          ident.Time
 	everSent    bool
 	to          ident.EntryID
@@ -88,11 +90,10 @@
 	accountsAt  ident.Time
 }
 
-// omitKnownParts removes the parts of a summary that its receiver has, and reports whether
-// the rest is worth a message. The pools go out at the slow pace,
-// on change, and often while they carry an offer; the accounts at a pace of
-// their own; the hosts on change and each wholeEvery, which makes good a
-// summary that was lost.
+// omitKnownParts removes the parts of a summary that its receiver already has, and reports
+// whether the rest is worth a message. The pools are sent at the summary interval, on change,
+// and at the fast interval while they carry an offer; the accounts at an interval of their
+// own; the hosts on change and every hostsInterval, in case a summary was lost.
 func (tb *Table) omitKnownParts(now ident.Time, c *Centre, to event.Host, s *event.Summary, repeat bool) bool {
 	t := &c.lastSent
 	if t.everSent && now.Sub(t.at) < minSummaryGap {
@@ -101,9 +102,9 @@
 	if t.to != to.ID || t.incarnation != to.Incarnation {
 		*t = lastSent{at: t.at, to: to.ID, incarnation: to.Incarnation}
 	}
-	news := hashPools(s.Pools)
+	poolsHash := hashPools(s.Pools)
 	accounts := !t.everSent || now.Sub(t.accountsAt) >= tb.accountsInterval()
-	pools := !t.everSent || now.Sub(t.poolsAt) >= tb.summaryInterval() || news != t.poolsHash || hasOffers(s.Pools) && now.Sub(t.poolsAt) >= fastSummaryInterval
+	pools := !t.everSent || now.Sub(t.poolsAt) >= tb.summaryInterval() || poolsHash != t.poolsHash || hasOffers(s.Pools) && now.Sub(t.poolsAt) >= fastSummaryInterval
 	hosts := !t.everSent || s.HostsHash != t.hostsHash || now.Sub(t.hostsAt) >= hostsInterval
 	if !pools && !hosts && !accounts && !repeat && !t.revisionsChanged(s) {
 		return false
@@ -115,7 +116,7 @@
 		s.Hosts = nil
 	}
 	if pools {
-		t.poolsHash, t.poolsAt = news, now
+		t.poolsHash, t.poolsAt = poolsHash, now
 	} else {
 		s.Pools = nil
 	}
@@ -126,9 +127,9 @@
 	return true
 }
 
-// revisionsChanged reports whether the revisions are worth a summary of their own. By the lowest
-// operators learn that a change is in force everywhere; the highest may be what the other
-// data centre lacks or waits for.
+// revisionsChanged reports whether the revisions are worth a summary of their own. The lowest
+// revision shows operators that a change is in force everywhere. The other data centre may
+// lack the highest one, or wait for it.
 func (t *lastSent) revisionsChanged(s *event.Summary) bool {
 	return s.InForce != t.inForce || s.Highest != t.highest
 }
@@ -138,8 +139,9 @@
 	return c.HasSummary && c.Summary.Highest < s.Highest
 }
 
-// needsRepeat reports whether a summary goes out again because no answer shows its revision, and
-// counts those in vain. Each goes to the next host, since the last one may be frozen.
+// needsRepeat reports whether to send a summary again because the data centre has not
+// confirmed its revision, and counts these repeats. Each repeat goes to the next host, since
+// the last receiver may be frozen.
 func (c *Centre) needsRepeat(now ident.Time, s event.Summary) bool {
 	t := &c.lastSent
 	if !t.everSent || s.Highest != t.highest || !c.behind(s) {
@@ -157,8 +159,8 @@
 	return slices.ContainsFunc(pools, func(p event.Pool) bool { return p.Offer > 0 })
 }
 
-// hashPools returns a hash of what another data centre acts on at once: the demand, the size of
-// the offers by powers of two, and the number of targets.
+// hashPools returns a hash of the state that another data centre acts on at once: the demand,
+// the size of the offers in powers of two, and the number of targets.
 func hashPools(pools []event.Pool) uint64 {
 	h := uint64(0)
 	for _, p := range pools {
@@ -171,7 +173,7 @@
 	return h
 }
 
-// hashHosts returns a hash of hosts, never zero.
+// hashHosts returns a hash of hosts, which is never zero.
 func hashHosts(hosts []event.Host) uint64 {
 	h := uint64(1)
 	for _, x := range hosts {
@@ -181,7 +183,7 @@
 	return max(h, 1)
 }
 
-// summary returns the state of the own data centre without offers.
+// summary returns the state of this data centre without offers.
 func (tb *Table) summary(now ident.Time) event.Summary {
 	low, high := tb.Revisions(now)
 	s := event.Summary{
@@ -195,22 +197,22 @@
 	return s
 }
 
-// liveHosts returns the live hosts of the own data centre by id, this one
-// among them.
+// liveHosts returns the live hosts of this data centre, including this one, in order of their
+// IDs.
 func (tb *Table) liveHosts(now ident.Time) []event.Host {
 	return sortedHosts(append(tb.Peers(now), tb.self))
 }
 
-// recipient picks the host of a data centre that a summary goes to: a live one that relays,
-// or, where none is known to be alive, another one at each try.
+// recipient returns the host of a data centre to send a summary to: a live host, or a
+// different one for each attempt if none is known to be alive.
 func (tb *Table) recipient(now ident.Time, c *Centre) (event.Host, bool) {
 	salt := rank.Hash("recipient", string(tb.self.Place.Group()))
 	if c.CutOff(now) {
 		if len(c.Hosts) == 0 {
 			return event.Host{}, false
 		}
-		// The salt spreads the summaries of several data centres over the hosts
-		// after a partition has healed.
+		// The salt spreads the summaries of several data centres over the hosts after a
+		// partition has healed.
 		return c.Hosts[(salt+c.sendAttempts)%uint64(len(c.Hosts))], true
 	}
 	if h, ok := c.HostFor(salt); ok {
@@ -222,7 +224,7 @@
 	return c.Hosts[0], true
 }
 
-// hostAfter returns the host n places hostAfter another one among those that live.
+// hostAfter returns the live host that is n places after the given one.
 func (c *Centre) hostAfter(h event.Host, n int) event.Host {
 	hs := c.Summary.Hosts
 	i := slices.IndexFunc(hs, func(x event.Host) bool { return x.ID == h.ID })
--- a/internal/member/summary_test.go
+++ b/internal/member/summary_test.go
@@ -10,7 +10,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sentSummary is a summary that went out.
+// sentSummary records a summary that a table sent.
 type sentSummary struct {
 	After   time.Duration
 	To      ident.EntryID
@@ -18,8 +18,8 @@
 	Highest ident.Revision
 }
 
-// summariesOf ticks a table for some seconds and returns its summaries to the other
-// data centre.
+// summariesOf ticks a table for some seconds and returns its summaries to the other data
+// centre.
 func summariesOf(tb *Table, from ident.Time, seconds int, own LocalState) []sentSummary {
 	var out []sentSummary
 	for n := range seconds {
@@ -33,8 +33,9 @@
 	return out
 }
 
-// newRepresentative returns a table that represents its data centre, with one peer and
-// another data centre of two hosts at revision 1.
+// newRepresentative returns a table that represents its data centre and knows another data
+// centre with two hosts at revision 1. The returned function delivers a digest of a draining
+// peer with the given revision.
 func newRepresentative(now ident.Time) (*Table, func(at ident.Time, rev ident.Revision)) {
 	here := event.Place{DataCentre: "uvs", Region: "uvs"}
 	there := event.Place{DataCentre: "khovd", Region: "khovd"}
@@ -50,23 +51,25 @@
 	}
 }
 
-// A frozen receiver delays a change in a data centre that is cut off.
+// Guards against a frozen receiver that delays a new revision in a data centre that is cut off
+// from the platform. The revision is sent again to another host.
 func TestUnconfirmedRevisionIsSentToNextHost(t *testing.T) {
 	start := ident.Time(time.Hour)
 	tb, _ := newRepresentative(start)
 	got := summariesOf(tb, start, 4, LocalState{Revision: 2})
 	if len(got) < 2 {
-		t.Fatalf("only sent %v", got)
+		t.Fatalf("got summaries %v, want at least two", got)
 	}
 	if diff := cmp.Diff([]time.Duration{0, fastSummaryInterval}, []time.Duration{got[0].After, got[1].After}); diff != "" {
 		t.Errorf("times of the summaries (-want +got):\n%s", diff)
 	}
 	if got[0].To == got[1].To {
-		t.Errorf("sent to %s again and to no other host", got[0].To)
+		t.Errorf("repeated summary was sent to %s again, want another host", got[0].To)
 	}
 }
 
-// A change in force everywhere is reported seconds late.
+// Guards against a change that is in force everywhere but reported seconds late, if the lowest
+// revision is sent only with the next regular summary.
 func TestLowestRevisionIsSentAtOnce(t *testing.T) {
 	start := ident.Time(time.Hour)
 	tb, peer := newRepresentative(start)
@@ -83,11 +86,12 @@
 	}
 }
 
-// Work is forwarded to a region that has lost its targets.
+// Guards against work forwarded to a region that has lost its targets, if their loss does not
+// count as a change of the pools.
 func TestPoolHashIncludesTargets(t *testing.T) {
 	two := []event.Pool{{Service: "writers", Targets: 2, Slots: 256, Free: 200}}
 	none := []event.Pool{{Service: "writers", Targets: 0, Slots: 256, Free: 200}}
 	if hashPools(two) == hashPools(none) {
-		t.Error("two targets and none are reported as the same")
+		t.Error("hash of a pool with two targets equals that of a pool with none")
 	}
 }
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -10,11 +10,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Tick returns what is to be sent and read now. It is cheap when nothing is
-// due, so that the reducer may call it at each step.
-func (tb *Table) Tick(now ident.Time, own LocalState) []event.Effect {
+// Tick returns the messages to send and the reads to make now. It is cheap when nothing is
+// due, so that the reducer may call it in each step.
+func (tb *Table) Tick(now ident.Time, local LocalState) []event.Effect {
 	tb.Advance(now)
-	tb.local = own
+	tb.local = local
 	regular := now >= tb.heartbeat.nextDigest
 	if regular || now >= tb.heartbeat.nextUse {
 		tb.heartbeat.urgent = tb.heartbeat.urgent || !regular && tb.hasPendingPrefill()
@@ -48,12 +48,12 @@
 	return tb.heartbeat.urgent || tb.heartbeat.fullDigestDue || tb.heartbeat.summaryDue || len(tb.coldProbeQueue) > 0
 }
 
-// Intervals between two announcements of the use of targets.
+// Bounds of the announcements of the use of targets.
 const (
-	// minUseInterval is the interval in a small region.
+	// minUseInterval is the interval between announcements in a small region.
 	minUseInterval = 250 * time.Millisecond
-	// maxUseMessages bounds the announcements of a host to all peers in each Period. With
-	// more peers only heartbeats carry the use.
+	// maxUseMessages bounds the announcements of a host to all peers in each
+	// HeartbeatInterval. With more peers only heartbeats include the use.
 	maxUseMessages = 12
 )
 
--- a/internal/member/world_fail_test.go
+++ b/internal/member/world_fail_test.go
@@ -14,12 +14,13 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// State of hosts diverges under pauses, restarts, partitions and lost messages.
+// Guards against state of hosts that diverges under pauses, restarts, partitions and lost
+// messages.
 func TestSimulationKeepsInvariants(t *testing.T) {
 	rapid.Check(t, runSimulation)
 }
 
-// Worlds that failed once.
+// Repeats seeds with which an invariant was once violated.
 func TestSimulationKeepsInvariantsOnFormerSeeds(t *testing.T) {
 	seed, checks := flag.Lookup("rapid.seed").Value.String(), flag.Lookup("rapid.checks").Value.String()
 	defer func() {
@@ -27,9 +28,9 @@
 		_ = flag.Set("rapid.checks", checks)
 	}()
 	_ = flag.Set("rapid.checks", "1")
-	for _, former := range []string{"277", "58998", "22796"} {
-		t.Run(former, func(t *testing.T) {
-			_ = flag.Set("rapid.seed", former)
+	for _, failedSeed := range []string{"277", "58998", "22796"} {
+		t.Run(failedSeed, func(t *testing.T) {
+			_ = flag.Set("rapid.seed", failedSeed)
 			rapid.Check(t, runSimulation)
 		})
 	}
@@ -59,7 +60,7 @@
 		w.restart(n)
 	case 1:
 		w.anyFrozen = true
-		n.frozen = w.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "frozen")) * time.Second)
+		n.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "frozen")) * time.Second)
 	case 2:
 		n.partitioned = !n.partitioned
 	case 3:
@@ -72,7 +73,7 @@
 	case 6:
 		e.down = !e.down
 	case 7:
-		if n.frozen <= w.now {
+		if n.frozenUntil <= w.now {
 			n.notices[e.ID] = max(n.notices[e.ID], e.Incarnation)
 			n.tb.MarkDraining(w.now, e.ID, e.Incarnation)
 		}
@@ -97,7 +98,7 @@
 func (w *simulation) clearFaults() {
 	w.lossRate, w.maxDelay = 0, 10*time.Millisecond
 	for _, n := range w.nodes {
-		n.partitioned, n.platformUnreachable, n.frozen = false, false, 0
+		n.partitioned, n.platformUnreachable, n.frozenUntil = false, false, 0
 	}
 }
 
@@ -110,23 +111,24 @@
 	w.checkOffers(rt)
 }
 
-// checkNotices: a drain notice that a host has received holds for the incarnation.
+// checkNotices checks that a drain notice that a host has received stays valid for its
+// incarnation.
 func (w *simulation) checkNotices(rt *rapid.T, n *node) {
 	for _, t := range n.tb.Targets() {
 		if drained, ok := n.notices[t.ID]; ok && t.Incarnation == drained && !t.Drains {
-			rt.Fatalf("%v: %s has a drain notice of %s/%d and sends to it", w.now, n.id, t.ID, drained)
+			rt.Fatalf("%v: %s has a drain notice for %s/%d but may still send to it", w.now, n.id, t.ID, drained)
 		}
 	}
 }
 
-// checkNewestMerged: of each sender the newest digest and summary that came counts,
-// in whatever order they came, and what peers have at a target is the sum over
-// those digests.
+// checkNewestMerged checks that a host uses the newest digest and summary of each sender that
+// it has received, in whatever order they arrived, and that the work of peers at a target is
+// the sum over these digests.
 func (w *simulation) checkNewestMerged(rt *rapid.T, n *node) {
 	want := make(map[ident.TargetID]int)
 	for _, p := range n.tb.peers {
 		if got, want := p.seq, n.highestSeq[fmt.Sprint("digest", p.host.ID, p.host.Incarnation)]; got != want {
-			rt.Fatalf("%v: %s goes by digest %d of %s, %d has come", w.now, n.id, got, p.host.ID, want)
+			rt.Fatalf("%v: %s uses digest %d of %s, want the newest received, %d", w.now, n.id, got, p.host.ID, want)
 		}
 		if p.dead(w.now) {
 			return
@@ -139,22 +141,21 @@
 	}
 	for _, t := range n.tb.Targets() {
 		if t.PeerSent != want[t.ID] {
-			rt.Fatalf("%v: %s counts %d of peers at %s, want %d", w.now, n.id, t.PeerSent, t.ID, want[t.ID])
+			rt.Fatalf("%v: %s counts %d requests of peers at %s, want %d", w.now, n.id, t.PeerSent, t.ID, want[t.ID])
 		}
 	}
 	for _, c := range n.tb.Centres(w.now) {
 		s := c.Summary
 		if want := n.highestSeq[fmt.Sprint("summary", s.From, s.Incarnation)]; s.Seq != want {
-			rt.Fatalf("%v: %s goes by summary %d of %s, %d has come", w.now, n.id, s.Seq, s.From, want)
+			rt.Fatalf("%v: %s uses summary %d of %s, want the newest received, %d", w.now, n.id, s.Seq, s.From, want)
 		}
 	}
 }
 
-// checkAges: a summary never looks older than it is, and at most as much
-// younger as the links can hold it up: that between the data centres, the
-// relay's, and one more where a host that restarted gets it from a third. A host that was paused can't know how
-// long a message waited for it, and may take it for older; a
-// short pause it does not notice.
+// checkAges checks that a summary never looks older than it is, and younger by at most the
+// delay of the links: that between the data centres, that of the relay, and one more if a
+// restarted host gets the summary from a third host. A host that was paused does not know how
+// long a message has waited, and may overestimate the age. It does not notice a short pause.
 func (w *simulation) checkAges(rt *rapid.T, n *node) {
 	slack := 3*1500*time.Millisecond + 300*time.Millisecond
 	if w.anyFrozen {
@@ -165,33 +166,33 @@
 			continue
 		}
 		s := c.Summary
-		truth := w.now.Sub(w.summarySentAt[fmt.Sprint(s.From, s.Incarnation, s.Seq)])
-		if got := c.Age(w.now); got > truth && !w.anyFrozen || got < truth-slack {
-			rt.Fatalf("%v: %s takes the summary of %s for %v old, it is %v", w.now, n.id, s.From, got, truth)
+		actual := w.now.Sub(w.summarySentAt[fmt.Sprint(s.From, s.Incarnation, s.Seq)])
+		if got := c.Age(w.now); got > actual && !w.anyFrozen || got < actual-slack {
+			rt.Fatalf("%v: %s estimates the age of the summary of %s at %v, actual age %v", w.now, n.id, s.From, got, actual)
 		}
 		w.checkPools(rt, n, c, slack)
 	}
 }
 
-// checkPools: pools that are held are those of a summary that contained them, and
-// look neither older nor newer than they are by more than the links explain,
-// however many summaries without pools have come since.
+// checkPools checks that the known pools are those of a summary that contained them, and that
+// their age is off by no more than the link delays explain, however many summaries without
+// pools have arrived since.
 func (w *simulation) checkPools(rt *rapid.T, n *node, c *Centre, slack time.Duration) {
 	if c.poolsMadeAt == 0 {
 		return
 	}
 	got := c.poolsAge(w.now)
 	for _, t := range slices.Backward(w.sentPools[fmt.Sprint(c.Place, n.place)]) {
-		truth := w.now.Sub(t.at)
-		if (got <= truth || w.anyFrozen) && got >= truth-slack && slices.Equal(t.pools, c.Summary.Pools) {
+		actual := w.now.Sub(t.at)
+		if (got <= actual || w.anyFrozen) && got >= actual-slack && slices.Equal(t.pools, c.Summary.Pools) {
 			return
 		}
 	}
-	rt.Fatalf("%v: %s takes pools of %s for %v old that were not sent then", w.now, n.id, c.Place.DataCentre, got)
+	rt.Fatalf("%v: %s has pools of %s with an estimated age of %v, but no matching summary was sent then", w.now, n.id, c.Place.DataCentre, got)
 }
 
-// checkOffers: what a host sends offers no more than its spare slots, and no
-// two data centres hold offers of each other at once.
+// checkOffers checks that a host offers no more than its spare slots, and that no two data
+// centres hold offers of each other at once.
 func (w *simulation) checkOffers(rt *rapid.T) {
 	sums := make(map[string]int)
 	seen := make(map[string]bool)
@@ -203,39 +204,39 @@
 		key := fmt.Sprint(l.from, s.Summary.Incarnation, l.sent)
 		to := fmt.Sprint(key, s.To.Place)
 		if seen[to] {
-			continue // A doubled message.
+			continue // A duplicate message.
 		}
 		seen[to] = true
 		for _, p := range s.Summary.Pools {
 			sums[key] += p.Offer
-			// The naive count: a fifth is kept, and below a quarter free
-			// nothing is offered at all.
-			kept := (p.Slots + 4) / 5
-			if p.Offer > 0 && (sums[key] > p.Free-kept || p.Free*4 < p.Slots) {
-				rt.Fatalf("%v: %s offers %d of %d free of %d", w.now, l.from, sums[key], p.Free, p.Slots)
+			// An independent computation: a fifth of the slots is kept in reserve, and nothing
+			// is offered with less than a quarter free.
+			reserve := (p.Slots + 4) / 5
+			if p.Offer > 0 && (sums[key] > p.Free-reserve || p.Free*4 < p.Slots) {
+				rt.Fatalf("%v: %s offers %d slots with %d free of %d", w.now, l.from, sums[key], p.Free, p.Slots)
 			}
 			if p.Offer > 0 && p.Free*10 <= p.Slots {
-				rt.Fatalf("%v: %s asks and offers", w.now, l.from)
+				rt.Fatalf("%v: %s requests and offers capacity at once", w.now, l.from)
 			}
 		}
 	}
 	w.sent = w.sent[:0]
 	for _, a := range w.nodes {
 		for _, b := range w.nodes {
-			if a.frozen > w.now || b.frozen > w.now {
+			if a.frozenUntil > w.now || b.frozenUntil > w.now {
 				continue
 			}
-			there := a.tb.OfferLeft(w.now, b.place.DataCentre, scribePool)
+			forth := a.tb.OfferLeft(w.now, b.place.DataCentre, scribePool)
 			back := b.tb.OfferLeft(w.now, a.place.DataCentre, scribePool)
-			if there > 0 && back > 0 {
-				rt.Fatalf("%v: %s may send %d to %s, which may send %d back", w.now, a.id, there, b.id, back)
+			if forth > 0 && back > 0 {
+				rt.Fatalf("%v: %s may forward %d requests to %s, which may forward %d back", w.now, a.id, forth, b.id, back)
 			}
 		}
 	}
 }
 
-// checkConverged: after a while without faults all agree on each duty, see each
-// other, and know every leaving word.
+// checkConverged checks that after a period without faults all hosts agree on each duty, see
+// each other, and know every drain notice.
 func (w *simulation) checkConverged(rt *rapid.T) {
 	for _, n := range w.nodes {
 		for _, m := range w.nodes {
@@ -246,7 +247,7 @@
 				rt.Fatalf("watchers differ: %s", d)
 			}
 			if d := cmp.Diff(n.tb.representative(w.now), m.tb.representative(w.now)); d != "" {
-				rt.Fatalf("speakers differ: %s", d)
+				rt.Fatalf("representatives differ: %s", d)
 			}
 			if d := cmp.Diff(n.tb.liveHosts(w.now), m.tb.liveHosts(w.now)); d != "" {
 				rt.Fatalf("live hosts differ: %s", d)
@@ -254,20 +255,19 @@
 		}
 		for _, e := range w.targets {
 			if t, ok := n.tb.Target(e.ID); ok && e.stopping && !e.down && e.Incarnation == t.Incarnation && !t.Drains {
-				rt.Fatalf("%s does not know that %s leaves", n.id, e.ID)
+				rt.Fatalf("%s does not know that %s is draining", n.id, e.ID)
 			}
 		}
 		for _, c := range n.tb.Centres(w.now) {
 			if c.CutOff(w.now) {
-				rt.Fatalf("%s takes %s for cut off", n.id, c.Place.DataCentre)
+				rt.Fatalf("%s considers %s cut off", n.id, c.Place.DataCentre)
 			}
 		}
 	}
 }
 
-// checkOmittedParts: parts that summaries leave out are known all the same. A host that
-// missed the summary that contained them has them from the next whole one at the
-// latest.
+// checkOmittedParts checks that hosts know the parts that summaries omit. A host that missed a
+// summary with a part gets the part again with the next summary that contains it.
 func (w *simulation) checkOmittedParts(rt *rapid.T) {
 	for _, n := range w.nodes {
 		w.checkStaticPart(rt, n)
@@ -281,19 +281,19 @@
 			}
 			c := n.tb.centres[i]
 			if d := cmp.Diff(m.tb.liveHosts(w.now), c.Summary.Hosts); d != "" {
-				rt.Fatalf("%s holds other hosts of %s: %s", n.id, m.place.DataCentre, d)
+				rt.Fatalf("%s has different hosts of %s: %s", n.id, m.place.DataCentre, d)
 			}
 			if got, want := len(c.Summary.Pools), len(m.tb.pools); got != want {
-				rt.Fatalf("%s knows %d pools of %s, there are %d", n.id, got, m.place.DataCentre, want)
+				rt.Fatalf("%s knows %d pools of %s, want %d", n.id, got, m.place.DataCentre, want)
 			}
 			if age := c.poolsAge(w.now); age > n.tb.summaryInterval()+3*time.Second {
-				rt.Fatalf("%s knows the pools of %s as they were %v ago", n.id, m.place.DataCentre, age)
+				rt.Fatalf("%s has pools of %s that are %v old", n.id, m.place.DataCentre, age)
 			}
 		}
 	}
 }
 
-// checkStaticPart: the part of a load report that most relays leave out is known.
+// checkStaticPart checks that hosts know the part of a load report that most relays omit.
 func (w *simulation) checkStaticPart(rt *rapid.T, n *node) {
 	for _, t := range n.tb.Targets() {
 		e := w.engine(t.ID)
@@ -301,12 +301,13 @@
 			continue
 		}
 		if t.Load.Slots != e.slots || len(t.Load.Serves) != 1 || t.Load.PrefillRate == 0 {
-			rt.Fatalf("%v: %s takes %s for %d slots that serve %v, it has %d", w.now, n.id, t.ID, t.Load.Slots, t.Load.Serves, e.slots)
+			rt.Fatalf("%v: %s knows %s with %d slots that serve %v, want %d slots", w.now, n.id, t.ID, t.Load.Slots, t.Load.Serves, e.slots)
 		}
 	}
 }
 
-// A recorded run replays with other effects.
+// Guards against a replay of a recorded run that produces other effects, for example because
+// effects are made in the order of a map.
 func TestSameInputsGiveSameEffects(t *testing.T) {
 	play := func() []byte {
 		w := newSimulation(7, 3, 3, 4)
@@ -325,62 +326,64 @@
 	}
 }
 
-// A data centre gets no offer after a partition, or keeps it.
+// Guards against a data centre that gets no offer after a partition, gets all of it at once,
+// or keeps an offer during the partition.
 func TestOfferGrowsAfterPartitionHeals(t *testing.T) {
 	w := newSimulation(3, 2, 1, 4)
 	w.setRunning("dc1", 10)
-	a, b := w.nodes[0], w.nodes[1]
+	giver, receiver := w.nodes[0], w.nodes[1]
 	w.run(30*time.Second, nil)
-	whole := b.tb.OfferLeft(w.now, "dc0", scribePool)
-	if want := 4*10 - 8; whole != want {
-		t.Fatalf("offer is %d, want %d", whole, want)
+	fullOffer := receiver.tb.OfferLeft(w.now, "dc0", scribePool)
+	if want := 4*10 - 8; fullOffer != want {
+		t.Fatalf("offer is %d, want %d", fullOffer, want)
 	}
-	b.partitioned = true
+	receiver.partitioned = true
 	w.run(20*time.Second, nil)
-	if left := b.tb.OfferLeft(w.now, "dc0", scribePool); left != 0 {
-		t.Fatalf("an offer of %d outlives the link", left)
+	if left := receiver.tb.OfferLeft(w.now, "dc0", scribePool); left != 0 {
+		t.Fatalf("offer is %d while the link is down, want 0", left)
 	}
-	b.partitioned = false
-	var seen []int
+	receiver.partitioned = false
+	var growth []int
 	var healed ident.Time
 	w.run(25*time.Second, func() {
-		left := b.tb.OfferLeft(w.now, "dc0", scribePool)
+		left := receiver.tb.OfferLeft(w.now, "dc0", scribePool)
 		if left > 0 && healed == 0 {
 			healed = w.now
 		}
 		if healed > 0 && w.now.Sub(healed) < 12*time.Second {
-			seen = append(seen, left)
+			growth = append(growth, left)
 		}
 	})
-	if !slices.IsSorted(seen) || seen[0] > whole/4 || seen[len(seen)-1] != whole {
-		t.Errorf("offer after the heal went %v", seen)
+	if !slices.IsSorted(growth) || growth[0] > fullOffer/4 || growth[len(growth)-1] != fullOffer {
+		t.Errorf("offers after the partition healed were %v", growth)
 	}
-	if left := a.tb.OfferLeft(w.now, "dc1", scribePool); left != 0 {
-		t.Errorf("the giver may send %d back", left)
+	if left := giver.tb.OfferLeft(w.now, "dc1", scribePool); left != 0 {
+		t.Errorf("the data centre that made the offer may forward %d requests back", left)
 	}
 }
 
-// Two data centres hold offers of each other.
+// Guards against two data centres that hold offers of each other at once.
 func TestDataCentresDoNotExchangeOffers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newSimulation(rapid.Int64().Draw(rt, "seed"), 2, rapid.IntRange(1, 2).Draw(rt, "hosts"), 2)
 		w.lossRate = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "loss")
 		w.maxDelay = rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 1500 * time.Millisecond}).Draw(rt, "delay")
-		rich := ident.DataCentre("dc0")
+		idle := ident.DataCentre("dc0")
 		for range rapid.IntRange(4, 12).Draw(rt, "turns") {
-			poor := ident.DataCentre("dc1")
-			if rich == "dc1" {
-				poor = "dc0"
+			busy := ident.DataCentre("dc1")
+			if idle == "dc1" {
+				busy = "dc0"
 			}
-			w.setRunning(rich, 0)
-			w.setRunning(poor, 10)
+			w.setRunning(idle, 0)
+			w.setRunning(busy, 10)
 			w.run(time.Duration(rapid.IntRange(10, 100).Draw(rt, "pause"))*100*time.Millisecond, func() { w.checkOffers(rt) })
-			rich = poor
+			idle = busy
 		}
 	})
 }
 
-// Offers flap about a mark.
+// Guards against an offer that starts and stops repeatedly while the load varies around one
+// threshold.
 func TestOfferHysteresisAgreesWithHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := &pool{}
@@ -391,8 +394,7 @@
 			away := rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(rt, "away")
 			p.update(away)
 			history = append(history, pool{Pool: event.Pool{Free: p.Free, Targets: away}})
-			// The naive rule looks back for the last moment at which a mark
-			// was passed.
+			// The reference rule looks back for the last time that a threshold was crossed.
 			want := false
 			for _, h := range slices.Backward(history) {
 				if h.Targets > 0 || h.Free < 10 {
@@ -404,13 +406,13 @@
 				}
 			}
 			if p.offering != want {
-				rt.Fatalf("offering %v after %+v", p.offering, history)
+				rt.Fatalf("offering is %v after %+v", p.offering, history)
 			}
 		}
 	})
 }
 
-// Spare slots are offered to several data centres at once.
+// Guards against the same spare slots being offered to several data centres.
 func TestOfferIsSplit(t *testing.T) {
 	w := newSimulation(13, 4, 2, 4)
 	for _, dc := range []ident.DataCentre{"dc1", "dc2", "dc3"} {
@@ -422,52 +424,54 @@
 		left := n.tb.OfferLeft(w.now, "dc0", scribePool)
 		sum += left
 		if left < 5 || left > 6 {
-			t.Errorf("%s may send %d", n.id, left)
+			t.Errorf("%s may forward %d requests, want 5 or 6", n.id, left)
 		}
 	}
 	if sum != 32 {
-		t.Errorf("%d may be sent, 32 are spare", sum)
+		t.Errorf("%d requests may be forwarded, want 32, the spare slots", sum)
 	}
 }
 
-// A data centre that forwards work accepts that of others.
+// Guards against two data centres that exchange work: one that forwards requests must not offer
+// capacity for the same pool.
 func TestPoolThatForwardsWorkOffersNothing(t *testing.T) {
 	w := newSimulation(11, 2, 2, 4)
 	w.setRunning("dc1", 10)
 	w.run(15*time.Second, nil)
-	giver := w.nodes[0]
-	if !giver.tb.IsRepresentative(w.now) {
-		giver = w.nodes[1]
+	representative := w.nodes[0]
+	if !representative.tb.IsRepresentative(w.now) {
+		representative = w.nodes[1]
 	}
 	other := w.nodes[0]
-	if other == giver {
+	if other == representative {
 		other = w.nodes[1]
 	}
-	held := func() int {
+	offered := func() int {
 		return w.nodes[2].tb.OfferLeft(w.now, "dc0", scribePool) + w.nodes[3].tb.OfferLeft(w.now, "dc0", scribePool)
 	}
-	if held() == 0 {
-		t.Fatal("no offer to begin with")
+	if offered() == 0 {
+		t.Fatal("no offer before the forwarded request")
 	}
 	other.tb.OfferTake("dc9", scribePool)
 	w.run(3*time.Second, nil)
-	if n := held(); n != 0 {
-		t.Errorf("%d are offered while a host sends work away", n)
+	if n := offered(); n != 0 {
+		t.Errorf("%d slots are offered while a host forwards requests", n)
 	}
 	other.tb.OfferGive("dc9", scribePool)
 	w.run(5*time.Second, nil)
-	if held() == 0 {
-		t.Error("no offer after the end")
+	if offered() == 0 {
+		t.Error("no offer after the forwarded request ended")
 	}
 }
 
-// A late offer is used while the other side holds one of this one.
+// Guards against a late offer that is used while the other data centre holds an offer of this
+// one.
 func TestOfferIsNotUsedWhileOwnOfferIsHeld(t *testing.T) {
 	w := newSimulation(12, 2, 1, 4)
 	w.run(15*time.Second, nil)
 	a := w.nodes[0].tb
 	seq := uint64(0)
-	late := func() int {
+	lateOffer := func() int {
 		s := a.Centres(w.now)[0].Summary
 		s.From, s.Age = "dc1-x", 0
 		seq++
@@ -476,18 +480,18 @@
 		a.SummaryReceived(w.now, s)
 		return a.OfferLeft(w.now, "dc1", scribePool)
 	}
-	if n := late(); n != 0 {
-		t.Errorf("%d may be sent away with room at home", n)
+	if n := lateOffer(); n != 0 {
+		t.Errorf("%d requests may be forwarded with free slots in the own data centre", n)
 	}
 	w.setRunning("dc1", 10)
 	w.run(15*time.Second, nil)
 	a.pools[0].offering = false
-	if n := late(); n != 0 {
-		t.Errorf("%d may be sent to where an own offer is held", n)
+	if n := lateOffer(); n != 0 {
+		t.Errorf("%d requests may be forwarded to a data centre that holds an offer of this one", n)
 	}
 	w.setRunning("dc0", 8)
 	w.run(offerLife+transit+2*time.Second, nil)
-	if n := late(); n == 0 {
-		t.Error("none may be sent away once the own offer is gone")
+	if n := lateOffer(); n == 0 {
+		t.Error("no request may be forwarded after the own offer has expired")
 	}
 }
--- a/internal/member/world_test.go
+++ b/internal/member/world_test.go
@@ -14,8 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// TestMain fixes the seed of generated tests, so that each run gives the same
-// verdict. A longer run sets its own with -rapid.seed and -rapid.checks.
+// TestMain fixes the seed of generated tests, so that every run gives the same result. Set
+// -rapid.seed and -rapid.checks for a longer run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60"} {
@@ -32,22 +32,24 @@
 	scribePool = PoolID{Serve: model}
 )
 
-// node is one entry host of a world.
+// node is one entry host of a simulation.
 type node struct {
-	tb     *Table
-	place  event.Place
-	id     ident.EntryID
-	frozen ident.Time
-	// partitioned nodes reach no one, platformUnreachable ones not the platform.
+	tb          *Table
+	place       event.Place
+	id          ident.EntryID
+	frozenUntil ident.Time
+	// A partitioned node reaches no other node. A node with platformUnreachable set does not
+	// reach the platform.
 	partitioned, platformUnreachable bool
 	// notices holds every drain notice that the node has received.
 	notices map[ident.TargetID]ident.Incarnation
-	// highestSeq holds the highest number of each sender's digests and summaries
+	// highestSeq holds the highest sequence number of the digests and summaries of each sender
 	// that reached the node.
 	highestSeq map[string]uint64
-	// incarnations holds the incarnation of each target that the node last knew, dropped the number
-	// of the newest digest of each peer when it learned of a new one: what that digest says of
-	// the target concerns its former start.
+	// incarnations holds the last incarnation of each target that the node knew. droppedUseSeq
+	// holds, by peer and target, the number of the newest digest of the peer when the node saw
+	// a new incarnation of the target: the use in that digest belongs to the former
+	// incarnation.
 	incarnations  map[ident.TargetID]ident.Incarnation
 	droppedUseSeq map[string]uint64
 }
@@ -60,8 +62,8 @@
 	eff  event.Effect
 }
 
-// simulation passes the effects of several tables to each other as events, in
-// virtual time, and loses, doubles and delays some.
+// simulation passes the effects of several tables to each other as events, in virtual time. It
+// loses, duplicates and delays some of them.
 type simulation struct {
 	now           ident.Time
 	rng           *rand.Rand
@@ -78,19 +80,19 @@
 	workByDigest  map[string][]event.TargetUse
 	anyFrozen     bool
 	sent          []message
-	// revision is that in force at every host, sentPools the pools of the
-	// summaries that contain them, by the data centres from and to.
+	// revision is the one in force at every host. sentPools holds the pools of the summaries
+	// that contain them, by the sending and the receiving data centre.
 	revision  ident.Revision
 	sentPools map[string][]sentPools
 }
 
-// sentPools are the pools of one summary.
+// sentPools holds the pools of one summary.
 type sentPools struct {
 	at    ident.Time
 	pools []event.Pool
 }
 
-// engine is a target with the truth about it.
+// engine is a target with its actual state.
 type engine struct {
 	event.Target
 	running, slots int
@@ -124,8 +126,8 @@
 
 func (w *simulation) restart(n *node) {
 	inc := ident.Incarnation(uint64(w.now) + 1)
-	n.frozen = 0
-	// What was under way breaks off with its links.
+	n.frozenUntil = 0
+	// Messages in flight are lost with the links.
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(l message) bool { return l.to == n.id })
 	n.tb = New(event.Host{ID: n.id, Incarnation: inc, Place: n.place})
 	n.tb.Advance(w.now)
@@ -135,7 +137,7 @@
 	n.droppedUseSeq = make(map[string]uint64)
 }
 
-// recordIncarnations records which targets the node has learned to have started anew.
+// recordIncarnations records the targets that the node has seen restart.
 func (n *node) recordIncarnations() {
 	for _, t := range n.tb.targets {
 		if old, ok := n.incarnations[t.ID]; ok && t.Incarnation != old {
@@ -159,13 +161,13 @@
 	return w.targets[slices.IndexFunc(w.targets, func(e *engine) bool { return e.ID == id })]
 }
 
-// run advances the world by steps of 50 ms and calls check after each.
+// run advances the simulation in steps of 50 ms and calls check after each.
 func (w *simulation) run(d time.Duration, check func()) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(50 * time.Millisecond)
 		w.deliver()
 		for _, n := range w.nodes {
-			if n.frozen <= w.now && n.tb.Next(w.now) <= w.now {
+			if n.frozenUntil <= w.now && n.tb.Next(w.now) <= w.now {
 				n.tb.SetPlatformUnreachable(n.platformUnreachable)
 				w.applyEffects(n, n.tb.Tick(w.now, LocalState{Revision: w.revision}))
 			}
@@ -181,7 +183,7 @@
 	w.inFlight = nil
 	for _, l := range post {
 		to := w.node(l.to)
-		if l.at > w.now || to.frozen > w.now {
+		if l.at > w.now || to.frozenUntil > w.now {
 			w.inFlight = append(w.inFlight, l)
 			continue
 		}
@@ -241,8 +243,8 @@
 	}
 }
 
-// workAtTargets returns the work that the node has at targets, by their ids whatever
-// the digest names them by.
+// workAtTargets returns the work that the node has at each target, by ID even if the digest
+// names the target by its key.
 func (n *node) workAtTargets() []event.TargetUse {
 	var uses []event.TargetUse
 	for _, t := range n.tb.Targets() {
@@ -284,7 +286,7 @@
 	n.recordIncarnations()
 }
 
-// setRunning sets the requests running at each engine of a data centre.
+// setRunning sets the number of running requests at each engine of a data centre.
 func (w *simulation) setRunning(dc ident.DataCentre, running int) {
 	for _, e := range w.targets {
 		if e.Place.DataCentre == dc {
