--- a/internal/member/cold.go
+++ b/internal/member/cold.go
@@ -52,7 +52,7 @@
 		return
 	}
 	t.coldUntil, t.coldAssumed = until, true
-	tb.probe = append(tb.probe, t.ID)
+	tb.coldProbeQueue = append(tb.coldProbeQueue, t.ID)
 }
 
 // ProbeAnswered merges a target's answer to a probe.
@@ -65,19 +65,19 @@
 	tb.recordAnswer(t)
 	if t.coldAssumed {
 		t.coldUntil, t.coldAssumed = now.Add(e.ColdFor), false
-		tb.note(t, map[bool]string{true: "target reports that it is cold", false: "target reports that it is warm"}[e.ColdFor > 0])
+		tb.addNote(t, map[bool]string{true: "target reports that it is cold", false: "target reports that it is warm"}[e.ColdFor > 0])
 	}
 }
 
 // coldProbes returns the probes of targets that are only assumed to be cold.
 func (tb *Table) coldProbes() []event.Effect {
 	var effs []event.Effect
-	for _, id := range tb.probe {
+	for _, id := range tb.coldProbeQueue {
 		if t, ok := tb.byID[id]; ok && t.coldAssumed {
 			effs = append(effs, event.PollLoad{Target: t.Target})
 		}
 	}
-	tb.probe = tb.probe[:0]
+	tb.coldProbeQueue = tb.coldProbeQueue[:0]
 	return effs
 }
 
--- a/internal/member/draining.go
+++ b/internal/member/draining.go
@@ -30,7 +30,7 @@
 func (tb *Table) MarkDraining(now ident.Time, id ident.TargetID, inc ident.Incarnation) {
 	tb.Advance(now)
 	if tb.observeDraining(now, id, inc) {
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 }
 
@@ -48,7 +48,7 @@
 	}
 	if ok {
 		t.KnownDraining = true
-		tb.note(t, "target is draining")
+		tb.addNote(t, "target is draining")
 	}
 	return true
 }
@@ -56,7 +56,7 @@
 // updateDraining updates whether a target drains after its list entry or incarnation has changed.
 func (tb *Table) updateDraining(now ident.Time, t *Target) {
 	if t.Draining && tb.observeDraining(now, t.ID, t.Incarnation) {
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 	n, ok := tb.draining[t.ID]
 	t.KnownDraining = ok && n.incarnation >= t.Incarnation
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -13,7 +13,7 @@
 const (
 	// sampleInterval is the time that one sample of the demand covers. Digests go out at the same
 	// interval.
-	sampleInterval = Period
+	sampleInterval = HeartbeatInterval
 	// flowWeight is the weight of the newest sample.
 	flowWeight = 0.6
 	// missWeight is the weight of one prompt in the average fraction of prompts that engines
@@ -59,10 +59,10 @@
 	if r.Prompt == 0 {
 		f := tb.flowOf(now, r.Service)
 		f.closeSample(now)
-		f.alone += tb.usual.RequestTime(r.Service).Seconds()
+		f.alone += tb.serviceStats.RequestTime(r.Service).Seconds()
 		return
 	}
-	miss, ok := tb.misses[r.Service]
+	miss, ok := tb.missRatios[r.Service]
 	if !ok {
 		miss = 1
 	}
@@ -88,11 +88,11 @@
 		return
 	}
 	sample := min(1, float64(prefilled)/float64(prompt))
-	miss, ok := tb.misses[service]
+	miss, ok := tb.missRatios[service]
 	if !ok {
 		miss = 1
 	}
-	tb.misses[service] = miss + missWeight*(sample-miss)
+	tb.missRatios[service] = miss + missWeight*(sample-miss)
 }
 
 func (tb *Table) flowOf(now ident.Time, service string) *serviceFlow {
@@ -167,7 +167,7 @@
 	id := PoolID{Service: service}
 	size, threshold := slotsOf, spillThreshold
 	if prompts {
-		size, threshold = enginesOf, spillThreshold*tb.usual.PrefillRate(service)
+		size, threshold = enginesOf, spillThreshold*tb.serviceStats.PrefillRate(service)
 	}
 	alone, shared := tb.demand(now, service)
 	own := CentreRoom{alone: alone}
--- a/internal/member/flow_test.go
+++ b/internal/member/flow_test.go
@@ -32,7 +32,7 @@
 			tb.RecordDemand(at, alonePrompt(), 0)
 		}
 		at = at.Add(time.Second)
-		tb.Tick(at, Own{})
+		tb.Tick(at, LocalState{})
 	}
 	return at
 }
@@ -126,7 +126,7 @@
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a")))
-	tb.Began("a", 10000, 0, time.Second)
+	tb.FirstTokenReceived("a", 10000, 0, time.Second)
 	tb.AddPrefill("a", 5000)
 	report := func(seq uint64, unread ident.Tokens) {
 		tb.DigestReceived(at, event.Digest{
@@ -150,7 +150,7 @@
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
-	tb.Began("a", 50000, 0, time.Second)
+	tb.FirstTokenReceived("a", 50000, 0, time.Second)
 	reportDemand(tb, at, 10, 2, 0, 0)
 	at = sendDemand(tb, at, 10, 1, 1)
 	reportDemand(tb, at, 11, 2, 0, 0)
@@ -165,13 +165,13 @@
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a")))
-	tb.Ran("a", 40*time.Millisecond)
+	tb.AnswerCompleted("a", 40*time.Millisecond)
 	for range 10 {
 		for range 400 {
 			tb.RecordDemand(at, &event.Request{Service: "writers"}, 0)
 		}
 		at = at.Add(time.Second)
-		tb.Tick(at, Own{})
+		tb.Tick(at, LocalState{})
 	}
 	tb.SummaryReceived(at, event.Summary{
 		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: 10,
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -15,30 +15,30 @@
 // ListFailed records that a read of the platform's list failed.
 func (tb *Table) ListFailed(now ident.Time) {
 	tb.Advance(now)
-	tb.list.away = true
-	tb.list.steadyAt = 0
-	tb.readSoon(now, "failed")
+	tb.list.readFailed = true
+	tb.list.steadySince = 0
+	tb.scheduleRead(now, "failed")
 }
 
 // readSucceeded records that a read by this host returned a list.
 func (tb *Table) readSucceeded(now ident.Time) {
-	if tb.list.away {
-		tb.list.away = false
-		tb.list.backAt = now
+	if tb.list.readFailed {
+		tb.list.readFailed = false
+		tb.list.recoveredAt = now
 	}
-	if tb.list.steadyAt == 0 {
-		tb.list.steadyAt = now
+	if tb.list.steadySince == 0 {
+		tb.list.steadySince = now
 	}
 }
 
 // readsAreStable reports whether this host has read the platform's list without a failure for long
 // enough to announce removals. Just after an outage an expired entry looks like a removed one.
 func (tb *Table) readsAreStable(now ident.Time) bool {
-	return tb.list.steadyAt > 0 && now.Sub(tb.list.steadyAt) >= outageGrace
+	return tb.list.steadySince > 0 && now.Sub(tb.list.steadySince) >= outageGrace
 }
 
 // HasList reports whether this host, or a peer on its behalf, has read the platform's list.
-func (tb *Table) HasList() bool { return tb.list.read || len(tb.peers) > 0 }
+func (tb *Table) HasList() bool { return tb.list.readHere || len(tb.peers) > 0 }
 
 // markUnlisted marks the targets that are missing from the complete list that this host has just
 // read.
@@ -69,7 +69,7 @@
 	for _, d := range ev.Targets {
 		named.Add(d.ID)
 		if d.Draining && tb.observeDraining(now, d.ID, d.Incarnation) {
-			tb.beat.urgent = true
+			tb.heartbeat.urgent = true
 		}
 	}
 	if !ev.Complete {
@@ -97,7 +97,7 @@
 	t.markAbsent(version)
 	if !t.Removed {
 		t.Removed, t.removalSeenAt = true, now
-		tb.note(t, "target is gone")
+		tb.addNote(t, "target is gone")
 	}
 }
 
@@ -133,7 +133,7 @@
 // of the platform's store and for outageGrace after it no target is removed, since entries expire
 // although their targets are alive.
 func (tb *Table) updateRemoved(now ident.Time) {
-	inOutage := tb.list.away || tb.list.backAt > 0 && now.Sub(tb.list.backAt) < outageGrace
+	inOutage := tb.list.readFailed || tb.list.recoveredAt > 0 && now.Sub(tb.list.recoveredAt) < outageGrace
 	for _, t := range tb.targets {
 		gone := t.missing && (t.Removed || !inOutage)
 		if gone == t.Removed {
@@ -141,11 +141,11 @@
 		}
 		if gone {
 			tb.remove(now, t, t.removedVersion)
-			tb.beat.urgent = tb.beat.urgent || !t.KnownDraining && tb.readsAreStable(now)
+			tb.heartbeat.urgent = tb.heartbeat.urgent || !t.KnownDraining && tb.readsAreStable(now)
 			continue
 		}
 		t.Removed = false
-		tb.note(t, "target is listed again")
+		tb.addNote(t, "target is listed again")
 	}
 }
 
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -76,7 +76,7 @@
 		t.Error("a target whose entry expired during the outage is dropped at its end")
 	}
 	at = at.Add(outageGrace)
-	tb.Tick(at, Own{})
+	tb.Tick(at, LocalState{})
 	if usable(t, tb, at, "a") {
 		t.Error("a target that was not listed again after the outage is still usable")
 	}
@@ -161,7 +161,7 @@
 	tb.HostsRead(at, listOf(1, small))
 	seen := func(running int) {
 		at = at.Add(100 * time.Millisecond)
-		tb.Ran("a", 20*time.Millisecond)
+		tb.AnswerCompleted("a", 20*time.Millisecond)
 		tb.LoadSeen(at, event.LoadSeen{Target: "a", Incarnation: 1, Running: running, Slots: 6})
 	}
 	for range 10 {
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -13,22 +13,22 @@
 
 // Guards against summaries without pools that extend the lifetime of an offer.
 func TestOfferExpiresUnderSummariesWithoutPools(t *testing.T) {
-	w := newWorld(21, 2, 1, 4)
-	w.busy("dc1", 10)
+	w := newSimulation(21, 2, 1, 4)
+	w.setRunning("dc1", 10)
 	w.run(30*time.Second, nil)
 	b := w.nodes[1].tb
-	if b.RemainingOffer(w.now, "dc0", scribe) == 0 {
+	if b.RemainingOffer(w.now, "dc0", scribePool) == 0 {
 		t.Fatal("no offer before the link is cut")
 	}
 	s := b.Centres(w.now)[0].Summary
-	w.nodes[0].cut = true
+	w.nodes[0].partitioned = true
 	for range 8 {
 		w.run(time.Second, nil)
 		s.Seq++
 		s.Age, s.Pools, s.PoolsKept = 0, nil, true
 		b.SummaryReceived(w.now, s)
 	}
-	if left := b.RemainingOffer(w.now, "dc0", scribe); left != 0 {
+	if left := b.RemainingOffer(w.now, "dc0", scribePool); left != 0 {
 		t.Errorf("%d requests may be forwarded on an expired offer", left)
 	}
 }
@@ -42,7 +42,7 @@
 		one = first[targetKey(two)]
 		first[targetKey(two)] = two
 	}
-	w := newWorld(24, 1, 2, 0)
+	w := newSimulation(24, 1, 2, 0)
 	for _, id := range []ident.TargetID{one, two} {
 		tg := event.Target{ID: id, Incarnation: 1, Kind: event.Engine, Place: w.nodes[0].place}
 		w.targets = append(w.targets, &engine{Target: tg, slots: 10})
@@ -65,7 +65,7 @@
 
 // Guards against losing the requests of peers at a target that this host discovers only later.
 func TestPeerRequestsAtUnknownTargetAreCounted(t *testing.T) {
-	w := newWorld(25, 1, 2, 0)
+	w := newSimulation(25, 1, 2, 0)
 	tb, peer := w.nodes[0].tb, w.nodes[1].tb.Self()
 	d := event.Digest{Host: peer, Seq: 1, Use: []event.TargetUse{{Key: targetKey("late"), Running: 3}}}
 	tb.DigestReceived(w.now, d)
@@ -84,7 +84,7 @@
 
 // Guards against a summary that omits the hosts and thereby makes a data centre look empty.
 func TestOmittedPartsAreNotEmpty(t *testing.T) {
-	w := newWorld(22, 2, 1, 1)
+	w := newSimulation(22, 2, 1, 1)
 	tb := w.nodes[0].tb
 	far := w.nodes[1].tb.Self()
 	tb.PeerUp(w.now, far)
@@ -96,49 +96,49 @@
 	if d := cmp.Diff([]event.Host{far}, c.Hosts); d != "" {
 		t.Errorf("hosts (-want +got):\n%s", d)
 	}
-	if d := cmp.Diff(tb.lacking(), []ident.DataCentre{"dc1"}); d != "" {
+	if d := cmp.Diff(tb.outdatedCentres(), []ident.DataCentre{"dc1"}); d != "" {
 		t.Errorf("lacking (-want +got):\n%s", d)
 	}
-	if s := c.aged(w.now); !s.HostsKept || !s.PoolsKept {
+	if s := c.summaryWithAge(w.now); !s.HostsKept || !s.PoolsKept {
 		t.Error("unknown parts are passed on as empty ones")
 	}
 }
 
 // Guards against a new recipient of summaries that misses parts sent only to the former recipient.
 func TestNewRecipientGetsFullSummary(t *testing.T) {
-	w := newWorld(23, 2, 1, 1)
+	w := newSimulation(23, 2, 1, 1)
 	w.run(20*time.Second, nil)
 	tb := w.nodes[0].tb
 	c := tb.Centres(w.now)[0]
 	getsFull := func(to event.Host) bool {
 		s := tb.summary(w.now)
-		return tb.leaveOut(w.now, c, to, &s, false) && !s.HostsKept && !s.PoolsKept && !s.AccountsKept
+		return tb.omitKnownParts(w.now, c, to, &s, false) && !s.HostsKept && !s.PoolsKept && !s.AccountsKept
 	}
 	far := w.nodes[1].tb.Self()
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	if getsFull(far) {
 		t.Error("a recipient that is up to date gets a full summary")
 	}
 	next := far
 	next.Incarnation++
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	if !getsFull(next) {
 		t.Error("a restarted recipient does not get a full summary")
 	}
 	other := next
 	other.ID = "dc1-x"
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	if !getsFull(other) {
 		t.Error("a new recipient does not get a full summary")
 	}
-	w.now = w.now.Add(minGap)
+	w.now = w.now.Add(minSummaryGap)
 	newer := other
 	newer.Incarnation++
 	tb.PeerUp(w.now, newer)
 	if !getsFull(other) {
 		t.Error("a recipient whose link shows a restart does not get a full summary")
 	}
-	tb.forgetSent()
+	tb.resetLastSent()
 	if !getsFull(other) {
 		t.Error("the recipient does not get a full summary after the duty has moved")
 	}
@@ -147,7 +147,7 @@
 // Guards against a shortened report of a new incarnation that is completed with fields of the
 // former one.
 func TestShortReportOfNewIncarnationIsNotCompletedFromFormer(t *testing.T) {
-	w := newWorld(26, 1, 2, 1)
+	w := newSimulation(26, 1, 2, 1)
 	w.run(5*time.Second, nil)
 	tb := w.nodes[0].tb
 	tg := tb.Targets()[0]
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -9,75 +9,75 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times of reading the platform's list.
+// Intervals and timeouts for reads of the platform's list.
 const (
-	// watchEvery is the time between reads of the host that watches, idleEvery
-	// of the others, which read in case the one that watches is cut off in a
-	// way that no one notices.
-	watchEvery = 2 * time.Second
-	idleEvery  = 30 * time.Second
-	// idleSpread and firstSpread keep hosts that start or come back together
-	// from reading together: the store takes about two thousand reads a
-	// second from the whole fleet.
-	idleSpread  = 10 * time.Second
-	firstSpread = 250 * time.Millisecond
-	// versionHolds is how long an older version of the list is refused. After
-	// that the platform has lost its count.
-	versionHolds = time.Minute
+	// watcherReadInterval is the interval between reads of the watcher, idleReadInterval that
+	// of the other hosts. These read in case the watcher is cut off without being detected.
+	watcherReadInterval = 2 * time.Second
+	idleReadInterval    = 30 * time.Second
+	// idleReadJitter and firstReadJitter keep hosts that start or come back together from
+	// reading together: the store handles about two thousand reads a second from the whole
+	// fleet.
+	idleReadJitter  = 10 * time.Second
+	firstReadJitter = 250 * time.Millisecond
+	// staleListTimeout is how long an older version of the list is rejected. After that the
+	// platform is assumed to have reset its version counter.
+	staleListTimeout = time.Minute
 )
 
-// firstRead returns how long after its start a host reads the list.
-func firstRead(self event.Host) time.Duration {
-	return spread(rank.Combine(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstSpread)
+// firstReadDelay returns the delay between the start of a host and its first read of the list.
+func firstReadDelay(self event.Host) time.Duration {
+	return jitter(rank.Combine(rank.Hash("first", string(self.ID)), uint64(self.Incarnation)), firstReadJitter)
 }
 
-func spread(h uint64, width time.Duration) time.Duration {
+func jitter(h uint64, width time.Duration) time.Duration {
 	return time.Duration(rank.Unit(h) * float64(width))
 }
 
-// HostsRead merges a list that this host has read from the platform. The list lags.
+// HostsRead merges a list that this host has read from the platform. The list lags behind the
+// actual state.
 func (tb *Table) HostsRead(now ident.Time, ev event.HostsRead) {
 	tb.Advance(now)
 	tb.readSucceeded(now)
-	if tb.older(now, ev.Version) {
+	if tb.isStale(now, ev.Version) {
 		tb.noteStaleList(ev.Version)
 		tb.mergeStaleRead(now, ev)
 		return
 	}
 	tb.list.source, tb.list.complete = tb.self.ID, ev.Complete
-	tb.list.changed = tb.list.changed || !tb.list.read || ev.Version != tb.list.version
-	tb.list.read = true
+	tb.list.unannounced = tb.list.unannounced || !tb.list.readHere || ev.Version != tb.list.version
+	tb.list.readHere = true
 	tb.useVersion(now, ev.Version)
-	tb.list.urgent = tb.list.urgent || tb.hasNews(ev.Targets)
-	tb.beat.urgent = tb.beat.urgent || tb.list.urgent
-	tb.listTargets(now, ev.Targets)
-	tb.listHosts(now, ev.Hosts)
+	tb.list.urgent = tb.list.urgent || tb.hasUrgentChanges(ev.Targets)
+	tb.heartbeat.urgent = tb.heartbeat.urgent || tb.list.urgent
+	tb.mergeListedTargets(now, ev.Targets)
+	tb.mergeListedHosts(now, ev.Hosts)
 	if ev.Complete {
 		tb.markUnlisted(now)
 	}
 }
 
-// older reports whether a list is older than the one that this host goes by.
-func (tb *Table) older(now ident.Time, version uint64) bool {
-	return version < tb.list.version && now.Sub(tb.list.readAt) <= versionHolds
+// isStale reports whether a list is older than the one in use.
+func (tb *Table) isStale(now ident.Time, version uint64) bool {
+	return version < tb.list.version && now.Sub(tb.list.updatedAt) <= staleListTimeout
 }
 
 // mergeList merges a list that a peer has read, unless a newer one is in use. An older one
 // would revert evacuations.
 func (tb *Table) mergeList(now ident.Time, d event.Digest) {
-	if len(d.Targets) == 0 && !d.Complete || tb.older(now, d.ListVersion) {
+	if len(d.Targets) == 0 && !d.Complete || tb.isStale(now, d.ListVersion) {
 		return
 	}
 	tb.list.source, tb.list.complete = d.Host.ID, false
 	tb.useVersion(now, d.ListVersion)
-	tb.listTargets(now, d.Targets)
+	tb.mergeListedTargets(now, d.Targets)
 	if d.Complete {
 		tb.removeUnlisted(now)
 	}
 }
 
-// useVersion sets the version of the list in use. One that is lower than before comes from a
-// store that has lost its count, which makes all versions seen so far meaningless.
+// useVersion sets the version of the list in use. A lower version than before means that the
+// store has reset its version counter, which makes all earlier versions meaningless.
 func (tb *Table) useVersion(now ident.Time, version uint64) {
 	if version < tb.list.version {
 		for _, t := range tb.targets {
@@ -85,12 +85,12 @@
 		}
 	}
 	tb.list.version = version
-	tb.list.readAt = now
+	tb.list.updatedAt = now
 }
 
-// hasNews reports whether a list names targets of the own data centre that are not known here,
-// evacuates targets that are in use, or takes that back.
-func (tb *Table) hasNews(targets []event.Target) bool {
+// hasUrgentChanges reports whether a list names unknown targets of this data centre, or starts
+// or ends the evacuation of known ones.
+func (tb *Table) hasUrgentChanges(targets []event.Target) bool {
 	return slices.ContainsFunc(targets, func(d event.Target) bool {
 		t, ok := tb.byID[d.ID]
 		if !ok {
@@ -100,7 +100,7 @@
 	})
 }
 
-func (tb *Table) listHosts(now ident.Time, hosts []event.Host) {
+func (tb *Table) mergeListedHosts(now ident.Time, hosts []event.Host) {
 	for _, p := range tb.peers {
 		p.listed = false
 	}
@@ -113,7 +113,7 @@
 			c.listed = append(c.listed, h)
 			continue
 		}
-		if p := tb.listPeer(now, h); p != nil {
+		if p := tb.mergeListedPeer(now, h); p != nil {
 			p.listed = true
 		}
 	}
@@ -122,11 +122,11 @@
 	}
 }
 
-// listPeer merges a host of the own data centre from the list.
-func (tb *Table) listPeer(now ident.Time, h event.Host) *peer {
+// mergeListedPeer merges a listed host of this data centre.
+func (tb *Table) mergeListedPeer(now ident.Time, h event.Host) *peer {
 	old, ok := tb.peer(h.ID)
 	if ok && h.Incarnation < old.host.Incarnation {
-		// The list lags behind a restart: the host is listed all the same.
+		// The list lags behind a restart, but it does list the host.
 		return old
 	}
 	p := tb.putPeer(now, h)
@@ -136,8 +136,8 @@
 	return p
 }
 
-// listTargets merges the targets of a list, read here or by a peer.
-func (tb *Table) listTargets(now ident.Time, targets []event.Target) {
+// mergeListedTargets merges the targets of a list that this host or a peer has read.
+func (tb *Table) mergeListedTargets(now ident.Time, targets []event.Target) {
 	for _, t := range tb.targets {
 		t.listed = false
 	}
@@ -153,40 +153,40 @@
 	}
 }
 
-// readHosts returns the read of the list that is due, and settles the next.
+// readHosts returns a read of the list if one is due, and schedules the next.
 func (tb *Table) readHosts(now ident.Time) []event.Effect {
 	if now < tb.list.nextRead {
 		return nil
 	}
-	tb.list.nextRead = now.Add(tb.readPause(now))
+	tb.list.nextRead = now.Add(tb.readInterval(now))
 	return []event.Effect{event.ReadHosts{}}
 }
 
-func (tb *Table) readPause(now ident.Time) time.Duration {
-	if tb.Watches(now) {
-		return watchEvery
+func (tb *Table) readInterval(now ident.Time) time.Duration {
+	if tb.IsWatcher(now) {
+		return watcherReadInterval
 	}
 	h := rank.Hash("read", string(tb.self.ID))
-	return idleEvery + spread(rank.Combine(h, uint64(now)), idleSpread)
+	return idleReadInterval + jitter(rank.Combine(h, uint64(now)), idleReadJitter)
 }
 
-// dutyRead brings the next read forward when this host becomes the watcher, spread so that
-// many new watchers do not read at once.
-func (tb *Table) dutyRead(now ident.Time) {
-	if !tb.Watches(now) {
+// scheduleWatcherRead schedules an early read when this host becomes the watcher, with jitter
+// so that many new watchers do not read at once.
+func (tb *Table) scheduleWatcherRead(now ident.Time) {
+	if !tb.IsWatcher(now) {
 		return
 	}
-	tb.readSoon(now, "duty")
+	tb.scheduleRead(now, "duty")
 }
 
-// readSoon brings the next read forward, spread over the hosts of a reason.
-func (tb *Table) readSoon(now ident.Time, reason string) {
+// scheduleRead moves the next read forward, with jitter for each host and reason.
+func (tb *Table) scheduleRead(now ident.Time, reason string) {
 	h := rank.Combine(rank.Hash(reason, string(tb.self.ID)), uint64(now))
-	tb.list.nextRead = min(tb.list.nextRead, now.Add(watchEvery+spread(h, Period)))
+	tb.list.nextRead = min(tb.list.nextRead, now.Add(watcherReadInterval+jitter(h, HeartbeatInterval)))
 }
 
 func sortedHosts(hosts []event.Host) []event.Host {
 	hs := slices.Clone(hosts)
-	slices.SortStableFunc(hs, byHost)
+	slices.SortStableFunc(hs, compareHosts)
 	return hs
 }
--- a/internal/member/member_fail_test.go
+++ b/internal/member/member_fail_test.go
@@ -13,10 +13,10 @@
 // Guards against a host that can't serve after a restart during an outage of the platform. It has
 // to get its state from its peers.
 func TestRestartedHostLearnsFromPeers(t *testing.T) {
-	w := newWorld(1, 2, 3, 4)
+	w := newSimulation(1, 2, 3, 4)
 	w.run(10*time.Second, nil)
 	for _, n := range w.nodes {
-		n.blind = true
+		n.platformUnreachable = true
 	}
 	n := w.nodes[1]
 	want := ids(n.tb.Targets())
@@ -46,11 +46,11 @@
 // Guards against a host that mistakes its own pause for silence of the other hosts, and against
 // offers that outlive the pause.
 func TestPausedHostKeepsItsPeersAndDropsItsOffers(t *testing.T) {
-	w := newWorld(2, 2, 2, 2)
-	w.busy("dc1", 10)
+	w := newSimulation(2, 2, 2, 2)
+	w.setRunning("dc1", 10)
 	w.run(30*time.Second, nil)
 	n := w.nodes[2]
-	if n.tb.RemainingOffer(w.now, "dc0", scribe) == 0 {
+	if n.tb.RemainingOffer(w.now, "dc0", scribePool) == 0 {
 		t.Fatal("no offer before the pause")
 	}
 	n.tb.Advance(w.now)
@@ -70,7 +70,7 @@
 	s.Seq += 100
 	s.Age = 0
 	n.tb.SummaryReceived(now, s)
-	if left := n.tb.RemainingOffer(now, "dc0", scribe); left != 0 {
+	if left := n.tb.RemainingOffer(now, "dc0", scribePool); left != 0 {
 		t.Errorf("an offer of %d outlives the pause", left)
 	}
 }
@@ -78,10 +78,10 @@
 // Guards against a watcher that keeps the duty although it can't reach the platform, so that its
 // data centre misses changes of the list.
 func TestWatcherWithoutPlatformHandsOver(t *testing.T) {
-	w := newWorld(3, 1, 3, 1)
+	w := newSimulation(3, 1, 3, 1)
 	w.run(5*time.Second, nil)
 	old := w.nodes[0].tb.watcher(w.now)
-	w.node(old).blind = true
+	w.node(old).platformUnreachable = true
 	w.run(2*time.Second, nil)
 	for _, n := range w.nodes {
 		if n.tb.watcher(w.now) == old {
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		n.blind = true
+		n.platformUnreachable = true
 	}
 	w.run(3*time.Second, nil)
 	if got := w.nodes[0].tb.watcher(w.now); got != old {
@@ -99,15 +99,15 @@
 
 // Guards against duties that stay with a dead host.
 func TestDutiesPassOnFromASilentHost(t *testing.T) {
-	w := newWorld(4, 2, 3, 1)
+	w := newSimulation(4, 2, 3, 1)
 	w.run(5*time.Second, nil)
 	for _, old := range []ident.EntryID{w.nodes[0].tb.watcher(w.now), w.nodes[0].tb.representative(w.now)} {
-		w.node(old).cut = true
+		w.node(old).partitioned = true
 	}
 	w.run(4*time.Second, nil)
 	watchers := 0
 	for _, n := range w.nodes[:3] {
-		if !n.cut && n.tb.Watches(w.now) {
+		if !n.partitioned && n.tb.IsWatcher(w.now) {
 			watchers++
 		}
 	}
@@ -118,7 +118,7 @@
 
 // Guards against a drain notice that arrives late, or that an older list or report reverts.
 func TestDrainNoticeIsSentAtOnceAndPersists(t *testing.T) {
-	w := newWorld(5, 1, 3, 2)
+	w := newSimulation(5, 1, 3, 2)
 	w.run(5050*time.Millisecond, nil)
 	w.nodes[0].tb.MarkDraining(w.now, "dc0-t0", 1)
 	w.run(100*time.Millisecond, nil)
@@ -142,18 +142,18 @@
 
 // Guards against callers that are directed to a draining host.
 func TestDrainingHostIsNotNamed(t *testing.T) {
-	w := newWorld(6, 2, 2, 1)
+	w := newSimulation(6, 2, 2, 1)
 	w.run(10*time.Second, nil)
 	n := w.nodes[0]
 	n.tb.SetDraining()
 	all := func(event.Place) bool { return true }
 	w.run(100*time.Millisecond, nil)
-	if hs := w.nodes[1].tb.Entries(w.now, all, 1); hs[0].ID != w.nodes[1].id {
+	if hs := w.nodes[1].tb.EntryHosts(w.now, all, 1); hs[0].ID != w.nodes[1].id {
 		t.Errorf("the peer names the draining host %s first", hs[0].ID)
 	}
-	w.run(2*Period, nil)
+	w.run(2*HeartbeatInterval, nil)
 	for _, m := range w.nodes {
-		for _, h := range m.tb.Entries(w.now, all, 1) {
+		for _, h := range m.tb.EntryHosts(w.now, all, 1) {
 			if h.ID == n.id {
 				t.Errorf("%s names the draining host %s", m.id, n.id)
 			}
@@ -166,7 +166,7 @@
 
 // Guards against a late load report that replaces a newer one.
 func TestOldReportsAreIgnored(t *testing.T) {
-	w := newWorld(7, 1, 1, 1)
+	w := newSimulation(7, 1, 1, 1)
 	w.run(2*time.Second, nil)
 	tb := w.nodes[0].tb
 	report := func(inc ident.Incarnation, seq uint64, running int) int {
@@ -183,7 +183,7 @@
 
 // Guards against a burst of requests that all go to the target that was idle in the last report.
 func TestSendsSinceTheReportCount(t *testing.T) {
-	w := newWorld(8, 1, 2, 1)
+	w := newSimulation(8, 1, 2, 1)
 	w.run(3*time.Second, nil)
 	a, b := w.nodes[0].tb, w.nodes[1].tb
 	for range 4 {
@@ -198,7 +198,7 @@
 	if got := y.Outstanding(w.now); got != 4 {
 		t.Errorf("the peer counts %d requests, want 4", got)
 	}
-	w.busy("dc0", 4)
+	w.setRunning("dc0", 4)
 	w.run(5*time.Second, nil)
 	if got := x.Outstanding(w.now); got != 4 {
 		t.Errorf("the sender counts %d requests after a report that includes its own 4", got)
@@ -209,7 +209,7 @@
 	if got := x.Outstanding(w.now); got != 7 {
 		t.Errorf("the sender counts %d requests after three more, want 7", got)
 	}
-	w.busy("dc0", 9)
+	w.setRunning("dc0", 9)
 	w.run(time.Second, nil)
 	for range 4 {
 		a.RequestSent("dc0-t0", 100, 100)
@@ -220,7 +220,7 @@
 	for range 11 {
 		a.RequestEnded("dc0-t0", 100, 100, true)
 	}
-	w.busy("dc0", 0)
+	w.setRunning("dc0", 0)
 	w.run(3*time.Second, nil)
 	if got := y.Outstanding(w.now); got != 0 {
 		t.Errorf("the peer counts %d requests after all have ended", got)
@@ -230,7 +230,7 @@
 // Guards against load peaks on the platform from hosts that start together and read the list at the
 // same moment.
 func TestReadsOfTheListAreSpread(t *testing.T) {
-	w := newWorld(9, 10, 6, 0)
+	w := newSimulation(9, 10, 6, 0)
 	before, most := 0, 0
 	w.run(300*time.Millisecond, func() {
 		most = max(most, w.reads-before)
@@ -257,7 +257,7 @@
 
 // Guards against a peer's report that clears the failures of the link from this host to the target.
 func TestPeersReportsDoNotClearOwnFailures(t *testing.T) {
-	w := newWorld(10, 1, 2, 4)
+	w := newSimulation(10, 1, 2, 4)
 	w.run(3*time.Second, nil)
 	tb := w.nodes[0].tb
 	for _, x := range tb.Targets() {
@@ -304,8 +304,8 @@
 		old bool
 	}{{time.Second, false}, {2 * time.Second, true}, {70 * time.Second, true}} {
 		// Time advances in steps of a period: a longer step would count as a pause.
-		for tb.last < ident.Time(step.at)-1 {
-			tb.Advance(min(tb.last.Add(Period), ident.Time(step.at)-1))
+		for tb.lastAdvance < ident.Time(step.at)-1 {
+			tb.Advance(min(tb.lastAdvance.Add(HeartbeatInterval), ident.Time(step.at)-1))
 		}
 		n := 2
 		if step.old {
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -21,7 +21,7 @@
 func (tb *Table) askMemory(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
-		if t.Capacity == 0 || t.MemoryTokens > 0 || tb.usual.PrefillRate(t.Service) == 0 || !t.Usable(now) {
+		if t.Capacity == 0 || t.MemoryTokens > 0 || tb.serviceStats.PrefillRate(t.Service) == 0 || !t.Usable(now) {
 			continue
 		}
 		if t.memoryAskedAt > 0 && now.Sub(t.memoryAskedAt) < memoryAskInterval {
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -66,8 +66,8 @@
 		}
 		askers := tb.askers(now, p.id)
 		n := spareSlots(p.Free, p.Slots)
-		if tb.isPaced(p.id) {
-			n /= paceStep
+		if tb.hasPace(p.id) {
+			n /= pacedOfferDivisor
 		}
 		for j, n := range split(n, len(askers)) {
 			rows[i][askers[j]] = n
@@ -98,10 +98,10 @@
 // mayOfferTo reports whether a data centre may get an offer of a pool. If the pace of streams is
 // known, the data centre need not ask: asking takes a round trip through both representatives.
 func (tb *Table) mayOfferTo(now ident.Time, c *Centre, id PoolID) bool {
-	if tb.isPaced(id) {
+	if tb.hasPace(id) {
 		return c.Pool(id) != nil
 	}
-	return c.ask(id) != nil && !holdsOffer(c.taken, now, id)
+	return c.requestedPool(id) != nil && !holdsOffer(c.offersReceived, now, id)
 }
 
 func (tb *Table) askerRank(salt uint64, i int) uint64 {
@@ -161,14 +161,14 @@
 	}
 	c := tb.centres[i]
 	p := c.Pool(id)
-	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerTTL || !tb.isPaced(id) && holdsOffer(c.given, now, id) {
+	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerTTL || !tb.hasPace(id) && holdsOffer(c.offersMade, now, id) {
 		return 0
 	}
 	if own, ok := tb.pool(id); ok && own.offering {
 		return 0
 	}
 	share := tb.ownShare(now, dc, p.Offer)
-	ramped := int(ramp(now.Sub(c.since))*float64(share) + 0.999999)
+	ramped := int(ramp(now.Sub(c.reachableSince))*float64(share) + 0.999999)
 	return max(0, min(share, ramped)-tb.unreportedInFlight(now, c, id))
 }
 
@@ -204,7 +204,7 @@
 // older than the window of recorded sends, every request in flight is counted.
 func (tb *Table) unreportedInFlight(now ident.Time, c *Centre, id PoolID) int {
 	running := tb.forwardedInFlight(c.Place.Group(), id)
-	from := c.madePools.Add(-maxForwardDelay)
+	from := c.poolsMadeAt.Add(-maxForwardDelay)
 	p := c.forwardWindow(id)
 	if p == nil || now.Sub(from) > load.WindowSpan {
 		return running
@@ -220,11 +220,11 @@
 }
 
 func (c *Centre) forwardWindow(id PoolID) *forwardWindow {
-	i := slices.IndexFunc(c.passed, func(p *forwardWindow) bool { return p.id == id })
+	i := slices.IndexFunc(c.forwarded, func(p *forwardWindow) bool { return p.id == id })
 	if i < 0 {
 		return nil
 	}
-	return c.passed[i]
+	return c.forwarded[i]
 }
 
 // recordForwarded records that a request is forwarded (n = 1) or that it has ended (n = -1).
@@ -236,13 +236,13 @@
 	c := tb.centres[i]
 	p := c.forwardWindow(id)
 	if p == nil {
-		if len(c.passed) >= maxWants {
+		if len(c.forwarded) >= maxWants {
 			return
 		}
 		p = &forwardWindow{id: id}
-		c.passed = append(c.passed, p)
+		c.forwarded = append(c.forwarded, p)
 	}
-	p.sends.Add(tb.last, n, 0)
+	p.sends.Add(tb.lastAdvance, n, 0)
 }
 
 // ownShare returns this host's share of an offer to its data centre. The live hosts split the offer
@@ -267,8 +267,8 @@
 }
 
 func (tb *Table) forwardedIndex(dc ident.DataCentre, id PoolID) (int, bool) {
-	return slices.BinarySearchFunc(tb.away, id, func(u event.AwayUse, id PoolID) int {
-		return cmp.Or(cmp.Compare(u.DataCentre, dc), byPool(PoolID{u.Serve, u.Service}, id))
+	return slices.BinarySearchFunc(tb.forwarded, id, func(u event.AwayUse, id PoolID) int {
+		return cmp.Or(cmp.Compare(u.DataCentre, dc), comparePools(PoolID{u.Serve, u.Service}, id))
 	})
 }
 
@@ -277,20 +277,20 @@
 	if !ok {
 		return 0
 	}
-	return tb.away[i].Running
+	return tb.forwarded[i].Running
 }
 
 // ForwardStarted records that a request is forwarded to a data centre.
 func (tb *Table) ForwardStarted(dc ident.DataCentre, id PoolID) {
 	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
-		tb.away = slices.Insert(tb.away, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
+		tb.forwarded = slices.Insert(tb.forwarded, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
 	}
-	tb.away[i].Running++
+	tb.forwarded[i].Running++
 	tb.recordForwarded(dc, id, 1)
 	if p, ok := tb.pool(id); ok && p.offering {
 		p.offering = false
-		tb.beat.asks = true
+		tb.heartbeat.summaryDue = true
 	}
 }
 
@@ -300,9 +300,9 @@
 	if !ok {
 		return
 	}
-	tb.away[i].Running--
+	tb.forwarded[i].Running--
 	tb.recordForwarded(dc, id, -1)
-	if tb.away[i].Running == 0 {
-		tb.away = slices.Delete(tb.away, i, i+1)
+	if tb.forwarded[i].Running == 0 {
+		tb.forwarded = slices.Delete(tb.forwarded, i, i+1)
 	}
 }
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -9,23 +9,23 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// LoadReported merges a load report that this host has polled or received with an answer.
+// LoadReported merges a load report that this host has polled or has received with an answer.
 func (tb *Table) LoadReported(now ident.Time, ld event.Load) {
 	tb.Advance(now)
 	t, ok := tb.mergeLoad(now, ld, true)
 	if !ok {
 		return
 	}
-	if !sameLoad(t.relayedLoad, ld) || now.Sub(t.relayedAt) >= relayInterval {
+	if !similarLoad(t.relayedLoad, ld) || now.Sub(t.relayedAt) >= relayInterval {
 		t.relayedLoad, t.relayedAt = ld, now
-		tb.relay = append(tb.relay, ld)
+		tb.loadsToRelay = append(tb.loadsToRelay, ld)
 	}
 }
 
-// mergeLoad merges a report and reports whether it was new.
+// mergeLoad merges a load report and reports whether it was new.
 func (tb *Table) mergeLoad(now ident.Time, ld event.Load, direct bool) (*Target, bool) {
 	if ld.Draining && tb.observeDraining(now, ld.Target, ld.Incarnation) && direct {
-		tb.beat.urgent = true
+		tb.heartbeat.urgent = true
 	}
 	t, ok := tb.byID[ld.Target]
 	if ok {
@@ -49,16 +49,16 @@
 	} else {
 		t.markSeen(now.Add(-ld.Age))
 	}
-	t.SetReport(ld, now.Add(-ld.Age-tb.late(now)))
+	t.SetReport(ld, now.Add(-ld.Age-tb.extraAge(now)))
 	return t, true
 }
 
-// relayPart is the part of the slots by which the requests at a target must
-// change for its report to be relayed at once.
-const relayPart = 8
+// relayChangeDivisor sets the change in the number of requests at a target above which its
+// report is relayed at once: the number of slots divided by it.
+const relayChangeDivisor = 8
 
-// sameLoad reports whether two reports differ by too little to be worth a relay.
-func sameLoad(a, b event.Load) bool {
+// similarLoad reports whether two load reports differ too little to relay the second.
+func similarLoad(a, b event.Load) bool {
 	if a.Incarnation != b.Incarnation || a.Slots != b.Slots || a.Draining != b.Draining {
 		return false
 	}
@@ -66,24 +66,24 @@
 		return false
 	}
 	change := a.Running + a.Queued - b.Running - b.Queued
-	return max(change, -change) <= a.Slots/relayPart
+	return max(change, -change) <= a.Slots/relayChangeDivisor
 }
 
-// fixedEvery is the longest time between two relays of a load report with the
-// fixed part, which makes good one that was lost.
-const fixedEvery = 10 * time.Second
+// staticPartInterval is the longest time between two relays of the static part of a load
+// report, in case one was lost.
+const staticPartInterval = 10 * time.Second
 
-// ratePart is the part by which a rate must change to be relayed at once.
-const ratePart = 0.1
+// minRateChange is the relative change of a rate above which it is relayed at once.
+const minRateChange = 0.1
 
-// shorten leaves out the parts of a report that peers have. The report of a draining target
-// goes whole, for hosts that do not know the target yet.
-func (tb *Table) shorten(now ident.Time, t *Target, ld event.Load) event.Load {
+// omitKnownFields removes the fields of a load report that peers already have. The report of a
+// draining target is sent in full, for hosts that do not know the target yet.
+func (tb *Table) omitKnownFields(now ident.Time, t *Target, ld event.Load) event.Load {
 	if ld.Draining {
 		return ld
 	}
 	ld.Target, ld.Key = tb.digestName(t)
-	if !sameFixed(t.relayedFixed, ld) || now.Sub(t.relayedFixedAt) >= fixedEvery {
+	if !sameStaticPart(t.relayedFixed, ld) || now.Sub(t.relayedFixedAt) >= staticPartInterval {
 		t.relayedFixed, t.relayedFixedAt = ld, now
 		return ld
 	}
@@ -92,18 +92,17 @@
 	return ld
 }
 
-// sameFixed reports whether two reports say the same beside the requests and
-// the queue.
-func sameFixed(a, b event.Load) bool {
+// sameStaticPart reports whether two load reports agree except for their requests and queue.
+func sameStaticPart(a, b event.Load) bool {
 	return a.Incarnation == b.Incarnation && a.Slots == b.Slots && slices.Equal(a.Serves, b.Serves) &&
-		near(a.PrefillRate, b.PrefillRate) && near(a.DecodeRate, b.DecodeRate)
+		similarRate(a.PrefillRate, b.PrefillRate) && similarRate(a.DecodeRate, b.DecodeRate)
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= ratePart*a }
+func similarRate(a, b float64) bool { return math.Abs(a-b) <= minRateChange*a }
 
-// mergeRelayed merges a report that a peer has polled. One that leaves out parts which this
-// host does not have is ignored.
-func (tb *Table) mergeRelayed(now ident.Time, ld event.Load) {
+// mergeRelayedLoad merges a load report that a peer has polled. It ignores a report that omits
+// fields which this host does not have.
+func (tb *Table) mergeRelayedLoad(now ident.Time, ld event.Load) {
 	if t := tb.byKey[ld.Key]; ld.Target == "" && t != nil {
 		ld.Target = t.ID
 	}
@@ -121,7 +120,7 @@
 	tb.mergeLoad(now, ld, false)
 }
 
-// LoadFailed records a report that did not come.
+// LoadFailed records that a poll for a load report failed.
 func (tb *Table) LoadFailed(now ident.Time, id ident.TargetID, inc ident.Incarnation) {
 	tb.Advance(now)
 	if t, ok := tb.currentTarget(id, inc); ok {
--- a/internal/member/sent.go
+++ b/internal/member/sent.go
@@ -8,7 +8,7 @@
 // that the target probably caches.
 func (tb *Table) AddPrefill(id ident.TargetID, tokens ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
-		t.AddPrefill(tb.last, tokens)
+		t.AddPrefill(tb.lastAdvance, tokens)
 	}
 }
 
@@ -25,9 +25,9 @@
 	if !ok {
 		return
 	}
-	t.AddRequest(tb.last, prefill, generated)
-	if t.Cold(tb.last) {
-		t.coldSends = append(t.coldSends, tb.last)
+	t.AddRequest(tb.lastAdvance, prefill, generated)
+	if t.Cold(tb.lastAdvance) {
+		t.coldSends = append(t.coldSends, tb.lastAdvance)
 	}
 }
 
@@ -38,7 +38,7 @@
 	if !found {
 		return
 	}
-	t.EndRequest(tb.last, prefill, generated)
+	t.EndRequest(tb.lastAdvance, prefill, generated)
 	if !ok {
 		tb.recordFailure(t)
 		return
@@ -58,7 +58,7 @@
 // example because the caller disconnected.
 func (tb *Table) RequestAborted(id ident.TargetID, prefill, generated ident.Tokens) {
 	if t, ok := tb.byID[id]; ok {
-		t.EndRequest(tb.last, prefill, generated)
+		t.EndRequest(tb.lastAdvance, prefill, generated)
 	}
 }
 
@@ -66,16 +66,16 @@
 func (tb *Table) recordFailure(t *Target) {
 	t.ConsecutiveFailures++
 	if t.ConsecutiveFailures == suspectFailures {
-		tb.note(t, "target is suspected")
+		tb.addNote(t, "target is suspected")
 	}
 }
 
 // recordAnswer records that a target answered this host.
 func (tb *Table) recordAnswer(t *Target) {
 	wasSuspect := t.ConsecutiveFailures >= suspectFailures
-	t.markAnswered(tb.last)
+	t.markAnswered(tb.lastAdvance)
 	if wasSuspect {
-		tb.note(t, "target answers again")
+		tb.addNote(t, "target answers again")
 	}
 }
 
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -11,7 +11,7 @@
 // nextDigest returns the first digest that a table sends at a tick.
 func nextDigest(t *testing.T, tb *Table, now ident.Time) event.Digest {
 	t.Helper()
-	for _, eff := range tb.Tick(now, Own{}) {
+	for _, eff := range tb.Tick(now, LocalState{}) {
 		if e, ok := eff.(event.SendDigest); ok {
 			return e.Digest
 		}
@@ -29,7 +29,7 @@
 		tb.PeerUp(at, tables[1-i].Self())
 	}
 	for _, tb := range tables {
-		tb.Tick(at, Own{})
+		tb.Tick(at, LocalState{})
 	}
 	return tables[0], tables[1]
 }
@@ -137,7 +137,7 @@
 func TestFirstReaderAnnouncesNewTargets(t *testing.T) {
 	at := ident.Time(time.Second)
 	a, b := newPair(at)
-	if a.Watches(at) {
+	if a.IsWatcher(at) {
 		a, b = b, a
 	}
 	at = at.Add(100 * time.Millisecond)
@@ -157,24 +157,24 @@
 func TestFailedReadIsRepeatedSoon(t *testing.T) {
 	at := ident.Time(time.Second)
 	a, b := newPair(at)
-	if a.Watches(at) {
+	if a.IsWatcher(at) {
 		a, b = b, a
 	}
 	reads := 0
 	for end := at.Add(40 * time.Second); at < end; at = at.Add(100 * time.Millisecond) {
-		b.Tick(at, Own{})
+		b.Tick(at, LocalState{})
 		a.DigestReceived(at, event.Digest{Host: b.Self(), Seq: uint64(at)})
-		for _, eff := range a.Tick(at, Own{}) {
+		for _, eff := range a.Tick(at, LocalState{}) {
 			if _, ok := eff.(event.ReadHosts); ok {
 				reads++
 				a.ListFailed(at)
 			}
 		}
 	}
-	if a.Watches(at) {
+	if a.IsWatcher(at) {
 		t.Fatal("the host is the watcher")
 	}
-	if minReads := int(30 * time.Second / (watchEvery + Period)); reads < minReads {
+	if minReads := int(30 * time.Second / (watcherReadInterval + HeartbeatInterval)); reads < minReads {
 		t.Errorf("%d reads in 40 s, want at least %d", reads, minReads)
 	}
 }
@@ -193,7 +193,7 @@
 		}
 	}
 	relayed := func() int {
-		at = at.Add(Period)
+		at = at.Add(HeartbeatInterval)
 		for _, s := range nextDigest(t, tb, at).Summaries {
 			if !s.HostsKept {
 				return len(s.Hosts)
@@ -217,7 +217,7 @@
 func TestIncompleteListRemovesNothingAtPeers(t *testing.T) {
 	at := ident.Time(time.Second)
 	reader, follower := newPair(at)
-	if !reader.Watches(at) {
+	if !reader.IsWatcher(at) {
 		reader, follower = follower, reader
 	}
 	at = at.Add(outageGrace)
--- a/internal/member/start.go
+++ b/internal/member/start.go
@@ -18,7 +18,7 @@
 		i, _ := slices.BinarySearchFunc(tb.targets, d.ID, func(t *Target, id ident.TargetID) int { return cmp.Compare(t.ID, id) })
 		tb.targets = slices.Insert(tb.targets, i, t)
 		tb.addKey(t)
-		tb.sumUse(t)
+		tb.addPeerUse(t)
 		tb.updateDraining(now, t)
 		return
 	}
@@ -32,7 +32,7 @@
 		t.Target = d
 	case d.Incarnation > t.Incarnation:
 		tb.restartTarget(now, t, d)
-	case now.Sub(t.lastSeen) > deadAfter:
+	case now.Sub(t.lastSeen) > deadTimeout:
 		// The target's clock was set back, and its former incarnation is dead.
 		if tb.draining[d.ID].incarnation > d.Incarnation {
 			delete(tb.draining, d.ID)
@@ -69,7 +69,7 @@
 		coldUntil: now.Add(d.ColdFor), coldSends: t.coldSends, listedVersion: max(t.listedVersion, tb.list.version),
 	}
 	tb.restarted = append(tb.restarted, t.ID)
-	tb.note(t, "target has started anew")
+	tb.addNote(t, "target has started anew")
 }
 
 // TakeRestarted returns the targets that have restarted since the last call.
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -28,7 +28,7 @@
 	if !tb.IsCurrent("a", 0) || !tb.IsCurrent("a", 7) {
 		t.Error("requests sent before the incarnation was known are not attributed to the current one")
 	}
-	later := at.Add(2 * deadAfter)
+	later := at.Add(2 * deadTimeout)
 	tb.HostsRead(later, listOf(2, newTargetWithoutIncarnation("a")))
 	if ids := tb.TakeRestarted(); len(ids) > 0 {
 		t.Errorf("targets %v count as restarted after a list without incarnations", ids)
--- a/internal/member/target.go
+++ b/internal/member/target.go
@@ -137,7 +137,7 @@
 func (tb *Table) dropStaleTargets(now ident.Time) {
 	before := len(tb.targets)
 	tb.targets = slices.DeleteFunc(tb.targets, func(t *Target) bool {
-		gone := !t.listed && now.Sub(t.lastSeen) > dropAfter && t.InFlight == 0 && t.PeerInFlight == 0
+		gone := !t.listed && now.Sub(t.lastSeen) > dropTimeout && t.InFlight == 0 && t.PeerInFlight == 0
 		if gone {
 			delete(tb.byID, t.ID)
 		}
@@ -157,7 +157,7 @@
 	var effs []event.Effect
 	for _, t := range tb.targets {
 		if t.Suspect(now) || t.Capacity == 0 && tb.poller(now, t.ID) == tb.self.ID {
-			effs = append(effs, event.PollLoad{Target: t.Target, After: tb.own.after(t.ID)})
+			effs = append(effs, event.PollLoad{Target: t.Target, After: tb.local.lastCacheEvent(t.ID)})
 		}
 	}
 	return effs
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -19,15 +19,15 @@
 		return
 	}
 	c := tb.centres[i]
-	if c.away == nil {
-		c.away = make(map[string]ident.Time)
+	if c.rejectedAt == nil {
+		c.rejectedAt = make(map[string]ident.Time)
 	}
-	c.away[service] = now
+	c.rejectedAt[service] = now
 }
 
 // RecentlyRefused reports whether a data centre has refused a request of a service within
 // refusalBackoff.
 func (tb *Table) RecentlyRefused(now ident.Time, c *Centre, service string) bool {
-	at, ok := c.away[service]
+	at, ok := c.rejectedAt[service]
 	return ok && mech.On(codes.LeftAlone) && now.Sub(at) < refusalBackoff
 }
--- a/internal/member/use_test.go
+++ b/internal/member/use_test.go
@@ -37,7 +37,7 @@
 					tb.PeerUp(now, newHost(fmt.Sprintf("w%d", i+1), "west-a", "west"))
 				}
 			}
-			for _, eff := range tb.Tick(now, Own{}) {
+			for _, eff := range tb.Tick(now, LocalState{}) {
 				if e, ok := eff.(event.SendDigest); ok && len(e.To) == c.peers {
 					digests++
 				}
