--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -50,10 +50,10 @@
 
 // Defaults of Config.
 const (
-	defaultMost      = 1 << 10
-	defaultHomeShare = 0.5
-	defaultLead      = 2 * time.Second
-	defaultMargin    = 0.5
+	defaultMaxWaiting = 1 << 10
+	defaultHomeShare  = 0.5
+	defaultMaxLead    = 2 * time.Second
+	defaultMargin     = 0.5
 
 	// minRetryAfter keeps callers from coming back at once.
 	minRetryAfter = time.Second
@@ -61,14 +61,14 @@
 
 // Config bounds the queue. Zero fields stand for the defaults.
 type Config struct {
-	// Most is the most requests that wait.
-	Most int
+	// MaxWaiting is the most requests that wait.
+	MaxWaiting int
 	// HomeShare is the share of the work that home-bound requests are given
 	// before others that wait.
 	HomeShare float64
-	// Lead is how much more work an account may have been given than another
+	// MaxLead is how much more work an account may have been given than another
 	// that waits.
-	Lead time.Duration
+	MaxLead time.Duration
 	// Margin is the share of the predicted work that is added to it before
 	// it is held against the deadline. A negative one is none.
 	Margin float64
@@ -76,12 +76,12 @@
 
 // Item is one request that waits.
 type Item struct {
-	ID       ident.RequestID
-	Account  ident.Account
-	Home     bool
-	Priority int
-	// Late says that it can no longer be answered within its goal.
-	Late     bool
+	ID        ident.RequestID
+	Account   ident.Account
+	HomeBound bool
+	Priority  int
+	// PastGoal says that it can no longer be answered within its goal.
+	PastGoal bool
 	Deadline ident.Time
 	// Work is the predicted time from the start to the whole answer.
 	Work time.Duration
@@ -91,16 +91,16 @@
 type entry struct {
 	Item
 	account *account
-	// latest is the last moment at which it can start and be met.
-	latest ident.Time
+	// latestStart is the last moment at which it can start and be met.
+	latestStart ident.Time
 }
 
 // account is what the queue knows of one client account.
 type account struct {
 	name    ident.Account
 	waiting int
-	// given is the work given to it, on a scale shared by all accounts.
-	given time.Duration
+	// served is the work served to it, on a scale shared by all accounts.
+	served time.Duration
 }
 
 // Queue holds the requests that wait.
@@ -109,24 +109,24 @@
 	entries  []entry
 	accounts map[ident.Account]*account
 	work     time.Duration
-	// level is the least work given to any account that waited at the last
+	// servedFloor is the least work given to any account that waited at the last
 	// Pop. An account that comes anew starts there: time not used is no
 	// credit.
-	level time.Duration
-	// home and other are the work given while both kinds waited.
-	home, other time.Duration
+	servedFloor time.Duration
+	// homeServed and otherServed are the work given while both kinds waited.
+	homeServed, otherServed time.Duration
 }
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
-	if cfg.Most == 0 {
-		cfg.Most = defaultMost
+	if cfg.MaxWaiting == 0 {
+		cfg.MaxWaiting = defaultMaxWaiting
 	}
 	if cfg.HomeShare == 0 {
 		cfg.HomeShare = defaultHomeShare
 	}
-	if cfg.Lead == 0 {
-		cfg.Lead = defaultLead
+	if cfg.MaxLead == 0 {
+		cfg.MaxLead = defaultMaxLead
 	}
 	if cfg.Margin == 0 {
 		cfg.Margin = defaultMargin
@@ -144,13 +144,13 @@
 // not wait, retryAfter is when to come back. shed lists those that lost their
 // place to it.
 func (q *Queue) Push(now ident.Time, it Item, wait time.Duration) (ok bool, shed []ident.RequestID, retryAfter time.Duration) {
-	if late := now.Add(wait).Sub(q.latest(it)); late > 0 {
+	if late := now.Add(wait).Sub(q.latestStart(it)); late > 0 {
 		return false, nil, max(minRetryAfter, late)
 	}
 	if q.index(it.ID) >= 0 {
 		return true, nil, 0
 	}
-	if len(q.entries) >= q.cfg.Most {
+	if len(q.entries) >= q.cfg.MaxWaiting {
 		i, ok := q.victim(it.Account)
 		if !ok {
 			return false, nil, q.RetryAfter(now, wait)
@@ -162,8 +162,8 @@
 	return true, shed, 0
 }
 
-// Put takes back an item that Pop gave out and that found no place.
-func (q *Queue) Put(it Item) {
+// PutBack takes back an item that Pop gave out and that found no place.
+func (q *Queue) PutBack(it Item) {
 	if q.index(it.ID) < 0 {
 		q.add(it)
 	}
@@ -177,7 +177,7 @@
 	}
 	n := 0
 	for i := range q.entries {
-		if !q.entries[i].Late {
+		if !q.entries[i].PastGoal {
 			n++
 		}
 	}
@@ -202,7 +202,7 @@
 	start := now.Add(max(wait, 0))
 	for i := 0; i < len(q.entries); {
 		e := &q.entries[i]
-		if start <= e.latest {
+		if start <= e.latestStart {
 			i++
 			continue
 		}
@@ -212,11 +212,11 @@
 	return ids
 }
 
-// Next returns when Shed has work even if a place were free at once, or Never.
-func (q *Queue) Next() ident.Time {
+// NextShed returns when Shed has work even if a place were free at once, or Never.
+func (q *Queue) NextShed() ident.Time {
 	next := Never
 	for i := range q.entries {
-		next = min(next, q.entries[i].latest+1)
+		next = min(next, q.entries[i].latestStart+1)
 	}
 	return next
 }
@@ -226,7 +226,7 @@
 	return max(minRetryAfter, wait)
 }
 
-// latest returns the last moment at which an item can start and be met.
-func (q *Queue) latest(it Item) ident.Time {
+// latestStart returns the last moment at which an item can start and be met.
+func (q *Queue) latestStart(it Item) ident.Time {
 	return it.Deadline.Add(-it.Work - time.Duration(max(q.cfg.Margin, 0)*float64(it.Work)))
 }
--- a/internal/admit/load_test.go
+++ b/internal/admit/load_test.go
@@ -11,11 +11,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// The server model: places that each serve one request at a time. What a
+// The server model: slots that each serve one request at a time. What a
 // request really takes is its prediction times a log-normal factor of mean 1,
 // so one in nine takes half as long again, or longer.
 const (
-	places   = 20
+	slots    = 20
 	meanWork = time.Second
 	runTime  = 5 * time.Minute
 	sigma    = 0.4
@@ -33,11 +33,11 @@
 	pop  func(now ident.Time) (arrival, bool)
 }
 
-// load makes arrivals at a multiple of what the places can serve, the same on
+// arrivals makes arrivals at a multiple of what the places can serve, the same on
 // every run.
-func load(times float64) []arrival {
+func arrivals(times float64) []arrival {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	rate := times * places / meanWork.Seconds()
+	rate := times * slots / meanWork.Seconds()
 	var as []arrival
 	for at := 0.0; at < runTime.Seconds(); at += rnd.ExpFloat64() / rate {
 		work := time.Duration(min(rnd.ExpFloat64(), 5) * float64(meanWork))
@@ -47,7 +47,7 @@
 			real: time.Duration(float64(work) * math.Exp(sigma*rnd.NormFloat64()-sigma*sigma/2)),
 			Item: Item{
 				ID: ident.RequestID(fmt.Sprint(len(as))), Account: ident.Account(fmt.Sprint(rnd.IntN(20))),
-				Home: rnd.IntN(9) == 0, Work: work,
+				HomeBound: rnd.IntN(9) == 0, Work: work,
 				Deadline: now.Add(work + time.Duration((2+8*rnd.Float64())*float64(time.Second))),
 			},
 		})
@@ -55,14 +55,14 @@
 	return as
 }
 
-// ends is a heap of the times at which busy places are free.
-type ends []ident.Time
+// endTimes is a heap of the times at which busy places are free.
+type endTimes []ident.Time
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i] < e[j] }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(ident.Time)) }
-func (e *ends) Pop() any {
+func (e endTimes) Len() int           { return len(e) }
+func (e endTimes) Less(i, j int) bool { return e[i] < e[j] }
+func (e endTimes) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endTimes) Push(x any)        { *e = append(*e, x.(ident.Time)) }
+func (e *endTimes) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -83,17 +83,17 @@
 
 // serve runs a load through a policy.
 func serve(as []arrival, p policy) goodput {
-	busy := &ends{}
+	busy := &endTimes{}
 	var g goodput
 	fill := func(now ident.Time) {
-		for busy.Len() < places {
+		for busy.Len() < slots {
 			a, ok := p.pop(now)
 			if !ok {
 				return
 			}
 			end := now.Add(a.real)
 			if end <= a.Deadline && end <= ident.Time(runTime) {
-				g.work += a.real.Seconds() / (runTime.Seconds() * places)
+				g.work += a.real.Seconds() / (runTime.Seconds() * slots)
 				g.requests += 1 / runTime.Seconds()
 			}
 			heap.Push(busy, end)
@@ -132,7 +132,7 @@
 	return policy{
 		push: func(now ident.Time, a arrival) {
 			q.Shed(now, 0)
-			if ok, _, _ := q.Push(now, a.Item, q.Work()/places); ok {
+			if ok, _, _ := q.Push(now, a.Item, q.Work()/slots); ok {
 				as[a.ID] = a
 			}
 		},
@@ -148,7 +148,7 @@
 func TestOverloadKeepsGoodput(t *testing.T) {
 	var best, got goodput
 	for _, times := range []float64{1, 2, 10} {
-		as := load(times)
+		as := arrivals(times)
 		naive := serve(as, fifo())
 		got = serve(as, admitted(Config{}))
 		best = best.max(naive).max(got)
@@ -169,7 +169,7 @@
 			b.Run(fmt.Sprintf("margin=%v/offered=%v", m, times), func(b *testing.B) {
 				var g goodput
 				for b.Loop() {
-					g = serve(load(times), admitted(Config{Margin: m}))
+					g = serve(arrivals(times), admitted(Config{Margin: m}))
 				}
 				b.ReportMetric(g.work, "work")
 				b.ReportMetric(g.requests, "requests/s")
--- a/internal/admit/order.go
+++ b/internal/admit/order.go
@@ -10,17 +10,17 @@
 // Pop takes out the request to serve next. Requests that can't be met are left
 // for Shed.
 func (q *Queue) Pop(now ident.Time) (Item, bool) {
-	home, other := q.kinds(now)
+	home, other := q.countServable(now)
 	if home == 0 && other == 0 {
 		return Item{}, false
 	}
 	if home == 0 || other == 0 {
-		q.home, q.other = 0, 0
+		q.homeServed, q.otherServed = 0, 0
 	}
 	wantHome := other == 0 || (home > 0 && q.homeFirst())
-	best := q.best(now, wantHome)
+	best := q.bestIndex(now, wantHome)
 	e := q.entries[best]
-	e.account.given += e.Work
+	e.account.served += e.Work
 	if home > 0 && other > 0 {
 		q.charge(e.Item)
 	}
@@ -28,12 +28,12 @@
 	return e.Item, true
 }
 
-// kinds counts the home-bound and the other requests that can be served.
-func (q *Queue) kinds(now ident.Time) (home, other int) {
+// countServable counts the home-bound and the other requests that can be served.
+func (q *Queue) countServable(now ident.Time) (home, other int) {
 	for i := range q.entries {
 		switch e := &q.entries[i]; {
-		case now > e.latest:
-		case e.Home:
+		case now > e.latestStart:
+		case e.HomeBound:
 			home++
 		default:
 			other++
@@ -43,31 +43,31 @@
 }
 
 func (q *Queue) homeFirst() bool {
-	return float64(q.home)*(1-q.cfg.HomeShare) <= float64(q.other)*q.cfg.HomeShare
+	return float64(q.homeServed)*(1-q.cfg.HomeShare) <= float64(q.otherServed)*q.cfg.HomeShare
 }
 
 func (q *Queue) charge(it Item) {
-	if it.Home {
-		q.home += it.Work
+	if it.HomeBound {
+		q.homeServed += it.Work
 		return
 	}
-	q.other += it.Work
+	q.otherServed += it.Work
 }
 
-// best finds the index of the next request of one kind.
-func (q *Queue) best(now ident.Time, home bool) int {
-	ok := func(e *entry) bool { return e.Home == home && now <= e.latest }
-	late := q.allLate(ok)
+// bestIndex finds the index of the next request of one kind.
+func (q *Queue) bestIndex(now ident.Time, home bool) int {
+	ok := func(e *entry) bool { return e.HomeBound == home && now <= e.latestStart }
+	late := q.allPastGoal(ok)
 	timely := ok
 	if !late {
-		ok = func(e *entry) bool { return timely(e) && !e.Late }
+		ok = func(e *entry) bool { return timely(e) && !e.PastGoal }
 	}
-	priority, least := q.front(ok)
-	q.level = max(q.level, least)
+	priority, least := q.topPriority(ok)
+	q.servedFloor = max(q.servedFloor, least)
 	best := -1
 	for i := range q.entries {
 		e := &q.entries[i]
-		if !ok(e) || e.Priority != priority || e.account.given > least+q.cfg.Lead {
+		if !ok(e) || e.Priority != priority || e.account.served > least+q.cfg.MaxLead {
 			continue
 		}
 		if best < 0 || e.Deadline < q.entries[best].Deadline {
@@ -77,19 +77,19 @@
 	return best
 }
 
-// allLate reports whether all that wait are late.
-func (q *Queue) allLate(ok func(e *entry) bool) bool {
+// allPastGoal reports whether all that wait are late.
+func (q *Queue) allPastGoal(ok func(e *entry) bool) bool {
 	for i := range q.entries {
-		if e := &q.entries[i]; ok(e) && !e.Late {
+		if e := &q.entries[i]; ok(e) && !e.PastGoal {
 			return false
 		}
 	}
 	return true
 }
 
-// front finds the highest priority that waits, and the least work given to an
+// topPriority finds the highest priority that waits, and the least work given to an
 // account that waits at that priority.
-func (q *Queue) front(ok func(e *entry) bool) (priority int, least time.Duration) {
+func (q *Queue) topPriority(ok func(e *entry) bool) (priority int, least time.Duration) {
 	found := false
 	for i := range q.entries {
 		e := &q.entries[i]
@@ -97,11 +97,11 @@
 			continue
 		}
 		if !found || e.Priority > priority {
-			found, priority, least = true, e.Priority, e.account.given
+			found, priority, least = true, e.Priority, e.account.served
 			continue
 		}
 		if e.Priority == priority {
-			least = min(least, e.account.given)
+			least = min(least, e.account.served)
 		}
 	}
 	return priority, least
@@ -114,11 +114,11 @@
 		q.accounts[it.Account] = a
 	}
 	if a.waiting == 0 {
-		a.given = max(a.given, q.level)
+		a.served = max(a.served, q.servedFloor)
 	}
 	a.waiting++
 	q.work += it.Work
-	q.entries = append(q.entries, entry{Item: it, account: a, latest: q.latest(it)})
+	q.entries = append(q.entries, entry{Item: it, account: a, latestStart: q.latestStart(it)})
 }
 
 func (q *Queue) remove(i int) {
@@ -129,10 +129,10 @@
 	if len(q.entries) == 0 {
 		// Nobody waits, so nobody is owed a turn.
 		clear(q.accounts)
-		q.level, q.home, q.other = 0, 0, 0
+		q.servedFloor, q.homeServed, q.otherServed = 0, 0, 0
 		return
 	}
-	if len(q.accounts) > 2*q.cfg.Most {
+	if len(q.accounts) > 2*q.cfg.MaxWaiting {
 		q.forgetIdle()
 	}
 }
@@ -173,13 +173,13 @@
 			most = a
 		}
 	}
-	if held*accounts >= q.cfg.Most || most == nil || most.waiting <= held+1 {
+	if held*accounts >= q.cfg.MaxWaiting || most == nil || most.waiting <= held+1 {
 		return 0, false
 	}
-	return q.lastOf(most), true
+	return q.leastUrgent(most), true
 }
 
-func (q *Queue) lastOf(a *account) int {
+func (q *Queue) leastUrgent(a *account) int {
 	last := -1
 	for i := range q.entries {
 		e := &q.entries[i]
--- a/internal/admit/order_test.go
+++ b/internal/admit/order_test.go
@@ -19,8 +19,8 @@
 	_ = flag.Set("rapid.steps", "100")
 }
 
-// naive is the queue as a plain list, in the order of arrival.
-type naive struct {
+// referenceQueue is the queue as a plain list, in the order of arrival.
+type referenceQueue struct {
 	cfg         Config
 	list        []Item
 	given       map[ident.Account]time.Duration
@@ -28,11 +28,11 @@
 	home, other time.Duration
 }
 
-func (n *naive) late(now ident.Time, it Item) bool {
+func (n *referenceQueue) late(now ident.Time, it Item) bool {
 	return now.Add(it.Work+it.Work/2) > it.Deadline
 }
 
-func (n *naive) of(a ident.Account) int {
+func (n *referenceQueue) of(a ident.Account) int {
 	k := 0
 	for _, it := range n.list {
 		if it.Account == a {
@@ -42,14 +42,14 @@
 	return k
 }
 
-func (n *naive) add(it Item) {
+func (n *referenceQueue) add(it Item) {
 	if n.of(it.Account) == 0 {
 		n.given[it.Account] = max(n.given[it.Account], n.level)
 	}
 	n.list = append(n.list, it)
 }
 
-func (n *naive) drop(id ident.RequestID) bool {
+func (n *referenceQueue) drop(id ident.RequestID) bool {
 	k := len(n.list)
 	n.list = slices.DeleteFunc(n.list, func(it Item) bool { return it.ID == id })
 	if len(n.list) == 0 {
@@ -58,18 +58,18 @@
 	return len(n.list) < k
 }
 
-func keep(list []Item, ok func(Item) bool) []Item {
+func filter(list []Item, ok func(Item) bool) []Item {
 	return slices.DeleteFunc(slices.Clone(list), func(it Item) bool { return !ok(it) })
 }
 
 // pop filters step by step until the earliest deadline decides.
-func (n *naive) pop(now ident.Time) (Item, bool) {
-	can := keep(n.list, func(it Item) bool { return !n.late(now, it) })
+func (n *referenceQueue) pop(now ident.Time) (Item, bool) {
+	can := filter(n.list, func(it Item) bool { return !n.late(now, it) })
 	if len(can) == 0 {
 		return Item{}, false
 	}
-	homes := keep(can, func(it Item) bool { return it.Home })
-	others := keep(can, func(it Item) bool { return !it.Home })
+	homes := filter(can, func(it Item) bool { return it.HomeBound })
+	others := filter(can, func(it Item) bool { return !it.HomeBound })
 	both := len(homes) > 0 && len(others) > 0
 	if !both {
 		n.home, n.other = 0, 0
@@ -79,16 +79,16 @@
 		can = homes
 	}
 	top := slices.MaxFunc(can, func(a, b Item) int { return a.Priority - b.Priority }).Priority
-	can = keep(can, func(it Item) bool { return it.Priority == top })
+	can = filter(can, func(it Item) bool { return it.Priority == top })
 	least := n.given[can[0].Account]
 	for _, it := range can {
 		least = min(least, n.given[it.Account])
 	}
 	n.level = max(n.level, least)
-	can = keep(can, func(it Item) bool { return n.given[it.Account] <= least+n.cfg.Lead })
+	can = filter(can, func(it Item) bool { return n.given[it.Account] <= least+n.cfg.MaxLead })
 	it := slices.MinFunc(can, func(a, b Item) int { return int(a.Deadline - b.Deadline) })
 	n.given[it.Account] += it.Work
-	if both && it.Home {
+	if both && it.HomeBound {
 		n.home += it.Work
 	} else if both {
 		n.other += it.Work
@@ -98,7 +98,7 @@
 }
 
 // full reports whether a full queue must refuse an account.
-func (n *naive) full(a ident.Account) bool {
+func (n *referenceQueue) full(a ident.Account) bool {
 	accounts, most := []ident.Account{a}, 0
 	for _, it := range n.list {
 		if !slices.Contains(accounts, it.Account) {
@@ -108,21 +108,21 @@
 			most = max(most, n.of(it.Account))
 		}
 	}
-	return n.of(a)*len(accounts) >= n.cfg.Most || most <= n.of(a)+1
+	return n.of(a)*len(accounts) >= n.cfg.MaxWaiting || most <= n.of(a)+1
 }
 
 // above reports whether the account of an item has another that should give
 // way before it.
-func (n *naive) above(it Item) bool {
+func (n *referenceQueue) above(it Item) bool {
 	return slices.ContainsFunc(n.list, func(o Item) bool {
 		return o.Account == it.Account &&
 			(o.Priority < it.Priority || (o.Priority == it.Priority && o.Deadline > it.Deadline))
 	})
 }
 
-func (n *naive) push(t *rapid.T, q *Queue, now ident.Time, it Item, wait time.Duration) {
+func (n *referenceQueue) push(t *rapid.T, q *Queue, now ident.Time, it Item, wait time.Duration) {
 	ok, shed, after := q.Push(now, it, wait)
-	want := !n.late(now.Add(wait), it) && (len(n.list) < n.cfg.Most || !n.full(it.Account))
+	want := !n.late(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.full(it.Account))
 	if ok != want || (!ok && after < minRetryAfter) {
 		t.Fatalf("push %+v: got %v, want %v, come back after %v", it, ok, want, after)
 	}
@@ -131,7 +131,7 @@
 	}
 	for _, id := range shed {
 		i := slices.IndexFunc(n.list, func(o Item) bool { return o.ID == id })
-		if i < 0 || len(n.list) < n.cfg.Most || n.of(n.list[i].Account) <= n.of(it.Account)+1 || n.above(n.list[i]) {
+		if i < 0 || len(n.list) < n.cfg.MaxWaiting || n.of(n.list[i].Account) <= n.of(it.Account)+1 || n.above(n.list[i]) {
 			t.Fatalf("push %+v sheds %s of %v", it, id, n.list)
 		}
 		n.drop(id)
@@ -142,9 +142,9 @@
 // A request is never answered, or one account starves the others.
 func TestOrderAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Most: rapid.IntRange(6, 8).Draw(t, "most"), Lead: 2 * time.Second, Margin: 0.5, HomeShare: 0.5}
+		cfg := Config{MaxWaiting: rapid.IntRange(6, 8).Draw(t, "most"), MaxLead: 2 * time.Second, Margin: 0.5, HomeShare: 0.5}
 		q := New(cfg)
-		n := &naive{cfg: cfg, given: map[ident.Account]time.Duration{}}
+		n := &referenceQueue{cfg: cfg, given: map[ident.Account]time.Duration{}}
 		now, count := ident.Time(0), 0
 		push := func(t *rapid.T) {
 			count++
@@ -153,7 +153,7 @@
 			}
 			n.push(t, q, now, Item{
 				ID: ident.RequestID(fmt.Sprint(count)), Account: rapid.SampledFrom([]ident.Account{"a", "a", "b", "b", "c", "d"}).Draw(t, "account"),
-				Home: rapid.Bool().Draw(t, "home"), Priority: rapid.IntRange(0, 1).Draw(t, "priority"),
+				HomeBound: rapid.Bool().Draw(t, "home"), Priority: rapid.IntRange(0, 1).Draw(t, "priority"),
 				Deadline: now.Add(seconds("left", 30)), Work: seconds("work", 6),
 			}, seconds("wait", 8))
 		}
@@ -177,15 +177,15 @@
 			},
 			"shed": func(t *rapid.T) {
 				var want []ident.RequestID
-				for _, it := range keep(n.list, func(it Item) bool { return n.late(now, it) }) {
+				for _, it := range filter(n.list, func(it Item) bool { return n.late(now, it) }) {
 					want = append(want, it.ID)
 					n.drop(it.ID)
 				}
 				if diff := cmp.Diff(want, q.Shed(now, 0)); diff != "" {
 					t.Fatalf("shed (-naive +got):\n%s", diff)
 				}
-				if q.Next() <= now {
-					t.Fatalf("next is %d at %d, after Shed", q.Next(), now)
+				if q.NextShed() <= now {
+					t.Fatalf("next is %d at %d, after Shed", q.NextShed(), now)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -193,7 +193,7 @@
 				for _, it := range n.list {
 					work += it.Work
 				}
-				if q.Len() != len(n.list) || q.Work() != work || q.Len() > cfg.Most || len(q.accounts) > 2*cfg.Most {
+				if q.Len() != len(n.list) || q.Work() != work || q.Len() > cfg.MaxWaiting || len(q.accounts) > 2*cfg.MaxWaiting {
 					t.Fatalf("%d wait with %v of work, want %d with %v", q.Len(), q.Work(), len(n.list), work)
 				}
 			},
@@ -203,7 +203,7 @@
 
 // Counters of ever new accounts fill the memory while one request waits.
 func TestAccountsBounded(t *testing.T) {
-	q := New(Config{Most: 4})
+	q := New(Config{MaxWaiting: 4})
 	q.Push(0, Item{ID: "stays", Account: "stays", Priority: -1, Deadline: ident.Time(time.Hour)}, 0)
 	for i := range 100 {
 		id := fmt.Sprint(i)
@@ -230,7 +230,7 @@
 		{"abbccdd", "a", false, nil},  // nobody holds much more
 		{"aaaa", "a", false, nil},
 	} {
-		q := New(Config{Most: len(tc.held)})
+		q := New(Config{MaxWaiting: len(tc.held)})
 		for i, a := range tc.held {
 			q.Push(0, Item{ID: ident.RequestID(fmt.Sprint(i)), Account: ident.Account(a), Deadline: 1}, 0)
 		}
@@ -268,7 +268,7 @@
 	q := New(Config{Margin: -1})
 	now := ident.Time(time.Minute)
 	for i, late := range []bool{true, false, true, false} {
-		it := Item{ID: ident.RequestID(fmt.Sprint("q", i)), Account: "a", Late: late, Deadline: now.Add(time.Duration(i+1) * time.Second)}
+		it := Item{ID: ident.RequestID(fmt.Sprint("q", i)), Account: "a", PastGoal: late, Deadline: now.Add(time.Duration(i+1) * time.Second)}
 		if ok, _, _ := q.Push(now, it, 0); !ok {
 			t.Fatalf("request %d may not wait", i)
 		}
@@ -277,7 +277,7 @@
 		t.Errorf("ahead of one in time and of a late one are %v", got)
 	}
 	first, _ := q.Pop(now)
-	q.Put(first)
+	q.PutBack(first)
 	var order []ident.RequestID
 	for q.Len() > 0 {
 		it, _ := q.Pop(now)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -15,9 +15,9 @@
 func (rd *Reducer) query(r *request) route.Query {
 	return route.Query{
 		Request: r.Request, Profile: r.profile, Client: r.client,
-		Tried: r.tried, TriedCentres: r.triedCentres, Only: r.only,
-		Crossings: r.env.Crossings, Forwarded: r.forwarded, Resume: r.delivered, Again: r.mayHaveRun,
-		Backlog: rd.pools.of(r).backlog(), Expect: rd.expected(r),
+		TriedTargets: r.tried, TriedCentres: r.triedCentres, OnlyTarget: r.only,
+		Crossings: r.env.Crossings, Forwarded: r.forwarded, DeliveredTokens: r.delivered, MayHaveRun: r.mayHaveRun,
+		Backlog: rd.pools.of(r).backlog(), ExpectedEvents: rd.expected(r),
 	}
 }
 
@@ -117,11 +117,11 @@
 	a.target, a.incarnation = dec.Target.ID, dec.Target.Incarnation
 	rd.table.Sent(a.target, r.Prompt, a.tokens)
 	a.before = dec.Target.Unread + dec.Target.PeerUnread
-	a.unread = dec.Prefill
+	a.unread = dec.PrefillTokens
 	rd.table.Prefill(a.target, a.unread)
-	rd.table.Read(r.profile.Service, r.Prompt, dec.Prefill)
+	rd.table.Read(r.profile.Service, r.Prompt, dec.PrefillTokens)
 	rd.noteHolder(now, r, a.target)
-	rd.router.Learn(now, a.target, r.Prefix)
+	rd.router.PrefixSent(now, a.target, r.Prefix)
 	rd.emit(event.Dispatch{
 		Request: r.ID, Attempt: a.id, Target: dec.Target.Target, Serve: dec.Serve,
 		Priority: level(r, dec), Deadline: r.deadline, Resume: r.delivered,
@@ -136,7 +136,7 @@
 	if r.profile.Route == nil || !mech.On(codes.OrderByLength) {
 		return r.profile.Priority
 	}
-	return order.Level(r.profile.Priority, dec.Prefill)
+	return order.Level(r.profile.Priority, dec.PrefillTokens)
 }
 
 // noteHolder announces that a target gets a long prefix, unless that is known.
@@ -145,7 +145,7 @@
 		return
 	}
 	part := r.Prefix[r.Shared-1]
-	if !rd.router.Knows(now, id, part) {
+	if !rd.router.RecentlySent(now, id, part) {
 		rd.table.Holds(id, part)
 	}
 }
@@ -187,7 +187,7 @@
 func (rd *Reducer) firstToken(now ident.Time, e event.FirstToken) {
 	if a, ok := rd.attempts[e.Attempt]; ok && a.req.live == a && rd.isCurrent(a) {
 		rd.table.Answered(a.target)
-		rd.table.Began(a.target, a.dec.Prefill, a.before, now.Sub(a.start))
+		rd.table.Began(a.target, a.dec.PrefillTokens, a.before, now.Sub(a.start))
 		rd.readDone(a)
 		rd.slack.Began(a.req.profile.Name, now.Sub(a.start))
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -238,7 +238,7 @@
 	}
 	for _, h := range d.Holders {
 		if t, ok := rd.table.Named(h.Target); ok {
-			rd.router.Learn(now, t.ID, []uint64{h.Part})
+			rd.router.PrefixSent(now, t.ID, []uint64{h.Part})
 		}
 	}
 }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -79,9 +79,9 @@
 		return event.Denial{Reason: event.DeniedForwarded, Tries: r.tries}
 	}
 	q := rd.query(r)
-	q.Again = true
+	q.MayHaveRun = true
 	if a.target != "" {
-		q.Tried = r.tried.With(a.target)
+		q.TriedTargets = r.tried.With(a.target)
 	} else {
 		q.TriedCentres = r.triedCentres.With(a.dec.Centre)
 	}
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -81,7 +81,7 @@
 func (ps *pools) next(now ident.Time, startBy func(*request) ident.Time) ident.Time {
 	at := ident.Time(0)
 	for _, pl := range ps.order {
-		t := pl.queue.Next()
+		t := pl.queue.NextShed()
 		if pl.head != nil && (t == 0 || startBy(pl.head) < t) {
 			t = startBy(pl.head)
 		}
@@ -147,7 +147,7 @@
 // item is a request as it waits.
 func (rd *Reducer) item(pl *pool, r *request) admit.Item {
 	it := admit.Item{
-		ID: r.ID, Account: r.Account, Home: r.profile.Confined(), Priority: r.profile.Priority, Late: rd.late(r),
+		ID: r.ID, Account: r.Account, HomeBound: r.profile.Confined(), Priority: r.profile.Priority, PastGoal: rd.late(r),
 		Deadline: rd.startBy(r), Work: pl.work(r),
 	}
 	if r.profile.Route != nil {
@@ -164,15 +164,15 @@
 	it := rd.item(pl, r)
 	wait := dec.Wait
 	if r.profile.Route != nil {
-		wait = time.Duration(pl.queue.Ahead(it.Late)) * pl.gap
+		wait = time.Duration(pl.queue.Ahead(it.PastGoal)) * pl.gap
 	}
 	ok, shed, later := pl.queue.Push(now, it, wait)
 	rd.shed(now, shed, later)
 	if !ok {
 		rd.end(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: later})
-	} else if pl.head != nil && !it.Late && rd.late(pl.head) {
+	} else if pl.head != nil && !it.PastGoal && rd.late(pl.head) {
 		// The one that was next is late already, and would make this one late too.
-		pl.queue.Put(rd.item(pl, pl.head))
+		pl.queue.PutBack(rd.item(pl, pl.head))
 		pl.head = nil
 	}
 	rd.table.Crowded(now)
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -220,8 +220,8 @@
 	}
 	b := event.Basis{
 		Profile: r.profile.Name, Revision: rd.spread.Revision(), Try: r.tries, Wait: dec.Wait, LoadAge: noLoad,
-		Expect: rd.expected(r), Pace: rd.table.Pace(now, r.profile.Service), PaceThere: dec.Pace,
-		Part: dec.Part, Room: dec.Room, Full: dec.Full, Unread: dec.Prefill,
+		Expect: rd.expected(r), Pace: rd.table.Pace(now, r.profile.Service), PaceThere: dec.EventInterval,
+		Part: dec.SpillShare, Room: dec.RemoteRoom, Full: dec.Full, Unread: dec.PrefillTokens,
 	}
 	if r.arrived > 0 {
 		b.Waited = now.Sub(r.arrived)
--- a/internal/dev/cmds/entry.go
+++ b/internal/dev/cmds/entry.go
@@ -89,7 +89,7 @@
 func (h *compared) before(red *core.Reducer) {
 	if want := h.policy.Load(); want != h.inUse {
 		h.inUse = want
-		red.Router().Pick = base.Policy(*want)
+		red.Router().Policy = base.Policy(*want)
 	}
 }
 
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,9 +13,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// sizes are those that decisions are measured at. The full ones have every
+// fleetSizes are those that decisions are measured at. The full ones have every
 // target at its limit, so that the sample walks over all of them.
-var sizes = []struct {
+var fleetSizes = []struct {
 	targets, centres int
 	full             bool
 }{
@@ -28,9 +28,9 @@
 	{400, 45, true},
 }
 
-// loaded returns a table, a router that knows a part of the caches, and
+// loadedFleet returns a table, a router that knows a part of the caches, and
 // requests of which every fourth is warm somewhere.
-func loaded(targets, centres int, full bool) (*member.Table, *Router, []Query) {
+func loadedFleet(targets, centres int, full bool) (*member.Table, *Router, []Query) {
 	tb, r := fleet(targets, centres), New()
 	for i := range 7 {
 		id := ident.EntryID(fmt.Sprint("dc0-p", i))
@@ -38,18 +38,18 @@
 	}
 	if full {
 		for _, t := range tb.Targets() {
-			report(tb, start, t.ID, 2, 20)
+			reportLoad(tb, start, t.ID, 2, 20)
 		}
 	}
 	qs := make([]Query, 1024)
 	for i := range qs {
-		qs[i] = ask(fmt.Sprint("request-", i))
+		qs[i] = newQuery(fmt.Sprint("request-", i))
 		qs[i].Request.Prefix = make([]uint64, 16)
 		for j := range qs[i].Request.Prefix {
 			qs[i].Request.Prefix[j] = uint64(i/4*100 + j)
 		}
 		if i%4 == 0 {
-			r.Learn(start, tb.Targets()[i%targets].ID, qs[i].Request.Prefix)
+			r.PrefixSent(start, tb.Targets()[i%targets].ID, qs[i].Request.Prefix)
 		}
 		qs[i].Profile.Models = []rules.Serve{{Model: "absent"}, {Model: "scribe"}}
 	}
@@ -57,9 +57,9 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("targets=%d/centres=%d/full=%v", size.targets, size.centres, size.full), func(b *testing.B) {
-			tb, r, qs := loaded(size.targets, size.centres, size.full)
+			tb, r, qs := loadedFleet(size.targets, size.centres, size.full)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				r.Choose(start, qs[i%len(qs)], tb)
@@ -71,8 +71,8 @@
 // The time of a decision grows with the fleet.
 func TestDecisionTimes(t *testing.T) {
 	const n, warmUp, perDecision = 20_000, 2_000, 500 * time.Microsecond
-	for _, size := range sizes {
-		tb, r, qs := loaded(size.targets, size.centres, size.full)
+	for _, size := range fleetSizes {
+		tb, r, qs := loadedFleet(size.targets, size.centres, size.full)
 		times := make([]time.Duration, 0, n)
 		var before, after runtime.MemStats
 		for i := range warmUp + n {
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -13,21 +13,21 @@
 // Bounds of what is remembered of the caches of targets. With 2,048 blocks of
 // about a hundred bytes a target takes up to about 200 KB.
 const (
-	// maxBlocks bounds the blocks for each target; the oldest goes first.
-	maxBlocks = 2048
-	// maxCaches bounds the targets.
-	maxCaches = 1024
-	// maxHolders bounds the targets remembered for each block, the newest
+	// maxBlocksPerTarget bounds the blocks for each target; the oldest goes first.
+	maxBlocksPerTarget = 2048
+	// maxTargets bounds the targets.
+	maxTargets = 1024
+	// maxHoldersPerBlock bounds the targets remembered for each block, the newest
 	// ones, and so the warm candidates of a decision.
-	maxHolders = 4
-	// maxLookups bounds the blocks of one prompt that are looked up.
-	maxLookups = 64
-	// learnLife is how long a block counts as held that no event has
+	maxHoldersPerBlock = 4
+	// maxLookupsPerPrompt bounds the blocks of one prompt that are looked up.
+	maxLookupsPerPrompt = 64
+	// sentTTL is how long a block counts as held that no event has
 	// confirmed: the request that brought it may have failed, or the engine
 	// may have dropped it.
-	learnLife = 12 * time.Second
-	// twoUsual is the number of targets from which on two are preferred for a prefix.
-	twoUsual = 12
+	sentTTL = 12 * time.Second
+	// minTargetsForTwoPreferred is the number of targets from which on two are preferred for a prefix.
+	minTargetsForTwoPreferred = 12
 )
 
 // caches is what is known of the prefix caches of the targets. The zero value
@@ -41,7 +41,7 @@
 type cache struct {
 	incarnation ident.Incarnation
 	seq         uint64
-	seen        bool
+	hasSeq      bool
 	blocks      map[uint64]block
 	// ring holds the blocks in the order in which they came.
 	ring []uint64
@@ -52,26 +52,26 @@
 // learned from a request that was sent, or both.
 type block struct {
 	confirmed bool
-	// learned says that this host sent a prompt with the block, the last time
+	// sent says that this host sent a prompt with the block, the last time
 	// at sentAt.
-	learned bool
-	sentAt  ident.Time
+	sent   bool
+	sentAt ident.Time
 }
 
-func (b block) holds(now ident.Time) bool { return b.confirmed || b.fresh(now) }
+func (b block) holds(now ident.Time) bool { return b.confirmed || b.recentlySent(now) }
 
-// fresh reports whether the block was sent of late.
-func (b block) fresh(now ident.Time) bool { return b.learned && now.Sub(b.sentAt) <= learnLife }
+// recentlySent reports whether the block was sent of late.
+func (b block) recentlySent(now ident.Time) bool { return b.sent && now.Sub(b.sentAt) <= sentTTL }
 
 // holder is a target that probably holds a part of a prompt.
 type holder struct {
 	target      ident.TargetID
 	incarnation ident.Incarnation
-	part        float64
-	// learned says that this host sent the part there, first that the target ranks
+	fraction    float64
+	// sent says that this host sent the part there, first that the target ranks
 	// first for the shared prefix of the prompt.
-	learned bool
-	first   bool
+	sent      bool
+	preferred bool
 }
 
 // CacheChanged handles a cache event of an engine. Events come late and with gaps. A gap makes
@@ -87,18 +87,18 @@
 		return
 	}
 	if ev.Incarnation > c.incarnation {
-		if c.seen {
+		if c.hasSeq {
 			rt.caches.clear(ev.Target, c)
 		}
-		c.incarnation, c.seq, c.seen = ev.Incarnation, 0, false
+		c.incarnation, c.seq, c.hasSeq = ev.Incarnation, 0, false
 	}
-	if c.seen && ev.Seq <= c.seq {
+	if c.hasSeq && ev.Seq <= c.seq {
 		return
 	}
-	if c.seen && ev.Seq != c.seq+1 {
-		rt.caches.doubt(now, ev.Target, c)
+	if c.hasSeq && ev.Seq != c.seq+1 {
+		rt.caches.dropConfirmed(now, ev.Target, c)
 	}
-	c.seq, c.seen = ev.Seq, true
+	c.seq, c.hasSeq = ev.Seq, true
 	for _, b := range ev.Stored {
 		old := c.blocks[b]
 		old.confirmed = true
@@ -118,26 +118,26 @@
 	return 0
 }
 
-// Learn records a prompt that was sent to a target.
-func (rt *Router) Learn(now ident.Time, id ident.TargetID, prefix []uint64) {
+// PrefixSent records a prompt that was sent to a target.
+func (rt *Router) PrefixSent(now ident.Time, id ident.TargetID, prefix []uint64) {
 	c := rt.caches.get(id)
 	if c == nil {
 		return
 	}
 	for _, b := range prefix {
-		rt.caches.put(id, c, b, block{confirmed: c.blocks[b].confirmed, learned: true, sentAt: now})
+		rt.caches.put(id, c, b, block{confirmed: c.blocks[b].confirmed, sent: true, sentAt: now})
 	}
 }
 
-// Knows reports whether a target was lately sent a prompt with a block: within half of the time
+// RecentlySent reports whether a target was lately sent a prompt with a block: within half of the time
 // for which it is assumed to cache it, so that it can be announced again in time.
-func (rt *Router) Knows(now ident.Time, id ident.TargetID, block uint64) bool {
+func (rt *Router) RecentlySent(now ident.Time, id ident.TargetID, block uint64) bool {
 	c, ok := rt.caches.byTarget[id]
 	if !ok {
 		return false
 	}
 	b := c.blocks[block]
-	return b.learned && now.Sub(b.sentAt) <= learnLife/2
+	return b.sent && now.Sub(b.sentAt) <= sentTTL/2
 }
 
 // Forget drops what is known of the cache of a target, such as when it was
@@ -153,7 +153,7 @@
 	if c, ok := cs.byTarget[id]; ok {
 		return c
 	}
-	if len(cs.byTarget) >= maxCaches {
+	if len(cs.byTarget) >= maxTargets {
 		return nil
 	}
 	if cs.byTarget == nil {
@@ -170,15 +170,15 @@
 		c.blocks[key] = b
 		return
 	}
-	if hs := cs.holders[key]; len(hs) >= maxHolders {
+	if hs := cs.holders[key]; len(hs) >= maxHoldersPerBlock {
 		cs.remove(hs[0], cs.byTarget[hs[0]], key)
 	}
-	if len(c.ring) < maxBlocks {
+	if len(c.ring) < maxBlocksPerTarget {
 		c.ring = append(c.ring, key)
 	} else {
 		cs.remove(id, c, c.ring[c.next])
 		c.ring[c.next] = key
-		c.next = (c.next + 1) % maxBlocks
+		c.next = (c.next + 1) % maxBlocksPerTarget
 	}
 	c.blocks[key] = b
 	cs.holders[key] = append(cs.holders[key], id)
@@ -197,14 +197,14 @@
 	cs.holders[key] = hs
 }
 
-// doubt takes back what events have confirmed.
-func (cs *caches) doubt(now ident.Time, id ident.TargetID, c *cache) {
+// dropConfirmed takes back what events have confirmed.
+func (cs *caches) dropConfirmed(now ident.Time, id ident.TargetID, c *cache) {
 	for _, key := range c.ring {
 		b, ok := c.blocks[key]
 		if !ok || !b.confirmed {
 			continue
 		}
-		if !b.fresh(now) {
+		if !b.recentlySent(now) {
 			cs.remove(id, c, key)
 			continue
 		}
@@ -227,20 +227,20 @@
 	rt.warm = rt.warm[:0]
 	prefix := v.q.Request.Prefix
 	n := len(prefix)
-	step := max(1, (n+maxLookups-1)/maxLookups)
-	for i := n - 1; i >= 0 && len(rt.warm) < maxHolders; i -= step {
+	step := max(1, (n+maxLookupsPerPrompt-1)/maxLookupsPerPrompt)
+	for i := n - 1; i >= 0 && len(rt.warm) < maxHoldersPerBlock; i -= step {
 		for _, id := range rt.caches.holders[prefix[i]] {
 			rt.addWarm(v, id, prefix[i], float64(i+1)/float64(n))
 		}
 	}
-	rt.addUsual(v)
+	rt.addPreferred(v)
 }
 
-// addUsual treats the targets that rank first for the shared prefix of a prompt as ones that
+// addPreferred treats the targets that rank first for the shared prefix of a prompt as ones that
 // cache it, so that hosts agree on them without messages. Where there are many targets it is
 // two, and the less loaded one is used, since by rank alone some targets come first for several
 // prefixes and others for none.
-func (rt *Router) addUsual(v *view) {
+func (rt *Router) addPreferred(v *view) {
 	n := v.q.Request.Shared
 	if n == 0 || n > len(v.q.Request.Prefix) {
 		return
@@ -262,7 +262,7 @@
 			second, secondScore = t, s
 		}
 	}
-	if many < twoUsual {
+	if many < minTargetsForTwoPreferred {
 		second = nil
 	}
 	part := float64(n) / float64(len(v.q.Request.Prefix))
@@ -273,19 +273,19 @@
 		i := slices.IndexFunc(rt.warm, func(h holder) bool { return h.target == t.ID })
 		if i < 0 {
 			i = len(rt.warm)
-			rt.warm = append(rt.warm, holder{target: t.ID, part: part})
+			rt.warm = append(rt.warm, holder{target: t.ID, fraction: part})
 		}
-		rt.warm[i].first = t == first
+		rt.warm[i].preferred = t == first
 	}
 }
 
 func (rt *Router) addWarm(v *view, id ident.TargetID, key uint64, part float64) {
-	if len(rt.warm) == maxHolders || slices.ContainsFunc(rt.warm, func(h holder) bool { return h.target == id }) {
+	if len(rt.warm) == maxHoldersPerBlock || slices.ContainsFunc(rt.warm, func(h holder) bool { return h.target == id }) {
 		return
 	}
 	c := rt.caches.byTarget[id]
 	if !c.blocks[key].holds(v.now) {
 		return
 	}
-	rt.warm = append(rt.warm, holder{target: id, incarnation: c.incarnation, part: part, learned: true})
+	rt.warm = append(rt.warm, holder{target: id, incarnation: c.incarnation, fraction: part, sent: true})
 }
--- a/internal/route/cache_test.go
+++ b/internal/route/cache_test.go
@@ -11,7 +11,7 @@
 func TestGapKeepsWhatWasSentOfLate(t *testing.T) {
 	tb, r := fleet(1, 0), New()
 	r.CacheChanged(start, event.CacheChanged{Target: "t000", Incarnation: 1, Seq: 1, Stored: []uint64{1, 2, 3}}, tb)
-	r.Learn(start, "t000", []uint64{2, 3, 4})
+	r.PrefixSent(start, "t000", []uint64{2, 3, 4})
 	r.CacheChanged(start, event.CacheChanged{Target: "t000", Incarnation: 1, Seq: 2, Dropped: []uint64{3}}, tb)
 	r.CacheChanged(start, event.CacheChanged{Target: "t000", Incarnation: 1, Seq: 4}, tb)
 	c := r.caches.byTarget["t000"]
@@ -20,7 +20,7 @@
 			t.Errorf("block %d is held: %v", key, got)
 		}
 	}
-	late := start.Add(learnLife + time.Second)
+	late := start.Add(sentTTL + time.Second)
 	if c.blocks[2].holds(late) || c.blocks[4].holds(late) {
 		t.Error("a sent block outlives its time")
 	}
--- a/internal/route/choose_test.go
+++ b/internal/route/choose_test.go
@@ -116,7 +116,7 @@
 		Client:       rules.Client{Home: rapid.SampledFrom([]ident.Region{"r0", "r0", "r1"}).Draw(rt, "home")},
 		Crossings:    ident.Hops(rapid.IntRange(0, 2).Draw(rt, "crossings")),
 		Forwarded:    rapid.Bool().Draw(rt, "forwarded"),
-		Tried:        value.SetOf(rapid.SliceOfN(rapid.SampledFrom([]ident.TargetID{"t0", "t1", "t2"}), 0, 2).Draw(rt, "tried")...),
+		TriedTargets: value.SetOf(rapid.SliceOfN(rapid.SampledFrom([]ident.TargetID{"t0", "t1", "t2"}), 0, 2).Draw(rt, "tried")...),
 		TriedCentres: value.SetOf(rapid.SliceOfN(rapid.SampledFrom([]ident.DataCentre{"far0", "far1"}), 0, 1).Draw(rt, "triedCentres")...),
 	}
 	if rapid.IntRange(0, 3).Draw(rt, "service") == 0 {
@@ -138,7 +138,7 @@
 			}
 		}
 	}
-	may = may && naiveRegion(q, t.Place.Region) && !t.Drains && t.Fails < 3 && !q.Tried.Has(t.ID)
+	may = may && naiveRegion(q, t.Place.Region) && !t.Drains && t.Fails < 3 && !q.TriedTargets.Has(t.ID)
 	slots := 4
 	if t.HasLoad {
 		slots = t.Load.Slots
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -21,26 +21,26 @@
 
 // Guesses and bounds of costs.
 const (
-	// expectPart is the part of the tokens that a request may generate and is
+	// expectedOutputFraction is the part of the tokens that a request may generate and is
 	// expected to.
-	expectPart = 0.5
-	// batchSlow is how much slower a full batch decodes than an empty one. It
+	expectedOutputFraction = 0.5
+	// fullBatchSlowdown is how much slower a full batch decodes than an empty one. It
 	// also spreads work over targets that all have free slots.
-	batchSlow = 0.25
-	// boundLoad is how much fuller than the mean a target may be and still
+	fullBatchSlowdown = 0.25
+	// maxWarmUse is how much fuller than the mean a target may be and still
 	// draw work by its cache.
-	boundLoad = 1.25
-	// boundRouted is the same for routes, whose engines copy a prefix from the one that is
+	maxWarmUse = 1.25
+	// maxWarmUseRouted is the same for routes, whose engines copy a prefix from the one that is
 	// preferred for it, which must get enough of its requests to cache it.
-	boundRouted = 3
-	// serviceTime stands for the time of a call of a plain service.
-	serviceTime = 0.2
-	// faultCost is what a failure costs the caller of a route, in seconds: a
+	maxWarmUseRouted = 3
+	// serviceCallSeconds stands for the time of a call of a plain service.
+	serviceCallSeconds = 0.2
+	// failureCostSeconds is what a failure costs the caller of a route, in seconds: a
 	// second try elsewhere, or the answer.
-	faultCost = 1.0
-	// crowdWeight is the weight of what reading a prompt costs the requests
+	failureCostSeconds = 1.0
+	// prefillStallWeight is the weight of what reading a prompt costs the requests
 	// that run at the same engine: each of them stands still for a part of it.
-	crowdWeight = 0.2
+	prefillStallWeight = 0.2
 )
 
 // tailWeight is the weight of the time to the first token. Zero, which is what
@@ -53,52 +53,52 @@
 	return w.Tail
 }
 
-// engine reports whether a request is for an engine: it has a model, or names a
+// needsEngine reports whether a request is for an needsEngine: it has a model, or names a
 // service and brings a prompt.
-func (q *Query) engine() bool { return q.Profile.Service == "" || q.Request.Prompt > 0 }
+func (q *Query) needsEngine() bool { return q.Profile.Service == "" || q.Request.Prompt > 0 }
 
-// price fills in the costs of the candidates.
-func (rt *Router) price(v *view) {
-	v.mean = 0
+// priceCandidates fills in the costs of the candidates.
+func (rt *Router) priceCandidates(v *view) {
+	v.meanUse = 0
 	for i := range rt.cands {
-		v.mean += use(v, rt.cands[i].t)
+		v.meanUse += slotUse(v, rt.cands[i].t)
 	}
 	if n := len(rt.cands); n > 0 {
-		v.mean /= float64(n)
+		v.meanUse /= float64(n)
 	}
 	for i := range rt.cands {
-		rt.fill(v, &rt.cands[i])
+		rt.setCost(v, &rt.cands[i])
 	}
 }
 
-// priceOne returns the cost of one target outside the sample.
-func (rt *Router) priceOne(v *view, t *member.Target) *cand {
-	c := &cand{t: t}
-	rt.fill(v, c)
+// priceTarget returns the cost of one target outside the sample.
+func (rt *Router) priceTarget(v *view, t *member.Target) *candidate {
+	c := &candidate{t: t}
+	rt.setCost(v, c)
 	return c
 }
 
-// use is the part of its slots that a target has in use.
-func use(v *view, t *member.Target) float64 {
+// slotUse is the part of its slots that a target has in slotUse.
+func slotUse(v *view, t *member.Target) float64 {
 	return float64(t.Outstanding(v.now)) / float64(t.Slots())
 }
 
-func (rt *Router) fill(v *view, c *cand) {
+func (rt *Router) setCost(v *view, c *candidate) {
 	t, q := c.t, v.q
-	c.serve, _ = served(&q.Profile, t.Load.Serves)
+	c.serve, _ = servedModel(&q.Profile, t.Load.Serves)
 	before := t.Outstanding(v.now)
 	u := float64(before) / float64(t.Slots())
-	prefill, decode := 0.0, serviceTime
-	if q.engine() {
-		c.prefill = q.Request.Prompt + q.Resume - ident.Tokens(rt.cached(v, t, u))
+	prefill, decode := 0.0, serviceCallSeconds
+	if q.needsEngine() {
+		c.prefillTokens = q.Request.Prompt + q.DeliveredTokens - ident.Tokens(rt.cachedTokens(v, t, u))
 		if q.Profile.Route != nil {
-			rt.copied(v, c)
+			rt.applyCopy(v, c)
 		}
-		prefill = span(float64(c.prefill), t.Load.PrefillRate)
-		decode = decodeTime(q, t.Load.DecodeRate) * (1 + batchSlow*u)
+		prefill = secondsFor(float64(c.prefillTokens), t.Load.PrefillRate)
+		decode = decodeSeconds(q, t.Load.DecodeRate) * (1 + fullBatchSlowdown*u)
 	}
-	if q.Profile.Route != nil && q.engine() {
-		decode = span(q.Expect, t.Load.DecodeRate)
+	if q.Profile.Route != nil && q.needsEngine() {
+		decode = secondsFor(q.ExpectedEvents, t.Load.DecodeRate)
 	}
 	w := q.Profile.Weights
 	tail := tailWeight(w)
@@ -112,50 +112,50 @@
 		price:   w.Cost * t.Price * (prefill + decode),
 	}
 	if q.Profile.Route != nil {
-		c.cost.prefill += crowdWeight * prefill * float64(before)
-		c.cost.wait += faultCost * t.Faults(v.now)
+		c.cost.prefill += prefillStallWeight * prefill * float64(before)
+		c.cost.wait += failureCostSeconds * t.Faults(v.now)
 	}
-	c.ready = t.Wait(v.now, before, 1) + q.Backlog + toTime(prefill)
+	c.ttft = t.Wait(v.now, before, 1) + q.Backlog + toDuration(prefill)
 }
 
-// cached returns how many tokens of the prompt a target probably holds, none
+// cachedTokens returns how many tokens of the prompt a target probably holds, none
 // for one above its bound.
 //
 // Without the bound a popular prefix would draw every request that shares it
 // to the one target that holds it, however long its queue; with it the
 // overflow goes elsewhere and warms a second target.
-func (rt *Router) cached(v *view, t *member.Target, u float64) float64 {
-	bound := boundLoad
+func (rt *Router) cachedTokens(v *view, t *member.Target, u float64) float64 {
+	bound := maxWarmUse
 	if v.q.Profile.Route != nil {
-		bound = boundRouted
+		bound = maxWarmUseRouted
 	}
-	if u > bound*v.mean+1/float64(t.Slots()) {
+	if u > bound*v.meanUse+1/float64(t.Slots()) {
 		return 0
 	}
 	for _, h := range rt.warm {
 		if h.target == t.ID && (h.incarnation == 0 || h.incarnation == t.Incarnation) {
-			return h.part * float64(v.q.Request.Prompt)
+			return h.fraction * float64(v.q.Request.Prompt)
 		}
 	}
 	return 0
 }
 
-func decodeTime(q *Query, rate float64) float64 {
-	return span(expectPart*float64(max(0, q.Request.MaxTokens-q.Resume)), rate)
+func decodeSeconds(q *Query, rate float64) float64 {
+	return secondsFor(expectedOutputFraction*float64(max(0, q.Request.MaxTokens-q.DeliveredTokens)), rate)
 }
 
-// span is the time that tokens take at a rate, zero where the rate is unknown.
-func span(tokens, rate float64) float64 {
+// secondsFor is the time that tokens take at a rate, zero where the rate is unknown.
+func secondsFor(tokens, rate float64) float64 {
 	if rate <= 0 || tokens <= 0 {
 		return 0
 	}
 	return tokens / rate
 }
 
-func toTime(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// crossing is a use of an offer, for the hysteresis.
-type crossing struct {
+// recentCrossing is a use of an offer, for the hysteresis.
+type recentCrossing struct {
 	centre ident.DataCentre
 	pool   member.PoolID
 	at     ident.Time
--- a/internal/route/cross.go
+++ b/internal/route/cross.go
@@ -14,30 +14,30 @@
 
 // Times and bounds of passing on.
 const (
-	// farTrip and nearTrip are the times of a way there and back, between
+	// interRegionRTT and nearTrip are the times of a way there and back, between
 	// regions and within one.
-	farTrip  = 160 * time.Millisecond
-	nearTrip = 2 * time.Millisecond
-	// startFactor is how much more than the weight of a crossing must be
+	interRegionRTT = 160 * time.Millisecond
+	intraRegionRTT = 2 * time.Millisecond
+	// startCrossingFactor is how much more than the weight of a crossing must be
 	// gained to begin to cross; once begun the weight itself will do.
-	startFactor = 1.25
-	// minGain is what must be gained for any passing on, in seconds: less is
+	startCrossingFactor = 1.25
+	// minGainSeconds is what must be gained for any passing on, in seconds: less is
 	// within the error of the prediction.
-	minGain = 0.05
-	// crossHold is how long a crossing counts as begun.
-	crossHold = 5 * time.Second
-	// maxCrossed bounds the crossings remembered.
-	maxCrossed = 256
+	minGainSeconds = 0.05
+	// crossingTTL is how long a crossing counts as begun.
+	crossingTTL = 5 * time.Second
+	// maxRecentCrossings bounds the crossings remembered.
+	maxRecentCrossings = 256
 )
 
-// abroad returns the best data centre to pass a request on to, if one is worth
+// remoteChoice returns the best data centre to pass a request on to, if one is worth
 // it against a part of the cost of the best local choice, which is nil where there
 // is none.
-func (rt *Router) abroad(v *view, local *cand, part float64) (Decision, bool) {
+func (rt *Router) remoteChoice(v *view, local *candidate, part float64) (Decision, bool) {
 	limit := math.Inf(1)
 	if local != nil {
 		limit = part * local.cost.sum()
-		if limit <= minGain {
+		if limit <= minGainSeconds {
 			return Decision{}, false
 		}
 	}
@@ -48,15 +48,15 @@
 		if _, out := centreRuledOut(v, c, cheapFilters); out {
 			continue
 		}
-		if f := floor(v, c); f+minGain >= limit || f >= least {
+		if f := minCentreCost(v, c); f+minGainSeconds >= limit || f >= least {
 			continue
 		}
-		p := offered(v, c)
+		p := usablePool(v, c)
 		if p == nil {
 			continue
 		}
-		k := rt.begun(v, c, p, centreCost(v, c, p))
-		if s := k.sum(); s+minGain < limit && s < least {
+		k := rt.withStartFactor(v, c, p, centreCost(v, c, p))
+		if s := k.sum(); s+minGainSeconds < limit && s < least {
 			best, pool, least = c, p, s
 		}
 	}
@@ -66,16 +66,16 @@
 	h, _ := best.HostFor(v.key)
 	return Decision{
 		Host: h, Centre: best.Place.Group(), Pool: poolID(pool),
-		Wait: readyAbroad(v, best, pool), Pace: toTime(span(1, pool.DecodeRate)),
+		Wait: remoteTTFT(v, best, pool), EventInterval: toDuration(secondsFor(1, pool.DecodeRate)),
 	}, true
 }
 
-// part returns the part of the cost of the best local choice that another data centre must
+// remoteCostFactor returns the remoteCostFactor of the cost of the best local choice that another data centre must
 // undercut. Loads lag, so that all work would swing to where streams are fastest and back;
 // instead a request of a route with a place here is forwarded by a chance that grows with its
 // gain: with half the cost elsewhere one in two, with equal costs none.
-func (rt *Router) part(v *view, best *cand) float64 {
-	if best == nil || v.q.Profile.Route == nil || !v.q.engine() {
+func (rt *Router) remoteCostFactor(v *view, best *candidate) float64 {
+	if best == nil || v.q.Profile.Route == nil || !v.q.needsEngine() {
 		return 1
 	}
 	return rank.Unit(rank.Mix(v.key))
@@ -87,85 +87,85 @@
 	q := v.q
 	w := q.Profile.Weights
 	tail := tailWeight(w)
-	prefill, decode := 0.0, serviceTime
-	if q.engine() {
-		prefill = span(float64(q.Request.Prompt+q.Resume), p.PrefillRate)
-		decode = decodeTime(q, p.DecodeRate) * (1 + batchSlow*poolUse(p))
+	prefill, decode := 0.0, serviceCallSeconds
+	if q.needsEngine() {
+		prefill = secondsFor(float64(q.Request.Prompt+q.DeliveredTokens), p.PrefillRate)
+		decode = decodeSeconds(q, p.DecodeRate) * (1 + fullBatchSlowdown*poolSlotUse(p))
 	}
-	if q.Profile.Route != nil && q.engine() {
-		decode = span(q.Expect, cmp.Or(p.DecodeRate, v.tb.DecodeRate(v.now, q.Profile.Service)))
+	if q.Profile.Route != nil && q.needsEngine() {
+		decode = secondsFor(q.ExpectedEvents, cmp.Or(p.DecodeRate, v.tb.DecodeRate(v.now, q.Profile.Service)))
 	}
 	k := cost{
-		wait:    tail * (p.Wait + trip(v, c)).Seconds(),
+		wait:    tail * (p.Wait + rtt(v, c)).Seconds(),
 		prefill: tail * prefill,
 		decode:  decode,
 		price:   w.Cost * p.Price * (prefill + decode),
 	}
-	if c.Place.Region != v.home {
+	if c.Place.Region != v.localRegion {
 		k.crossing = w.Crossing
 	}
 	return k
 }
 
-// begun adds what must be gained to begin to cross.
-func (rt *Router) begun(v *view, c *member.Centre, p *event.Pool, k cost) cost {
-	if k.crossing > 0 && !rt.crossing(v.now, c.Place.Group(), poolID(p)) {
-		k.crossing *= startFactor
+// withStartFactor adds what must be gained to begin to cross.
+func (rt *Router) withStartFactor(v *view, c *member.Centre, p *event.Pool, k cost) cost {
+	if k.crossing > 0 && !rt.recentlyCrossed(v.now, c.Place.Group(), poolID(p)) {
+		k.crossing *= startCrossingFactor
 	}
 	return k
 }
 
-// poolUse is the part of its slots that a pool has in use.
-func poolUse(p *event.Pool) float64 {
+// poolSlotUse is the part of its slots that a pool has in use.
+func poolSlotUse(p *event.Pool) float64 {
 	if p.Slots <= 0 {
 		return 1
 	}
 	return 1 - float64(p.Free)/float64(p.Slots)
 }
 
-func readyAbroad(v *view, c *member.Centre, p *event.Pool) time.Duration {
-	ready := p.Wait + trip(v, c)
-	if v.q.engine() {
-		ready += toTime(span(float64(v.q.Request.Prompt+v.q.Resume), p.PrefillRate))
+func remoteTTFT(v *view, c *member.Centre, p *event.Pool) time.Duration {
+	ready := p.Wait + rtt(v, c)
+	if v.q.needsEngine() {
+		ready += toDuration(secondsFor(float64(v.q.Request.Prompt+v.q.DeliveredTokens), p.PrefillRate))
 	}
 	return ready
 }
 
-func trip(v *view, c *member.Centre) time.Duration {
-	if c.Place.Region == v.home {
-		return nearTrip
+func rtt(v *view, c *member.Centre) time.Duration {
+	if c.Place.Region == v.localRegion {
+		return intraRegionRTT
 	}
-	return farTrip
+	return interRegionRTT
 }
 
-// crossing reports whether requests of a pool went to a data centre lately.
-func (rt *Router) crossing(now ident.Time, dc ident.DataCentre, id member.PoolID) bool {
-	i := rt.crossedIndex(dc, id)
-	return i >= 0 && now.Sub(rt.crossed[i].at) <= crossHold
+// recentlyCrossed reports whether requests of a pool went to a data centre lately.
+func (rt *Router) recentlyCrossed(now ident.Time, dc ident.DataCentre, id member.PoolID) bool {
+	i := rt.crossingIndex(dc, id)
+	return i >= 0 && now.Sub(rt.recentCrossings[i].at) <= crossingTTL
 }
 
-func (rt *Router) crossedIndex(dc ident.DataCentre, id member.PoolID) int {
-	return slices.IndexFunc(rt.crossed, func(x crossing) bool { return x.centre == dc && x.pool == id })
+func (rt *Router) crossingIndex(dc ident.DataCentre, id member.PoolID) int {
+	return slices.IndexFunc(rt.recentCrossings, func(x recentCrossing) bool { return x.centre == dc && x.pool == id })
 }
 
-func (rt *Router) noteCrossing(now ident.Time, dc ident.DataCentre, id member.PoolID) {
-	if i := rt.crossedIndex(dc, id); i >= 0 {
-		rt.crossed[i].at = now
+func (rt *Router) recordCrossing(now ident.Time, dc ident.DataCentre, id member.PoolID) {
+	if i := rt.crossingIndex(dc, id); i >= 0 {
+		rt.recentCrossings[i].at = now
 		return
 	}
-	rt.crossed = slices.DeleteFunc(rt.crossed, func(x crossing) bool { return now.Sub(x.at) > crossHold })
-	if len(rt.crossed) < maxCrossed {
-		rt.crossed = append(rt.crossed, crossing{dc, id, now})
+	rt.recentCrossings = slices.DeleteFunc(rt.recentCrossings, func(x recentCrossing) bool { return now.Sub(x.at) > crossingTTL })
+	if len(rt.recentCrossings) < maxRecentCrossings {
+		rt.recentCrossings = append(rt.recentCrossings, recentCrossing{dc, id, now})
 	}
 }
 
-// floor returns a cost that no pool of a data centre undercuts.
-func floor(v *view, c *member.Centre) float64 {
+// minCentreCost returns a cost that no pool of a data centre undercuts.
+func minCentreCost(v *view, c *member.Centre) float64 {
 	least := math.Inf(1)
-	for want := range wants(&v.q.Profile) {
+	for want := range modelCount(&v.q.Profile) {
 		for i := range c.Summary.Pools {
 			p := &c.Summary.Pools[i]
-			if p.Offer <= 0 && !v.stranded || !poolMatches(&v.q.Profile, p, want) {
+			if p.Offer <= 0 && !v.noLocalTarget || !poolMatches(&v.q.Profile, p, want) {
 				continue
 			}
 			k := centreCost(v, c, p)
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -10,7 +10,7 @@
 // centres, and the index of the one that Choose would take, -1 for none. It
 // changes nothing.
 func (rt *Router) Explain(now ident.Time, q Query, tb *member.Table) ([]event.Choice, int) {
-	v := rt.look(now, q, tb)
+	v := rt.resetView(now, q, tb)
 	dec := rt.decide(v)
 	var choices []event.Choice
 	chosen := -1
@@ -31,11 +31,11 @@
 
 func (rt *Router) explainTarget(v *view, t *member.Target) event.Choice {
 	ch := event.Choice{Target: t.ID, DataCentre: t.Place.DataCentre}
-	if code, out := ruledOut(v, t); out {
+	if code, out := targetRuledOut(v, t); out {
 		ch.RuledOut = code
 		return ch
 	}
-	c := rt.priceOne(v, t)
+	c := rt.priceTarget(v, t)
 	return withCost(ch, c.cost)
 }
 
@@ -45,8 +45,8 @@
 		ch.RuledOut = code
 		return ch
 	}
-	p := offered(v, c)
-	return withCost(ch, rt.begun(v, c, p, centreCost(v, c, p)))
+	p := usablePool(v, c)
+	return withCost(ch, rt.withStartFactor(v, c, p, centreCost(v, c, p)))
 }
 
 func withCost(ch event.Choice, k cost) event.Choice {
--- a/internal/route/fail_test.go
+++ b/internal/route/fail_test.go
@@ -26,7 +26,7 @@
 	}
 	tb.HostsRead(start, list)
 	for _, t := range list.Targets {
-		report(tb, start, t.ID, 1, 2)
+		reportLoad(tb, start, t.ID, 1, 2)
 	}
 	for i := range centres {
 		place := event.Place{DataCentre: ident.DataCentre(fmt.Sprintf("far%02d", i)), Region: ident.Region(fmt.Sprint("r", i%12))}
@@ -42,16 +42,16 @@
 	return tb
 }
 
-func report(tb *member.Table, now ident.Time, id ident.TargetID, seq uint64, running int) {
+func reportLoad(tb *member.Table, now ident.Time, id ident.TargetID, seq uint64, running int) {
 	tb.LoadReported(now, event.Load{
 		Target: id, Incarnation: 1, Seq: seq, Slots: 10, Running: running,
 		PrefillRate: 1000, DecodeRate: 50, Serves: []rules.Serve{scribe},
 	})
 }
 
-// pass lets time go by as a host sees it that is not paused, with a report of
+// advance lets time go by as a host sees it that is not paused, with a report of
 // each target each second.
-func pass(tb *member.Table, from, to ident.Time) ident.Time {
+func advance(tb *member.Table, from, to ident.Time) ident.Time {
 	for now := from; now <= to; now = now.Add(time.Second) {
 		for _, x := range tb.Targets() {
 			tb.LoadReported(now, event.Load{
@@ -63,7 +63,7 @@
 	return to
 }
 
-func ask(id string) Query {
+func newQuery(id string) Query {
 	return Query{
 		Request: event.Request{ID: ident.RequestID(id), Prompt: 1000, MaxTokens: 200, Prefix: []uint64{1, 2, 3, 4}},
 		Profile: rules.Profile{Models: []rules.Serve{{Model: "scribe"}}, MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Cost: 0.1, Crossing: 0.5}},
@@ -111,22 +111,22 @@
 // The state of a target's cache grows without bound.
 func TestCacheMemoryIsBounded(t *testing.T) {
 	r := New()
-	for i := range uint64(3 * maxBlocks) {
-		r.Learn(start, "a", []uint64{i})
+	for i := range uint64(3 * maxBlocksPerTarget) {
+		r.PrefixSent(start, "a", []uint64{i})
 	}
-	for id := range 2 * maxHolders {
-		r.Learn(start, ident.TargetID(fmt.Sprint("b", id)), []uint64{3*maxBlocks - 1})
+	for id := range 2 * maxHoldersPerBlock {
+		r.PrefixSent(start, ident.TargetID(fmt.Sprint("b", id)), []uint64{3*maxBlocksPerTarget - 1})
 	}
-	if n := len(r.caches.byTarget["a"].blocks); n > maxBlocks || len(r.caches.holders) > maxBlocks {
+	if n := len(r.caches.byTarget["a"].blocks); n > maxBlocksPerTarget || len(r.caches.holders) > maxBlocksPerTarget {
 		t.Errorf("%d blocks, %d with holders", n, len(r.caches.holders))
 	}
-	if hs := r.caches.holders[3*maxBlocks-1]; len(hs) != maxHolders || hs[maxHolders-1] != "b7" {
+	if hs := r.caches.holders[3*maxBlocksPerTarget-1]; len(hs) != maxHoldersPerBlock || hs[maxHoldersPerBlock-1] != "b7" {
 		t.Errorf("holders are %v", hs)
 	}
-	for id := range 2 * maxCaches {
-		r.Learn(start, ident.TargetID(fmt.Sprint("c", id)), []uint64{1})
+	for id := range 2 * maxTargets {
+		r.PrefixSent(start, ident.TargetID(fmt.Sprint("c", id)), []uint64{1})
 	}
-	if n := len(r.caches.byTarget); n != maxCaches {
+	if n := len(r.caches.byTarget); n != maxTargets {
 		t.Errorf("%d targets", n)
 	}
 	r.Forget("a")
@@ -142,11 +142,11 @@
 // Requests with a popular prefix queue at one target.
 func TestWarmTargetLosesItsBonusAboveTheBound(t *testing.T) {
 	tb, r := fleet(8, 0), New()
-	r.Learn(start, "t003", []uint64{1, 2, 3, 4})
+	r.PrefixSent(start, "t003", []uint64{1, 2, 3, 4})
 	share := func() int {
 		n := 0
 		for i := range 200 {
-			if r.Choose(start, ask(fmt.Sprint("q", i)), tb).Target.ID == "t003" {
+			if r.Choose(start, newQuery(fmt.Sprint("q", i)), tb).Target.ID == "t003" {
 				n++
 			}
 		}
@@ -155,14 +155,14 @@
 	if n := share(); n != 200 {
 		t.Errorf("%d of 200 go to the warm target", n)
 	}
-	report(tb, start, "t003", 2, 6)
+	reportLoad(tb, start, "t003", 2, 6)
 	if n := share(); n != 0 {
 		t.Errorf("%d of 200 go to the warm target above its bound", n)
 	}
-	late := pass(tb, start, start.Add(learnLife+time.Second))
+	late := advance(tb, start, start.Add(sentTTL+time.Second))
 	cold := 0
 	for i := range 200 {
-		if r.Choose(late, ask(fmt.Sprint("q", i)), tb).Target.ID != "t003" {
+		if r.Choose(late, newQuery(fmt.Sprint("q", i)), tb).Target.ID != "t003" {
 			cold++
 		}
 	}
@@ -176,7 +176,7 @@
 	tb, r := fleet(40, 0), New()
 	counts := make(map[ident.TargetID]int)
 	for i := range 4000 {
-		q := ask(fmt.Sprint("q", i))
+		q := newQuery(fmt.Sprint("q", i))
 		q.Request.Prefix = nil
 		counts[r.Choose(start, q, tb).Target.ID]++
 	}
@@ -190,7 +190,7 @@
 // A recovered target gets all work at once.
 func TestRecoveredTargetRamps(t *testing.T) {
 	tb, r := fleet(4, 0), New()
-	back := pass(tb, start, start.Add(20*time.Second))
+	back := advance(tb, start, start.Add(20*time.Second))
 	tb.HostsRead(back, event.HostsRead{Version: 1, Targets: []event.Target{
 		{ID: "t000", Incarnation: 1, Kind: event.Engine, Place: home, Price: 1},
 		{ID: "t001", Incarnation: 2, Kind: event.Engine, Place: home, Price: 1},
@@ -206,7 +206,7 @@
 		n := 0
 		for i := range 400 {
 			// Prompts that differ: equal ones go to one target, warm or not.
-			q := ask(fmt.Sprint("q", i))
+			q := newQuery(fmt.Sprint("q", i))
 			q.Request.Prefix = []uint64{uint64(i), uint64(i) + 1000}
 			if r.Choose(now, q, tb).Target.ID == "t001" {
 				n++
@@ -214,10 +214,10 @@
 		}
 		return n
 	}
-	if n := part(pass(tb, back, back.Add(time.Second))); n != 0 {
+	if n := part(advance(tb, back, back.Add(time.Second))); n != 0 {
 		t.Errorf("a cold target with work of its own gets %d of 400", n)
 	}
-	if n := part(pass(tb, back, back.Add(11*time.Second))); n < 50 {
+	if n := part(advance(tb, back, back.Add(11*time.Second))); n < 50 {
 		t.Errorf("a target gets %d of 400 after the ramp", n)
 	}
 }
@@ -227,7 +227,7 @@
 	for crossings := range ident.Hops(4) {
 		for _, forwarded := range []bool{false, true} {
 			tb, r := fleet(0, 24), New()
-			q := ask("q")
+			q := newQuery("q")
 			q.Crossings, q.Forwarded, q.Profile.MaxCrossings = crossings, forwarded, 2
 			dec := r.Choose(start, q, tb)
 			far := dec.Centre != "" && dec.Host.Place.Region != home.Region
@@ -245,13 +245,13 @@
 // Work crosses without a gain or beyond the offer.
 func TestCrossingNeedsAGainAndAnOffer(t *testing.T) {
 	tb, r := fleet(2, 2), New()
-	q := ask("q")
+	q := newQuery("q")
 	q.Request.Prefix = nil
 	if dec := r.Choose(start, q, tb); dec.Target == nil {
 		t.Fatalf("with idle targets: %+v", dec)
 	}
 	for _, x := range tb.Targets() {
-		report(tb, start, x.ID, 2, 20)
+		reportLoad(tb, start, x.ID, 2, 20)
 	}
 	// Both data centres are new, so a tenth of each offer holds.
 	var went []ident.DataCentre
@@ -283,11 +283,11 @@
 // Work of other regions leaves no room for home work.
 func TestSpillLeavesAReserveForHomeWork(t *testing.T) {
 	tb, r := fleet(1, 0), New()
-	spill, bound := ask("s"), ask("b")
+	spill, bound := newQuery("s"), newQuery("b")
 	spill.Crossings, spill.Forwarded = 1, true
 	bound.Profile.HomeOnly, bound.Client.Home = true, home.Region
 	for n := 2; n < 20; n++ {
-		report(tb, start, "t000", uint64(n), n)
+		reportLoad(tb, start, "t000", uint64(n), n)
 		if got, want := r.Choose(start, spill, tb).Target != nil, n < 8; got != want {
 			t.Errorf("with %d of 10 slots taken, spilled work is let in: %v", n, got)
 		}
@@ -304,8 +304,8 @@
 		From: "far-e0", Place: event.Place{DataCentre: "far", Region: "r9"}, Incarnation: 1, Seq: 1, Hosts: []event.Host{{ID: "far-e0"}},
 		Pools: []event.Pool{{Serve: scribe, Slots: 20, Free: 20, Offer: 10, PrefillRate: 1000, DecodeRate: 50, Price: 1}},
 	})
-	report(tb, start, "t000", 2, 30)
-	q := ask("q")
+	reportLoad(tb, start, "t000", 2, 30)
+	q := newQuery("q")
 	q.TriedCentres = map[ident.DataCentre]struct{}{"far00": {}}
 	// least returns the weight from which on no request crosses.
 	least := func() float64 {
--- a/internal/route/pace_test.go
+++ b/internal/route/pace_test.go
@@ -58,7 +58,7 @@
 		went := 0
 		for i := range asked {
 			dec := rt.Choose(now, Query{
-				Request: event.Request{ID: ident.RequestID(fmt.Sprint("r", i)), Prompt: 1000}, Expect: 40,
+				Request: event.Request{ID: ident.RequestID(fmt.Sprint("r", i)), Prompt: 1000}, ExpectedEvents: 40,
 				Profile: rules.Profile{
 					Service: "writers", MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Crossing: 0.05},
 					Route: &rules.Route{Kind: rules.Streaming, GoalMs: 1000},
@@ -97,7 +97,7 @@
 			Pools: []event.Pool{{Service: "writers", Slots: 640, PrefillRate: 50000, DecodeRate: 1 / c.there.Seconds()}},
 		})
 		dec := New().Choose(now, Query{
-			Request: event.Request{ID: "r", Prompt: 1000}, Expect: 40,
+			Request: event.Request{ID: "r", Prompt: 1000}, ExpectedEvents: 40,
 			Profile: rules.Profile{
 				Service: "writers", MaxCrossings: 1, Weights: rules.Weights{Tail: 1},
 				Route: &rules.Route{Kind: rules.Streaming, GoalMs: 1000, TimeoutMs: 12000},
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -46,23 +46,23 @@
 	Request event.Request
 	Profile rules.Profile
 	Client  rules.Client
-	// Tried holds the targets that failed for this request, TriedCentres the
+	// TriedTargets holds the targets that failed for this request, TriedCentres the
 	// data centres.
-	Tried        value.Set[ident.TargetID]
+	TriedTargets value.Set[ident.TargetID]
 	TriedCentres value.Set[ident.DataCentre]
-	// Only is the one target that may get the request, empty for any.
-	Only ident.TargetID
+	// OnlyTarget is the one target that may get the request, empty for any.
+	OnlyTarget ident.TargetID
 	// Crossings counts the passages between regions so far.
 	Crossings ident.Hops
 	// Forwarded says that the request came from another entry host.
 	Forwarded bool
-	// Resume is the number of tokens that have reached the caller.
-	Resume ident.Tokens
-	// Again says that the request was tried before and may have run.
-	Again bool
-	// Expect is how many events the stream of a route usually has, zero where that
+	// DeliveredTokens is the number of tokens that have reached the caller.
+	DeliveredTokens ident.Tokens
+	// MayHaveRun says that the request was tried before and may have run.
+	MayHaveRun bool
+	// ExpectedEvents is how many events the stream of a route usually has, zero where that
 	// is not known.
-	Expect float64
+	ExpectedEvents float64
 	// Backlog is the predicted time that the request would wait in this
 	// host's own queue before a target is chosen.
 	Backlog time.Duration
@@ -72,9 +72,9 @@
 type Decision struct {
 	Target *member.Target
 	Serve  rules.Serve
-	// Prefill is the part of the prompt that the target probably does not
+	// PrefillTokens is the part of the prompt that the target probably does not
 	// hold.
-	Prefill ident.Tokens
+	PrefillTokens ident.Tokens
 	// CopyFrom is a target from which Target can copy a prefix of the prompt, nil for
 	// none.
 	CopyFrom *member.Target
@@ -86,13 +86,13 @@
 	// Wait is the predicted time to the first token at the best choice, even
 	// when none has room.
 	Wait time.Duration
-	// Pace is how long a stream takes from event to event at Centre, zero where that
+	// EventInterval is how long a stream takes from event to event at Centre, zero where that
 	// is not known.
-	Pace time.Duration
-	// Part is which part of the work that callers bring here goes elsewhere, Room what
+	EventInterval time.Duration
+	// SpillShare is which part of the work that callers bring here goes elsewhere, Room what
 	// Centre has room for in tokens to read a second; zero where neither decided.
-	Part float64
-	Room float64
+	SpillShare float64
+	RemoteRoom float64
 	// Full says that only room is missing.
 	Full bool
 	Code codes.ID
@@ -103,34 +103,34 @@
 
 // Router chooses. Its zero value is ready.
 type Router struct {
-	// Pick chooses among the targets that the filters leave; nil is the cost
+	// Policy chooses among the targets that the filters leave; nil is the cost
 	// policy. It is for comparing policies: with it a request crosses only
 	// when nothing local has room, on offers as ever.
-	Pick func(now ident.Time, q Query, left []*member.Target) *member.Target
+	Policy func(now ident.Time, q Query, left []*member.Target) *member.Target
 
-	caches  caches
-	crossed []crossing
+	caches          caches
+	recentCrossings []recentCrossing
 
 	// The rest is scratch space of one decision.
-	q     Query
-	v     view
-	cands []cand
-	warm  []holder
-	left  []*member.Target
-	rooms []member.Room
+	q        Query
+	v        view
+	cands    []candidate
+	warm     []holder
+	eligible []*member.Target
+	rooms    []member.Room
 }
 
-// cand is a target that remains, with its cost.
-type cand struct {
+// candidate is a target that remains, with its cost.
+type candidate struct {
 	t     *member.Target
 	serve rules.Serve
 	cost  cost
-	// ready is the predicted time to the first token, prefill the part of the
+	// ttft is the predicted time to the first token, prefill the part of the
 	// prompt that is to be computed.
-	ready   time.Duration
-	prefill ident.Tokens
-	// from is a target to copy a prefix of the prompt from.
-	from *member.Target
+	ttft          time.Duration
+	prefillTokens ident.Tokens
+	// copyFrom is a target to copy a prefix of the prompt copyFrom.
+	copyFrom *member.Target
 }
 
 // New returns a router that knows no cache.
@@ -138,13 +138,13 @@
 
 // Choose returns the best choice.
 func (rt *Router) Choose(now ident.Time, q Query, tb *member.Table) Decision {
-	v := rt.look(now, q, tb)
-	if rt.Pick != nil {
-		return rt.pick(v)
+	v := rt.resetView(now, q, tb)
+	if rt.Policy != nil {
+		return rt.applyPolicy(v)
 	}
 	dec := rt.decide(v)
 	if dec.Centre != "" {
-		rt.noteCrossing(now, dec.Centre, dec.Pool)
+		rt.recordCrossing(now, dec.Centre, dec.Pool)
 	}
 	if dec.Target == nil && !dec.Full && len(q.Profile.Models) > 0 {
 		tb.Want(now, member.PoolID{Serve: q.Profile.Models[0]})
@@ -157,7 +157,7 @@
 
 // Preview returns what Choose would decide and records nothing.
 func (rt *Router) Preview(now ident.Time, q Query, tb *member.Table) Decision {
-	return rt.decide(rt.look(now, q, tb))
+	return rt.decide(rt.resetView(now, q, tb))
 }
 
 // view is what the filters and costs of one decision look at.
@@ -167,27 +167,27 @@
 	tb  *member.Table
 	// key is a hash of the request's id.
 	key uint64
-	// home is the region of this host.
-	home ident.Region
-	// mean is the mean use of the slots of the sample.
-	mean float64
-	// asked, region and outside hold the last answer of the residency rule.
-	asked   bool
-	region  ident.Region
-	outside bool
-	// stranded says that no target of the own data centre may serve the
+	// localRegion is the region of this host.
+	localRegion ident.Region
+	// meanUse is the meanUse use of the slots of the sample.
+	meanUse float64
+	// residencyCached, region and outside hold the last answer of the residency rule.
+	residencyCached bool
+	residencyRegion ident.Region
+	residencyDenied bool
+	// noLocalTarget says that no target of the own data centre may serve the
 	// request, not even one that only lacks room.
-	stranded bool
-	// desperate says that suspect targets are taken too.
-	desperate bool
+	noLocalTarget bool
+	// allowSuspect says that suspect targets are taken too.
+	allowSuspect bool
 }
 
-// look fills in the view of a decision, which lies in the router so that none
+// resetView fills in the view of a decision, which lies in the router so that none
 // is allocated.
-func (rt *Router) look(now ident.Time, q Query, tb *member.Table) *view {
+func (rt *Router) resetView(now ident.Time, q Query, tb *member.Table) *view {
 	rt.q = q
 	rt.v = view{
-		now: now, q: &rt.q, tb: tb, key: rank.Hash(string(q.Request.ID)), home: tb.Self().Place.Region,
+		now: now, q: &rt.q, tb: tb, key: rank.Hash(string(q.Request.ID)), localRegion: tb.Self().Place.Region,
 	}
 	return &rt.v
 }
@@ -196,28 +196,28 @@
 func (rt *Router) decide(v *view) Decision {
 	rt.findWarm(v)
 	full := rt.sample(v)
-	rt.price(v)
+	rt.priceCandidates(v)
 	best := rt.cheapest(v)
 	if best == nil && full == nil {
-		return rt.strand(v)
+		return rt.decideWithoutLocal(v)
 	}
 	if v.q.Profile.Route != nil {
-		return rt.shareOut(v, best, full)
+		return rt.decideRouted(v, best, full)
 	}
 	local := best
 	if local == nil {
-		local = rt.priceOne(v, full)
+		local = rt.priceTarget(v, full)
 	}
-	if dec, ok := rt.abroad(v, local, rt.part(v, best)); ok {
+	if dec, ok := rt.remoteChoice(v, local, rt.remoteCostFactor(v, best)); ok {
 		return dec
 	}
 	if best == nil {
-		return Decision{Wait: local.ready, Full: true, Code: codes.Overloaded.ID}
+		return Decision{Wait: local.ttft, Full: true, Code: codes.Overloaded.ID}
 	}
-	return Decision{Target: best.t, Serve: best.serve, Prefill: best.prefill, Wait: best.ready}
+	return Decision{Target: best.t, Serve: best.serve, PrefillTokens: best.prefillTokens, Wait: best.ttft}
 }
 
-// strand decides for a request that no sound target of the own data centre may
+// decideWithoutLocal decides for a request that no sound target of the own data centre may
 // serve: another data centre, or else, for a route, a suspect target.
 //
 // A target is suspected after a few failures in a row, and a probe lets it back
@@ -225,13 +225,13 @@
 // them fail part of their requests, to refuse everything meanwhile does more
 // harm than the failures: most of what is sent there may come to a good end, and
 // of a target that is dead nothing runs.
-func (rt *Router) strand(v *view) Decision {
-	v.stranded = true
-	if dec, ok := rt.abroad(v, nil, 1); ok {
+func (rt *Router) decideWithoutLocal(v *view) Decision {
+	v.noLocalTarget = true
+	if dec, ok := rt.remoteChoice(v, nil, 1); ok {
 		return dec
 	}
-	if v.q.Profile.Route != nil && !v.desperate {
-		v.desperate = true
+	if v.q.Profile.Route != nil && !v.allowSuspect {
+		v.allowSuspect = true
 		return rt.decide(v)
 	}
 	return Decision{Code: codes.NoTarget.ID}
@@ -241,8 +241,8 @@
 // that does not divide their number reaches every one.
 var strides = [...]int{1, 3, 7, 11, 13, 17, 19, 23}
 
-// walk returns where the sample starts and by which step it goes on.
-func walk(key uint64, n int) (start, step int) {
+// sampleOrder returns where the sample starts and by which step it goes on.
+func sampleOrder(key uint64, n int) (start, step int) {
 	step = strides[rank.Mix(key)%uint64(len(strides))]
 	if n%step == 0 {
 		step = 1
@@ -258,7 +258,7 @@
 	rt.cands = rt.cands[:0]
 	for _, h := range rt.warm {
 		if t, ok := v.tb.Target(h.target); ok {
-			rt.consider(v, t)
+			rt.addCandidate(v, t)
 		}
 	}
 	targets := v.tb.Targets()
@@ -269,11 +269,11 @@
 	var full *member.Target
 	var fullWait time.Duration
 	fulls := 0
-	i, step := walk(v.key, n)
+	i, step := sampleOrder(v.key, n)
 	for range n {
 		t := targets[i]
 		i = (i + step) % n
-		code := rt.consider(v, t)
+		code := rt.addCandidate(v, t)
 		if lacksRoom(code) && fulls < sampleSize {
 			fulls++
 			w := max(t.Wait(v.now, t.Outstanding(v.now), 1), v.tb.ColdWait(v.now, t))
@@ -292,31 +292,31 @@
 // for.
 func lacksRoom(code codes.ID) bool { return code == codes.FilterFull.ID || code == codes.FilterCold.ID }
 
-// consider takes a target into the sample unless a filter rules it out.
-func (rt *Router) consider(v *view, t *member.Target) codes.ID {
+// addCandidate takes a target into the sample unless a filter rules it out.
+func (rt *Router) addCandidate(v *view, t *member.Target) codes.ID {
 	for i := range rt.cands {
 		if rt.cands[i].t == t {
 			return ""
 		}
 	}
-	if code, out := ruledOut(v, t); out {
+	if code, out := targetRuledOut(v, t); out {
 		return code
 	}
-	rt.cands = append(rt.cands, cand{t: t})
+	rt.cands = append(rt.cands, candidate{t: t})
 	return ""
 }
 
 // Near-equal costs: those within a part of the best and a fixed time of it.
 const (
-	nearPart = 0.05
-	nearTime = 0.005
+	nearCostFraction = 0.05
+	nearCostSeconds  = 0.005
 )
 
 // cheapest returns one of the cheapest candidates. Among near-equal ones a hash decides, so
 // that hosts with the same reports do not all choose the same target: that of the first half of
 // the prompt, so that prompts with a shared prefix come to the same cache, or that of the
 // request where there is no prompt.
-func (rt *Router) cheapest(v *view) *cand {
+func (rt *Router) cheapest(v *view) *candidate {
 	if len(rt.cands) == 0 {
 		return nil
 	}
@@ -324,9 +324,9 @@
 	for i := range rt.cands {
 		least = min(least, rt.cands[i].cost.sum())
 	}
-	limit := least + nearPart*least + nearTime
+	limit := least + nearCostFraction*least + nearCostSeconds
 	key := v.prefixHash()
-	var best *cand
+	var best *candidate
 	var score uint64
 	for i := range rt.cands {
 		c := &rt.cands[i]
@@ -354,30 +354,30 @@
 	return p[at]
 }
 
-// pick lets the seam choose among all targets that the filters leave.
-func (rt *Router) pick(v *view) Decision {
-	rt.left = rt.left[:0]
+// applyPolicy lets the seam choose among all targets that the filters leave.
+func (rt *Router) applyPolicy(v *view) Decision {
+	rt.eligible = rt.eligible[:0]
 	full := false
 	for _, t := range v.tb.Targets() {
-		code, out := ruledOut(v, t)
+		code, out := targetRuledOut(v, t)
 		full = full || code == codes.FilterFull.ID
 		if !out {
-			rt.left = append(rt.left, t)
+			rt.eligible = append(rt.eligible, t)
 		}
 	}
-	if len(rt.left) == 0 {
-		if dec, ok := rt.abroad(v, nil, 1); ok {
-			rt.noteCrossing(v.now, dec.Centre, dec.Pool)
+	if len(rt.eligible) == 0 {
+		if dec, ok := rt.remoteChoice(v, nil, 1); ok {
+			rt.recordCrossing(v.now, dec.Centre, dec.Pool)
 			return dec
 		}
 	}
-	if len(rt.left) == 0 && full {
+	if len(rt.eligible) == 0 && full {
 		return Decision{Wait: v.q.Backlog, Full: true, Code: codes.Overloaded.ID}
 	}
-	if len(rt.left) == 0 {
+	if len(rt.eligible) == 0 {
 		return Decision{Code: codes.NoTarget.ID}
 	}
-	t := rt.Pick(v.now, *v.q, rt.left)
-	sv, _ := served(&v.q.Profile, t.Load.Serves)
+	t := rt.Policy(v.now, *v.q, rt.eligible)
+	sv, _ := servedModel(&v.q.Profile, t.Load.Serves)
 	return Decision{Target: t, Serve: sv, Wait: t.Wait(v.now, t.Outstanding(v.now), 1) + v.q.Backlog}
 }
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -6,14 +6,14 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// shareOut decides for a request of a route that has a place here, or lacks only room: another
+// decideRouted decides for a request of a route that has a place here, or lacks only room: another
 // data centre by its part of the work, or the best target. A request that may have run and is
 // tried again stays here, where it may be queued until its deadline.
-func (rt *Router) shareOut(v *view, best *cand, full *member.Target) Decision {
-	part, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.engine(), rt.rooms)
+func (rt *Router) decideRouted(v *view, best *candidate, full *member.Target) Decision {
+	part, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.needsEngine(), rt.rooms)
 	rt.rooms = rooms
 	switch {
-	case v.q.Again:
+	case v.q.MayHaveRun:
 		rooms = nil
 	case member.SharesMuch(&v.q.Request):
 	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < part:
@@ -21,29 +21,29 @@
 	default:
 		rooms = nil
 	}
-	if dec, ok := rt.spill(v, rooms); ok {
-		dec.Part = part
+	if dec, ok := rt.spillChoice(v, rooms); ok {
+		dec.SpillShare = part
 		return dec
 	}
 	local := best
 	if local == nil {
-		local = rt.priceOne(v, full)
+		local = rt.priceTarget(v, full)
 	}
-	if !v.q.Again {
-		if dec, ok := rt.abroad(v, local, rt.part(v, best)); ok {
+	if !v.q.MayHaveRun {
+		if dec, ok := rt.remoteChoice(v, local, rt.remoteCostFactor(v, best)); ok {
 			return dec
 		}
 	}
 	if best == nil {
-		return Decision{Wait: local.ready, Full: true, Code: codes.Overloaded.ID}
+		return Decision{Wait: local.ttft, Full: true, Code: codes.Overloaded.ID}
 	}
-	return Decision{Target: best.t, Serve: best.serve, Prefill: best.prefill, Wait: best.ready, CopyFrom: best.from}
+	return Decision{Target: best.t, Serve: best.serve, PrefillTokens: best.prefillTokens, Wait: best.ttft, CopyFrom: best.copyFrom}
 }
 
-// spill returns the data centre that a request goes to, of those with room, if it is not the
+// spillChoice returns the data centre that a request goes to, of those with room, if it is not the
 // own one. It goes by the shared prefix of the prompt, so that the same engines prefill it, and
 // each data centre gets prefixes by its room.
-func (rt *Router) spill(v *view, rooms []member.Room) (Decision, bool) {
+func (rt *Router) spillChoice(v *view, rooms []member.Room) (Decision, bool) {
 	var best *member.Centre
 	most, room := 0.0, 0.0
 	for _, r := range rooms {
@@ -70,6 +70,6 @@
 	p := best.Pool(id)
 	return Decision{
 		Host: h, Centre: best.Place.Group(), Pool: id,
-		Wait: readyAbroad(v, best, p), Pace: toTime(span(1, p.DecodeRate)), Room: room,
+		Wait: remoteTTFT(v, best, p), EventInterval: toDuration(secondsFor(1, p.DecodeRate)), RemoteRoom: room,
 	}, true
 }
--- a/internal/route/spill_test.go
+++ b/internal/route/spill_test.go
@@ -153,7 +153,7 @@
 	rt := New()
 	tb.Prefill(usual.ID, 200000)
 	other := rt.Choose(now, q, tb).Target
-	rt.Learn(now, other.ID, q.Request.Prefix)
+	rt.PrefixSent(now, other.ID, q.Request.Prefix)
 	tb.ReadDone(usual.ID, 200000)
 	tb.Prefill(other.ID, 200000)
 	dec := rt.Choose(now, q, tb)
@@ -196,7 +196,7 @@
 	for i := range 100 {
 		for _, shared := range []int{1, 10} {
 			q := writersQuery(fmt.Sprint("r", i), uint64(i)<<20, shared)
-			q.Again = true
+			q.MayHaveRun = true
 			if dec := rt.Choose(now, q, tb); dec.Centre != "" {
 				t.Fatalf("a request that may have run is passed on: %+v", dec)
 			}
