--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,41 +1,42 @@
-// Package admit holds requests while no target is free, and gives up at once
-// on those that can't be met.
+// Package admit queues requests while no target has capacity, and refuses those
+// that can't meet their deadlines.
 //
 // # Usage
 //
 //	q := admit.New(admit.Config{})
 //	ok, shed, retryAfter := q.Push(now, item, wait)
-//	for _, id := range q.Shed(now, untilFree) { ... } // final answers
-//	item, ok := q.Pop(now)                            // when a place is free
+//	for _, id := range q.Shed(now, untilFree) { ... } // refuse
+//	item, ok := q.Pop(now)                            // when a slot is free
 //
-// wait is the predicted time until the item would start. Work gives the sum of
-// what waits, for that prediction.
+// wait is the predicted time until the item would start. Work returns the total
+// work that is queued, from which wait can be predicted.
 //
 // # Order
 //
-// Home-bound requests go first, until they have had HomeShare of the work
-// since both kinds began to wait; so a home can't be crowded out by work that
-// could go elsewhere, nor crowd out all else. Then the higher priority goes
-// first. Among equals the earliest deadline goes first, among the accounts
-// that are not ahead: each account counts the work it was given, and one that
-// is more than Lead ahead of the least served account waits. Two accounts that
-// both wait therefore differ by at most Lead and the work of one request,
-// whatever their deadlines. Strict turns between accounts would be fairer
-// still, but would miss deadlines that this order meets.
+// Home-bound requests go first until they have received HomeShare of the work
+// served since both kinds began to wait. Requests that could run elsewhere thus
+// can't crowd them out, and they can't starve the rest. Within each kind, requests
+// past their goal go last. Next, a higher priority goes first. Among equal
+// priorities the earliest deadline goes first, among the accounts that are not
+// ahead: the queue counts the work served to each account, and one that is more
+// than MaxLead ahead of the least served account waits. The work served to two
+// waiting accounts thus differs by at most MaxLead plus the work of one request,
+// whatever their deadlines. Strict alternation between accounts would be fairer,
+// but would miss deadlines that this order meets.
 //
 // # Overload
 //
-// A queue that takes everything serves each request too late once it is longer
-// than the deadlines, and then no work done is of use. So what can't be met is
-// refused when it comes, and what can no longer be met is shed before it is
-// served. Each gets its final answer at once, with when to come back. Work is
-// a prediction, so a Margin is asked for on top of it.
+// A queue that accepts everything serves every request too late once the wait
+// exceeds the deadlines, and all work done is wasted. So Push refuses a request
+// that can't meet its deadline, and Shed drops one that no longer can, before it
+// is served. Each gets its final answer immediately, with a time to retry after.
+// Since Work is a prediction, Margin is added to it.
 //
 // # Bounds
 //
-// At most Config.Most requests wait. A full queue has room for an account that
-// holds less than its even share, at the cost of the account that holds most.
-// Counts of work are kept for at most twice as many accounts.
+// At most Config.MaxWaiting requests wait. If the queue is full, an account with
+// less than an even share of it still gets a place, taken from the account with
+// the most requests. Served work is counted for at most twice as many accounts.
 package admit
 
 import (
@@ -45,75 +46,79 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Never is what Next returns when nothing waits.
+// Never is what NextShed returns if the queue is empty.
 const Never ident.Time = math.MaxInt64
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	defaultMaxWaiting = 1 << 10
 	defaultHomeShare  = 0.5
 	defaultMaxLead    = 2 * time.Second
 	defaultMargin     = 0.5
 
-	// minRetryAfter keeps callers from coming back at once.
+	// minRetryAfter keeps callers from retrying immediately.
 	minRetryAfter = time.Second
 )
 
-// Config bounds the queue. Zero fields stand for the defaults.
+// Config configures a Queue. Zero fields select the defaults.
 type Config struct {
-	// MaxWaiting is the most requests that wait.
+	// MaxWaiting is the maximum number of queued requests.
 	MaxWaiting int
-	// HomeShare is the share of the work that home-bound requests are given
-	// before others that wait.
+	// HomeShare is the share of the served work that home-bound requests get
+	// before others while both kinds wait.
 	HomeShare float64
-	// MaxLead is how much more work an account may have been given than another
-	// that waits.
+	// MaxLead is how much more work an account may have been served than the least
+	// served account that waits.
 	MaxLead time.Duration
-	// Margin is the share of the predicted work that is added to it before
-	// it is held against the deadline. A negative one is none.
+	// Margin is the fraction of the predicted work that is added to it when it is
+	// checked against the deadline. A negative value adds none.
 	Margin float64
 }
 
-// Item is one request that waits.
+// Item is a queued request.
 type Item struct {
-	ID        ident.RequestID
-	Account   ident.Account
+	ID      ident.RequestID
+	Account ident.Account
+	// HomeBound reports that the residency rule restricts the regions that may serve
+	// the request.
 	HomeBound bool
 	Priority  int
-	// PastGoal says that it can no longer be answered within its goal.
+	// PastGoal reports that the request can no longer be answered within its goal.
 	PastGoal bool
 	Deadline ident.Time
-	// Work is the predicted time from the start to the whole answer.
+	// Work is the predicted time from the start of the request to its full answer.
 	Work time.Duration
 }
 
-// entry is an item in the order of its arrival.
+// entry is a queued item. Entries are kept in order of arrival.
 type entry struct {
 	Item
 	account *account
-	// latestStart is the last moment at which it can start and be met.
+	// latestStart is the latest time at which the item can start and meet its deadline.
 	latestStart ident.Time
 }
 
-// account is what the queue knows of one client account.
+// account is the state of one client account.
 type account struct {
 	name    ident.Account
 	waiting int
-	// served is the work served to it, on a scale shared by all accounts.
+	// served is the work served to the account, raised to servedFloor when the
+	// account starts to wait.
 	served time.Duration
 }
 
-// Queue holds the requests that wait.
+// Queue holds the waiting requests. It is not safe for concurrent use.
 type Queue struct {
 	cfg      Config
 	entries  []entry
 	accounts map[ident.Account]*account
 	work     time.Duration
-	// servedFloor is the least work given to any account that waited at the last
-	// Pop. An account that comes anew starts there: time not used is no
+	// servedFloor is the least work served to any account that waited at the last
+	// Pop. An account that starts to wait begins there, so that idle time earns no
 	// credit.
 	servedFloor time.Duration
-	// homeServed and otherServed are the work given while both kinds waited.
+	// homeServed and otherServed are the work served to home-bound and other
+	// requests while both kinds waited.
 	homeServed, otherServed time.Duration
 }
 
@@ -134,15 +139,15 @@
 	return &Queue{cfg: cfg, accounts: make(map[ident.Account]*account)}
 }
 
-// Len counts the requests that wait.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Work is the predicted work of all requests that wait.
+// Work returns the total predicted work of the queued requests.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Push queues an item that would start after the predicted wait. If it may
-// not wait, retryAfter is when to come back. shed lists those that lost their
-// place to it.
+// Push queues an item that is predicted to start after wait. If it is refused,
+// retryAfter is when to retry. shed lists the requests that were dropped to make
+// room for it.
 func (q *Queue) Push(now ident.Time, it Item, wait time.Duration) (ok bool, shed []ident.RequestID, retryAfter time.Duration) {
 	if late := now.Add(wait).Sub(q.latestStart(it)); late > 0 {
 		return false, nil, max(minRetryAfter, late)
@@ -162,17 +167,17 @@
 	return true, shed, 0
 }
 
-// PutBack takes back an item that Pop gave out and that found no place.
+// PutBack returns an item from Pop to the queue because it found no capacity.
 func (q *Queue) PutBack(it Item) {
 	if q.index(it.ID) < 0 {
 		q.add(it)
 	}
 }
 
-// Ahead counts the requests that go before one that comes now, but for those that it
-// passes by its account or deadline: for one in time only those that are in time too.
-func (q *Queue) Ahead(late bool) int {
-	if late {
+// Ahead returns the number of requests ahead of a new one, ignoring those that it would overtake
+// by account or deadline. Past-goal requests are ahead only of a past-goal one.
+func (q *Queue) Ahead(pastGoal bool) int {
+	if pastGoal {
 		return len(q.entries)
 	}
 	n := 0
@@ -184,8 +189,8 @@
 	return n
 }
 
-// Remove takes out a request whose caller has left, and reports whether it
-// waited.
+// Remove drops a request whose caller has disconnected, and reports whether it was
+// queued.
 func (q *Queue) Remove(id ident.RequestID) bool {
 	i := q.index(id)
 	if i < 0 {
@@ -195,8 +200,8 @@
 	return true
 }
 
-// Shed takes out the requests that can no longer be met if the next place is
-// free after wait, in the order of their arrival.
+// Shed removes the requests that can no longer meet their deadlines if the next
+// slot becomes free after wait, and returns them in order of arrival.
 func (q *Queue) Shed(now ident.Time, wait time.Duration) []ident.RequestID {
 	var ids []ident.RequestID
 	start := now.Add(max(wait, 0))
@@ -212,7 +217,8 @@
 	return ids
 }
 
-// NextShed returns when Shed has work even if a place were free at once, or Never.
+// NextShed returns the earliest time at which Shed removes a request even with a
+// zero wait, or Never.
 func (q *Queue) NextShed() ident.Time {
 	next := Never
 	for i := range q.entries {
@@ -221,12 +227,13 @@
 	return next
 }
 
-// RetryAfter returns when a request that finds no place now may come back.
+// RetryAfter returns the time after which a refused request may retry.
 func (q *Queue) RetryAfter(_ ident.Time, wait time.Duration) time.Duration {
 	return max(minRetryAfter, wait)
 }
 
-// latestStart returns the last moment at which an item can start and be met.
+// latestStart returns the latest time at which an item can start and meet its
+// deadline.
 func (q *Queue) latestStart(it Item) ident.Time {
 	return it.Deadline.Add(-it.Work - time.Duration(max(q.cfg.Margin, 0)*float64(it.Work)))
 }
--- a/internal/admit/load_test.go
+++ b/internal/admit/load_test.go
@@ -11,9 +11,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// The server model: slots that each serve one request at a time. What a
-// request really takes is its prediction times a log-normal factor of mean 1,
-// so one in nine takes half as long again, or longer.
+// The server model: slots that each serve one request at a time. The actual duration of a
+// request is its prediction times a log-normal factor of mean 1, so that one in nine takes at
+// least 1.5 times as long as predicted.
 const (
 	slots    = 20
 	meanWork = time.Second
@@ -33,11 +33,11 @@
 	pop  func(now ident.Time) (arrival, bool)
 }
 
-// arrivals makes arrivals at a multiple of what the places can serve, the same on
-// every run.
-func arrivals(times float64) []arrival {
+// arrivals returns arrivals at a multiple of the rate that the slots can serve, the same
+// on every run.
+func arrivals(factor float64) []arrival {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	rate := times * slots / meanWork.Seconds()
+	rate := factor * slots / meanWork.Seconds()
 	var as []arrival
 	for at := 0.0; at < runTime.Seconds(); at += rnd.ExpFloat64() / rate {
 		work := time.Duration(min(rnd.ExpFloat64(), 5) * float64(meanWork))
@@ -55,7 +55,7 @@
 	return as
 }
 
-// endTimes is a heap of the times at which busy places are free.
+// endTimes is a heap of the times at which busy slots become free.
 type endTimes []ident.Time
 
 func (e endTimes) Len() int           { return len(e) }
@@ -69,8 +69,8 @@
 	return x
 }
 
-// goodput is what was done in time: the work as a share of what the places
-// could do, and the requests a second.
+// goodput measures what was done in time: work as a fraction of the capacity of the
+// slots, and requests a second.
 type goodput struct{ work, requests float64 }
 
 func (g goodput) max(o goodput) goodput {
@@ -78,10 +78,10 @@
 }
 
 func (g goodput) String() string {
-	return fmt.Sprintf("%.3f of the places, %.2f/s", g.work, g.requests)
+	return fmt.Sprintf("%.3f of capacity, %.2f/s", g.work, g.requests)
 }
 
-// serve runs a load through a policy.
+// serve runs arrivals through a policy.
 func serve(as []arrival, p policy) goodput {
 	busy := &endTimes{}
 	var g goodput
@@ -110,7 +110,7 @@
 	return g
 }
 
-// fifo is the naive queue: it takes everything and serves it in order.
+// fifo is the naive queue: it accepts everything and serves it in order.
 func fifo() policy {
 	var q []arrival
 	return policy{
@@ -144,7 +144,8 @@
 	}
 }
 
-// Under overload a queue accepts everything, and each answer comes after its caller has left.
+// Guards against lost goodput under overload: a queue that accepts everything answers each
+// request only after its caller has left.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	var best, got goodput
 	for _, times := range []float64{1, 2, 10} {
@@ -154,15 +155,15 @@
 		best = best.max(naive).max(got)
 		t.Logf("offered %2.0fx: %v; first in first out %v", times, got, naive)
 		if got.work < naive.work || got.requests < naive.requests {
-			t.Errorf("offered %vx: %v, and the naive queue %v", times, got, naive)
+			t.Errorf("offered %vx: %v is less than the naive queue with %v", times, got, naive)
 		}
 	}
 	if got.work < 0.95 || got.work < 0.95*best.work || got.requests < 0.95*best.requests {
-		t.Errorf("at 10x %v, less than 95 %% of the best, %v", got, best)
+		t.Errorf("offered 10x: %v, less than 95 %% of the best, %v", got, best)
 	}
 }
 
-// BenchmarkMargins measures what the margin costs and brings.
+// BenchmarkMargins measures the effect of Margin on goodput.
 func BenchmarkMargins(b *testing.B) {
 	for _, m := range []float64{-1, 0.25, 0.5, 0.75, 1} {
 		for _, times := range []float64{1, 2, 10} {
--- a/internal/admit/order.go
+++ b/internal/admit/order.go
@@ -7,8 +7,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Pop takes out the request to serve next. Requests that can't be met are left
-// for Shed.
+// Pop removes and returns the request to serve next. It skips requests that can no
+// longer meet their deadlines; Shed removes those.
 func (q *Queue) Pop(now ident.Time) (Item, bool) {
 	home, other := q.countServable(now)
 	if home == 0 && other == 0 {
@@ -28,7 +28,8 @@
 	return e.Item, true
 }
 
-// countServable counts the home-bound and the other requests that can be served.
+// countServable counts the home-bound and the other requests that can still meet
+// their deadlines.
 func (q *Queue) countServable(now ident.Time) (home, other int) {
 	for i := range q.entries {
 		switch e := &q.entries[i]; {
@@ -54,13 +55,13 @@
 	q.otherServed += it.Work
 }
 
-// bestIndex finds the index of the next request of one kind.
+// bestIndex returns the index of the request to serve next among those of one kind.
 func (q *Queue) bestIndex(now ident.Time, home bool) int {
 	ok := func(e *entry) bool { return e.HomeBound == home && now <= e.latestStart }
-	late := q.allPastGoal(ok)
-	timely := ok
-	if !late {
-		ok = func(e *entry) bool { return timely(e) && !e.PastGoal }
+	allPast := q.allPastGoal(ok)
+	servable := ok
+	if !allPast {
+		ok = func(e *entry) bool { return servable(e) && !e.PastGoal }
 	}
 	priority, least := q.topPriority(ok)
 	q.servedFloor = max(q.servedFloor, least)
@@ -77,7 +78,7 @@
 	return best
 }
 
-// allPastGoal reports whether all that wait are late.
+// allPastGoal reports whether all requests that satisfy ok are past their goal.
 func (q *Queue) allPastGoal(ok func(e *entry) bool) bool {
 	for i := range q.entries {
 		if e := &q.entries[i]; ok(e) && !e.PastGoal {
@@ -87,8 +88,8 @@
 	return true
 }
 
-// topPriority finds the highest priority that waits, and the least work given to an
-// account that waits at that priority.
+// topPriority returns the highest priority among the requests that satisfy ok, and
+// the least work served to an account that waits with that priority.
 func (q *Queue) topPriority(ok func(e *entry) bool) (priority int, least time.Duration) {
 	found := false
 	for i := range q.entries {
@@ -127,7 +128,7 @@
 	q.work -= e.Work
 	q.entries = slices.Delete(q.entries, i, i+1)
 	if len(q.entries) == 0 {
-		// Nobody waits, so nobody is owed a turn.
+		// Without waiting accounts, there is nothing to balance.
 		clear(q.accounts)
 		q.servedFloor, q.homeServed, q.otherServed = 0, 0, 0
 		return
@@ -137,7 +138,7 @@
 	}
 }
 
-// forgetIdle drops the counts of accounts of which nothing waits.
+// forgetIdle drops the counts of accounts without queued requests.
 func (q *Queue) forgetIdle() {
 	for name, a := range q.accounts {
 		if a.waiting == 0 {
@@ -155,14 +156,15 @@
 	return -1
 }
 
-// victim finds who gives up its place in a full queue to an account: the
-// request of lowest priority and latest deadline of the account that holds
-// most. An account that holds its even share or more gets no place.
+// victim returns the index of the request that loses its place in a full queue to a
+// new request of the account by: the one with the lowest priority and latest deadline
+// of the account with the most requests. It returns false if by already has its even
+// share, or if no other account has at least two requests more.
 func (q *Queue) victim(by ident.Account) (int, bool) {
-	held, accounts, most := 0, 1, (*account)(nil)
+	waiting, accounts, most := 0, 1, (*account)(nil)
 	for _, a := range q.accounts {
 		if a.name == by {
-			held = a.waiting
+			waiting = a.waiting
 			continue
 		}
 		if a.waiting == 0 {
@@ -173,7 +175,7 @@
 			most = a
 		}
 	}
-	if held*accounts >= q.cfg.MaxWaiting || most == nil || most.waiting <= held+1 {
+	if waiting*accounts >= q.cfg.MaxWaiting || most == nil || most.waiting <= waiting+1 {
 		return 0, false
 	}
 	return q.leastUrgent(most), true
--- a/internal/admit/order_test.go
+++ b/internal/admit/order_test.go
@@ -19,20 +19,20 @@
 	_ = flag.Set("rapid.steps", "100")
 }
 
-// referenceQueue is the queue as a plain list, in the order of arrival.
+// referenceQueue is the queue as a plain list in order of arrival.
 type referenceQueue struct {
-	cfg         Config
-	list        []Item
-	given       map[ident.Account]time.Duration
-	level       time.Duration
-	home, other time.Duration
+	cfg                     Config
+	list                    []Item
+	served                  map[ident.Account]time.Duration
+	servedFloor             time.Duration
+	homeServed, otherServed time.Duration
 }
 
-func (n *referenceQueue) late(now ident.Time, it Item) bool {
+func (n *referenceQueue) tooLate(now ident.Time, it Item) bool {
 	return now.Add(it.Work+it.Work/2) > it.Deadline
 }
 
-func (n *referenceQueue) of(a ident.Account) int {
+func (n *referenceQueue) queued(a ident.Account) int {
 	k := 0
 	for _, it := range n.list {
 		if it.Account == a {
@@ -43,8 +43,8 @@
 }
 
 func (n *referenceQueue) add(it Item) {
-	if n.of(it.Account) == 0 {
-		n.given[it.Account] = max(n.given[it.Account], n.level)
+	if n.queued(it.Account) == 0 {
+		n.served[it.Account] = max(n.served[it.Account], n.servedFloor)
 	}
 	n.list = append(n.list, it)
 }
@@ -53,7 +53,7 @@
 	k := len(n.list)
 	n.list = slices.DeleteFunc(n.list, func(it Item) bool { return it.ID == id })
 	if len(n.list) == 0 {
-		n.given, n.level, n.home, n.other = map[ident.Account]time.Duration{}, 0, 0, 0
+		n.served, n.servedFloor, n.homeServed, n.otherServed = map[ident.Account]time.Duration{}, 0, 0, 0
 	}
 	return len(n.list) < k
 }
@@ -64,7 +64,7 @@
 
 // pop filters step by step until the earliest deadline decides.
 func (n *referenceQueue) pop(now ident.Time) (Item, bool) {
-	can := filter(n.list, func(it Item) bool { return !n.late(now, it) })
+	can := filter(n.list, func(it Item) bool { return !n.tooLate(now, it) })
 	if len(can) == 0 {
 		return Item{}, false
 	}
@@ -72,26 +72,26 @@
 	others := filter(can, func(it Item) bool { return !it.HomeBound })
 	both := len(homes) > 0 && len(others) > 0
 	if !both {
-		n.home, n.other = 0, 0
+		n.homeServed, n.otherServed = 0, 0
 	}
 	can = others
-	if len(others) == 0 || (both && n.home <= n.other) {
+	if len(others) == 0 || (both && n.homeServed <= n.otherServed) {
 		can = homes
 	}
 	top := slices.MaxFunc(can, func(a, b Item) int { return a.Priority - b.Priority }).Priority
 	can = filter(can, func(it Item) bool { return it.Priority == top })
-	least := n.given[can[0].Account]
+	least := n.served[can[0].Account]
 	for _, it := range can {
-		least = min(least, n.given[it.Account])
+		least = min(least, n.served[it.Account])
 	}
-	n.level = max(n.level, least)
-	can = filter(can, func(it Item) bool { return n.given[it.Account] <= least+n.cfg.MaxLead })
+	n.servedFloor = max(n.servedFloor, least)
+	can = filter(can, func(it Item) bool { return n.served[it.Account] <= least+n.cfg.MaxLead })
 	it := slices.MinFunc(can, func(a, b Item) int { return int(a.Deadline - b.Deadline) })
-	n.given[it.Account] += it.Work
+	n.served[it.Account] += it.Work
 	if both && it.HomeBound {
-		n.home += it.Work
+		n.homeServed += it.Work
 	} else if both {
-		n.other += it.Work
+		n.otherServed += it.Work
 	}
 	n.drop(it.ID)
 	return it, true
@@ -105,15 +105,15 @@
 			accounts = append(accounts, it.Account)
 		}
 		if it.Account != a {
-			most = max(most, n.of(it.Account))
+			most = max(most, n.queued(it.Account))
 		}
 	}
-	return n.of(a)*len(accounts) >= n.cfg.MaxWaiting || most <= n.of(a)+1
+	return n.queued(a)*len(accounts) >= n.cfg.MaxWaiting || most <= n.queued(a)+1
 }
 
-// above reports whether the account of an item has another that should give
-// way before it.
-func (n *referenceQueue) above(it Item) bool {
+// lessUrgentExists reports whether the account of an item has a less urgent one that should be
+// dropped first.
+func (n *referenceQueue) lessUrgentExists(it Item) bool {
 	return slices.ContainsFunc(n.list, func(o Item) bool {
 		return o.Account == it.Account &&
 			(o.Priority < it.Priority || (o.Priority == it.Priority && o.Deadline > it.Deadline))
@@ -122,16 +122,16 @@
 
 func (n *referenceQueue) push(t *rapid.T, q *Queue, now ident.Time, it Item, wait time.Duration) {
 	ok, shed, after := q.Push(now, it, wait)
-	want := !n.late(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.full(it.Account))
+	want := !n.tooLate(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.full(it.Account))
 	if ok != want || (!ok && after < minRetryAfter) {
-		t.Fatalf("push %+v: got %v, want %v, come back after %v", it, ok, want, after)
+		t.Fatalf("push %+v: got %v, want %v, retry after %v", it, ok, want, after)
 	}
 	if !ok {
 		return
 	}
 	for _, id := range shed {
 		i := slices.IndexFunc(n.list, func(o Item) bool { return o.ID == id })
-		if i < 0 || len(n.list) < n.cfg.MaxWaiting || n.of(n.list[i].Account) <= n.of(it.Account)+1 || n.above(n.list[i]) {
+		if i < 0 || len(n.list) < n.cfg.MaxWaiting || n.queued(n.list[i].Account) <= n.queued(it.Account)+1 || n.lessUrgentExists(n.list[i]) {
 			t.Fatalf("push %+v sheds %s of %v", it, id, n.list)
 		}
 		n.drop(id)
@@ -139,12 +139,13 @@
 	n.add(it)
 }
 
-// A request is never answered, or one account starves the others.
+// Guards against requests that are never answered and accounts that starve others, by comparing
+// every step with a plain implementation of the order.
 func TestOrderAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{MaxWaiting: rapid.IntRange(6, 8).Draw(t, "most"), MaxLead: 2 * time.Second, Margin: 0.5, HomeShare: 0.5}
 		q := New(cfg)
-		n := &referenceQueue{cfg: cfg, given: map[ident.Account]time.Duration{}}
+		n := &referenceQueue{cfg: cfg, served: map[ident.Account]time.Duration{}}
 		now, count := ident.Time(0), 0
 		push := func(t *rapid.T) {
 			count++
@@ -177,7 +178,7 @@
 			},
 			"shed": func(t *rapid.T) {
 				var want []ident.RequestID
-				for _, it := range filter(n.list, func(it Item) bool { return n.late(now, it) }) {
+				for _, it := range filter(n.list, func(it Item) bool { return n.tooLate(now, it) }) {
 					want = append(want, it.ID)
 					n.drop(it.ID)
 				}
@@ -201,7 +202,8 @@
 	})
 }
 
-// Counters of ever new accounts fill the memory while one request waits.
+// Guards against counts of work that grow without bound: while one request stays queued, each
+// new account adds one.
 func TestAccountsBounded(t *testing.T) {
 	q := New(Config{MaxWaiting: 4})
 	q.Push(0, Item{ID: "stays", Account: "stays", Priority: -1, Deadline: ident.Time(time.Hour)}, 0)
@@ -212,22 +214,22 @@
 			t.Fatalf("pop: got %s, want %s", it.ID, id)
 		}
 		if len(q.accounts) > 8 {
-			t.Fatalf("%d accounts are counted, with 4 places", len(q.accounts))
+			t.Fatalf("%d accounts are counted with MaxWaiting 4", len(q.accounts))
 		}
 	}
 }
 
-// An account that fills the queue has requests of the others refused.
+// Guards against an account that fills the queue, so that requests of all others are refused.
 func TestFullQueueShares(t *testing.T) {
 	for _, tc := range []struct {
 		held, by string
 		ok       bool
 		shed     []ident.RequestID
 	}{
-		{"aabbbbcd", "c", true, []ident.RequestID{"5"}}, // the last of b
+		{"aabbbbcd", "c", true, []ident.RequestID{"5"}}, // the last request of b
 		{"aabbbbcd", "e", true, []ident.RequestID{"5"}},
-		{"aabbbbcd", "a", false, nil}, // holds its even share
-		{"abbccdd", "a", false, nil},  // nobody holds much more
+		{"aabbbbcd", "a", false, nil}, // has its even share already
+		{"abbccdd", "a", false, nil},  // no account has more than one request more
 		{"aaaa", "a", false, nil},
 	} {
 		q := New(Config{MaxWaiting: len(tc.held)})
@@ -241,7 +243,7 @@
 	}
 }
 
-// BenchmarkQueue measures one Push, Shed and Pop while a thousand wait.
+// BenchmarkQueue measures one Push, Shed and Pop with a thousand queued requests.
 func BenchmarkQueue(b *testing.B) {
 	q := New(Config{})
 	b.ReportAllocs()
@@ -263,18 +265,19 @@
 	}
 }
 
-// A request that is already late is served first and makes another one late.
-func TestLateGoesBehindWhatIsInTime(t *testing.T) {
+// Guards against serving a request that has already missed its goal first, which makes another
+// one miss it too.
+func TestPastGoalRequestsGoLast(t *testing.T) {
 	q := New(Config{Margin: -1})
 	now := ident.Time(time.Minute)
 	for i, late := range []bool{true, false, true, false} {
 		it := Item{ID: ident.RequestID(fmt.Sprint("q", i)), Account: "a", PastGoal: late, Deadline: now.Add(time.Duration(i+1) * time.Second)}
 		if ok, _, _ := q.Push(now, it, 0); !ok {
-			t.Fatalf("request %d may not wait", i)
+			t.Fatalf("request %d is refused", i)
 		}
 	}
 	if got := [2]int{q.Ahead(false), q.Ahead(true)}; got != [2]int{2, 4} {
-		t.Errorf("ahead of one in time and of a late one are %v", got)
+		t.Errorf("requests ahead of one within its goal and of one past it: %v", got)
 	}
 	first, _ := q.Pop(now)
 	q.PutBack(first)
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,8 +13,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// fleetSizes are those that decisions are measured at. The full ones have every
-// target at its limit, so that the sample walks over all of them.
+// fleetSizes are the fleets that decisions are measured with. In the full ones every
+// target is at its limit, so that the sample visits all of them.
 var fleetSizes = []struct {
 	targets, centres int
 	full             bool
@@ -28,8 +28,8 @@
 	{400, 45, true},
 }
 
-// loadedFleet returns a table, a router that knows a part of the caches, and
-// requests of which every fourth is warm somewhere.
+// loadedFleet returns a table, a router with some cache state, and requests. Every
+// fourth request has a target that caches its prefix.
 func loadedFleet(targets, centres int, full bool) (*member.Table, *Router, []Query) {
 	tb, r := fleet(targets, centres), New()
 	for i := range 7 {
@@ -68,7 +68,8 @@
 	}
 }
 
-// The time of a decision grows with the fleet.
+// Guards against decisions that take longer or allocate more as the fleet grows, which
+// happens if they visit all targets or data centres.
 func TestDecisionTimes(t *testing.T) {
 	const n, warmUp, perDecision = 20_000, 2_000, 500 * time.Microsecond
 	for _, size := range fleetSizes {
@@ -91,10 +92,10 @@
 		t.Logf("targets %3d, data centres %2d, full %-5v: p50 %6v p99 %6v p99.9 %6v, %.2f allocations",
 			size.targets, size.centres, size.full, times[n/2], times[n*99/100], times[n*999/1000], allocs)
 		if p := times[n/2]; p > perDecision {
-			t.Errorf("targets %d, data centres %d: the median is %v", size.targets, size.centres, p)
+			t.Errorf("targets %d, data centres %d: median decision time is %v", size.targets, size.centres, p)
 		}
 		if allocs > 4 {
-			t.Errorf("targets %d, data centres %d: %v allocations", size.targets, size.centres, allocs)
+			t.Errorf("targets %d, data centres %d: %v allocations per decision", size.targets, size.centres, allocs)
 		}
 	}
 }
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -10,73 +10,73 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Bounds of what is remembered of the caches of targets. With 2,048 blocks of
-// about a hundred bytes a target takes up to about 200 KB.
+// Bounds of the state kept about the caches of targets. At 2,048 blocks of about
+// a hundred bytes, a target takes up to about 200 KB.
 const (
-	// maxBlocksPerTarget bounds the blocks for each target; the oldest goes first.
+	// maxBlocksPerTarget bounds the blocks of each target; the oldest is evicted first.
 	maxBlocksPerTarget = 2048
-	// maxTargets bounds the targets.
+	// maxTargets bounds the number of targets.
 	maxTargets = 1024
-	// maxHoldersPerBlock bounds the targets remembered for each block, the newest
-	// ones, and so the warm candidates of a decision.
+	// maxHoldersPerBlock bounds the targets kept for each block; the oldest is
+	// evicted first. It also bounds the warm targets that a decision looks up.
 	maxHoldersPerBlock = 4
-	// maxLookupsPerPrompt bounds the blocks of one prompt that are looked up.
+	// maxLookupsPerPrompt bounds the blocks of a prompt that are looked up.
 	maxLookupsPerPrompt = 64
-	// sentTTL is how long a block counts as held that no event has
-	// confirmed: the request that brought it may have failed, or the engine
-	// may have dropped it.
+	// sentTTL is how long a block that was sent counts as cached without an event
+	// that confirms it: the request may have failed, or the engine may have evicted
+	// the block.
 	sentTTL = 12 * time.Second
-	// minTargetsForTwoPreferred is the number of targets from which on two are preferred for a prefix.
+	// minTargetsForTwoPreferred is the number of targets from which a prefix has two
+	// preferred ones.
 	minTargetsForTwoPreferred = 12
 )
 
-// caches is what is known of the prefix caches of the targets. The zero value
-// knows nothing.
+// caches is the known state of the prefix caches of all targets. The zero value is empty.
 type caches struct {
 	byTarget map[ident.TargetID]*cache
 	holders  map[uint64][]ident.TargetID
 }
 
-// cache is what is known of one target's.
+// cache is the known state of the prefix cache of one target.
 type cache struct {
 	incarnation ident.Incarnation
 	seq         uint64
 	hasSeq      bool
 	blocks      map[uint64]block
-	// ring holds the blocks in the order in which they came.
+	// ring holds the blocks in order of insertion.
 	ring []uint64
 	next int
 }
 
-// block is one remembered block: confirmed by an event of the engine, or
-// learned from a request that was sent, or both.
+// block is a block that a target probably caches: an event of the engine has
+// confirmed it, a prompt with it was sent there, or both.
 type block struct {
 	confirmed bool
-	// sent says that this host sent a prompt with the block, the last time
-	// at sentAt.
+	// sent reports that a host has sent the target a prompt with the block, most
+	// recently at sentAt.
 	sent   bool
 	sentAt ident.Time
 }
 
 func (b block) holds(now ident.Time) bool { return b.confirmed || b.recentlySent(now) }
 
-// recentlySent reports whether the block was sent of late.
+// recentlySent reports whether the block was sent within sentTTL.
 func (b block) recentlySent(now ident.Time) bool { return b.sent && now.Sub(b.sentAt) <= sentTTL }
 
-// holder is a target that probably holds a part of a prompt.
+// holder is a target that probably caches a prefix of a prompt.
 type holder struct {
 	target      ident.TargetID
 	incarnation ident.Incarnation
 	fraction    float64
-	// sent says that this host sent the part there, first that the target ranks
+	// sent reports that the prefix was sent there, preferred that the target ranks
 	// first for the shared prefix of the prompt.
 	sent      bool
 	preferred bool
 }
 
-// CacheChanged handles a cache event of an engine. Events come late and with gaps. A gap makes
-// everything that was confirmed before uncertain, so that it is forgotten, while what this host
-// itself sent there lately stays. Late and doubled events are ignored.
+// CacheChanged handles a cache event of an engine. Events arrive late and may be lost. A gap in the
+// sequence numbers makes all blocks confirmed before it uncertain, so they are dropped, except for
+// those sent within sentTTL. Reordered and duplicate events are ignored.
 func (rt *Router) CacheChanged(now ident.Time, ev event.CacheChanged, tb *member.Table) {
 	t, ok := tb.Target(ev.Target)
 	if !ok || ev.Incarnation < t.Incarnation {
@@ -109,8 +109,8 @@
 	}
 }
 
-// CacheSeq returns the number of the last cache event of a target that was
-// taken.
+// CacheSeq returns the sequence number of the last cache event of a target that
+// was applied, zero if there is none.
 func (rt *Router) CacheSeq(id ident.TargetID) uint64 {
 	if c, ok := rt.caches.byTarget[id]; ok {
 		return c.seq
@@ -118,7 +118,7 @@
 	return 0
 }
 
-// PrefixSent records a prompt that was sent to a target.
+// PrefixSent records that a prompt with the given blocks was sent to a target.
 func (rt *Router) PrefixSent(now ident.Time, id ident.TargetID, prefix []uint64) {
 	c := rt.caches.get(id)
 	if c == nil {
@@ -129,8 +129,8 @@
 	}
 }
 
-// RecentlySent reports whether a target was lately sent a prompt with a block: within half of the time
-// for which it is assumed to cache it, so that it can be announced again in time.
+// RecentlySent reports whether a target was sent a prompt with a block within half of sentTTL. The
+// other half leaves time to announce the block again before it expires.
 func (rt *Router) RecentlySent(now ident.Time, id ident.TargetID, block uint64) bool {
 	c, ok := rt.caches.byTarget[id]
 	if !ok {
@@ -140,7 +140,7 @@
 	return b.sent && now.Sub(b.sentAt) <= sentTTL/2
 }
 
-// Forget drops what is known of the cache of a target, such as when it was
+// Forget drops the cache state of a target, for example after the target has
 // restarted.
 func (rt *Router) Forget(id ident.TargetID) {
 	if c, ok := rt.caches.byTarget[id]; ok {
@@ -197,7 +197,8 @@
 	cs.holders[key] = hs
 }
 
-// dropConfirmed takes back what events have confirmed.
+// dropConfirmed withdraws the confirmation of all blocks of a target and removes
+// those that were not sent recently.
 func (cs *caches) dropConfirmed(now ident.Time, id ident.TargetID, c *cache) {
 	for _, key := range c.ring {
 		b, ok := c.blocks[key]
@@ -221,8 +222,7 @@
 	c.next = 0
 }
 
-// findWarm fills in the targets that probably hold the longest parts of the
-// prompt.
+// findWarm collects the targets that probably cache the longest prefixes of the prompt.
 func (rt *Router) findWarm(v *view) {
 	rt.warm = rt.warm[:0]
 	prefix := v.q.Request.Prefix
@@ -236,10 +236,10 @@
 	rt.addPreferred(v)
 }
 
-// addPreferred treats the targets that rank first for the shared prefix of a prompt as ones that
-// cache it, so that hosts agree on them without messages. Where there are many targets it is
-// two, and the less loaded one is used, since by rank alone some targets come first for several
-// prefixes and others for none.
+// addPreferred adds the targets that rank first for the shared prefix of a prompt to the warm ones,
+// so that hosts agree on them without messages. With many targets it adds two, of which the less
+// loaded one is used: by rank alone, some targets come first for several prefixes and others for
+// none.
 func (rt *Router) addPreferred(v *view) {
 	n := v.q.Request.Shared
 	if n == 0 || n > len(v.q.Request.Prefix) {
@@ -248,12 +248,12 @@
 	key := v.q.Request.Prefix[n-1]
 	var first, second *member.Target
 	var firstScore, secondScore uint64
-	many := 0
+	usable := 0
 	for _, t := range v.tb.Targets() {
 		if wrongKind(v, t) || !t.Usable(v.now) {
 			continue
 		}
-		many++
+		usable++
 		s := rank.Join(key, rank.Hash(string(t.ID)))
 		switch {
 		case first == nil || s > firstScore:
@@ -262,10 +262,10 @@
 			second, secondScore = t, s
 		}
 	}
-	if many < minTargetsForTwoPreferred {
+	if usable < minTargetsForTwoPreferred {
 		second = nil
 	}
-	part := float64(n) / float64(len(v.q.Request.Prefix))
+	fraction := float64(n) / float64(len(v.q.Request.Prefix))
 	for _, t := range []*member.Target{first, second} {
 		if t == nil {
 			continue
@@ -273,13 +273,13 @@
 		i := slices.IndexFunc(rt.warm, func(h holder) bool { return h.target == t.ID })
 		if i < 0 {
 			i = len(rt.warm)
-			rt.warm = append(rt.warm, holder{target: t.ID, fraction: part})
+			rt.warm = append(rt.warm, holder{target: t.ID, fraction: fraction})
 		}
 		rt.warm[i].preferred = t == first
 	}
 }
 
-func (rt *Router) addWarm(v *view, id ident.TargetID, key uint64, part float64) {
+func (rt *Router) addWarm(v *view, id ident.TargetID, key uint64, fraction float64) {
 	if len(rt.warm) == maxHoldersPerBlock || slices.ContainsFunc(rt.warm, func(h holder) bool { return h.target == id }) {
 		return
 	}
@@ -287,5 +287,5 @@
 	if !c.blocks[key].holds(v.now) {
 		return
 	}
-	rt.warm = append(rt.warm, holder{target: id, incarnation: c.incarnation, fraction: part, sent: true})
+	rt.warm = append(rt.warm, holder{target: id, incarnation: c.incarnation, fraction: fraction, sent: true})
 }
--- a/internal/route/choose_test.go
+++ b/internal/route/choose_test.go
@@ -19,8 +19,8 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// TestMain fixes the seed of generated tests, so that each run gives the same
-// verdict. A longer run sets its own with -rapid.seed and -rapid.checks.
+// TestMain fixes the seed of the property tests, so that every run checks the same
+// cases. Set -rapid.seed and -rapid.checks for other or longer runs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "1000"} {
@@ -41,8 +41,8 @@
 	self   = event.Host{ID: "dc0-e0", Incarnation: 1, Place: home}
 )
 
-// genTable draws a table with targets and other data centres in every state
-// that the filters distinguish.
+// genTable generates a table with targets and other data centres in every state that
+// the filters distinguish.
 func genTable(rt *rapid.T) *member.Table {
 	tb := member.New(self)
 	tb.Advance(start)
@@ -127,8 +127,8 @@
 	return q
 }
 
-// naiveTarget reports by the plain rules whether a target may have a request,
-// and whether it only lacks room.
+// naiveTarget reports by a direct reading of the rules whether a target may serve a
+// request, and whether it lacks only capacity.
 func naiveTarget(q Query, t *member.Target) (may, lacksRoom bool) {
 	may = t.Kind == event.Service && t.Service == q.Profile.Service
 	if q.Profile.Service == "" && t.Kind == event.Engine {
@@ -147,7 +147,7 @@
 	if q.Crossings > 0 {
 		room = slots - slots/5
 	}
-	// All reports are as new as the sends, so a send may be counted both ways.
+	// Load reports and sends have the same time, so Outstanding may count a send twice.
 	return may && t.Outstanding(start) < room, may && t.Outstanding(start) >= room
 }
 
@@ -158,7 +158,7 @@
 	return q.Profile.Regions == nil || slices.Contains(q.Profile.Regions, r)
 }
 
-// naiveCentre reports by the plain rules whether a request may be passed on.
+// naiveCentre reports by a direct reading of the rules whether a request may be forwarded.
 func naiveCentre(q Query, c *member.Centre) bool {
 	s := c.Summary
 	if !naiveRegion(q, s.Place.Region) || s.Hosts[0].Draining || s.Age > 5*time.Second || q.TriedCentres.Has(s.Place.DataCentre) {
@@ -176,7 +176,8 @@
 	return false
 }
 
-// A request goes where the rules forbid it, or is refused though they allow it.
+// Guards against a request that is sent where the rules forbid it, or refused although
+// they allow a choice. A filter that is missing or too strict causes this.
 func TestChooseAgreesWithTheNaiveRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb, q := genTable(rt), genQuery(rt)
@@ -244,8 +245,9 @@
 	}
 }
 
-// A choice is far from the best target.
-func TestChooseTakesANearBest(t *testing.T) {
+// Guards against choosing a target that costs clearly more than the cheapest one, for
+// example if the hash decides between targets whose costs differ too much.
+func TestChooseIsNearCheapest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb, q := genTable(rt), genQuery(rt)
 		if len(tb.Targets()) > sampleSize {
--- a/internal/route/copy.go
+++ b/internal/route/copy.go
@@ -6,12 +6,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// copyCostFactor is the cost of copying a token from another engine, as a part of that of prefilling
-// it. It covers copies of prefixes that the engine has evicted from its cache.
+// copyCostFactor is the cost of copying a token from another engine, relative to prefilling it. It
+// includes copies that fail because the engine has evicted the prefix from its cache.
 const copyCostFactor = 0.5
 
-// applyCopy has a candidate copy a prefix of the prompt from the engine that is preferred for it,
-// where that saves prefill.
+// applyCopy lets a candidate copy a prefix of the prompt from another engine if that reduces
+// prefill.
 func (rt *Router) applyCopy(v *view, c *candidate) {
 	h, ok := rt.copySource(c.t.ID)
 	if !ok || !mech.On(codes.PrefixTransfer) {
@@ -22,24 +22,24 @@
 		return
 	}
 	prompt := float64(v.q.Request.Prompt)
-	left := ident.Tokens(prompt*(1-h.fraction)+copyCostFactor*prompt*h.fraction) + v.q.DeliveredTokens
+	tokens := ident.Tokens(prompt*(1-h.fraction)+copyCostFactor*prompt*h.fraction) + v.q.DeliveredTokens
 	c.copyFrom = from
-	c.prefillTokens = min(c.prefillTokens, left)
+	c.prefillTokens = min(c.prefillTokens, tokens)
 }
 
-// copySource returns the engine from which another one best copies a prefix of a prompt, none where
-// that one was sent as much of it by this host. That an engine was sent a prefix is known; that
-// the preferred engine caches it is a guess.
+// copySource returns the best engine to copy a prefix of the prompt from. It returns false if the
+// engine to was already sent at least as much of it. Engines that were sent the prefix rank before
+// the preferred engine, which may not cache it.
 func (rt *Router) copySource(to ident.TargetID) (best holder, ok bool) {
-	held := 0.0
+	sentFraction := 0.0
 	for _, h := range rt.warm {
 		switch {
 		case h.target == to && h.sent:
-			held = h.fraction
+			sentFraction = h.fraction
 		case h.target == to:
 		case !ok || h.sent && !best.sent || h.sent == best.sent && h.fraction > best.fraction:
 			best, ok = h, true
 		}
 	}
-	return best, ok && best.fraction > held
+	return best, ok && best.fraction > sentFraction
 }
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// cost holds the weighted parts of a cost in seconds.
+// cost holds the weighted components of a cost in seconds.
 type cost struct {
 	wait     float64
 	prefill  float64
@@ -19,33 +19,33 @@
 
 func (c *cost) sum() float64 { return c.wait + c.prefill + c.decode + c.price + c.crossing }
 
-// Guesses and bounds of costs.
+// Estimates and bounds used by costs.
 const (
-	// expectedOutputFraction is the part of the tokens that a request may generate and is
-	// expected to.
+	// expectedOutputFraction is the fraction of its token limit that a request is
+	// expected to generate.
 	expectedOutputFraction = 0.5
-	// fullBatchSlowdown is how much slower a full batch decodes than an empty one. It
-	// also spreads work over targets that all have free slots.
+	// fullBatchSlowdown is how much slower a full batch decodes than an empty
+	// one. It also spreads work over targets that all have free slots.
 	fullBatchSlowdown = 0.25
-	// maxWarmUse is how much fuller than the mean a target may be and still
-	// draw work by its cache.
+	// maxWarmUse is the slot use, relative to the mean, up to which the cache of
+	// a target counts. One slot more is allowed.
 	maxWarmUse = 1.25
-	// maxWarmUseRouted is the same for routes, whose engines copy a prefix from the one that is
-	// preferred for it, which must get enough of its requests to cache it.
+	// maxWarmUseRouted is the same for routes. Their engines copy a prefix from
+	// its preferred engine, which must get enough of the requests to cache it.
 	maxWarmUseRouted = 3
-	// serviceCallSeconds stands for the time of a call of a plain service.
+	// serviceCallSeconds is the assumed duration of a call of a plain service.
 	serviceCallSeconds = 0.2
-	// failureCostSeconds is what a failure costs the caller of a route, in seconds: a
-	// second try elsewhere, or the answer.
+	// failureCostSeconds is what a failure costs the caller of a route: a retry
+	// elsewhere, or the answer.
 	failureCostSeconds = 1.0
-	// prefillStallWeight is the weight of what reading a prompt costs the requests
-	// that run at the same engine: each of them stands still for a part of it.
+	// prefillStallWeight is the weight of the time for which a prefill stalls
+	// the requests that run at the same engine: each of them stalls for a part of it.
 	prefillStallWeight = 0.2
 )
 
-// tailWeight is the weight of the time to the first token. Zero, which is what
-// a profile without weights has, counts as one: if waiting cost nothing, all
-// work would go to one target.
+// tailWeight returns the weight of the time to the first token. Zero, the value in a
+// profile without weights, counts as one: if waiting cost nothing, all work would go
+// to one target.
 func tailWeight(w rules.Weights) float64 {
 	if w.Tail == 0 {
 		return 1
@@ -53,11 +53,11 @@
 	return w.Tail
 }
 
-// needsEngine reports whether a request is for an needsEngine: it has a model, or names a
-// service and brings a prompt.
+// needsEngine reports whether a request needs an engine: it names a model, or a
+// service together with a prompt.
 func (q *Query) needsEngine() bool { return q.Profile.Service == "" || q.Request.Prompt > 0 }
 
-// priceCandidates fills in the costs of the candidates.
+// priceCandidates sets the costs of all candidates.
 func (rt *Router) priceCandidates(v *view) {
 	v.meanUse = 0
 	for i := range rt.cands {
@@ -71,14 +71,14 @@
 	}
 }
 
-// priceTarget returns the cost of one target outside the sample.
+// priceTarget returns a target outside the sample as a candidate with its cost.
 func (rt *Router) priceTarget(v *view, t *member.Target) *candidate {
 	c := &candidate{t: t}
 	rt.setCost(v, c)
 	return c
 }
 
-// slotUse is the part of its slots that a target has in slotUse.
+// slotUse returns the fraction of its slots that a target has in use.
 func slotUse(v *view, t *member.Target) float64 {
 	return float64(t.Outstanding(v.now)) / float64(t.Slots())
 }
@@ -86,8 +86,8 @@
 func (rt *Router) setCost(v *view, c *candidate) {
 	t, q := c.t, v.q
 	c.serve, _ = servedModel(&q.Profile, t.Load.Serves)
-	before := t.Outstanding(v.now)
-	u := float64(before) / float64(t.Slots())
+	outstanding := t.Outstanding(v.now)
+	u := float64(outstanding) / float64(t.Slots())
 	prefill, decode := 0.0, serviceCallSeconds
 	if q.needsEngine() {
 		c.prefillTokens = q.Request.Prompt + q.DeliveredTokens - ident.Tokens(rt.cachedTokens(v, t, u))
@@ -102,28 +102,28 @@
 	}
 	w := q.Profile.Weights
 	tail := tailWeight(w)
-	// A cold target counts as smaller than it is, for the cost only: the
-	// prediction that admission goes by is not inflated.
-	ramped := t.Wait(v.now, before, t.Share(v.now))
+	// A target that is still warming up counts with a part of its capacity, but
+	// only in the cost: ttft, which admission uses, is not inflated.
+	rampedWait := t.Wait(v.now, outstanding, t.Share(v.now))
 	c.cost = cost{
-		wait:    tail * (ramped + q.Backlog).Seconds(),
+		wait:    tail * (rampedWait + q.Backlog).Seconds(),
 		prefill: tail * prefill,
 		decode:  decode,
 		price:   w.Cost * t.Price * (prefill + decode),
 	}
 	if q.Profile.Route != nil {
-		c.cost.prefill += prefillStallWeight * prefill * float64(before)
+		c.cost.prefill += prefillStallWeight * prefill * float64(outstanding)
 		c.cost.wait += failureCostSeconds * t.Faults(v.now)
 	}
-	c.ttft = t.Wait(v.now, before, 1) + q.Backlog + toDuration(prefill)
+	c.ttft = t.Wait(v.now, outstanding, 1) + q.Backlog + toDuration(prefill)
 }
 
-// cachedTokens returns how many tokens of the prompt a target probably holds, none
-// for one above its bound.
+// cachedTokens returns how many tokens of the prompt a target probably caches. It
+// returns zero for a target whose slot use u is above the bound.
 //
-// Without the bound a popular prefix would draw every request that shares it
-// to the one target that holds it, however long its queue; with it the
-// overflow goes elsewhere and warms a second target.
+// Without the bound, a popular prefix would attract every request that shares it to
+// the one target that caches it, however long the queue there. With it, the overflow
+// goes to other targets and warms a second one.
 func (rt *Router) cachedTokens(v *view, t *member.Target, u float64) float64 {
 	bound := maxWarmUse
 	if v.q.Profile.Route != nil {
@@ -144,7 +144,7 @@
 	return secondsFor(expectedOutputFraction*float64(max(0, q.Request.MaxTokens-q.DeliveredTokens)), rate)
 }
 
-// secondsFor is the time that tokens take at a rate, zero where the rate is unknown.
+// secondsFor returns the time that tokens take at a rate, zero if the rate is unknown.
 func secondsFor(tokens, rate float64) float64 {
 	if rate <= 0 || tokens <= 0 {
 		return 0
@@ -154,7 +154,7 @@
 
 func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// recentCrossing is a use of an offer, for the hysteresis.
+// recentCrossing records the last use of a pool of another data centre, for hysteresis.
 type recentCrossing struct {
 	centre ident.DataCentre
 	pool   member.PoolID
--- a/internal/route/cross.go
+++ b/internal/route/cross.go
@@ -12,31 +12,32 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times and bounds of passing on.
+// Latencies and bounds of forwarding to other data centres.
 const (
-	// interRegionRTT and nearTrip are the times of a way there and back, between
+	// interRegionRTT and intraRegionRTT are the assumed round-trip times between
 	// regions and within one.
 	interRegionRTT = 160 * time.Millisecond
 	intraRegionRTT = 2 * time.Millisecond
-	// startCrossingFactor is how much more than the weight of a crossing must be
-	// gained to begin to cross; once begun the weight itself will do.
+	// startCrossingFactor multiplies the weight of a crossing unless one to the
+	// same pool is recent. It provides hysteresis: starting to cross needs a larger
+	// gain than continuing.
 	startCrossingFactor = 1.25
-	// minGainSeconds is what must be gained for any passing on, in seconds: less is
-	// within the error of the prediction.
+	// minGainSeconds is the least gain for which a request is forwarded; smaller
+	// ones are within the error of the prediction.
 	minGainSeconds = 0.05
-	// crossingTTL is how long a crossing counts as begun.
+	// crossingTTL is how long a crossing counts as recent.
 	crossingTTL = 5 * time.Second
-	// maxRecentCrossings bounds the crossings remembered.
+	// maxRecentCrossings bounds the recent crossings that are kept.
 	maxRecentCrossings = 256
 )
 
-// remoteChoice returns the best data centre to pass a request on to, if one is worth
-// it against a part of the cost of the best local choice, which is nil where there
-// is none.
-func (rt *Router) remoteChoice(v *view, local *candidate, part float64) (Decision, bool) {
+// remoteChoice returns the cheapest data centre to forward a request to. Its cost
+// must be below the given fraction of that of the best local choice, by at least
+// minGainSeconds. A nil local sets no limit.
+func (rt *Router) remoteChoice(v *view, local *candidate, costFactor float64) (Decision, bool) {
 	limit := math.Inf(1)
 	if local != nil {
-		limit = part * local.cost.sum()
+		limit = costFactor * local.cost.sum()
 		if limit <= minGainSeconds {
 			return Decision{}, false
 		}
@@ -70,10 +71,11 @@
 	}, true
 }
 
-// remoteCostFactor returns the remoteCostFactor of the cost of the best local choice that another data centre must
-// undercut. Loads lag, so that all work would swing to where streams are fastest and back;
-// instead a request of a route with a place here is forwarded by a chance that grows with its
-// gain: with half the cost elsewhere one in two, with equal costs none.
+// remoteCostFactor returns the fraction of the cost of the best local choice below which another
+// data centre must be. Load reports lag, so with a fixed fraction all work would oscillate between
+// the data centres with the fastest streams. For a request of a route that has a local target, the
+// fraction is therefore drawn by a hash, so that the probability of forwarding grows with the gain:
+// one half at half the local cost, zero at equal costs.
 func (rt *Router) remoteCostFactor(v *view, best *candidate) float64 {
 	if best == nil || v.q.Profile.Route == nil || !v.q.needsEngine() {
 		return 1
@@ -81,8 +83,8 @@
 	return rank.Unit(rank.Mix(v.key))
 }
 
-// centreCost is the cost of a request at another data centre, with the weight
-// of a crossing that goes on. Nothing is warm for it there.
+// centreCost returns the cost of a request at another data centre, with the weight
+// of a continued crossing. It assumes that no target there caches the prompt.
 func centreCost(v *view, c *member.Centre, p *event.Pool) cost {
 	q := v.q
 	w := q.Profile.Weights
@@ -107,7 +109,8 @@
 	return k
 }
 
-// withStartFactor adds what must be gained to begin to cross.
+// withStartFactor raises the crossing cost by startCrossingFactor unless requests of the pool
+// have crossed recently.
 func (rt *Router) withStartFactor(v *view, c *member.Centre, p *event.Pool, k cost) cost {
 	if k.crossing > 0 && !rt.recentlyCrossed(v.now, c.Place.Group(), poolID(p)) {
 		k.crossing *= startCrossingFactor
@@ -115,7 +118,7 @@
 	return k
 }
 
-// poolSlotUse is the part of its slots that a pool has in use.
+// poolSlotUse returns the fraction of its slots that a pool has in use.
 func poolSlotUse(p *event.Pool) float64 {
 	if p.Slots <= 0 {
 		return 1
@@ -124,11 +127,11 @@
 }
 
 func remoteTTFT(v *view, c *member.Centre, p *event.Pool) time.Duration {
-	ready := p.Wait + rtt(v, c)
+	ttft := p.Wait + rtt(v, c)
 	if v.q.needsEngine() {
-		ready += toDuration(secondsFor(float64(v.q.Request.Prompt+v.q.DeliveredTokens), p.PrefillRate))
+		ttft += toDuration(secondsFor(float64(v.q.Request.Prompt+v.q.DeliveredTokens), p.PrefillRate))
 	}
-	return ready
+	return ttft
 }
 
 func rtt(v *view, c *member.Centre) time.Duration {
@@ -138,7 +141,8 @@
 	return interRegionRTT
 }
 
-// recentlyCrossed reports whether requests of a pool went to a data centre lately.
+// recentlyCrossed reports whether a request of a pool was forwarded to a data
+// centre within crossingTTL.
 func (rt *Router) recentlyCrossed(now ident.Time, dc ident.DataCentre, id member.PoolID) bool {
 	i := rt.crossingIndex(dc, id)
 	return i >= 0 && now.Sub(rt.recentCrossings[i].at) <= crossingTTL
@@ -159,7 +163,7 @@
 	}
 }
 
-// minCentreCost returns a cost that no pool of a data centre undercuts.
+// minCentreCost returns a lower bound of the cost at any pool of a data centre.
 func minCentreCost(v *view, c *member.Centre) float64 {
 	least := math.Inf(1)
 	for want := range modelCount(&v.q.Profile) {
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -6,9 +6,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Explain lists every choice, the targets first and then the other data
-// centres, and the index of the one that Choose would take, -1 for none. It
-// changes nothing.
+// Explain lists all choices, targets before other data centres, and returns the index
+// of the one that Choose would take, -1 for none. It changes no state.
 func (rt *Router) Explain(now ident.Time, q Query, tb *member.Table) ([]event.Choice, int) {
 	v := rt.resetView(now, q, tb)
 	dec := rt.decide(v)
--- a/internal/route/fail_test.go
+++ b/internal/route/fail_test.go
@@ -14,8 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// fleet returns a table with idle engines of ten slots, and data centres that
-// each offer ten.
+// fleet returns a table with idle engines of ten slots, and data centres that each
+// offer capacity for ten requests.
 func fleet(engines, centres int) *member.Table {
 	tb := member.New(self)
 	tb.Advance(start)
@@ -49,8 +49,8 @@
 	})
 }
 
-// advance lets time go by as a host sees it that is not paused, with a report of
-// each target each second.
+// advance lets time pass with a load report of each target every second, as a host
+// sees it that is not paused.
 func advance(tb *member.Table, from, to ident.Time) ident.Time {
 	for now := from; now <= to; now = now.Add(time.Second) {
 		for _, x := range tb.Targets() {
@@ -70,8 +70,9 @@
 	}
 }
 
-// Blocks that were evicted from a cache are assumed to be there.
-func TestCacheAgreesWithTheNaiveFollower(t *testing.T) {
+// Guards against counting blocks as cached that the engine has evicted, for example
+// after lost, reordered or duplicate events or a restart.
+func TestCacheMatchesNaiveModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb, r := fleet(1, 0), New()
 		held := make(map[uint64]bool)
@@ -108,7 +109,8 @@
 	})
 }
 
-// The state of a target's cache grows without bound.
+// Guards against cache state that grows without bound with the blocks, targets and
+// holders that a host has seen.
 func TestCacheMemoryIsBounded(t *testing.T) {
 	r := New()
 	for i := range uint64(3 * maxBlocksPerTarget) {
@@ -133,17 +135,18 @@
 	for _, hs := range r.caches.holders {
 		for _, id := range hs {
 			if id == "a" {
-				t.Fatal("a forgotten target holds a block")
+				t.Fatal("a forgotten target still counts as a holder of a block")
 			}
 		}
 	}
 }
 
-// Requests with a popular prefix queue at one target.
-func TestWarmTargetLosesItsBonusAboveTheBound(t *testing.T) {
+// Guards against a popular prefix that sends all its requests to the one target which
+// caches it, so that they queue there.
+func TestWarmTargetIsIgnoredAboveBound(t *testing.T) {
 	tb, r := fleet(8, 0), New()
 	r.PrefixSent(start, "t003", []uint64{1, 2, 3, 4})
-	share := func() int {
+	countWarm := func() int {
 		n := 0
 		for i := range 200 {
 			if r.Choose(start, newQuery(fmt.Sprint("q", i)), tb).Target.ID == "t003" {
@@ -152,11 +155,11 @@
 		}
 		return n
 	}
-	if n := share(); n != 200 {
+	if n := countWarm(); n != 200 {
 		t.Errorf("%d of 200 go to the warm target", n)
 	}
 	reportLoad(tb, start, "t003", 2, 6)
-	if n := share(); n != 0 {
+	if n := countWarm(); n != 0 {
 		t.Errorf("%d of 200 go to the warm target above its bound", n)
 	}
 	late := advance(tb, start, start.Add(sentTTL+time.Second))
@@ -167,11 +170,12 @@
 		}
 	}
 	if cold < 100 {
-		t.Errorf("a block that no event confirmed still draws %d of 200", 200-cold)
+		t.Errorf("an unconfirmed block still attracts %d of 200 requests after sentTTL", 200-cold)
 	}
 }
 
-// All hosts choose the target that was idle in the last report.
+// Guards against herding: all hosts choose the target that was least loaded in the last
+// report.
 func TestNearEqualTargetsShareTheWork(t *testing.T) {
 	tb, r := fleet(40, 0), New()
 	counts := make(map[ident.TargetID]int)
@@ -187,16 +191,17 @@
 	}
 }
 
-// A recovered target gets all work at once.
+// Guards against sending a restarted target its full load at once, because it looks
+// idle.
 func TestRecoveredTargetRamps(t *testing.T) {
 	tb, r := fleet(4, 0), New()
-	back := advance(tb, start, start.Add(20*time.Second))
-	tb.HostsRead(back, event.HostsRead{Version: 1, Targets: []event.Target{
+	recovered := advance(tb, start, start.Add(20*time.Second))
+	tb.HostsRead(recovered, event.HostsRead{Version: 1, Targets: []event.Target{
 		{ID: "t000", Incarnation: 1, Kind: event.Engine, Place: home, Price: 1},
 		{ID: "t001", Incarnation: 2, Kind: event.Engine, Place: home, Price: 1},
 	}})
-	// That the list lacks two targets is no reason to forget them.
-	part := func(now ident.Time) int {
+	// The list is not marked complete, so the two targets that it lacks stay in the table.
+	countRecovered := func(now ident.Time) int {
 		for _, x := range tb.Targets() {
 			tb.LoadReported(now, event.Load{
 				Target: x.ID, Incarnation: x.Incarnation, Seq: uint64(now) + 1, Slots: 10, Running: 4,
@@ -205,7 +210,7 @@
 		}
 		n := 0
 		for i := range 400 {
-			// Prompts that differ: equal ones go to one target, warm or not.
+			// The prompts differ, since requests with equal prompts all go to one target.
 			q := newQuery(fmt.Sprint("q", i))
 			q.Request.Prefix = []uint64{uint64(i), uint64(i) + 1000}
 			if r.Choose(now, q, tb).Target.ID == "t001" {
@@ -214,15 +219,16 @@
 		}
 		return n
 	}
-	if n := part(advance(tb, back, back.Add(time.Second))); n != 0 {
-		t.Errorf("a cold target with work of its own gets %d of 400", n)
+	if n := countRecovered(advance(tb, recovered, recovered.Add(time.Second))); n != 0 {
+		t.Errorf("a cold target that already has work gets %d of 400 requests", n)
 	}
-	if n := part(advance(tb, back, back.Add(11*time.Second))); n < 50 {
-		t.Errorf("a target gets %d of 400 after the ramp", n)
+	if n := countRecovered(advance(tb, recovered, recovered.Add(11*time.Second))); n < 50 {
+		t.Errorf("a target gets only %d of 400 requests after the ramp", n)
 	}
 }
 
-// A request is forwarded more often than its profile allows.
+// Guards against requests that are forwarded more often than their profile allows, and
+// so circulate between data centres.
 func TestNoRequestCirculates(t *testing.T) {
 	for crossings := range ident.Hops(4) {
 		for _, forwarded := range []bool{false, true} {
@@ -242,7 +248,8 @@
 	}
 }
 
-// Work crosses without a gain or beyond the offer.
+// Guards against forwarding to another region without a gain, or more often than its
+// offer allows.
 func TestCrossingNeedsAGainAndAnOffer(t *testing.T) {
 	tb, r := fleet(2, 2), New()
 	q := newQuery("q")
@@ -253,8 +260,8 @@
 	for _, x := range tb.Targets() {
 		reportLoad(tb, start, x.ID, 2, 20)
 	}
-	// Both data centres are new, so a tenth of each offer holds.
-	var went []ident.DataCentre
+	// Both data centres are new, so only a tenth of each offer may be used.
+	var forwarded []ident.DataCentre
 	for {
 		dec := r.Choose(start, q, tb)
 		if dec.Centre == "" {
@@ -263,41 +270,43 @@
 			}
 			break
 		}
-		went = append(went, dec.Centre)
+		forwarded = append(forwarded, dec.Centre)
 		tb.OfferTake(dec.Centre, dec.Pool)
 	}
-	if d := cmp.Diff([]ident.DataCentre{"far00", "far01"}, went); d != "" {
+	if d := cmp.Diff([]ident.DataCentre{"far00", "far01"}, forwarded); d != "" {
 		t.Error(d)
 	}
 	tb.OfferGive("far00", member.PoolID{Serve: scribe})
 	if dec := r.Choose(start, q, tb); dec.Centre != "far00" {
-		t.Errorf("a place given back is not used: %+v", dec)
+		t.Errorf("a returned offer is not used: %+v", dec)
 	}
 	q.Profile.Weights.Crossing = 100
 	tb.OfferGive("far01", member.PoolID{Serve: scribe})
 	if dec := r.Choose(start, q, tb); dec.Centre == "far01" {
-		t.Error("a crossing that costs more than it gains is taken")
+		t.Error("a request crosses although the crossing costs more than it gains")
 	}
 }
 
-// Work of other regions leaves no room for home work.
+// Guards against forwarded requests from other regions that fill all slots, so that
+// home-bound requests find none.
 func TestSpillLeavesAReserveForHomeWork(t *testing.T) {
 	tb, r := fleet(1, 0), New()
-	spill, bound := newQuery("s"), newQuery("b")
-	spill.Crossings, spill.Forwarded = 1, true
-	bound.Profile.HomeOnly, bound.Client.Home = true, home.Region
+	forwarded, homeBound := newQuery("s"), newQuery("b")
+	forwarded.Crossings, forwarded.Forwarded = 1, true
+	homeBound.Profile.HomeOnly, homeBound.Client.Home = true, home.Region
 	for n := 2; n < 20; n++ {
 		reportLoad(tb, start, "t000", uint64(n), n)
-		if got, want := r.Choose(start, spill, tb).Target != nil, n < 8; got != want {
-			t.Errorf("with %d of 10 slots taken, spilled work is let in: %v", n, got)
+		if got, want := r.Choose(start, forwarded, tb).Target != nil, n < 8; got != want {
+			t.Errorf("with %d of 10 slots taken, forwarded requests are accepted: %v", n, got)
 		}
-		if got, want := r.Choose(start, bound, tb).Target != nil, n < 12; got != want {
-			t.Errorf("with %d of 10 slots taken, home work is let in: %v", n, got)
+		if got, want := r.Choose(start, homeBound, tb).Target != nil, n < 12; got != want {
+			t.Errorf("with %d of 10 slots taken, home-bound requests are accepted: %v", n, got)
 		}
 	}
 }
 
-// Crossing flaps with small changes of load.
+// Guards against crossing that starts and stops with every small change of load,
+// because starting needs no larger gain than continuing.
 func TestCrossingHasHysteresis(t *testing.T) {
 	tb, r := fleet(1, 1), New()
 	tb.SummaryReceived(start, event.Summary{
@@ -307,8 +316,8 @@
 	reportLoad(tb, start, "t000", 2, 30)
 	q := newQuery("q")
 	q.TriedCentres = map[ident.DataCentre]struct{}{"far00": {}}
-	// least returns the weight from which on no request crosses.
-	least := func() float64 {
+	// maxWeight returns the crossing weight above which no request crosses.
+	maxWeight := func() float64 {
 		low, high := 0.0, 1000.0
 		for high-low > 1e-6 {
 			q.Profile.Weights.Crossing = (low + high) / 2
@@ -320,13 +329,13 @@
 		}
 		return low
 	}
-	before := least()
+	before := maxWeight()
 	q.Profile.Weights.Crossing = 0
 	if dec := r.Choose(start, q, tb); dec.Centre != "far" {
 		t.Fatalf("%+v", dec)
 	}
-	after := least()
+	after := maxWeight()
 	if ratio := after / before; before <= 0 || ratio < 1.249 || ratio > 1.251 {
-		t.Errorf("crosses up to a weight of %v to begin and %v to go on", before, after)
+		t.Errorf("requests start to cross up to a weight of %v and continue up to %v", before, after)
 	}
 }
--- a/internal/route/filter.go
+++ b/internal/route/filter.go
@@ -11,14 +11,14 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// targetFilter is one declared reason to rule a target out.
+// targetFilter is one reason to rule out a target.
 type targetFilter struct {
 	code     codes.Code
 	rulesOut func(v *view, t *member.Target) bool
 }
 
-// targetFilters is the table that each target goes through, in order. Room
-// comes last: a target that only lacks room is worth waiting for.
+// targetFilters are applied to each target in order. Capacity comes last, because
+// a target that lacks only capacity is worth waiting for.
 var targetFilters = [...]targetFilter{
 	{codes.FilterKind, wrongKind},
 	{codes.FilterModel, lacksModel},
@@ -32,14 +32,13 @@
 	{codes.FilterFull, targetFull},
 }
 
-// centreFilter is one declared reason to rule another data centre out.
+// centreFilter is one reason to rule out another data centre.
 type centreFilter struct {
 	code     codes.Code
 	rulesOut func(v *view, c *member.Centre) bool
 }
 
-// centreFilters is the table that each other data centre goes through, in
-// order.
+// centreFilters are applied to each other data centre in order.
 var centreFilters = [...]centreFilter{
 	{codes.FilterResidency, centreOutside},
 	{codes.FilterHops, crossingsExhausted},
@@ -50,9 +49,9 @@
 	{codes.FilterOffer, noOffer},
 }
 
-// cheapFilters are those that look at nothing but the data centre itself. A
-// decision asks the rest, the offer, only of data centres that cost less than
-// the best so far.
+// cheapFilters are the filters that need only the summary of a data centre. The
+// remaining one, which checks for an offer, runs only for data centres that may be
+// cheaper than the best found so far.
 var cheapFilters = centreFilters[:len(centreFilters)-1]
 
 func targetRuledOut(v *view, t *member.Target) (codes.ID, bool) {
@@ -88,7 +87,7 @@
 	return !ok
 }
 
-// servedModel returns the first model of the profile among those that are loaded.
+// servedModel returns the loaded model that the profile prefers most.
 func servedModel(p *rules.Profile, loaded []rules.Serve) (rules.Serve, bool) {
 	for i := range p.Models {
 		for j := range loaded {
@@ -111,8 +110,8 @@
 
 func centreOutside(v *view, c *member.Centre) bool { return outsideResidency(v, c.Place.Region) }
 
-// outsideResidency asks the residency rule, once for each run of the same region: all
-// own targets stand in one.
+// outsideResidency reports whether the residency rule excludes a region. It caches
+// the last result, since all local targets are in one region.
 func outsideResidency(v *view, r ident.Region) bool {
 	if !v.residencyCached || v.residencyRegion != r {
 		v.residencyCached, v.residencyRegion, v.residencyDenied = true, r, !v.q.Profile.Allows(v.q.Client, r)
@@ -120,33 +119,35 @@
 	return v.residencyDenied
 }
 
-// targetFull reports whether a target has neither a slot nor a place in its queue, or
-// whether a request would wait there for too much of its time.
+// targetFull reports whether a target has no capacity for the request: neither a
+// slot nor a place in its queue, too little memory for a long prompt, or a predicted
+// wait above waitBound.
 func targetFull(v *view, t *member.Target) bool {
-	out := t.Outstanding(v.now)
-	if out >= maxOutstanding(v.q, t) {
+	outstanding := t.Outstanding(v.now)
+	if outstanding >= maxOutstanding(v.q, t) {
 		return true
 	}
 	if exceedsPromptMemory(v, t) {
 		return true
 	}
-	hold := waitBound(v.q)
-	return hold > 0 && t.Wait(v.now, out, 1) > hold
+	bound := waitBound(v.q)
+	return bound > 0 && t.Wait(v.now, outstanding, 1) > bound
 }
 
-// The memory of an engine that long prompts may take.
+// Bounds of the engine memory that long prompts may use.
 const (
-	// maxPromptMemoryFraction is the part of an engine's memory that the prompts of its requests may take
-	// before another long one is queued. The rest is for generated tokens, short prompts and
-	// cached prefixes. Prompts are counted whole, though shared prefixes are stored once.
+	// maxPromptMemoryFraction is the fraction of an engine's memory that the prompts of its
+	// requests may use before another long prompt has to queue. The rest is for generated tokens,
+	// short prompts and cached prefixes. Prompts are counted in full, although shared prefixes are
+	// stored only once.
 	maxPromptMemoryFraction = 0.6
-	// minLongPrompt is the length in tokens from which on a prompt counts as long.
+	// minLongPrompt is the length in tokens from which a prompt counts as long.
 	minLongPrompt = 2048
 )
 
-// exceedsPromptMemory reports whether a long prompt would take memory that an engine needs for cached
-// prefixes and running streams. Such prompts are queued here until others have ended, or
-// refused while they can still come back.
+// exceedsPromptMemory reports whether a long prompt would use memory that the engine needs for
+// cached prefixes and running streams. Such prompts queue at this host until others have ended,
+// or are refused while the caller can still retry elsewhere.
 func exceedsPromptMemory(v *view, t *member.Target) bool {
 	q := v.q
 	if !mech.On(codes.PromptMemory) || q.Profile.Route == nil || t.Memory == 0 || q.Request.Prompt < minLongPrompt {
@@ -155,20 +156,20 @@
 	return float64(t.Held()+q.Request.Prompt) > maxPromptMemoryFraction*float64(t.Memory)
 }
 
-// The part of the time to a first byte that a request of a route may be
-// predicted to wait at a target, and the least time that it may.
+// A request of a route may be predicted to wait at a target for a fraction of its
+// time-to-first-byte goal, and always for minWaitBound.
 //
-// An engine takes long prompts in the order of their coming, at most a few of
-// them a second. What is sent beyond that waits at the engine, where neither a
-// more urgent request passes it nor a better place that becomes free can draw
-// it away. So it waits here instead.
+// An engine prefills long prompts in order of arrival, at most a few of them a
+// second. Further prompts would wait at the engine, where a more urgent request
+// can't overtake them and a target that becomes free can't take them over. They
+// wait at this host instead.
 const (
 	waitBoundFraction = 0.5
 	minWaitBound      = 150 * time.Millisecond
 )
 
-// waitBound returns the wait at a target past which a request waits here, zero for
-// none.
+// waitBound returns the predicted wait at a target above which a request waits at
+// this host, zero for no bound.
 func waitBound(q *Query) time.Duration {
 	if q.Profile.Route == nil || q.Profile.Route.GoalMs <= 0 {
 		return 0
@@ -176,25 +177,26 @@
 	return max(minWaitBound, time.Duration(waitBoundFraction*float64(q.Profile.Route.Goal())))
 }
 
-// The queue that a target is allowed, as a part of its slots, and the reserve
-// that work from other regions may not take.
+// The queue that a target may have is its slots divided by queueDivisor; the slots
+// that work from other regions may not use are those divided by reserveDivisor.
 const (
 	queueDivisor   = 4
 	reserveDivisor = 5
-	// callQueueFraction is the part of its goal that a call may wait in the queue of its target.
+	// callQueueFraction is the fraction of its goal for which a call may wait in the queue of its
+	// target.
 	callQueueFraction = 0.25
 )
 
-// maxOutstanding returns how many requests a target may have outstanding for a request to be sent
-// there.
+// maxOutstanding returns how many requests a target may have outstanding. At that number it counts
+// as full for the request of q.
 //
-// A small queue at the target keeps its slots busy while reports lag; a longer one would bind
-// work to it that others could begin earlier. Work from another region gets no queue and leaves
-// a reserve for home work, which has nowhere else to go.
+// A short queue at the target keeps its slots busy while load reports lag; a longer one would
+// commit requests to it that other targets could start earlier. Requests from another region may
+// not queue and leave a reserve for local requests, which have no alternative.
 //
-// Calls that are short beside their goal may queue at the target for a quarter of it, behind as
-// many as have slots at the most, since many hosts before few slots do not see when one gets
-// free.
+// Calls that are short relative to their goal may queue at the target for a quarter of it, behind
+// at most as many others as the target has slots, because with many hosts and few slots a host
+// does not see when a slot becomes free.
 func maxOutstanding(q *Query, t *member.Target) int {
 	slots := t.Slots()
 	if rt := q.Profile.Route; mech.On(codes.CallQueue) && rt != nil && !q.needsEngine() && t.Run() > 0 && rt.GoalMs > 0 {
@@ -207,10 +209,10 @@
 	return slots + max(1, slots/queueDivisor)
 }
 
-// crossingsExhausted reports whether a request may not be passed on to a data centre. One
-// that another host passed on may only go to another region, and only while
-// its profile has crossings left, so that each passage uses up what is bounded
-// and no request circulates without end.
+// crossingsExhausted reports whether a request may not be forwarded to a data centre. A
+// request that another host forwarded may only go to another region, and only while its
+// profile has crossings left. Each forwarding thus uses up a bounded budget, and no
+// request circulates forever.
 func crossingsExhausted(v *view, c *member.Centre) bool {
 	if c.Place.Region == v.localRegion {
 		return v.q.Forwarded
@@ -227,8 +229,8 @@
 	return false
 }
 
-// poolMatches reports whether a pool serves a profile, and whether as a model of
-// the given rank in the profile's list.
+// poolMatches reports whether a pool serves a profile. For a model profile, want is the
+// index of the model in its list.
 func poolMatches(p *rules.Profile, pool *event.Pool, want int) bool {
 	if p.Service != "" {
 		return pool.Service == p.Service
@@ -236,7 +238,7 @@
 	return pool.Service == "" && serveMatches(&p.Models[want], &pool.Serve)
 }
 
-// modelCount returns how many models a profile lists, one for a service.
+// modelCount returns the number of models in a profile, one for a service.
 func modelCount(p *rules.Profile) int {
 	if p.Service != "" {
 		return 1
@@ -257,29 +259,30 @@
 
 func noOffer(v *view, c *member.Centre) bool { return usablePool(v, c) == nil }
 
-// poolWithoutOffer returns the pool of a data centre that a request may use without an offer: one of
-// its home, which must accept it like its own callers', or one with spare capacity where the
-// own data centre has no target for it at all.
+// poolWithoutOffer returns a pool of a data centre that a request without any local target may use
+// although it has no offer, nil if there is none. If the residency rule excludes the local region,
+// the data centre must accept the request like those of its own callers. Otherwise the pool must
+// have spare capacity or be predicted to start the request within its goal.
 func poolWithoutOffer(v *view, c *member.Centre) *event.Pool {
 	if v.q.Profile.Route == nil || !v.noLocalTarget {
 		return nil
 	}
-	homeless := outsideResidency(v, v.localRegion)
+	homeElsewhere := outsideResidency(v, v.localRegion)
 	for i := range c.Summary.Pools {
 		p := &c.Summary.Pools[i]
 		if p.Slots == 0 || !poolMatches(&v.q.Profile, p, 0) {
 			continue
 		}
-		if homeless || v.tb.SpareLeft(v.now, c.Place.Group(), poolID(p)) > 0 || startsWithinGoal(v, c, p) {
+		if homeElsewhere || v.tb.SpareLeft(v.now, c.Place.Group(), poolID(p)) > 0 || startsWithinGoal(v, c, p) {
 			return p
 		}
 	}
 	return nil
 }
 
-// startsWithinGoal reports whether a request is predicted to start at another data centre within its
-// goal. An evacuated data centre brings more work than the others count as spare; they refuse
-// what they can't begin in time.
+// startsWithinGoal reports whether another data centre is predicted to start a request within its
+// goal. An evacuated data centre sends more work than the others count as spare; they refuse what
+// they can't start in time.
 func startsWithinGoal(v *view, c *member.Centre, p *event.Pool) bool {
 	if c.CutOff(v.now) || remoteTTFT(v, c, p) > v.q.Profile.Route.Goal() {
 		return false
@@ -287,23 +290,23 @@
 	return p.Free > 0 || finishesInTime(v, p)
 }
 
-// maxStreamTimeFraction is the part of a route's time that a stream may be predicted to take at
-// targets whose streams are slow, and that count as having no room for it. The rest
-// is for what the prediction misses: the pace gets slower with the work that comes.
+// maxStreamTimeFraction is the fraction of a route's timeout that a stream may be predicted to
+// take at targets that have no spare capacity because their streams are slow. The rest is a margin
+// for the error of the prediction: streams slow down further as work arrives.
 const maxStreamTimeFraction = 0.5
 
-// finishesInTime reports whether a stream without a place at home is predicted to end well within
-// its time at the pace of the targets of another data centre, though that leaves no room for
-// other work.
+// finishesInTime reports whether a stream without a local target is predicted to finish well
+// within its timeout at the pace of another data centre's targets, even though that pace leaves
+// them no spare capacity.
 func finishesInTime(v *view, p *event.Pool) bool {
 	if v.q.ExpectedEvents <= 0 || p.DecodeRate <= 0 {
 		return false
 	}
-	most := maxStreamTimeFraction * float64(v.q.Profile.Route.TimeoutMs) / 1000
-	return v.q.ExpectedEvents/p.DecodeRate <= most
+	maxSeconds := maxStreamTimeFraction * float64(v.q.Profile.Route.TimeoutMs) / 1000
+	return v.q.ExpectedEvents/p.DecodeRate <= maxSeconds
 }
 
-// usablePool returns the pool of a data centre whose offer the request may use.
+// usablePool returns a pool of a data centre that the request may use, with or without an offer.
 func usablePool(v *view, c *member.Centre) *event.Pool {
 	if p := poolWithoutOffer(v, c); p != nil {
 		return p
--- a/internal/route/pace_test.go
+++ b/internal/route/pace_test.go
@@ -11,8 +11,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// pacedTable is a host before engines with free slots whose streams take a time
-// from event to event, beside a region that offers room at another pace.
+// pacedTable returns the table of a host whose local engines have free slots and emit
+// stream events at intervals of here. Another region offers capacity at intervals of
+// there.
 func pacedTable(here, there time.Duration) (*member.Table, ident.Time) {
 	now := ident.Time(time.Second)
 	west := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
@@ -40,23 +41,24 @@
 	return tb, now
 }
 
-// Streams of a busy region stay slow while another region is idle.
-func TestSlowStreamsBringAPartOfTheWorkElsewhere(t *testing.T) {
-	const asked = 400
+// Guards against streams that stay slow in a busy region while another is idle, and
+// against a move of all work at once, after which the other region is the slow one.
+func TestSlowStreamsForwardPartOfTheWork(t *testing.T) {
+	const numRequests = 400
 	for name, c := range map[string]struct {
-		here, there time.Duration
-		least, most int
+		here, there                time.Duration
+		minForwarded, maxForwarded int
 	}{
-		"slow here":       {120 * time.Millisecond, 30 * time.Millisecond, asked / 2, asked * 9 / 10},
-		"slower here":     {120 * time.Millisecond, 45 * time.Millisecond, asked / 4, asked * 3 / 4},
+		"slow here":       {120 * time.Millisecond, 30 * time.Millisecond, numRequests / 2, numRequests * 9 / 10},
+		"slower here":     {120 * time.Millisecond, 45 * time.Millisecond, numRequests / 4, numRequests * 3 / 4},
 		"a little slower": {120 * time.Millisecond, 90 * time.Millisecond, 0, 0},
 		"alike":           {120 * time.Millisecond, 120 * time.Millisecond, 0, 0},
 		"slow there":      {30 * time.Millisecond, 120 * time.Millisecond, 0, 0},
 	} {
 		tb, now := pacedTable(c.here, c.there)
 		rt := New()
-		went := 0
-		for i := range asked {
+		forwarded := 0
+		for i := range numRequests {
 			dec := rt.Choose(now, Query{
 				Request: event.Request{ID: ident.RequestID(fmt.Sprint("r", i)), Prompt: 1000}, ExpectedEvents: 40,
 				Profile: rules.Profile{
@@ -65,20 +67,21 @@
 				},
 			}, tb)
 			if dec.Centre != "" {
-				went++
+				forwarded++
 			}
 		}
-		if went < c.least || went > c.most {
-			t.Errorf("%s: %d of %d requests go to the other region, want %d to %d", name, went, asked, c.least, c.most)
+		if forwarded < c.minForwarded || forwarded > c.maxForwarded {
+			t.Errorf("%s: %d of %d requests go to the other region, want %d to %d", name, forwarded, numRequests, c.minForwarded, c.maxForwarded)
 		}
 	}
 }
 
-// Callers of an evacuated region are refused though others could serve them in time.
-func TestEmptiedRegionIsServedAtASlowPace(t *testing.T) {
+// Guards against refusing the callers of an evacuated region although another region,
+// which counts its slow targets as full, could still finish their streams in time.
+func TestEvacuatedRegionUsesSlowTargets(t *testing.T) {
 	for name, c := range map[string]struct {
-		there time.Duration
-		goes  bool
+		there     time.Duration
+		forwarded bool
 	}{
 		"slow":     {100 * time.Millisecond, true},
 		"too slow": {400 * time.Millisecond, false},
@@ -103,8 +106,8 @@
 				Route: &rules.Route{Kind: rules.Streaming, GoalMs: 1000, TimeoutMs: 12000},
 			},
 		}, tb)
-		if goes := dec.Centre != ""; goes != c.goes {
-			t.Errorf("%s: passed on %v, want %v (%+v)", name, goes, c.goes, dec)
+		if forwarded := dec.Centre != ""; forwarded != c.forwarded {
+			t.Errorf("%s: passed on %v, want %v (%+v)", name, forwarded, c.forwarded, dec)
 		}
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route chooses where a request runs: at a target of the own data
-// centre, or at another data centre that has offered room.
+// Package route chooses where a request runs: at a target of the local data
+// centre, or at another data centre that has offered capacity.
 //
 // # Usage
 //
@@ -7,26 +7,27 @@
 //	dec := rt.Choose(now, route.Query{...}, table)
 //	switch {
 //	case dec.Centre != "":
-//		// pass on to dec.Host, and count it: table.OfferTake(dec.Centre, dec.Pool)
+//		// forward to dec.Host, and count it: table.OfferTake(dec.Centre, dec.Pool)
 //	case dec.Target != nil:
 //		// send to dec.Target
 //	case dec.Full:
-//		// only room is missing; dec.Wait predicts for how long
+//		// targets lack only capacity; dec.Wait predicts for how long
 //	}
 //
-// First the filters rule choices out. A filter is hard: it is no cost that
-// could be outbid under load. Then the cheapest of the rest is taken, in
-// seconds of predicted time weighted by the profile. Explain lists every
-// choice with the filter that ruled it out or the parts of its cost.
+// Filters first rule out the choices that may not serve the request. A filter is
+// a hard constraint, not a cost, so load can't override it. The router then takes
+// the cheapest remaining choice. Costs are seconds of predicted time, weighted by
+// the profile. Explain lists every choice with the filter that ruled it out or
+// the components of its cost.
 //
-// A decision looks at a bounded sample of the targets that remain, drawn by a
-// hash of the request, and at the few that probably hold its prefix. Load
-// reports lag, so a host that always took the single best of all would, with
-// every other host, send it all that comes until the next report. The sample
-// costs little against that and keeps the time of a decision small.
+// A decision compares a bounded sample of the eligible targets, drawn by a hash of
+// the request, and the few targets that probably cache its prefix. Load reports
+// lag: if every host compared all targets, all of them would send their requests
+// to the same best one until the next report. A sample avoids this at a small loss
+// in quality and bounds the time of a decision.
 //
-// A Router belongs to one goroutine. It reads no clock and no source of
-// randomness.
+// A Router is not safe for concurrent use. It reads neither the clock nor a source
+// of randomness.
 package route
 
 import (
@@ -41,77 +42,77 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// Query is what a choice depends on.
+// Query holds the inputs of a decision.
 type Query struct {
 	Request event.Request
 	Profile rules.Profile
 	Client  rules.Client
-	// TriedTargets holds the targets that failed for this request, TriedCentres the
-	// data centres.
+	// TriedTargets and TriedCentres hold the targets and data centres that have
+	// already failed this request.
 	TriedTargets value.Set[ident.TargetID]
 	TriedCentres value.Set[ident.DataCentre]
-	// OnlyTarget is the one target that may get the request, empty for any.
+	// OnlyTarget is the only target that may serve the request; empty allows any.
 	OnlyTarget ident.TargetID
-	// Crossings counts the passages between regions so far.
+	// Crossings counts how often the request has been forwarded between regions.
 	Crossings ident.Hops
-	// Forwarded says that the request came from another entry host.
+	// Forwarded reports whether another entry host forwarded the request.
 	Forwarded bool
-	// DeliveredTokens is the number of tokens that have reached the caller.
+	// DeliveredTokens is the number of tokens that the caller has already received.
 	DeliveredTokens ident.Tokens
-	// MayHaveRun says that the request was tried before and may have run.
+	// MayHaveRun reports whether an earlier attempt may have run the request.
 	MayHaveRun bool
-	// ExpectedEvents is how many events the stream of a route usually has, zero where that
-	// is not known.
+	// ExpectedEvents is the usual number of events in a stream of this route, zero
+	// if unknown.
 	ExpectedEvents float64
-	// Backlog is the predicted time that the request would wait in this
-	// host's own queue before a target is chosen.
+	// Backlog is the predicted time that the request would wait in the queue of
+	// this host before a target is chosen.
 	Backlog time.Duration
 }
 
-// Decision is a choice. With neither Target nor Centre, Code says why.
+// Decision is the result of Choose. If neither Target nor Centre is set, Code is the reason.
 type Decision struct {
 	Target *member.Target
 	Serve  rules.Serve
-	// PrefillTokens is the part of the prompt that the target probably does not
-	// hold.
+	// PrefillTokens is the number of tokens that the target probably has to prefill.
 	PrefillTokens ident.Tokens
-	// CopyFrom is a target from which Target can copy a prefix of the prompt, nil for
-	// none.
+	// CopyFrom is a target from which Target can copy a prefix of the prompt, nil
+	// if there is none.
 	CopyFrom *member.Target
-	// Centre is set when the request is to be passed to Host, an entry host
-	// of another data centre. Pool names the offer that it uses.
+	// Centre is set if the request is to be forwarded to Host, an entry host of
+	// another data centre. Pool identifies the pool there that serves it.
 	Centre ident.DataCentre
 	Host   event.Host
 	Pool   member.PoolID
-	// Wait is the predicted time to the first token at the best choice, even
-	// when none has room.
+	// Wait is the predicted time to the first token at the best choice. It is
+	// also set if Full is.
 	Wait time.Duration
-	// EventInterval is how long a stream takes from event to event at Centre, zero where that
-	// is not known.
+	// EventInterval is the time between two events of a stream at Centre, zero if
+	// unknown.
 	EventInterval time.Duration
-	// SpillShare is which part of the work that callers bring here goes elsewhere, Room what
-	// Centre has room for in tokens to read a second; zero where neither decided.
+	// SpillShare is the share of the local callers' work that is forwarded to
+	// other data centres. RemoteRoom is the capacity that Centre has left, in
+	// prefill tokens a second. Both are zero if they did not affect the decision.
 	SpillShare float64
 	RemoteRoom float64
-	// Full says that only room is missing.
+	// Full reports that targets exist that lack only capacity.
 	Full bool
 	Code codes.ID
 }
 
-// sampleSize is how many targets a decision compares, beside the warm ones.
+// sampleSize is how many targets a decision compares in addition to the warm ones.
 const sampleSize = 8
 
-// Router chooses. Its zero value is ready.
+// Router chooses where requests run. The zero value is ready to use.
 type Router struct {
-	// Policy chooses among the targets that the filters leave; nil is the cost
-	// policy. It is for comparing policies: with it a request crosses only
-	// when nothing local has room, on offers as ever.
-	Policy func(now ident.Time, q Query, left []*member.Target) *member.Target
+	// Policy chooses among the targets that the filters leave; nil selects the
+	// cost policy. It exists to compare policies. With a Policy set, requests are
+	// forwarded only if no local target is eligible, and offers apply as usual.
+	Policy func(now ident.Time, q Query, eligible []*member.Target) *member.Target
 
 	caches          caches
 	recentCrossings []recentCrossing
 
-	// The rest is scratch space of one decision.
+	// The fields below are scratch space for one decision, reused to avoid allocations.
 	q        Query
 	v        view
 	cands    []candidate
@@ -120,23 +121,25 @@
 	rooms    []member.Room
 }
 
-// candidate is a target that remains, with its cost.
+// candidate is a target that passed the filters, with its cost.
 type candidate struct {
 	t     *member.Target
 	serve rules.Serve
 	cost  cost
-	// ttft is the predicted time to the first token, prefill the part of the
-	// prompt that is to be computed.
+	// ttft is the predicted time to the first token, prefillTokens the number of
+	// tokens that the target probably has to prefill.
 	ttft          time.Duration
 	prefillTokens ident.Tokens
-	// copyFrom is a target to copy a prefix of the prompt copyFrom.
+	// copyFrom is a target to copy a prefix of the prompt from.
 	copyFrom *member.Target
 }
 
-// New returns a router that knows no cache.
+// New returns a router without any cache state.
 func New() *Router { return &Router{} }
 
-// Choose returns the best choice.
+// Choose returns the cheapest choice that passes the filters. It records
+// the use of another data centre, and in tb the demand for a pool without local
+// targets.
 func (rt *Router) Choose(now ident.Time, q Query, tb *member.Table) Decision {
 	v := rt.resetView(now, q, tb)
 	if rt.Policy != nil {
@@ -155,35 +158,36 @@
 	return dec
 }
 
-// Preview returns what Choose would decide and records nothing.
+// Preview returns the decision that Choose would return, without recording it.
 func (rt *Router) Preview(now ident.Time, q Query, tb *member.Table) Decision {
 	return rt.decide(rt.resetView(now, q, tb))
 }
 
-// view is what the filters and costs of one decision look at.
+// view holds the state that filters and costs use during one decision.
 type view struct {
 	now ident.Time
 	q   *Query
 	tb  *member.Table
-	// key is a hash of the request's id.
+	// key is a hash of the request's ID.
 	key uint64
 	// localRegion is the region of this host.
 	localRegion ident.Region
-	// meanUse is the meanUse use of the slots of the sample.
+	// meanUse is the mean slot use of the candidates.
 	meanUse float64
-	// residencyCached, region and outside hold the last answer of the residency rule.
+	// residencyCached, residencyRegion and residencyDenied cache the last result
+	// of the residency rule.
 	residencyCached bool
 	residencyRegion ident.Region
 	residencyDenied bool
-	// noLocalTarget says that no target of the own data centre may serve the
-	// request, not even one that only lacks room.
+	// noLocalTarget reports that no target of the local data centre may serve the
+	// request, not even once it has capacity.
 	noLocalTarget bool
-	// allowSuspect says that suspect targets are taken too.
+	// allowSuspect reports that suspect targets are eligible too.
 	allowSuspect bool
 }
 
-// resetView fills in the view of a decision, which lies in the router so that none
-// is allocated.
+// resetView initialises the view of a decision. The view is stored in the router
+// to avoid an allocation.
 func (rt *Router) resetView(now ident.Time, q Query, tb *member.Table) *view {
 	rt.q = q
 	rt.v = view{
@@ -192,21 +196,21 @@
 	return &rt.v
 }
 
-// decide returns the choice.
+// decide returns the decision without recording it.
 func (rt *Router) decide(v *view) Decision {
 	rt.findWarm(v)
-	full := rt.sample(v)
+	bestFull := rt.sample(v)
 	rt.priceCandidates(v)
 	best := rt.cheapest(v)
-	if best == nil && full == nil {
+	if best == nil && bestFull == nil {
 		return rt.decideWithoutLocal(v)
 	}
 	if v.q.Profile.Route != nil {
-		return rt.decideRouted(v, best, full)
+		return rt.decideRouted(v, best, bestFull)
 	}
 	local := best
 	if local == nil {
-		local = rt.priceTarget(v, full)
+		local = rt.priceTarget(v, bestFull)
 	}
 	if dec, ok := rt.remoteChoice(v, local, rt.remoteCostFactor(v, best)); ok {
 		return dec
@@ -217,14 +221,15 @@
 	return Decision{Target: best.t, Serve: best.serve, PrefillTokens: best.prefillTokens, Wait: best.ttft}
 }
 
-// decideWithoutLocal decides for a request that no sound target of the own data centre may
-// serve: another data centre, or else, for a route, a suspect target.
+// decideWithoutLocal decides for a request that no healthy target of the local
+// data centre may serve. It forwards the request to another data centre or, for
+// a request of a route, falls back to a suspect target.
 //
-// A target is suspected after a few failures in a row, and a probe lets it back
-// in within a second or so. Where it is the only one of its service, or all of
-// them fail part of their requests, to refuse everything meanwhile does more
-// harm than the failures: most of what is sent there may come to a good end, and
-// of a target that is dead nothing runs.
+// A target becomes suspect after a few consecutive failures, and a successful probe
+// clears it within about a second. If it is the only target of its service, or all
+// targets fail some of their requests, refusing everything in the meantime does
+// more harm than the failures: most requests sent to a suspect target may still
+// succeed, and a dead target runs none of them.
 func (rt *Router) decideWithoutLocal(v *view) Decision {
 	v.noLocalTarget = true
 	if dec, ok := rt.remoteChoice(v, nil, 1); ok {
@@ -237,11 +242,11 @@
 	return Decision{Code: codes.NoTarget.ID}
 }
 
-// strides are the steps by which the sample walks over the targets. A prime
-// that does not divide their number reaches every one.
+// strides are the step sizes of the sample. A prime that does not divide the
+// number of targets reaches all of them.
 var strides = [...]int{1, 3, 7, 11, 13, 17, 19, 23}
 
-// sampleOrder returns where the sample starts and by which step it goes on.
+// sampleOrder returns the index at which the sample starts and its step.
 func sampleOrder(key uint64, n int) (start, step int) {
 	step = strides[rank.Mix(key)%uint64(len(strides))]
 	if n%step == 0 {
@@ -250,9 +255,9 @@
 	return int(key % uint64(n)), step % n
 }
 
-// sample gathers the warm targets and a bounded number of others that the
-// filters leave. It goes on to the last target only while too few remain. Of
-// the first targets that only lack room it returns the one with the shortest
+// sample collects the warm targets and a bounded number of other eligible ones as
+// candidates. It visits all targets only if too few are eligible. Of the first
+// sampleSize targets that lack only capacity, it returns the one with the shortest
 // wait.
 func (rt *Router) sample(v *view) *member.Target {
 	rt.cands = rt.cands[:0]
@@ -266,33 +271,34 @@
 	if n == 0 {
 		return nil
 	}
-	var full *member.Target
-	var fullWait time.Duration
-	fulls := 0
+	var bestFull *member.Target
+	var bestFullWait time.Duration
+	numFull := 0
 	i, step := sampleOrder(v.key, n)
 	for range n {
 		t := targets[i]
 		i = (i + step) % n
 		code := rt.addCandidate(v, t)
-		if lacksRoom(code) && fulls < sampleSize {
-			fulls++
+		if lacksRoom(code) && numFull < sampleSize {
+			numFull++
 			w := max(t.Wait(v.now, t.Outstanding(v.now), 1), v.tb.ColdWait(v.now, t))
-			if full == nil || w < fullWait {
-				full, fullWait = t, w
+			if bestFull == nil || w < bestFullWait {
+				bestFull, bestFullWait = t, w
 			}
 		}
 		if len(rt.cands) >= sampleSize+len(rt.warm) {
 			break
 		}
 	}
-	return full
+	return bestFull
 }
 
-// lacksRoom reports whether a target that a filter rules out is worth waiting
-// for.
+// lacksRoom reports whether a filter ruled a target out only for lack of capacity,
+// so that waiting for it makes sense.
 func lacksRoom(code codes.ID) bool { return code == codes.FilterFull.ID || code == codes.FilterCold.ID }
 
-// addCandidate takes a target into the sample unless a filter rules it out.
+// addCandidate adds a target to the candidates unless a filter rules it out. It
+// returns the code of that filter.
 func (rt *Router) addCandidate(v *view, t *member.Target) codes.ID {
 	for i := range rt.cands {
 		if rt.cands[i].t == t {
@@ -306,16 +312,17 @@
 	return ""
 }
 
-// Near-equal costs: those within a part of the best and a fixed time of it.
+// Costs count as nearly equal if they exceed the least by no more than a fraction of it plus a
+// fixed time.
 const (
 	nearCostFraction = 0.05
 	nearCostSeconds  = 0.005
 )
 
-// cheapest returns one of the cheapest candidates. Among near-equal ones a hash decides, so
-// that hosts with the same reports do not all choose the same target: that of the first half of
-// the prompt, so that prompts with a shared prefix come to the same cache, or that of the
-// request where there is no prompt.
+// cheapest returns one of the cheapest candidates. A hash decides among nearly equal costs, so
+// that hosts with the same load reports do not all choose the same target. It hashes the shared
+// prefix of the prompt, so that prompts with the same prefix use the same cache, or the request
+// if there is no prompt.
 func (rt *Router) cheapest(v *view) *candidate {
 	if len(rt.cands) == 0 {
 		return nil
@@ -340,8 +347,9 @@
 	return best
 }
 
-// prefixHash returns a hash of the prefix that other requests probably share, of the first half
-// of the prompt where that is unknown, and of the request where there is no prompt.
+// prefixHash returns a hash of the prefix that other requests probably share. If that prefix is
+// unknown, it returns the hash of the first half of the prompt, and without a prompt that of the
+// request.
 func (v *view) prefixHash() uint64 {
 	p := v.q.Request.Prefix
 	if len(p) == 0 {
@@ -354,7 +362,7 @@
 	return p[at]
 }
 
-// applyPolicy lets the seam choose among all targets that the filters leave.
+// applyPolicy lets Policy choose among all targets that the filters leave.
 func (rt *Router) applyPolicy(v *view) Decision {
 	rt.eligible = rt.eligible[:0]
 	full := false
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -6,28 +6,29 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// decideRouted decides for a request of a route that has a place here, or lacks only room: another
-// data centre by its part of the work, or the best target. A request that may have run and is
-// tried again stays here, where it may be queued until its deadline.
-func (rt *Router) decideRouted(v *view, best *candidate, full *member.Target) Decision {
-	part, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.needsEngine(), rt.rooms)
+// decideRouted decides for a request of a route that has a local target, or one that lacks only
+// capacity. It forwards the share of the work that other data centres should get and sends the rest
+// to the best target. A retry of a request that may have run stays local, where it may queue until
+// its deadline.
+func (rt *Router) decideRouted(v *view, best *candidate, bestFull *member.Target) Decision {
+	share, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.needsEngine(), rt.rooms)
 	rt.rooms = rooms
 	switch {
 	case v.q.MayHaveRun:
 		rooms = nil
 	case member.SharesMuch(&v.q.Request):
-	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < part:
+	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < share:
 		rooms = rooms[1:]
 	default:
 		rooms = nil
 	}
 	if dec, ok := rt.spillChoice(v, rooms); ok {
-		dec.SpillShare = part
+		dec.SpillShare = share
 		return dec
 	}
 	local := best
 	if local == nil {
-		local = rt.priceTarget(v, full)
+		local = rt.priceTarget(v, bestFull)
 	}
 	if !v.q.MayHaveRun {
 		if dec, ok := rt.remoteChoice(v, local, rt.remoteCostFactor(v, best)); ok {
@@ -40,12 +41,12 @@
 	return Decision{Target: best.t, Serve: best.serve, PrefillTokens: best.prefillTokens, Wait: best.ttft, CopyFrom: best.copyFrom}
 }
 
-// spillChoice returns the data centre that a request goes to, of those with room, if it is not the
-// own one. It goes by the shared prefix of the prompt, so that the same engines prefill it, and
-// each data centre gets prefixes by its room.
+// spillChoice returns the data centre with room that a request is assigned to, unless that is the
+// local one. Rendezvous hashing of the shared prefix, weighted by room, assigns it: the same engines
+// prefill a prefix, and each data centre gets prefixes in proportion to its room.
 func (rt *Router) spillChoice(v *view, rooms []member.Room) (Decision, bool) {
 	var best *member.Centre
-	most, room := 0.0, 0.0
+	bestScore, bestRoom := 0.0, 0.0
 	for _, r := range rooms {
 		place := v.tb.Self().Place
 		if r.Centre != nil {
@@ -55,8 +56,8 @@
 			}
 		}
 		score := rank.Score(rank.Join(v.prefixHash(), rank.Hash(string(place.Group()))), r.Room)
-		if score > most {
-			best, most, room = r.Centre, score, r.Room
+		if score > bestScore {
+			best, bestScore, bestRoom = r.Centre, score, r.Room
 		}
 	}
 	if best == nil {
@@ -70,6 +71,6 @@
 	p := best.Pool(id)
 	return Decision{
 		Host: h, Centre: best.Place.Group(), Pool: id,
-		Wait: remoteTTFT(v, best, p), EventInterval: toDuration(secondsFor(1, p.DecodeRate)), RemoteRoom: room,
+		Wait: remoteTTFT(v, best, p), EventInterval: toDuration(secondsFor(1, p.DecodeRate)), RemoteRoom: bestRoom,
 	}, true
 }
--- a/internal/route/spill_test.go
+++ b/internal/route/spill_test.go
@@ -17,8 +17,8 @@
 	east = event.Place{DataCentre: "east-a", Region: "east", Reach: "east"}
 )
 
-// writersTable is a host before ten engines, beside a region with as many, each of
-// which has callers that bring work; see event.Flow.
+// writersTable returns the table of a host with ten local engines, next to a region with as
+// many. here and there are the demand of the callers of each; see event.Flow.
 func writersTable(here, there event.Flow) (*member.Table, ident.Time) {
 	now := ident.Time(time.Second)
 	tb := member.New(event.Host{ID: "w1", Incarnation: 1, Place: west})
@@ -43,12 +43,12 @@
 	return tb, now
 }
 
-// writersQuery is a request for an engine. Of its prompt others share the given blocks
-// of 512 tokens, which begin with begins.
-func writersQuery(id string, begins uint64, shared int) Query {
+// writersQuery returns a request for an engine. The first half of its prompt, shared blocks of
+// 512 tokens with hashes from firstBlock on, is a prefix that other requests share.
+func writersQuery(id string, firstBlock uint64, shared int) Query {
 	prefix := make([]uint64, 2*shared)
 	for i := range prefix {
-		prefix[i] = begins + uint64(i)
+		prefix[i] = firstBlock + uint64(i)
 	}
 	return Query{
 		Request: event.Request{
@@ -61,16 +61,17 @@
 	}
 }
 
-// A region at its peak keeps its work until its streams are slow.
-func TestPeakIsSharedOutBeforeStreamsAreSlow(t *testing.T) {
-	const asked = 400
+// Guards against a region at its peak that keeps all its work until its streams are slow,
+// because free slots and stream pace lag behind the demand.
+func TestPeakSpillsBeforeStreamsAreSlow(t *testing.T) {
+	const numRequests = 400
 	for name, c := range map[string]struct {
-		here, there event.Flow
-		bound       bool
-		least, most int
+		here, there                event.Flow
+		bound                      bool
+		minForwarded, maxForwarded int
 	}{
-		"idle there":        {here: event.Flow{Alone: 1e6}, least: asked * 4 / 10, most: asked * 6 / 10},
-		"half as much":      {here: event.Flow{Alone: 1e6}, there: event.Flow{Alone: 5e5}, least: asked * 15 / 100, most: asked * 35 / 100},
+		"idle there":        {here: event.Flow{Alone: 1e6}, minForwarded: numRequests * 4 / 10, maxForwarded: numRequests * 6 / 10},
+		"half as much":      {here: event.Flow{Alone: 1e6}, there: event.Flow{Alone: 5e5}, minForwarded: numRequests * 15 / 100, maxForwarded: numRequests * 35 / 100},
 		"as much":           {here: event.Flow{Alone: 1e6}, there: event.Flow{Alone: 1e6}},
 		"more there":        {here: event.Flow{Alone: 5e5}, there: event.Flow{Alone: 1e6}},
 		"bound to a region": {here: event.Flow{Alone: 1e6}, bound: true},
@@ -78,27 +79,28 @@
 		c.here.Service = "writers"
 		tb, now := writersTable(c.here, c.there)
 		rt := New()
-		went := 0
-		for i := range asked {
+		forwarded := 0
+		for i := range numRequests {
 			q := writersQuery(fmt.Sprint("r", i), uint64(i)<<20, 1)
 			if c.bound {
 				q.Profile.Regions = []ident.Region{"west"}
 			}
 			if dec := rt.Choose(now, q, tb); dec.Centre != "" {
-				went++
+				forwarded++
 			}
 		}
-		if went < c.least || went > c.most {
-			t.Errorf("%s: %d of %d requests go to the other region, want %d to %d", name, went, asked, c.least, c.most)
+		if forwarded < c.minForwarded || forwarded > c.maxForwarded {
+			t.Errorf("%s: %d of %d requests go to the other region, want %d to %d", name, forwarded, numRequests, c.minForwarded, c.maxForwarded)
 		}
 	}
 }
 
-// Each region prefills the same long prefixes.
-func TestLongBeginningsHaveARegion(t *testing.T) {
+// Guards against every region prefilling the same long prefixes, because requests are forwarded
+// without regard to the prefix that they share.
+func TestLongSharedPrefixesHaveOneRegion(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers", Shared: 5e5}, event.Flow{Shared: 5e5})
 	rt := New()
-	went := 0
+	forwarded := 0
 	for b := range 100 {
 		first := ident.DataCentre("")
 		for i := range 5 {
@@ -111,62 +113,65 @@
 			}
 		}
 		if first != "" {
-			went++
+			forwarded++
 		}
 	}
-	if went < 35 || went > 65 {
-		t.Errorf("%d of 100 prefixes have the other region, which has half of the engines", went)
+	if forwarded < 35 || forwarded > 65 {
+		t.Errorf("%d of 100 prefixes are assigned to the other region, which has half of the engines", forwarded)
 	}
 }
 
-// A prefix is prefilled again while the preferred engine is busy.
-func TestBusyEngineIsCopiedFrom(t *testing.T) {
+// Guards against prefilling a prefix again at another engine while the preferred one, which
+// caches it, is busy.
+func TestPrefixIsCopiedFromBusyEngine(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers"}, event.Flow{})
 	q := writersQuery("first", 1<<20, 10)
-	usual := New().Choose(now, q, tb).Target
-	if usual == nil {
+	preferred := New().Choose(now, q, tb).Target
+	if preferred == nil {
 		t.Fatal("no engine is chosen")
 	}
-	tb.Prefill(usual.ID, 200000)
+	tb.Prefill(preferred.ID, 200000)
 	rt := New()
 	for i := range 20 {
 		q.Request.ID = ident.RequestID(fmt.Sprint("r", i))
 		dec := rt.Choose(now, q, tb)
-		if dec.Target == nil || dec.Target == usual {
+		if dec.Target == nil || dec.Target == preferred {
 			t.Fatalf("the busy engine gets the request: %+v", dec)
 		}
-		if dec.CopyFrom != usual {
-			t.Fatalf("engine %s copies from %v, want %s", dec.Target.ID, dec.CopyFrom, usual.ID)
+		if dec.CopyFrom != preferred {
+			t.Fatalf("engine %s copies from %v, want %s", dec.Target.ID, dec.CopyFrom, preferred.ID)
 		}
 	}
-	tb.MarkDraining(now, usual.ID, usual.Incarnation)
-	if dec := rt.Choose(now, q, tb); dec.CopyFrom == usual {
-		t.Error("a request copies from an engine that leaves")
+	tb.MarkDraining(now, preferred.ID, preferred.Incarnation)
+	if dec := rt.Choose(now, q, tb); dec.CopyFrom == preferred {
+		t.Error("a request copies from an engine that is draining")
 	}
 }
 
-// The preferred engine prefills a prefix that another one caches.
-func TestUsualEngineCopiesWhatAnotherHolds(t *testing.T) {
+// Guards against prefilling a prefix at its preferred engine although another engine caches
+// it, which happens after the preferred one was busy.
+func TestPreferredEngineCopiesFromHolder(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers"}, event.Flow{})
 	q := writersQuery("first", 1<<20, 10)
-	usual := New().Choose(now, q, tb).Target
+	preferred := New().Choose(now, q, tb).Target
 	rt := New()
-	tb.Prefill(usual.ID, 200000)
+	tb.Prefill(preferred.ID, 200000)
 	other := rt.Choose(now, q, tb).Target
 	rt.PrefixSent(now, other.ID, q.Request.Prefix)
-	tb.ReadDone(usual.ID, 200000)
+	tb.ReadDone(preferred.ID, 200000)
 	tb.Prefill(other.ID, 200000)
 	dec := rt.Choose(now, q, tb)
-	if dec.Target != usual {
-		t.Fatalf("engine %v gets the request, want %s", dec.Target, usual.ID)
+	if dec.Target != preferred {
+		t.Fatalf("engine %v gets the request, want %s", dec.Target, preferred.ID)
 	}
 	if dec.CopyFrom != other {
 		t.Errorf("it copies from %v, want %s", dec.CopyFrom, other.ID)
 	}
 }
 
-// Long prompts evict shared prefixes.
-func TestLongPromptsLeaveMemory(t *testing.T) {
+// Guards against long prompts that fill the memory of an engine and evict the shared prefixes
+// from its cache.
+func TestLongPromptsWaitForMemory(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers"}, event.Flow{})
 	for _, tg := range tb.Targets() {
 		tb.MemoryReported(event.MemoryReported{Target: tg.ID, Incarnation: 1, Tokens: 100000})
@@ -176,7 +181,7 @@
 	}
 	rt := New()
 	if dec := rt.Choose(now, writersQuery("long", 1<<20, 10), tb); !dec.Full {
-		t.Errorf("a long prompt goes to an engine whose memory is taken: %+v", dec)
+		t.Errorf("a long prompt goes to an engine without free memory: %+v", dec)
 	}
 	if dec := rt.Choose(now, writersQuery("short", 1<<21, 1), tb); dec.Target == nil {
 		t.Errorf("a short prompt waits: %+v", dec)
@@ -185,12 +190,13 @@
 		tb.Ended(tg.ID, 10000, 300, true)
 	}
 	if dec := rt.Choose(now, writersQuery("long", 1<<20, 10), tb); dec.Target == nil {
-		t.Errorf("a long prompt waits where there is memory: %+v", dec)
+		t.Errorf("a long prompt waits although engines have free memory: %+v", dec)
 	}
 }
 
-// The rest of a broken stream is forwarded a second time and refused.
-func TestWhatMayHaveRunIsNotPassedOnAgain(t *testing.T) {
+// Guards against forwarding the rest of a broken stream: the other region may refuse it, while
+// here it could queue until its deadline.
+func TestRequestThatMayHaveRunIsNotForwarded(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers", Alone: 2e6, Shared: 1e5}, event.Flow{})
 	rt := New()
 	for i := range 100 {
@@ -204,14 +210,15 @@
 	}
 }
 
-// Slots idle while short calls are refused.
-func TestBriefCallsMayQueueAtTheirTarget(t *testing.T) {
+// Guards against idle slots while short calls are refused, because with many hosts and few
+// slots a host does not see when a slot becomes free.
+func TestShortCallsMayQueueAtTarget(t *testing.T) {
 	for name, c := range map[string]struct {
-		run  time.Duration
-		goes bool
+		run      time.Duration
+		accepted bool
 	}{
 		"brief": {30 * time.Millisecond, true},
-		// A call of a seventh of its goal, as those of a busy target become.
+		// Calls take a seventh of their goal, as they do at a busy target.
 		"not quite brief": {70 * time.Millisecond, true},
 		"long":            {200 * time.Millisecond, false},
 	} {
@@ -228,16 +235,17 @@
 			Request: event.Request{ID: "r", Service: "board"},
 			Profile: rules.Profile{Service: "board", Route: &rules.Route{Kind: rules.Idempotent, GoalMs: 500}},
 		}, tb)
-		if goes := dec.Target != nil; goes != c.goes {
-			t.Errorf("%s: sent on %v, want %v (%+v)", name, goes, c.goes, dec)
+		if accepted := dec.Target != nil; accepted != c.accepted {
+			t.Errorf("%s: sent on %v, want %v (%+v)", name, accepted, c.accepted, dec)
 		}
 	}
 }
 
-// Requests are forwarded to a region that has just refused one.
-func TestRegionThatTurnedAwayIsLeftAloneForAMoment(t *testing.T) {
+// Guards against forwarding further requests to a region that has just refused one: at its peak, it
+// refuses each of them until its next summary.
+func TestRefusingRegionIsSkippedBriefly(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers", Alone: 1e6}, event.Flow{})
-	passed := func(at ident.Time) int {
+	countForwarded := func(at ident.Time) int {
 		rt, n := New(), 0
 		for i := range 200 {
 			if dec := rt.Choose(at, writersQuery(fmt.Sprint("q", i), uint64(1000*i), 4), tb); dec.Centre != "" {
@@ -246,34 +254,35 @@
 		}
 		return n
 	}
-	before := passed(now)
+	before := countForwarded(now)
 	tb.TurnAway(now, "east", "writers")
-	if got := passed(now.Add(100 * time.Millisecond)); got > 0 || before == 0 {
+	if got := countForwarded(now.Add(100 * time.Millisecond)); got > 0 || before == 0 {
 		t.Errorf("%d of 200 were passed on before, %d just after one was turned away", before, got)
 	}
-	if got := passed(now.Add(500 * time.Millisecond)); got == 0 {
+	if got := countForwarded(now.Add(500 * time.Millisecond)); got == 0 {
 		t.Error("nothing is passed on half a second later")
 	}
 }
 
-// A request is forwarded twice to a region that has refused it.
-func TestRegionThatTurnedAwayIsNotAskedAgain(t *testing.T) {
+// Guards against forwarding a request a second time to a region that has refused it, which happens
+// if the choice by prefix ignores TriedCentres.
+func TestRefusingRegionIsNotRetried(t *testing.T) {
 	tb, now := writersTable(event.Flow{Service: "writers", Alone: 1e6}, event.Flow{})
 	rt := New()
-	passed := 0
+	forwarded := 0
 	for i := range 200 {
 		q := writersQuery(fmt.Sprint("q", i), uint64(1000*i), 4)
 		dec := rt.Choose(now, q, tb)
 		if dec.Centre == "" {
 			continue
 		}
-		passed++
+		forwarded++
 		q.TriedCentres = value.SetOf(dec.Centre)
 		if again := rt.Choose(now, q, tb); again.Centre != "" {
 			t.Fatalf("passed on to %q after %q had turned it away", again.Centre, dec.Centre)
 		}
 	}
-	if passed == 0 {
+	if forwarded == 0 {
 		t.Error("nothing was passed on")
 	}
 }
--- a/internal/route/strand_test.go
+++ b/internal/route/strand_test.go
@@ -10,8 +10,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The only target of a service gets nothing after three failures.
-func TestLastTargetIsUsedThoughSuspect(t *testing.T) {
+// Guards against refusing all requests of a service after three failures of its only target,
+// although most requests may still succeed there.
+func TestOnlyTargetIsUsedWhenSuspect(t *testing.T) {
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
 	tb := member.New(event.Host{ID: "w1", Incarnation: 1, Place: place})
 	now := ident.Time(time.Second)
@@ -33,19 +34,20 @@
 	}
 	rt := New()
 	if dec := rt.Choose(now, q, tb); dec.Target == nil || dec.Target.ID != "a" {
-		t.Errorf("the last target is not used: %+v", dec)
+		t.Errorf("the only target is not used: %+v", dec)
 	}
 	list(2, "a", "b")
 	for i := range 20 {
 		q.Request.ID = ident.RequestID(rune('a' + i))
 		if dec := rt.Choose(now, q, tb); dec.Target == nil || dec.Target.ID != "b" {
-			t.Fatalf("a suspect target is used beside a sound one: %+v", dec)
+			t.Fatalf("a suspect target is used although a healthy one exists: %+v", dec)
 		}
 	}
 }
 
-// Each host brings a shared prefix to another engine.
-func TestHostsAgreeOnSharedBeginnings(t *testing.T) {
+// Guards against hosts that each choose a different engine for a shared prefix, so that many
+// engines prefill it.
+func TestHostsAgreeOnEnginesForSharedPrefix(t *testing.T) {
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
 	now := ident.Time(time.Second)
 	chosen := make(map[ident.TargetID]int)
