--- a/internal/admit/order.go
+++ b/internal/admit/order.go
@@ -7,20 +7,20 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Pop takes out the request to serve next. Requests that can't be met are left
-// for Shed.
+// Pop removes and returns the request to serve next. It skips requests that can no
+// longer meet their deadlines; Shed removes those.
 func (q *Queue) Pop(now ident.Time) (Item, bool) {
-	home, other := q.kinds(now)
+	home, other := q.countServable(now)
 	if home == 0 && other == 0 {
 		return Item{}, false
 	}
 	if home == 0 || other == 0 {
-		q.home, q.other = 0, 0
+		q.homeServed, q.otherServed = 0, 0
 	}
 	wantHome := other == 0 || (home > 0 && q.homeFirst())
-	best := q.best(now, wantHome)
+	best := q.bestIndex(now, wantHome)
 	e := q.entries[best]
-	e.account.given += e.Work
+	e.account.served += e.Work
 	if home > 0 && other > 0 {
 		q.charge(e.Item)
 	}
@@ -28,12 +28,13 @@
 	return e.Item, true
 }
 
-// kinds counts the home-bound and the other requests that can be served.
-func (q *Queue) kinds(now ident.Time) (home, other int) {
+// countServable counts the home-bound and the other requests that can still meet
+// their deadlines.
+func (q *Queue) countServable(now ident.Time) (home, other int) {
 	for i := range q.entries {
 		switch e := &q.entries[i]; {
-		case now > e.latest:
-		case e.Home:
+		case now > e.latestStart:
+		case e.HomeBound:
 			home++
 		default:
 			other++
@@ -43,31 +44,31 @@
 }
 
 func (q *Queue) homeFirst() bool {
-	return float64(q.home)*(1-q.cfg.HomeShare) <= float64(q.other)*q.cfg.HomeShare
+	return float64(q.homeServed)*(1-q.cfg.HomeShare) <= float64(q.otherServed)*q.cfg.HomeShare
 }
 
 func (q *Queue) charge(it Item) {
-	if it.Home {
-		q.home += it.Work
+	if it.HomeBound {
+		q.homeServed += it.Work
 		return
 	}
-	q.other += it.Work
+	q.otherServed += it.Work
 }
 
-// best finds the index of the next request of one kind.
-func (q *Queue) best(now ident.Time, home bool) int {
-	ok := func(e *entry) bool { return e.Home == home && now <= e.latest }
-	late := q.allLate(ok)
-	timely := ok
-	if !late {
-		ok = func(e *entry) bool { return timely(e) && !e.Late }
-	}
-	priority, least := q.front(ok)
-	q.level = max(q.level, least)
+// bestIndex returns the index of the request to serve next among those of one kind.
+func (q *Queue) bestIndex(now ident.Time, home bool) int {
+	ok := func(e *entry) bool { return e.HomeBound == home && now <= e.latestStart }
+	allPast := q.allPastGoal(ok)
+	servable := ok
+	if !allPast {
+		ok = func(e *entry) bool { return servable(e) && !e.PastGoal }
+	}
+	priority, least := q.topPriority(ok)
+	q.servedFloor = max(q.servedFloor, least)
 	best := -1
 	for i := range q.entries {
 		e := &q.entries[i]
-		if !ok(e) || e.Priority != priority || e.account.given > least+q.cfg.Lead {
+		if !ok(e) || e.Priority != priority || e.account.served > least+q.cfg.MaxLead {
 			continue
 		}
 		if best < 0 || e.Deadline < q.entries[best].Deadline {
@@ -77,19 +78,19 @@
 	return best
 }
 
-// allLate reports whether all that wait are late.
-func (q *Queue) allLate(ok func(e *entry) bool) bool {
+// allPastGoal reports whether all requests that satisfy ok are past their goal.
+func (q *Queue) allPastGoal(ok func(e *entry) bool) bool {
 	for i := range q.entries {
-		if e := &q.entries[i]; ok(e) && !e.Late {
+		if e := &q.entries[i]; ok(e) && !e.PastGoal {
 			return false
 		}
 	}
 	return true
 }
 
-// front finds the highest priority that waits, and the least work given to an
-// account that waits at that priority.
-func (q *Queue) front(ok func(e *entry) bool) (priority int, least time.Duration) {
+// topPriority returns the highest priority among the requests that satisfy ok, and
+// the least work served to an account that waits with that priority.
+func (q *Queue) topPriority(ok func(e *entry) bool) (priority int, least time.Duration) {
 	found := false
 	for i := range q.entries {
 		e := &q.entries[i]
@@ -97,11 +98,11 @@
 			continue
 		}
 		if !found || e.Priority > priority {
-			found, priority, least = true, e.Priority, e.account.given
+			found, priority, least = true, e.Priority, e.account.served
 			continue
 		}
 		if e.Priority == priority {
-			least = min(least, e.account.given)
+			least = min(least, e.account.served)
 		}
 	}
 	return priority, least
@@ -114,11 +115,11 @@
 		q.accounts[it.Account] = a
 	}
 	if a.waiting == 0 {
-		a.given = max(a.given, q.level)
+		a.served = max(a.served, q.servedFloor)
 	}
 	a.waiting++
 	q.work += it.Work
-	q.entries = append(q.entries, entry{Item: it, account: a, latest: q.latest(it)})
+	q.entries = append(q.entries, entry{Item: it, account: a, latestStart: q.latestStart(it)})
 }
 
 func (q *Queue) remove(i int) {
@@ -127,17 +128,17 @@
 	q.work -= e.Work
 	q.entries = slices.Delete(q.entries, i, i+1)
 	if len(q.entries) == 0 {
-		// Nobody waits, so nobody is owed a turn.
+		// Without waiting accounts, there is nothing to balance.
 		clear(q.accounts)
-		q.level, q.home, q.other = 0, 0, 0
+		q.servedFloor, q.homeServed, q.otherServed = 0, 0, 0
 		return
 	}
-	if len(q.accounts) > 2*q.cfg.Most {
+	if len(q.accounts) > 2*q.cfg.MaxWaiting {
 		q.forgetIdle()
 	}
 }
 
-// forgetIdle drops the counts of accounts of which nothing waits.
+// forgetIdle drops the counts of accounts without queued requests.
 func (q *Queue) forgetIdle() {
 	for name, a := range q.accounts {
 		if a.waiting == 0 {
@@ -155,14 +156,15 @@
 	return -1
 }
 
-// victim finds who gives up its place in a full queue to an account: the
-// request of lowest priority and latest deadline of the account that holds
-// most. An account that holds its even share or more gets no place.
+// victim returns the index of the request that loses its place in a full queue to a
+// new request of the account by: the one with the lowest priority and latest deadline
+// of the account with the most requests. It returns false if by already has its even
+// share, or if no other account has at least two requests more.
 func (q *Queue) victim(by ident.Account) (int, bool) {
-	held, accounts, most := 0, 1, (*account)(nil)
+	waiting, accounts, most := 0, 1, (*account)(nil)
 	for _, a := range q.accounts {
 		if a.name == by {
-			held = a.waiting
+			waiting = a.waiting
 			continue
 		}
 		if a.waiting == 0 {
@@ -173,13 +175,13 @@
 			most = a
 		}
 	}
-	if held*accounts >= q.cfg.Most || most == nil || most.waiting <= held+1 {
+	if waiting*accounts >= q.cfg.MaxWaiting || most == nil || most.waiting <= waiting+1 {
 		return 0, false
 	}
-	return q.lastOf(most), true
+	return q.leastUrgent(most), true
 }
 
-func (q *Queue) lastOf(a *account) int {
+func (q *Queue) leastUrgent(a *account) int {
 	last := -1
 	for i := range q.entries {
 		e := &q.entries[i]
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -6,46 +6,47 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// shareOut decides for a request of a route that has a place here, or lacks only room: another
-// data centre by its part of the work, or the best target. A request that may have run and is
-// tried again stays here, where it may be queued until its deadline.
-func (rt *Router) shareOut(v *view, best *cand, full *member.Target) Decision {
-	part, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.engine(), rt.rooms)
+// decideRouted decides for a request of a route that has a local target, or one that lacks only
+// capacity. It forwards the share of the work that other data centres should get and sends the rest
+// to the best target. A retry of a request that may have run stays local, where it may queue until
+// its deadline.
+func (rt *Router) decideRouted(v *view, best *candidate, bestFull *member.Target) Decision {
+	share, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.needsEngine(), rt.rooms)
 	rt.rooms = rooms
 	switch {
-	case v.q.Again:
+	case v.q.MayHaveRun:
 		rooms = nil
 	case member.HasLongSharedPrefix(&v.q.Request):
-	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < part:
+	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < share:
 		rooms = rooms[1:]
 	default:
 		rooms = nil
 	}
-	if dec, ok := rt.spill(v, rooms); ok {
-		dec.Part = part
+	if dec, ok := rt.spillChoice(v, rooms); ok {
+		dec.SpillShare = share
 		return dec
 	}
 	local := best
 	if local == nil {
-		local = rt.priceOne(v, full)
+		local = rt.priceTarget(v, bestFull)
 	}
-	if !v.q.Again {
-		if dec, ok := rt.abroad(v, local, rt.part(v, best)); ok {
+	if !v.q.MayHaveRun {
+		if dec, ok := rt.remoteChoice(v, local, rt.remoteCostFactor(v, best)); ok {
 			return dec
 		}
 	}
 	if best == nil {
-		return Decision{Wait: local.ready, Full: true, Code: codes.Overloaded.ID}
+		return Decision{Wait: local.ttft, Full: true, Code: codes.Overloaded.ID}
 	}
-	return Decision{Target: best.t, Serve: best.serve, Prefill: best.prefill, Wait: best.ready, CopyFrom: best.from}
+	return Decision{Target: best.t, Serve: best.serve, PrefillTokens: best.prefillTokens, Wait: best.ttft, CopyFrom: best.copyFrom}
 }
 
-// spill returns the data centre that a request goes to, of those with room, if it is not the
-// own one. It goes by the shared prefix of the prompt, so that the same engines prefill it, and
-// each data centre gets prefixes by its room.
-func (rt *Router) spill(v *view, rooms []member.CentreRoom) (Decision, bool) {
+// spillChoice returns the data centre with room that a request is assigned to, unless that is the
+// local one. Rendezvous hashing of the shared prefix, weighted by room, assigns it: the same engines
+// prefill a prefix, and each data centre gets prefixes in proportion to its room.
+func (rt *Router) spillChoice(v *view, rooms []member.CentreRoom) (Decision, bool) {
 	var best *member.Centre
-	most, room := 0.0, 0.0
+	bestScore, bestRoom := 0.0, 0.0
 	for _, r := range rooms {
 		place := v.tb.Self().Place
 		if r.Centre != nil {
@@ -55,8 +56,8 @@
 			}
 		}
 		score := rank.Score(rank.Combine(v.prefixHash(), rank.Hash(string(place.Group()))), r.Work)
-		if score > most {
-			best, most, room = r.Centre, score, r.Work
+		if score > bestScore {
+			best, bestScore, bestRoom = r.Centre, score, r.Work
 		}
 	}
 	if best == nil {
@@ -70,6 +71,6 @@
 	p := best.Pool(id)
 	return Decision{
 		Host: h, Centre: best.Place.Group(), Pool: id,
-		Wait: readyAbroad(v, best, p), Pace: toTime(span(1, p.DecodeRate)), Room: room,
+		Wait: remoteTTFT(v, best, p), EventInterval: toDuration(secondsFor(1, p.DecodeRate)), RemoteRoom: bestRoom,
 	}, true
 }
