--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -9,32 +9,32 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// entriesValid is how long callers may go by a list of entry hosts. It is
+// entriesTTL is how long callers may go by a list of entry hosts. It is
 // shorter than a drain is announced before a host stops answering.
-const entriesValid = 5 * time.Second
+const entriesTTL = 5 * time.Second
 
-// nearbyValid is how long a caller may go by the hosts near it. It bounds how
+// nearbyTTL is how long a caller may go by the hosts near it. It bounds how
 // long callers keep to a host that has gone.
-const nearbyValid = 900 * time.Millisecond
+const nearbyTTL = 900 * time.Millisecond
 
-// questions answers callers and operators who ask.
-func (rd *Reducer) questions(now ident.Time, ev event.Event) {
+// queryEvent answers callers and operators who ask.
+func (rd *Reducer) queryEvent(now ident.Time, ev event.Event) {
 	switch e := ev.(type) {
 	case event.TicketAsked:
-		rd.ticket(now, e)
+		rd.issueTicket(now, e)
 	case event.EntriesAsked:
-		rd.entries(now, e)
+		rd.answerEntries(now, e)
 	case event.NearbyAsked:
-		rd.emit(event.EntriesAnswered{Ask: e.Ask, Valid: nearbyValid, Entries: rd.table.Nearby(now, e.Near, rd.spread.Book().Homes(e.Host))})
+		rd.emit(event.EntriesAnswered{Ask: e.Ask, Valid: nearbyTTL, Entries: rd.table.Nearby(now, e.Near, rd.spread.Book().Homes(e.Host))})
 	case event.RouteAsked:
-		rd.explain(now, e)
+		rd.explainRoute(now, e)
 	case event.StatusAsked:
-		rd.status(now, e)
+		rd.answerStatus(now, e)
 	}
 }
 
-func (rd *Reducer) entries(now ident.Time, e event.EntriesAsked) {
-	ans := event.EntriesAnswered{Ask: e.Ask, Valid: entriesValid}
+func (rd *Reducer) answerEntries(now ident.Time, e event.EntriesAsked) {
+	ans := event.EntriesAnswered{Ask: e.Ask, Valid: entriesTTL}
 	p, okProfile := rd.spread.Book().Profile(e.Profile)
 	c, okClient := rd.spread.Book().Client(e.Account)
 	switch {
@@ -50,8 +50,8 @@
 	rd.emit(ans)
 }
 
-// explain returns where a request would go, by the same decision as for a real one.
-func (rd *Reducer) explain(now ident.Time, e event.RouteAsked) {
+// explainRoute returns where a request would go, by the same decision as for a real one.
+func (rd *Reducer) explainRoute(now ident.Time, e event.RouteAsked) {
 	ans := event.RouteAnswered{Ask: e.Ask, Chosen: -1}
 	r := &request{
 		Request: e.Request, arrived: now,
@@ -69,7 +69,7 @@
 	rd.emit(ans)
 }
 
-func (rd *Reducer) status(now ident.Time, e event.StatusAsked) {
+func (rd *Reducer) answerStatus(now ident.Time, e event.StatusAsked) {
 	ans := event.StatusAnswered{
 		Ask: e.Ask, Self: rd.self, Revision: rd.spread.Revision(),
 		Ready: rd.spread.Book() != nil && !rd.draining, Requests: len(rd.requests),
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -15,9 +15,9 @@
 func (rd *Reducer) query(r *request) route.Query {
 	return route.Query{
 		Request: r.Request, Profile: r.profile, Client: r.client,
-		Tried: r.tried, TriedCentres: r.triedCentres, Only: r.only,
+		Tried: r.tried, TriedCentres: r.triedCentres, Only: r.boundTarget,
 		Crossings: r.env.Crossings, Forwarded: r.forwarded, Resume: r.delivered, Again: r.mayHaveRun,
-		Backlog: rd.pools.of(r).backlog(), Expect: rd.expected(r),
+		Backlog: rd.pools.of(r).backlog(), Expect: rd.expectedEvents(r),
 	}
 }
 
@@ -25,21 +25,21 @@
 // it.
 func (rd *Reducer) place(now ident.Time, r *request) {
 	if now >= r.deadline {
-		rd.end(now, r, refuseAs(codes.DeadlineExceeded))
+		rd.endRefused(now, r, refuseAs(codes.DeadlineExceeded))
 		return
 	}
 	pl := rd.pools.of(r)
 	dec := rd.router.Choose(now, rd.query(r), rd.table)
-	r.looked = dec
+	r.lastDecision = dec
 	switch {
 	case dec.Target == nil && dec.Centre == "" && !dec.Full:
-		rd.noPlace(now, r, dec.Code)
-	case dec.Full && r.only != "":
-		rd.placeLater(now, r)
-	case dec.Full || pl.busy(r) && dec.Centre == "" && r.only == "":
+		rd.handleNoTarget(now, r, dec.Code)
+	case dec.Full && r.boundTarget != "":
+		rd.schedulePlace(now, r)
+	case dec.Full || pl.hasOthersWaiting(r) && dec.Centre == "" && r.boundTarget == "":
 		rd.enqueue(now, pl, r, dec)
 	case now.Add(dec.Wait) > r.deadline:
-		rd.end(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: dec.Wait})
+		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: dec.Wait})
 	default:
 		rd.send(now, r, dec)
 	}
@@ -47,52 +47,52 @@
 
 // Bounds of the search for a target to resume a stream at.
 const (
-	resumeWaits = 4
-	resumePause = 500 * time.Millisecond
+	maxResumeWaits = 4
+	resumeInterval = 500 * time.Millisecond
 )
 
-// noPlace ends a request that no target is left for. One whose caller has a part of the answer
+// handleNoTarget ends a request that no target is left for. One whose caller has a part of the answer
 // is queued, since suspected targets may come back and its caller can not.
-func (rd *Reducer) noPlace(now ident.Time, r *request, code codes.ID) {
-	if at := now.Add(learnPause); rd.learns(now, r) && at < rd.startBy(r) {
-		rd.agenda.add(appointment{at: at, req: r, do: rd.place})
+func (rd *Reducer) handleNoTarget(now ident.Time, r *request, code codes.ID) {
+	if at := now.Add(discoveryInterval); rd.isDiscovering(now, r) && at < rd.queueDeadline(r) {
+		rd.timers.add(timer{at: at, req: r, run: rd.place})
 		return
 	}
-	at := now.Add(resumePause)
-	if r.delivered == 0 || r.waits >= resumeWaits || at >= r.deadline {
-		rd.end(now, r, unplaced(r, code))
+	at := now.Add(resumeInterval)
+	if r.delivered == 0 || r.resumeWaits >= maxResumeWaits || at >= r.deadline {
+		rd.endRefused(now, r, noTargetRefusal(r, code))
 		return
 	}
-	r.waits++
-	rd.agenda.add(appointment{at: at, req: r, do: rd.place})
+	r.resumeWaits++
+	rd.timers.add(timer{at: at, req: r, run: rd.place})
 }
 
-// placeLater looks again for room at the one target that a request is bound to. In the queue it
+// schedulePlace looks again for room at the one target that a request is bound to. In the queue it
 // would hold up requests that may go elsewhere.
-func (rd *Reducer) placeLater(now ident.Time, r *request) {
-	at := now.Add(resumePause)
+func (rd *Reducer) schedulePlace(now ident.Time, r *request) {
+	at := now.Add(resumeInterval)
 	if at >= r.deadline {
-		rd.end(now, r, refuseAs(codes.DeadlineExceeded))
+		rd.endRefused(now, r, refuseAs(codes.DeadlineExceeded))
 		return
 	}
-	rd.agenda.add(appointment{at: at, req: r, do: rd.place})
+	rd.timers.add(timer{at: at, req: r, run: rd.place})
 }
 
 // How long a host that has started learns who else is there, and the pause between two
 // looks for a place meanwhile. Links to all other regions stood 0.9 s after a start.
 const (
-	learnSpan  = 2 * time.Second
-	learnPause = 50 * time.Millisecond
+	discoveryWindow   = 2 * time.Second
+	discoveryInterval = 50 * time.Millisecond
 )
 
-// learns reports whether a target for a request may still become known: this host has read the
+// isDiscovering reports whether a target for a request may still become known: this host has read the
 // list of targets and has not seen another region yet, as after a loss of power.
-func (rd *Reducer) learns(now ident.Time, r *request) bool {
-	return r.profile.Route != nil && r.delivered == 0 && r.tries == 0 && now.Sub(rd.startedAt) < learnSpan
+func (rd *Reducer) isDiscovering(now ident.Time, r *request) bool {
+	return r.profile.Route != nil && r.delivered == 0 && r.tries == 0 && now.Sub(rd.startedAt) < discoveryWindow
 }
 
-// unplaced is the refusal of a request that no choice is left for.
-func unplaced(r *request, code codes.ID) refusal {
+// noTargetRefusal is the refusal of a request that no choice is left for.
+func noTargetRefusal(r *request, code codes.ID) refusal {
 	if r.mayHaveRun {
 		return refusal{code: codes.TargetFailed.ID, outcome: event.Unknown}
 	}
@@ -101,46 +101,46 @@
 
 // send starts an attempt.
 func (rd *Reducer) send(now ident.Time, r *request, dec route.Decision) {
-	rd.number++
+	rd.lastAttempt++
 	a := &attempt{
-		id:  ident.Attempt{Entry: rd.self.ID, Incarnation: rd.self.Incarnation, Number: rd.number},
-		req: r, start: now, dec: dec, tokens: wanted(r),
+		id:  ident.Attempt{Entry: rd.self.ID, Incarnation: rd.self.Incarnation, Number: rd.lastAttempt},
+		req: r, start: now, dec: dec, tokens: answerTokens(r),
 	}
 	rd.attempts[a.id] = a
 	r.live = a
 	r.tries++
-	r.denied = event.Denial{}
+	r.lastDenial = event.Denial{}
 	if dec.Target == nil {
 		rd.forward(now, r, a)
 		return
 	}
 	a.target, a.incarnation = dec.Target.ID, dec.Target.Incarnation
 	rd.table.Sent(a.target, r.Prompt, a.tokens)
-	a.before = dec.Target.Unread + dec.Target.PeerUnread
-	a.unread = dec.Prefill
-	rd.table.Prefill(a.target, a.unread)
+	a.prefillAhead = dec.Target.Unread + dec.Target.PeerUnread
+	a.prefillTokens = dec.Prefill
+	rd.table.Prefill(a.target, a.prefillTokens)
 	rd.table.Read(r.profile.Service, r.Prompt, dec.Prefill)
-	rd.noteHolder(now, r, a.target)
+	rd.announceHolder(now, r, a.target)
 	rd.router.Learn(now, a.target, r.Prefix)
 	rd.emit(event.Dispatch{
 		Request: r.ID, Attempt: a.id, Target: dec.Target.Target, Serve: dec.Serve,
-		Priority: level(r, dec), Deadline: r.deadline, Resume: r.delivered,
-		Once: r.finishes(), Keep: r.keeps() && !r.forwarded, CopyFrom: holderOf(dec.CopyFrom),
+		Priority: engineLevel(r, dec), Deadline: r.deadline, Resume: r.delivered,
+		Once: r.outlivesCaller(), Keep: r.storesAnswer() && !r.forwarded, CopyFrom: holderOf(dec.CopyFrom),
 		Basis: rd.basis(now, r, dec), IdleTimeouts: rd.idleTimeouts(r, dec),
 	})
 }
 
-// level returns the priority level at an engine. Where a profile has no route it is the urgency
+// engineLevel returns the priority engineLevel at an engine. Where a profile has no route it is the urgency
 // of the profile; see docs/targets.md.
-func level(r *request, dec route.Decision) int {
+func engineLevel(r *request, dec route.Decision) int {
 	if r.profile.Route == nil || !mech.On(codes.OrderByLength) {
 		return r.profile.Priority
 	}
 	return order.Level(r.profile.Priority, dec.Prefill)
 }
 
-// noteHolder announces that a target gets a long prefix, unless that is known.
-func (rd *Reducer) noteHolder(now ident.Time, r *request, id ident.TargetID) {
+// announceHolder announces that a target gets a long prefix, unless that is known.
+func (rd *Reducer) announceHolder(now ident.Time, r *request, id ident.TargetID) {
 	if r.profile.Route == nil || !member.SharesMuch(&r.Request) || !mech.On(codes.AnnouncedHolders) {
 		return
 	}
@@ -172,7 +172,7 @@
 	}
 	rd.emit(event.Forward{
 		Request: r.ID, To: a.host, Envelope: env, Deadline: r.deadline, Resume: r.delivered,
-		Once: r.finishes(), Keep: r.keeps(), Basis: rd.basis(now, r, a.dec), Service: r.profile.Service,
+		Once: r.outlivesCaller(), Keep: r.storesAnswer(), Basis: rd.basis(now, r, a.dec), Service: r.profile.Service,
 		IdleTimeouts: rd.idleTimeouts(r, a.dec),
 	})
 }
@@ -187,18 +187,18 @@
 func (rd *Reducer) firstToken(now ident.Time, e event.FirstToken) {
 	if a, ok := rd.attempts[e.Attempt]; ok && a.req.live == a && rd.isCurrent(a) {
 		rd.table.Answered(a.target)
-		rd.table.Began(a.target, a.dec.Prefill, a.before, now.Sub(a.start))
-		rd.readDone(a)
-		rd.slack.Began(a.req.profile.Name, now.Sub(a.start))
+		rd.table.Began(a.target, a.dec.Prefill, a.prefillAhead, now.Sub(a.start))
+		rd.prefillDone(a)
+		rd.slack.FirstByte(a.req.profile.Name, now.Sub(a.start))
 	}
 }
 
-// readDone records that the prompt of an attempt has been prefilled.
-func (rd *Reducer) readDone(a *attempt) {
-	if a.unread > 0 && rd.isCurrent(a) {
-		rd.table.ReadDone(a.target, a.unread)
+// prefillDone records that the prompt of an attempt has been prefilled.
+func (rd *Reducer) prefillDone(a *attempt) {
+	if a.prefillTokens > 0 && rd.isCurrent(a) {
+		rd.table.ReadDone(a.target, a.prefillTokens)
 	}
-	a.unread = 0
+	a.prefillTokens = 0
 }
 
 // health is what the end of an attempt says about its target.
@@ -206,24 +206,24 @@
 
 // The kinds of health.
 const (
-	tellsNothing health = iota
-	answered
-	failedToAnswer
+	healthUnknown health = iota
+	healthy
+	failed
 )
 
-// forget drops an attempt and gives back what it held.
-func (rd *Reducer) forget(a *attempt, h health) {
+// dropAttempt drops an attempt and gives back what it held.
+func (rd *Reducer) dropAttempt(a *attempt, h health) {
 	delete(rd.attempts, a.id)
 	a.req.live = nil
-	rd.readDone(a)
+	rd.prefillDone(a)
 	switch {
 	case a.target == "":
 		rd.table.OfferGive(a.dec.Centre, a.dec.Pool)
 	case !rd.isCurrent(a):
-	case h == tellsNothing:
+	case h == healthUnknown:
 		rd.table.Dropped(a.target, a.req.Prompt, a.tokens)
 	default:
-		rd.table.Ended(a.target, a.req.Prompt, a.tokens, h == answered)
+		rd.table.Ended(a.target, a.req.Prompt, a.tokens, h == healthy)
 	}
 }
 
@@ -233,13 +233,13 @@
 func healthOf(now ident.Time, a *attempt, e event.AttemptEnded) health {
 	switch {
 	case e.Result == event.ResultDone || e.Draining || e.Held:
-		return answered
+		return healthy
 	case e.Result == event.ResultNotRun && a.sent:
-		return answered
+		return healthy
 	case e.Result == event.ResultBroken && now >= a.req.deadline:
-		return tellsNothing
+		return healthUnknown
 	}
-	return failedToAnswer
+	return failed
 }
 
 // attemptEnded handles the end of an attempt. A second, late or crossed end of one that is not
@@ -251,13 +251,13 @@
 		return
 	}
 	r := a.req
-	rd.forget(a, healthOf(now, a, e))
+	rd.dropAttempt(a, healthOf(now, a, e))
 	if rd.isCurrent(a) && e.Result != event.ResultNotRun {
 		rd.table.Outcome(now, a.target, e.Result == event.ResultDone)
 	}
 	r.delivered = max(r.delivered, e.Delivered)
 	r.generated += e.Generated
-	if a.target == "" && e.Result == event.ResultNotRun && noRoom(e.Code) {
+	if a.target == "" && e.Result == event.ResultNotRun && lacksCapacity(e.Code) {
 		rd.table.TurnAway(now, a.dec.Centre, r.profile.Service)
 	}
 	if e.Draining && a.target != "" {
@@ -266,55 +266,55 @@
 	switch e.Result {
 	case event.ResultDone:
 		rd.table.Ran(a.target, now.Sub(a.start))
-		r.kept = e.Kept
-		rd.pools.of(r).ran(now.Sub(a.start), e.Generated)
-		rd.streamed(r)
-		rd.close(now, r, event.Done)
+		r.answerStored = e.Kept
+		rd.pools.of(r).recordRun(now.Sub(a.start), e.Generated)
+		rd.recordStreamLength(r)
+		rd.closeRequest(now, r, event.Done)
 		rd.emit(event.Finish{Request: r.ID, Outcome: event.Done})
 	case event.ResultNotRun:
-		rd.again(now, r, a, e, shedBy(a, e))
+		rd.retryOrEnd(now, r, a, e, shedRefusal(a, e))
 	case event.ResultFailed, event.ResultBroken:
-		rd.broken(now, r, a, e)
+		rd.handleBroken(now, r, a, e)
 	}
-	rd.poolsMove(now)
+	rd.sendWaiting(now)
 }
 
-// broken goes on after an attempt that may have run.
-func (rd *Reducer) broken(now ident.Time, r *request, a *attempt, e event.AttemptEnded) {
+// handleBroken goes on after an attempt that may have run.
+func (rd *Reducer) handleBroken(now ident.Time, r *request, a *attempt, e event.AttemptEnded) {
 	if r.once && a.target == "" && e.Result == event.ResultBroken {
-		r.barring = a
+		r.pendingBar = a
 		rd.askBar(now, r)
 		return
 	}
 	r.mayHaveRun = true
-	r.broke = brokeBy(now, a, e)
-	if e.Held && r.delivered == 0 && (r.once || !rd.mayTryAgain(now, r, a, e)) {
+	r.lastEnding = endingOf(now, a, e)
+	if e.Held && r.delivered == 0 && (r.once || !rd.takeRetry(now, r, a, e)) {
 		// The failure of the target itself says more than one of this host.
-		rd.deliver(now, r)
+		rd.deliverBuffered(now, r)
 		return
 	}
 	if e.Held && r.delivered == 0 {
-		rd.elsewhereSoon(now, r, a, refusal{code: codes.TargetFailed.ID, outcome: event.Unknown})
+		rd.retryElsewhere(now, r, a, refusal{code: codes.TargetFailed.ID, outcome: event.Unknown})
 		return
 	}
 	if r.once {
-		rd.end(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
+		rd.endRefused(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
 		return
 	}
 	ref := refusal{code: codes.TargetFailed.ID, outcome: event.Unknown}
 	if r.delivered > 0 && !e.Resumable {
-		rd.end(now, r, ref)
+		rd.endRefused(now, r, ref)
 		return
 	}
 	if e.Resumable && e.Generated > 0 && r.profile.Route == nil {
-		rd.resume(now, r, a, ref)
+		rd.resumeStream(now, r, a, ref)
 		return
 	}
-	rd.again(now, r, a, e, ref)
+	rd.retryOrEnd(now, r, a, e, ref)
 }
 
-// brokeBy returns which side ended an attempt that may have run.
-func brokeBy(now ident.Time, a *attempt, e event.AttemptEnded) event.Ending {
+// endingOf returns which side ended an attempt that may have run.
+func endingOf(now ident.Time, a *attempt, e event.AttemptEnded) event.Ending {
 	switch {
 	case now >= a.req.deadline:
 		return event.Ending{Side: event.SideDeadline, Reason: event.ReasonOver}
@@ -328,43 +328,43 @@
 	return event.Ending{Side: event.SideTarget, Reason: event.ReasonClosed}
 }
 
-// deliver sends the caller the whole answer that is buffered, though it is a failure.
-func (rd *Reducer) deliver(now ident.Time, r *request) {
-	rd.close(now, r, event.Done)
+// deliverBuffered sends the caller the whole answer that is buffered, though it is a failure.
+func (rd *Reducer) deliverBuffered(now ident.Time, r *request) {
+	rd.closeRequest(now, r, event.Done)
 	rd.emit(event.Finish{Request: r.ID, Outcome: event.Done})
 }
 
-// barPause is the time between two questions about one attempt.
-const barPause = 300 * time.Millisecond
+// barInterval is the time between two questions about one attempt.
+const barInterval = 300 * time.Millisecond
 
 // askBar asks the peer what became of a broken attempt, until it answers or
 // the caller's time is over.
 func (rd *Reducer) askBar(now ident.Time, r *request) {
-	if r.barring == nil {
+	if r.pendingBar == nil {
 		return
 	}
 	if now >= r.deadline {
-		rd.end(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
+		rd.endRefused(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
 		return
 	}
-	a := r.barring
+	a := r.pendingBar
 	rd.emit(event.AskBar{To: a.host, Incarnation: a.host.Incarnation, Attempt: a.id})
-	rd.agenda.add(appointment{at: min(now.Add(barPause), r.deadline), req: r, do: rd.askBar})
+	rd.timers.add(timer{at: min(now.Add(barInterval), r.deadline), req: r, run: rd.askBar})
 	rd.attempts[a.id] = a
 }
 
 func (rd *Reducer) barAnswered(now ident.Time, e event.BarAnswered) {
 	a, ok := rd.attempts[e.Attempt]
-	if !ok || a.req.barring != a || e.Answer == event.Running {
+	if !ok || a.req.pendingBar != a || e.Answer == event.Running {
 		return
 	}
 	r := a.req
 	delete(rd.attempts, a.id)
-	r.barring = nil
+	r.pendingBar = nil
 	switch e.Answer {
 	case event.Barred, event.Refused:
-		rd.again(now, r, a, event.AttemptEnded{Result: event.ResultNotRun}, refusal{code: codes.NoTarget.ID, outcome: event.NotRun})
+		rd.retryOrEnd(now, r, a, event.AttemptEnded{Result: event.ResultNotRun}, refusal{code: codes.NoTarget.ID, outcome: event.NotRun})
 	default:
-		rd.end(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
+		rd.endRefused(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -32,9 +32,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// drainLeast is the minimum duration of a drain where no bound is given: callers may use a
+// defaultMinDrain is the minimum duration of a drain where no bound is given: callers may use a
 // directory answer for entriesValid.
-const drainLeast = entriesValid + time.Second
+const defaultMinDrain = entriesTTL + time.Second
 
 // Reducer is the state of one entry host.
 type Reducer struct {
@@ -47,34 +47,34 @@
 	budget retry.Budget
 	// bounds and services hold what routes are served by: the bounds of all
 	// hosts together, and the budget of second tries of each service.
-	bounds   Bounds
-	services map[string]*retry.Budget
-	// lengths is the smoothed number of events in the streams of each route.
-	lengths map[ident.Profile]float64
-	// hostsMost is the most entry hosts that were known at one time, startedAt
+	bounds       Bounds
+	retryBudgets map[string]*retry.Budget
+	// streamLengths is the smoothed number of events in the streams of each route.
+	streamLengths map[ident.Profile]float64
+	// maxHosts is the most entry hosts that were known at one time, startedAt
 	// the time of the first step.
-	hostsMost int
+	maxHosts  int
 	startedAt ident.Time
 	pools     pools
 	slack     *slack.Book
-	agenda    agenda
+	timers    timerQueue
 
-	requests map[ident.RequestID]*request
-	attempts map[ident.Attempt]*attempt
-	number   uint64
+	requests    map[ident.RequestID]*request
+	attempts    map[ident.Attempt]*attempt
+	lastAttempt uint64
 
-	// reads says that this host is an active reader of the store.
-	reads    bool
-	draining bool
-	drainAt  ident.Time
-	// closed says that the drain has ended and that the process is about to.
-	closed bool
-	wakeAt ident.Time
-	// demandAt is when each peer of the data centre last sent a digest.
-	demandAt map[ident.EntryID]ident.Time
-	// announceAt is when the demand of the accounts is next sent.
-	announceAt ident.Time
-	out        []event.Effect
+	// activeReader says that this host is an active reader of the store.
+	activeReader   bool
+	draining       bool
+	drainStartedAt ident.Time
+	// drainEnded says that the drain has ended and that the process is about to.
+	drainEnded bool
+	wakeAt     ident.Time
+	// peerDemandAt is when each peer of the data centre last sent a digest.
+	peerDemandAt map[ident.EntryID]ident.Time
+	// nextDemandAt is when the demand of the accounts is next sent.
+	nextDemandAt ident.Time
+	out          []event.Effect
 }
 
 // New returns the reducer of a host that knows nothing yet.
@@ -84,27 +84,27 @@
 // together.
 func NewBounded(self event.Host, bounds Bounds) *Reducer {
 	rd := &Reducer{
-		bounds:   bounds.filled(),
-		services: make(map[string]*retry.Budget),
-		lengths:  make(map[ident.Profile]float64),
-		self:     self,
-		reads:    true,
-		table:    member.New(self),
-		router:   route.New(),
-		spread:   spread.New(self),
-		once:     once.New(self.ID, self.Incarnation),
-		quota:    quota.New(self.ID, self.Place.Group()),
-		pools:    newPools(),
-		slack:    slack.New(),
-		demandAt: make(map[ident.EntryID]ident.Time),
-		requests: make(map[ident.RequestID]*request),
-		attempts: make(map[ident.Attempt]*attempt),
+		bounds:        bounds.withDefaults(),
+		retryBudgets:  make(map[string]*retry.Budget),
+		streamLengths: make(map[ident.Profile]float64),
+		self:          self,
+		activeReader:  true,
+		table:         member.New(self),
+		router:        route.New(),
+		spread:        spread.New(self),
+		once:          once.New(self.ID, self.Incarnation),
+		quota:         quota.New(self.ID, self.Place.Group()),
+		pools:         newPools(),
+		slack:         slack.New(),
+		peerDemandAt:  make(map[ident.EntryID]ident.Time),
+		requests:      make(map[ident.RequestID]*request),
+		attempts:      make(map[ident.Attempt]*attempt),
 	}
 	rd.quota.Place(self.Place.Group(), self.Place.Region)
-	rd.table.SetCold(member.Cold{PerSecond: rd.coldPerSecond, Span: rd.coldSpan})
+	rd.table.SetCold(member.Cold{PerSecond: rd.coldPerSecond, Span: rd.coldDuration})
 	rd.spread.ReadFirst(bounds.SharedReads)
-	if bounds.Pace > 0 {
-		rd.table.SetPace(bounds.Pace)
+	if bounds.SummaryInterval > 0 {
+		rd.table.SetPace(bounds.SummaryInterval)
 	}
 	return rd
 }
@@ -121,11 +121,11 @@
 	}
 	rd.table.Advance(now)
 	switch {
-	case rd.traffic(now, ev):
-	case rd.peers(now, ev):
-	case rd.outside(now, ev):
+	case rd.requestEvent(now, ev):
+	case rd.peerEvent(now, ev):
+	case rd.environmentEvent(now, ev):
 	default:
-		rd.questions(now, ev)
+		rd.queryEvent(now, ev)
 	}
 	rd.tick(now)
 	for _, n := range rd.table.Notes() {
@@ -134,8 +134,8 @@
 	return rd.out
 }
 
-// traffic takes the events of requests.
-func (rd *Reducer) traffic(now ident.Time, ev event.Event) bool {
+// requestEvent takes the events of requests.
+func (rd *Reducer) requestEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.RequestArrived:
 		rd.arrive(now, e.Request)
@@ -161,8 +161,8 @@
 	return true
 }
 
-// peers takes the events of other entry hosts.
-func (rd *Reducer) peers(now ident.Time, ev event.Event) bool {
+// peerEvent takes the events of other entry hosts.
+func (rd *Reducer) peerEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.PeerUp:
 		rd.table.PeerUp(now, e.Host)
@@ -187,8 +187,8 @@
 	return true
 }
 
-// outside takes the events of targets, the platform and the process.
-func (rd *Reducer) outside(now ident.Time, ev event.Event) bool {
+// environmentEvent takes the events of targets, the platform and the process.
+func (rd *Reducer) environmentEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.LoadReported:
 		rd.table.LoadReported(now, e.Load)
@@ -228,7 +228,7 @@
 
 func (rd *Reducer) digest(now ident.Time, d event.Digest) {
 	rd.table.DigestReceived(now, d)
-	rd.demandAt[d.Host.ID] = now
+	rd.peerDemandAt[d.Host.ID] = now
 	if d.AccountsIncluded {
 		rd.quota.PeerDemand(now, d.Host.ID, d.Accounts)
 	}
@@ -270,77 +270,77 @@
 func (rd *Reducer) tick(now ident.Time) {
 	rd.table.SetBlind(rd.spread.Blind())
 	if now >= rd.table.Next(now) {
-		rd.emit(rd.table.Tick(now, rd.own(now))...)
+		rd.emit(rd.table.Tick(now, rd.ownState(now))...)
 	}
 	rd.emit(rd.spread.Tick(now, rd.table.Watches(now))...)
-	rd.paceReads(now)
+	rd.updateReadPace(now)
 	rd.targetsRestarted()
-	rd.agendaDue(now)
-	rd.poolsDue(now)
+	rd.runTimers(now)
+	rd.shedAndSendWaiting(now)
 	for _, id := range rd.once.Expire(now) {
 		rd.emit(event.ForgetOutcome{Request: id})
 	}
-	if rd.draining && !rd.closed && len(rd.requests) == 0 && now.Sub(rd.drainAt) >= rd.bounds.DrainLeast {
-		rd.closed = true
+	if rd.draining && !rd.drainEnded && len(rd.requests) == 0 && now.Sub(rd.drainStartedAt) >= rd.bounds.MinDrain {
+		rd.drainEnded = true
 		rd.emit(event.Drained{})
 	}
-	rd.wake(now)
+	rd.scheduleWake(now)
 }
 
-// paceReads emits how to read the platform's store when that changes. A host begins as an
+// updateReadPace emits how to read the platform's store when that changes. A host begins as an
 // active reader.
-func (rd *Reducer) paceReads(now ident.Time) {
-	if !rd.bounds.SharedReads || rd.table.Reads(now) == rd.reads {
+func (rd *Reducer) updateReadPace(now ident.Time) {
+	if !rd.bounds.SharedReads || rd.table.Reads(now) == rd.activeReader {
 		return
 	}
-	rd.reads = !rd.reads
-	rd.emit(event.PaceReads{Active: rd.reads})
+	rd.activeReader = !rd.activeReader
+	rd.emit(event.PaceReads{Active: rd.activeReader})
 }
 
-// accountsPerSecond bounds how many accounts a host announces to its peers each second, on
+// announcedAccountsPerSecond bounds how many accounts a host announces to its peers each second, on
 // average. With more of them the whole list goes out less often.
-const accountsPerSecond = 4
+const announcedAccountsPerSecond = 4
 
-// goneAfter is the silence of a peer after which its demand counts no more. It
+// peerDemandTTL is the silence of a peer after which its demand counts no more. It
 // is the time after which members count a host as dead.
-const goneAfter = 10 * time.Second
+const peerDemandTTL = 10 * time.Second
 
-// dropGone forgets the demand of peers that have gone. A host that is replaced
+// expirePeerDemand forgets the demand of peers that have gone. A host that is replaced
 // by one of another name never reports again: its last demand would keep its
 // share of every limit, and callers of the others would be refused below their
 // limits until these restart too. The order of the peers does not show.
-func (rd *Reducer) dropGone(now ident.Time) {
-	for id, at := range rd.demandAt {
-		if now.Sub(at) > goneAfter {
-			delete(rd.demandAt, id)
+func (rd *Reducer) expirePeerDemand(now ident.Time) {
+	for id, at := range rd.peerDemandAt {
+		if now.Sub(at) > peerDemandTTL {
+			delete(rd.peerDemandAt, id)
 			rd.quota.Drop(id)
 		}
 	}
 }
 
-func (rd *Reducer) own(now ident.Time) member.Own {
-	rd.dropGone(now)
+func (rd *Reducer) ownState(now ident.Time) member.Own {
+	rd.expirePeerDemand(now)
 	own := member.Own{
 		Revision:       rd.spread.Revision(),
 		CentreAccounts: func() []event.AccountUse { return rd.quota.CentreDemand(now) },
 		After:          rd.router.CacheSeq,
 	}
-	if now >= rd.announceAt {
+	if now >= rd.nextDemandAt {
 		own.Accounts = rd.quota.Demand(now)
 		own.AccountsIncluded = true
-		rd.announceAt = now.Add(member.Period * time.Duration((len(own.Accounts)+accountsPerSecond-1)/accountsPerSecond))
+		rd.nextDemandAt = now.Add(member.Period * time.Duration((len(own.Accounts)+announcedAccountsPerSecond-1)/announcedAccountsPerSecond))
 	}
 	return own
 }
 
-// wakeLate is the longest time without a tick.
-const wakeLate = time.Second
+// maxTickInterval is the longest time without a tick.
+const maxTickInterval = time.Second
 
-// wake asks for the next tick.
-func (rd *Reducer) wake(now ident.Time) {
-	at := now.Add(wakeLate)
+// scheduleWake asks for the next tick.
+func (rd *Reducer) scheduleWake(now ident.Time) {
+	at := now.Add(maxTickInterval)
 	for _, t := range []ident.Time{
-		rd.table.Next(now), rd.spread.Next(now), rd.agenda.next(), rd.pools.next(now, rd.startBy), rd.once.Next(),
+		rd.table.Next(now), rd.spread.Next(now), rd.timers.next(), rd.pools.next(now, rd.queueDeadline), rd.once.Next(),
 	} {
 		if t > now && t < at {
 			at = t
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -14,8 +14,8 @@
 )
 
 // A draining host refuses callers at once, or serves them for too long.
-func TestDrainingServesForAWhile(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{DrainServe: 2 * time.Second, DrainLeast: 3 * time.Second})
+func TestDrainAcceptsForAWhile(t *testing.T) {
+	p := newTestHost(t, 1, core.Bounds{DrainAccept: 2 * time.Second, MinDrain: 3 * time.Second})
 	p.step(event.DrainAsked{})
 	d := p.send("fetch")
 	p.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone})
@@ -27,8 +27,8 @@
 }
 
 // A request is sent to a target after the drain has ended, and is cut with the process.
-func TestNothingIsTakenAfterTheDrain(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{DrainServe: time.Second, DrainLeast: 2 * time.Second, DrainEnd: 9 * time.Second})
+func TestNothingIsAcceptedAfterTheDrain(t *testing.T) {
+	p := newTestHost(t, 1, core.Bounds{DrainAccept: time.Second, MinDrain: 2 * time.Second, DrainTimeout: 9 * time.Second})
 	p.step(event.DrainAsked{})
 	p.now = p.now.Add(3 * time.Second)
 	if _, ok := pick[event.Drained](p.step(event.Tick{})); !ok {
@@ -45,7 +45,7 @@
 
 // At the end of the grace a request that may have run is said not to have run, or one is forgotten.
 func TestDrainExpiredEndsEachRequest(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{DrainServe: time.Second, DrainEnd: 9 * time.Second})
+	p := newTestHost(t, 1, core.Bounds{DrainAccept: time.Second, DrainTimeout: 9 * time.Second})
 	d := p.send("publish")
 	p.step(event.DrainAsked{})
 	effs := p.step(event.DrainExpired{})
@@ -62,8 +62,8 @@
 }
 
 // The only host of a region refuses callers while it drains, or cuts their requests.
-func TestDrainingServesWhatEndsInTime(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{DrainServe: 2 * time.Second, DrainLeast: 4 * time.Second, DrainEnd: 6 * time.Second})
+func TestDrainAcceptsWhatEndsInTime(t *testing.T) {
+	p := newTestHost(t, 1, core.Bounds{DrainAccept: 2 * time.Second, MinDrain: 4 * time.Second, DrainTimeout: 6 * time.Second})
 	for range 4 {
 		d := p.send("draft")
 		p.now = p.now.Add(50 * time.Millisecond)
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -13,18 +13,18 @@
 
 // Idle timeouts of attempts that another can follow.
 const (
-	// firstPart is the least part of the goal that the first byte of a stream may take, and
+	// firstByteGoalRatio is the least part of the goal that the first byte of a stream may take, and
 	// callPart that of the answer to a call. What is left of the goal is for the second try.
-	firstPart = 0.75
-	callPart  = 1.0 / 3
-	// lostPart is the part of the goal that the first byte of a stream may take where a second
+	firstByteGoalRatio = 0.75
+	callGoalRatio      = 1.0 / 3
+	// lateFirstByteGoalRatio is the part of the goal that the first byte of a stream may take where a second
 	// try could not meet the goal either. Callers wait for at least four goals.
-	lostPart = 2.5
-	// gapFactor is the part of the goal between two events that a stream may pause for, and
+	lateFirstByteGoalRatio = 2.5
+	// gapMultiple is the part of the goal between two events that a stream may pause for, and
 	// gapLeast the least pause: engines that prefill a long prompt or preempt a request pause
 	// for a second and more.
-	gapFactor = 4
-	gapLeast  = 2 * time.Second
+	gapMultiple   = 4
+	minGapTimeout = 2 * time.Second
 )
 
 // idleTimeouts returns how long an attempt may bring nothing before another one is made. The
@@ -38,15 +38,15 @@
 	}
 	late := rd.slack.LateAfter(r.profile.Name)
 	if rt.Kind != rules.Streaming {
-		return event.IdleTimeouts{First: dec.Wait + max(late, part(rt.Goal(), callPart))}
+		return event.IdleTimeouts{First: dec.Wait + max(late, fraction(rt.Goal(), callGoalRatio))}
 	}
-	first := part(rt.Goal(), firstPart)
+	first := fraction(rt.Goal(), firstByteGoalRatio)
 	if late > first && mech.On(codes.LongIdleTimeout) {
-		first = max(late, part(rt.Goal(), lostPart))
+		first = max(late, fraction(rt.Goal(), lateFirstByteGoalRatio))
 	}
 	return event.IdleTimeouts{
 		First: dec.Wait + first,
-		Gap:   max(gapFactor*time.Duration(rt.GapMs)*time.Millisecond, gapLeast),
+		Gap:   max(gapMultiple*time.Duration(rt.GapMs)*time.Millisecond, minGapTimeout),
 	}
 }
 
@@ -55,25 +55,25 @@
 // the answer.
 func (rd *Reducer) attemptSilent(now ident.Time, e event.AttemptSilent) {
 	a, ok := rd.attempts[e.Attempt]
-	if !ok || a.req.live != a || a.req.profile.Route == nil || a.follows && a.silentSince == e.Since {
+	if !ok || a.req.live != a || a.req.profile.Route == nil || a.retryTaken && a.silentSince == e.Since {
 		return
 	}
 	s := event.Silence{Since: e.Since, Lasted: now.Sub(e.Since), Begun: e.Begun}
-	if d := rd.denyFollowing(now, a, e.Begun); d.Reason != "" {
+	if d := rd.reserveRetry(now, a, e.Begun); d.Reason != "" {
 		rd.emit(event.KeepAttempt{Request: a.req.ID, Attempt: a.id, Silence: s, Denial: d})
 		return
 	}
-	a.follows, a.silentSince = true, e.Since
+	a.retryTaken, a.silentSince = true, e.Since
 	rd.emit(event.BreakOff{Request: a.req.ID, Attempt: a.id, Silence: s})
 }
 
-// followLeast is what the next attempt takes at the least beyond its predicted wait.
-const followLeast = 250 * time.Millisecond
+// minRetryTime is what the next attempt takes at the least beyond its predicted wait.
+const minRetryTime = 250 * time.Millisecond
 
-// denyFollowing takes a retry from the budget for the attempt that is to follow a silent one,
+// reserveRetry takes a retry from the budget for the attempt that is to follow a silent one,
 // or says why none can. A request whose answer has begun needs a place at once, another one may
 // be queued.
-func (rd *Reducer) denyFollowing(now ident.Time, a *attempt, begun bool) event.Denial {
+func (rd *Reducer) reserveRetry(now ident.Time, a *attempt, begun bool) event.Denial {
 	r := a.req
 	if r.forwarded {
 		return event.Denial{Reason: event.DeniedForwarded, Tries: r.tries}
@@ -87,16 +87,16 @@
 	}
 	dec := rd.router.Preview(now, q, rd.table)
 	free := dec.Target != nil || dec.Centre != ""
-	if !free && (begun || !dec.Full) || begun && rd.pools.of(r).busy(r) {
+	if !free && (begun || !dec.Full) || begun && rd.pools.of(r).hasOthersWaiting(r) {
 		return event.Denial{Reason: event.DeniedPlace, Tries: r.tries}
 	}
-	if free && now.Add(dec.Wait+followLeast) >= r.deadline {
+	if free && now.Add(dec.Wait+minRetryTime) >= r.deadline {
 		return event.Denial{Reason: event.DeniedTime, Tries: r.tries, Wait: dec.Wait, Left: r.deadline.Sub(now)}
 	}
-	if a.follows {
+	if a.retryTaken {
 		return event.Denial{}
 	}
-	return spendTry(now, r, max(r.profile.Route.MaxAttempts, 1), rd.service(now, r.profile.Service))
+	return spendAttempt(now, r, max(r.profile.Route.MaxAttempts, 1), rd.retryBudget(now, r.profile.Service))
 }
 
-func part(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
+func fraction(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -12,7 +12,7 @@
 )
 
 // The share of a removed host in a limit is never used again.
-func TestShareOfAGoneHostIsFree(t *testing.T) {
+func TestShareOfARemovedHostIsReleased(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	const perSecond = 10
 	w.Change(clientItem(rules.Client{Name: "clydeside", KeyDigest: rules.Digest("c"), RequestsPerMinute: perSecond * 60}))
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -16,27 +16,27 @@
 // other, as many as their callers ask for. A caller that is refused comes back once, when
 // it was asked to.
 const (
-	loadEngines  = 3
-	loadPrompt   = 2400
-	loadRead     = 25 * time.Millisecond
-	loadGoal     = 1200 * time.Millisecond
-	loadDeadline = 3 * time.Second
-	loadSpan     = 20 * time.Second
+	loadEngines     = 3
+	loadPrompt      = 2400
+	loadPrefillTime = 25 * time.Millisecond
+	loadGoal        = 1200 * time.Millisecond
+	loadDeadline    = 3 * time.Second
+	loadDuration    = 20 * time.Second
 )
 
-// due is something that happens at a time of the play.
-type due struct {
+// scheduledCall is something that happens at a time of the play.
+type scheduledCall struct {
 	at ident.Time
 	do func()
 }
 
-type agenda []due
+type callQueue []scheduledCall
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
+func (a callQueue) Len() int           { return len(a) }
+func (a callQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a callQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *callQueue) Push(x any)        { *a = append(*a, x.(scheduledCall)) }
+func (a *callQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -45,16 +45,16 @@
 
 // overload plays callers and engines around a reducer in virtual time.
 type overload struct {
-	t    *testing.T
-	red  *core.Reducer
-	now  ident.Time
-	todo agenda
-	// busy is until when each engine reads what it was sent.
-	busy map[ident.TargetID]ident.Time
-	// first is when the caller of a request first asked.
-	first map[ident.RequestID]ident.Time
-	again map[ident.RequestID]bool
-	n     int
+	t     *testing.T
+	red   *core.Reducer
+	now   ident.Time
+	queue callQueue
+	// busyUntil is until when each engine reads what it was sent.
+	busyUntil map[ident.TargetID]ident.Time
+	// firstAskedAt is when the caller of a request firstAskedAt asked.
+	firstAskedAt map[ident.RequestID]ident.Time
+	isRepeat     map[ident.RequestID]bool
+	n            int
 	// inTime counts answers that began within the goal, late the others, idleRefusals
 	// refusals while an engine would have begun the answer within the goal.
 	inTime, late, refused, idleRefusals int
@@ -65,8 +65,8 @@
 func newOverload(t *testing.T) *overload {
 	t.Helper()
 	o := &overload{
-		t: t, now: ident.Time(time.Minute), busy: make(map[ident.TargetID]ident.Time),
-		first: make(map[ident.RequestID]ident.Time), again: make(map[ident.RequestID]bool),
+		t: t, now: ident.Time(time.Minute), busyUntil: make(map[ident.TargetID]ident.Time),
+		firstAskedAt: make(map[ident.RequestID]ident.Time), isRepeat: make(map[ident.RequestID]bool),
 	}
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
 	o.red = core.New(event.Host{ID: "w1", Incarnation: 1, Place: place})
@@ -91,7 +91,7 @@
 	return o
 }
 
-func (o *overload) at(at ident.Time, do func()) { heap.Push(&o.todo, due{at, do}) }
+func (o *overload) at(at ident.Time, do func()) { heap.Push(&o.queue, scheduledCall{at, do}) }
 
 func (o *overload) step(ev event.Event) {
 	for _, eff := range o.red.Step(o.now, ev) {
@@ -99,24 +99,24 @@
 		case event.Wake:
 			o.at(e.At, func() { o.step(event.Tick{}) })
 		case event.Dispatch:
-			o.read(e)
+			o.prefill(e)
 		case event.Refuse:
 			o.refuse(e)
 		}
 	}
 }
 
-// read has an engine read a prompt after those that it has.
-func (o *overload) read(e event.Dispatch) {
+// prefill has an engine prefill a prompt after those that it has.
+func (o *overload) prefill(e event.Dispatch) {
 	id := e.Target.ID
 	o.waiting--
-	o.busy[id] = max(o.busy[id], o.now).Add(loadRead)
-	o.at(o.busy[id], func() {
-		if o.now.Sub(o.first[e.Request]) <= loadGoal {
+	o.busyUntil[id] = max(o.busyUntil[id], o.now).Add(loadPrefillTime)
+	o.at(o.busyUntil[id], func() {
+		if o.now.Sub(o.firstAskedAt[e.Request]) <= loadGoal {
 			o.inTime++
 		} else {
 			o.late++
-			if o.again[e.Request] {
+			if o.isRepeat[e.Request] {
 				o.lateAgain++
 			}
 		}
@@ -128,16 +128,16 @@
 func (o *overload) refuse(e event.Refuse) {
 	o.refused++
 	o.waiting--
-	ahead := time.Duration(o.waiting) * loadRead
+	ahead := time.Duration(o.waiting) * loadPrefillTime
 	for i := range loadEngines {
-		ahead += max(0, o.busy[ident.TargetID(fmt.Sprint("t", i))].Sub(o.now))
+		ahead += max(0, o.busyUntil[ident.TargetID(fmt.Sprint("t", i))].Sub(o.now))
 	}
-	since := o.first[e.Request]
+	since := o.firstAskedAt[e.Request]
 	// A quarter of the goal is what a host may be wrong by that goes by what it sees.
-	if begins := o.now.Add(ahead / loadEngines); !o.again[e.Request] && begins.Add(loadRead).Sub(since) < loadGoal*3/4 {
+	if begins := o.now.Add(ahead / loadEngines); !o.isRepeat[e.Request] && begins.Add(loadPrefillTime).Sub(since) < loadGoal*3/4 {
 		o.idleRefusals++
 	}
-	if o.again[e.Request] {
+	if o.isRepeat[e.Request] {
 		return
 	}
 	o.at(o.now.Add(e.RetryAfter), func() { o.ask(since, true) })
@@ -147,7 +147,7 @@
 	o.n++
 	o.waiting++
 	id := ident.RequestID(fmt.Sprint("q", o.n))
-	o.first[id], o.again[id] = first, again
+	o.firstAskedAt[id], o.isRepeat[id] = first, again
 	o.step(event.RequestArrived{Request: event.Request{
 		ID: id, Account: "callers", Profile: "tag", Prompt: loadPrompt, Stream: true,
 		Prefix: []uint64{uint64(o.n)}, Deadline: first.Add(loadDeadline),
@@ -156,13 +156,13 @@
 
 // play offers a multiple of what the engines can read.
 func (o *overload) play(load float64) {
-	gap := time.Duration(float64(loadRead) / loadEngines / load)
+	gap := time.Duration(float64(loadPrefillTime) / loadEngines / load)
 	start := o.now
-	for at := start; at < start.Add(loadSpan); at = at.Add(gap) {
+	for at := start; at < start.Add(loadDuration); at = at.Add(gap) {
 		o.at(at, func() { o.ask(at, false) })
 	}
-	for len(o.todo) > 0 && o.now < start.Add(loadSpan) {
-		next := heap.Pop(&o.todo).(due)
+	for len(o.queue) > 0 && o.now < start.Add(loadDuration) {
+		next := heap.Pop(&o.queue).(scheduledCall)
 		o.now = max(o.now, next.at)
 		next.do()
 	}
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -29,11 +29,11 @@
 	head *request
 	// tokenTime is the smoothed time for one generated token, runTime that of
 	// a whole request, gap that between two places that became free.
-	tokenTime time.Duration
-	runTime   time.Duration
-	gap       time.Duration
-	movedAt   ident.Time
-	overload  overload
+	tokenTime    time.Duration
+	runTime      time.Duration
+	slotInterval time.Duration
+	lastSentAt   ident.Time
+	overload     overload
 }
 
 func newPools() pools { return pools{byKey: make(map[string]*pool)} }
@@ -92,8 +92,8 @@
 	return at
 }
 
-// busy reports whether others wait before a request.
-func (pl *pool) busy(r *request) bool {
+// hasOthersWaiting reports whether others wait before a request.
+func (pl *pool) hasOthersWaiting(r *request) bool {
 	return pl.head != r && (pl.head != nil || pl.queue.Len() > 0)
 }
 
@@ -106,26 +106,26 @@
 	return n
 }
 
-// smooth is the weight of a new value in the smoothed times.
-const smooth = 8
+// smoothingDivisor is the weight of a new value in the smoothed times.
+const smoothingDivisor = 8
 
 func smoothed(old, v time.Duration) time.Duration {
 	if old == 0 {
 		return v
 	}
-	return old + (v-old)/smooth
+	return old + (v-old)/smoothingDivisor
 }
 
-// ran records a request that ran to its end.
-func (pl *pool) ran(took time.Duration, generated ident.Tokens) {
+// recordRun records a request that recordRun to its end.
+func (pl *pool) recordRun(took time.Duration, generated ident.Tokens) {
 	pl.runTime = smoothed(pl.runTime, took)
 	if generated > 0 {
 		pl.tokenTime = smoothed(pl.tokenTime, took/time.Duration(generated))
 	}
 }
 
-// work predicts how long a request runs once it has a place.
-func (pl *pool) work(r *request) time.Duration {
+// expectedRunTime predicts how long a request runs once it has a place.
+func (pl *pool) expectedRunTime(r *request) time.Duration {
 	if r.MaxTokens > 0 && pl.tokenTime > 0 {
 		return time.Duration(r.MaxTokens) * pl.tokenTime
 	}
@@ -141,14 +141,14 @@
 // instead. For the request that is next it stands for what those behind it
 // would gain if it went elsewhere.
 func (pl *pool) backlog() time.Duration {
-	return time.Duration(pl.queue.Len()) * pl.gap
+	return time.Duration(pl.queue.Len()) * pl.slotInterval
 }
 
-// item is a request as it waits.
-func (rd *Reducer) item(pl *pool, r *request) admit.Item {
+// queueItem is a request as it waits.
+func (rd *Reducer) queueItem(pl *pool, r *request) admit.Item {
 	it := admit.Item{
-		ID: r.ID, Account: r.Account, Home: r.profile.Confined(), Priority: r.profile.Priority, Late: rd.late(r),
-		Deadline: rd.startBy(r), Work: pl.work(r),
+		ID: r.ID, Account: r.Account, Home: r.profile.Confined(), Priority: r.profile.Priority, Late: rd.isLate(r),
+		Deadline: rd.queueDeadline(r), Work: pl.expectedRunTime(r),
 	}
 	if r.profile.Route != nil {
 		// What its answer may be at most says little of how long it will be,
@@ -161,18 +161,18 @@
 
 // enqueue has a request wait, or refuses it at once if it would wait in vain.
 func (rd *Reducer) enqueue(now ident.Time, pl *pool, r *request, dec route.Decision) {
-	it := rd.item(pl, r)
+	it := rd.queueItem(pl, r)
 	wait := dec.Wait
 	if r.profile.Route != nil {
-		wait = time.Duration(pl.queue.Ahead(it.Late)) * pl.gap
+		wait = time.Duration(pl.queue.Ahead(it.Late)) * pl.slotInterval
 	}
 	ok, shed, later := pl.queue.Push(now, it, wait)
 	rd.shed(now, shed, later)
 	if !ok {
-		rd.end(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: later})
-	} else if pl.head != nil && !it.Late && rd.late(pl.head) {
+		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
+	} else if pl.head != nil && !it.Late && rd.isLate(pl.head) {
 		// The one that was next is late already, and would make this one late too.
-		pl.queue.Put(rd.item(pl, pl.head))
+		pl.queue.Put(rd.queueItem(pl, pl.head))
 		pl.head = nil
 	}
 	rd.table.Crowded(now)
@@ -183,62 +183,62 @@
 func (rd *Reducer) shed(now ident.Time, ids []ident.RequestID, later time.Duration) {
 	for _, id := range ids {
 		if r, ok := rd.requests[id]; ok {
-			rd.end(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: later})
+			rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
 		}
 	}
 }
 
-// poolsDue sheds what has become hopeless and fills the places that are free.
-func (rd *Reducer) poolsDue(now ident.Time) {
+// shedAndSendWaiting sheds what has become hopeless and fills the places that are free.
+func (rd *Reducer) shedAndSendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
-		if pl.head != nil && now >= rd.startBy(pl.head) {
-			rd.end(now, pl.head, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: pl.gap})
+		if pl.head != nil && now >= rd.queueDeadline(pl.head) {
+			rd.endRefused(now, pl.head, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: pl.slotInterval})
 		}
 		if pl.queue.Len() > 0 {
-			rd.shed(now, pl.queue.Shed(now, pl.gap), pl.queue.RetryAfter(now, pl.gap))
+			rd.shed(now, pl.queue.Shed(now, pl.slotInterval), pl.queue.RetryAfter(now, pl.slotInterval))
 		}
 	}
-	rd.poolsMove(now)
+	rd.sendWaiting(now)
 }
 
-// poolsMove sends the requests that wait as far as there is room.
-func (rd *Reducer) poolsMove(now ident.Time) {
+// sendWaiting sends the requests that wait as far as there is room.
+func (rd *Reducer) sendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
-		for rd.moveOne(now, pl) {
+		for rd.sendNext(now, pl) {
 		}
 	}
 }
 
-// moveOne sends the next request of a pool and reports whether it went.
-func (rd *Reducer) moveOne(now ident.Time, pl *pool) bool {
-	r := rd.headOf(now, pl)
+// sendNext sends the next request of a pool and reports whether it went.
+func (rd *Reducer) sendNext(now ident.Time, pl *pool) bool {
+	r := rd.nextWaiting(now, pl)
 	if r == nil {
 		return false
 	}
 	dec := rd.router.Choose(now, rd.query(r), rd.table)
-	r.looked = dec
+	r.lastDecision = dec
 	if dec.Full {
 		return false
 	}
 	pl.head = nil
 	if dec.Target == nil && dec.Centre == "" {
-		rd.noPlace(now, r, dec.Code)
+		rd.handleNoTarget(now, r, dec.Code)
 		return true
 	}
-	if pl.movedAt > 0 {
-		pl.gap = smoothed(pl.gap, now.Sub(pl.movedAt))
+	if pl.lastSentAt > 0 {
+		pl.slotInterval = smoothed(pl.slotInterval, now.Sub(pl.lastSentAt))
 	}
-	pl.movedAt = now
+	pl.lastSentAt = now
 	rd.send(now, r, dec)
 	return true
 }
 
-// headOf returns the request that is next, nil for none.
-func (rd *Reducer) headOf(now ident.Time, pl *pool) *request {
+// nextWaiting returns the request that is next, nil for none.
+func (rd *Reducer) nextWaiting(now ident.Time, pl *pool) *request {
 	for pl.head == nil {
 		it, ok := pl.queue.Pop(now)
 		if !ok {
-			pl.movedAt = 0
+			pl.lastSentAt = 0
 			return nil
 		}
 		pl.head = rd.requests[it.ID]
--- a/internal/core/post_test.go
+++ b/internal/core/post_test.go
@@ -11,14 +11,14 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// post is one host before targets of a route, stepped by hand.
-type post struct {
+// testHost is one host before targets of a route, stepped by hand.
+type testHost struct {
 	t   *testing.T
 	red *core.Reducer
 	now ident.Time
 	n   int
-	// quiet is when the last event of the streams came.
-	quiet ident.Time
+	// silentSince is when the last event of the streams came.
+	silentSince ident.Time
 }
 
 func routeProfile(name string, kind rules.RouteKind, attempts int) rules.Profile {
@@ -31,10 +31,10 @@
 	}
 }
 
-func newPost(t *testing.T, targets int, bounds core.Bounds) *post {
+func newTestHost(t *testing.T, targets int, bounds core.Bounds) *testHost {
 	t.Helper()
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
-	p := &post{t: t, red: core.NewBounded(event.Host{ID: "w1", Incarnation: 1, Place: place}, bounds), now: ident.Time(time.Second)}
+	p := &testHost{t: t, red: core.NewBounded(event.Host{ID: "w1", Incarnation: 1, Place: place}, bounds), now: ident.Time(time.Second)}
 	p.step(event.SnapshotReceived{Book: rules.FromSheet(1, rules.Sheet{
 		Profiles: []rules.Profile{
 			routeProfile("fetch", rules.Idempotent, 2), routeProfile("publish", rules.NonIdempotent, 1), routeProfile("draft", rules.Streaming, 2),
@@ -51,7 +51,7 @@
 	return p
 }
 
-func (p *post) step(ev event.Event) []event.Effect {
+func (p *testHost) step(ev event.Event) []event.Effect {
 	p.now = p.now.Add(time.Millisecond)
 	return p.red.Step(p.now, ev)
 }
@@ -67,7 +67,7 @@
 	return zero, false
 }
 
-func (p *post) send(profile string) event.Dispatch {
+func (p *testHost) send(profile string) event.Dispatch {
 	p.t.Helper()
 	p.n++
 	effs := p.step(event.RequestArrived{Request: event.Request{
@@ -82,7 +82,7 @@
 }
 
 // end ends an attempt and returns what was decided within a second.
-func (p *post) end(e event.AttemptEnded) []event.Effect {
+func (p *testHost) end(e event.AttemptEnded) []event.Effect {
 	effs := p.step(e)
 	for range 20 {
 		p.now = p.now.Add(50 * time.Millisecond)
@@ -91,8 +91,8 @@
 	return effs
 }
 
-// end2 is end within a tenth of a second.
-func (p *post) end2(e event.AttemptEnded) []event.Effect {
+// endBriefly is end within a tenth of a second.
+func (p *testHost) endBriefly(e event.AttemptEnded) []event.Effect {
 	effs := p.step(e)
 	p.now = p.now.Add(60 * time.Millisecond)
 	return append(effs, p.red.Step(p.now, event.Tick{})...)
--- a/internal/core/promise_test.go
+++ b/internal/core/promise_test.go
@@ -17,11 +17,11 @@
 )
 
 // A promise is broken under partitions, freezes, restarts and changes.
-func TestPromisesUnderFailure(t *testing.T) {
+func TestGuaranteesUnderFailure(t *testing.T) {
 	saw := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt.Fatalf)
-		w.saw = saw
+		w.seenEffects = saw
 		w.Early = func() (time.Duration, bool) { return 0, w.n%7 == 0 }
 		w.LoseClaim = func() bool { return w.n%5 == 0 }
 		steps := rapid.IntRange(5, 40).Draw(rt, "steps")
@@ -32,12 +32,12 @@
 		}
 		w.settle()
 	})
-	sawAll(t, saw, "dispatch", "forward", "refuse", "finish", "replay", "claimKey")
+	requireSeen(t, saw, "dispatch", "forward", "refuse", "finish", "replay", "claimKey")
 }
 
-// sawAll guards the test itself: sequences that never bring a thing about
+// requireSeen guards the test itself: sequences that never bring a thing about
 // would pass whatever the code does with it.
-func sawAll(t *testing.T, saw map[string]int, names ...string) {
+func requireSeen(t *testing.T, saw map[string]int, names ...string) {
 	t.Helper()
 	t.Log(saw)
 	for _, name := range names {
@@ -52,7 +52,7 @@
 	saw := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt.Fatalf)
-		w.saw = saw
+		w.seenEffects = saw
 		early := rapid.IntRange(2, 9).Draw(rt, "early")
 		w.Early = func() (time.Duration, bool) {
 			return time.Duration(w.n%4) * 400 * time.Millisecond, w.n%early == 0
@@ -66,18 +66,18 @@
 			w.Run(time.Second)
 		}
 		for range rapid.IntRange(5, 30).Draw(rt, "steps") {
-			rapid.SampledFrom(abroad).Draw(rt, "act").do(rt, w)
+			rapid.SampledFrom(forwardActs).Draw(rt, "act").do(rt, w)
 			w.Run(time.Duration(rapid.IntRange(0, 300).Draw(rt, "ms")) * time.Millisecond)
 		}
 		w.settle()
 	})
-	sawAll(t, saw, "forward", "askBar", "bar barred", "bar ended", "bar running")
+	requireSeen(t, saw, "forward", "askBar", "bar barred", "bar ended", "bar running")
 }
 
 // sendTicketed sends a job with a new ticket of the host.
 func sendTicketed(w *world, host ident.EntryID) {
 	had := len(w.tickets)
-	w.ask(host)
+	w.requestTicket(host)
 	w.Run(time.Millisecond)
 	if len(w.tickets) > had {
 		tk := w.tickets[had].ticket
@@ -85,7 +85,7 @@
 	}
 }
 
-var abroad = []act{
+var forwardActs = []act{
 	{"job", func(rt *rapid.T, w *world) {
 		sendTicketed(w, hostID("uvs", rapid.IntRange(0, 1).Draw(rt, "host")))
 	}},
@@ -94,8 +94,8 @@
 			sendTicketed(w, "uvs-0")
 		}
 	}},
-	{"cut", func(rt *rapid.T, w *world) { w.down.Add(link(rt)) }},
-	{"heal", func(_ *rapid.T, w *world) { clear(w.down) }},
+	{"cut", func(rt *rapid.T, w *world) { w.cutLinks.Add(link(rt)) }},
+	{"heal", func(_ *rapid.T, w *world) { clear(w.cutLinks) }},
 	{"freeze", func(rt *rapid.T, w *world) {
 		w.Freeze(anyHost(rt), time.Duration(rapid.IntRange(100, 6000).Draw(rt, "ms"))*time.Millisecond)
 	}},
@@ -128,16 +128,16 @@
 			w.send(host, "draft", "", "", "", 3*time.Second)
 		}
 	}},
-	{"ticket", func(rt *rapid.T, w *world) { w.ask(anyHost(rt)) }},
+	{"ticket", func(rt *rapid.T, w *world) { w.requestTicket(anyHost(rt)) }},
 	{"redeem", redeem},
 	{"key", func(rt *rapid.T, w *world) {
 		job := fmt.Sprint("key-", rapid.IntRange(0, 4).Draw(rt, "key"))
 		w.send(anyHost(rt), "publish", job, "", job, 5*time.Second)
 	}},
-	{"cut", func(rt *rapid.T, w *world) { w.down.Add(link(rt)) }},
-	{"heal", func(rt *rapid.T, w *world) { delete(w.down, link(rt)) }},
-	{"platformCut", func(rt *rapid.T, w *world) { w.platform.Add(anyHost(rt)) }},
-	{"platformHeal", func(_ *rapid.T, w *world) { clear(w.platform) }},
+	{"cut", func(rt *rapid.T, w *world) { w.cutLinks.Add(link(rt)) }},
+	{"heal", func(rt *rapid.T, w *world) { delete(w.cutLinks, link(rt)) }},
+	{"platformCut", func(rt *rapid.T, w *world) { w.cutFromPlatform.Add(anyHost(rt)) }},
+	{"platformHeal", func(_ *rapid.T, w *world) { clear(w.cutFromPlatform) }},
 	{"freeze", func(rt *rapid.T, w *world) {
 		w.Freeze(anyHost(rt), time.Duration(rapid.IntRange(1, 8).Draw(rt, "s"))*time.Second)
 	}},
@@ -184,14 +184,14 @@
 }
 
 // A region that is cut off refuses its own callers.
-func TestCutOffRegionServesOn(t *testing.T) {
+func TestCutOffRegionKeepsServing(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	for _, r := range regions[1:] {
-		w.down.Add("uvs>" + string(r))
-		w.down.Add(string(r) + ">uvs")
+		w.cutLinks.Add("uvs>" + string(r))
+		w.cutLinks.Add(string(r) + ">uvs")
 	}
 	for n := range hostsPerCentre {
-		w.platform.Add(hostID("uvs", n))
+		w.cutFromPlatform.Add(hostID("uvs", n))
 	}
 	w.Run(30 * time.Second)
 	w.Restart(hostID("uvs", 0))
@@ -210,7 +210,7 @@
 func TestChangeReachesACentreWithoutPlatform(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	for n := range hostsPerCentre {
-		w.platform.Add(hostID("uvs", n))
+		w.cutFromPlatform.Add(hostID("uvs", n))
 	}
 	w.Run(5 * time.Second)
 	rev := w.Change(clientItem(rules.Client{Name: "other", KeyDigest: rules.Digest("o")}))
@@ -223,7 +223,7 @@
 }
 
 // A draining target gets new work while the list lags.
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+func TestDrainingTargetGetsNothingNew(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	tg := w.Target("uvs-e0")
 	for range 20 {
@@ -315,7 +315,7 @@
 		w.Run(100 * time.Millisecond)
 	}
 	w.settle()
-	if n := w.saw["forward"]; n*20 > w.n {
+	if n := w.seenEffects["forward"]; n*20 > w.n {
 		t.Errorf("%d of %d requests crossed between regions that were all full", n, w.n)
 	}
 }
@@ -340,8 +340,8 @@
 			}
 		}
 	}
-	w.down.Add("uvs>erdenet")
-	w.down.Add("uvs>khovd")
+	w.cutLinks.Add("uvs>erdenet")
+	w.cutLinks.Add("uvs>khovd")
 	sendTicketed(w, "uvs-0")
 	w.Run(600 * time.Millisecond)
 	if len(forwards) != 1 {
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -11,18 +11,18 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// station is a reducer with one engine at home and one offer abroad.
-type station struct {
-	red   *core.Reducer
-	now   ident.Time
-	live  []ident.Attempt
-	sent  int
-	moved int
+// engineHost is a reducer with one engine at home and one offer abroad.
+type engineHost struct {
+	red       *core.Reducer
+	now       ident.Time
+	attempts  []ident.Attempt
+	sent      int
+	forwarded int
 }
 
-func newStation(t *testing.T) *station {
+func newEngineHost(t *testing.T) *engineHost {
 	t.Helper()
-	s := &station{now: ident.Time(time.Minute)}
+	s := &engineHost{now: ident.Time(time.Minute)}
 	s.red = core.New(event.Host{ID: hostID("uvs", 0), Incarnation: 1, Place: placeOf("uvs")})
 	book, err := (*rules.Book)(nil).Apply(rules.Change{Revision: 1, ID: "c", Items: []rules.Item{
 		profileItem(rules.Profile{
@@ -38,15 +38,15 @@
 	s.step(event.HostsRead{Version: 1, Targets: []event.Target{
 		{ID: "t", Incarnation: 1, Kind: event.Engine, Place: placeOf("uvs"), Price: 1},
 	}})
-	s.news(1)
+	s.reportLoad(1)
 	return s
 }
 
-// news reports the load of the engine and an offer.
-func (s *station) news(seq uint64) {
+// reportLoad reports the load of the engine and an offer.
+func (s *engineHost) reportLoad(seq uint64) {
 	serve := rules.Serve{Model: "draft"}
 	s.step(event.LoadReported{Load: event.Load{
-		Target: "t", Incarnation: 1, Seq: seq, Slots: 4, Running: len(s.live), PrefillRate: 10000, DecodeRate: 100,
+		Target: "t", Incarnation: 1, Seq: seq, Slots: 4, Running: len(s.attempts), PrefillRate: 10000, DecodeRate: 100,
 		Serves: []rules.Serve{serve},
 	}})
 	far := event.Host{ID: hostID("khovd", 0), Incarnation: 1, Place: placeOf("khovd")}
@@ -56,18 +56,18 @@
 	}})
 }
 
-func (s *station) step(ev event.Event) {
+func (s *engineHost) step(ev event.Event) {
 	for _, eff := range s.red.Step(s.now, ev) {
 		switch e := eff.(type) {
 		case event.Dispatch:
-			s.live = append(s.live, e.Attempt)
+			s.attempts = append(s.attempts, e.Attempt)
 		case event.Forward:
-			s.moved++
+			s.forwarded++
 		}
 	}
 }
 
-func (s *station) send() {
+func (s *engineHost) send() {
 	s.sent++
 	s.step(event.RequestArrived{Request: event.Request{
 		ID: ident.RequestID(fmt.Sprint("q", s.sent)), Account: "foundation", Profile: "draft",
@@ -75,10 +75,10 @@
 	}})
 }
 
-// end has the oldest request at the engine end.
-func (s *station) end() {
-	a := s.live[0]
-	s.live = s.live[1:]
+// endOldest has the oldest request at the engine endOldest.
+func (s *engineHost) endOldest() {
+	a := s.attempts[0]
+	s.attempts = s.attempts[1:]
 	s.step(event.AttemptSent{Attempt: a})
 	s.step(event.AttemptEnded{Attempt: a, Result: event.ResultDone, Delivered: 50, Generated: 50})
 }
@@ -89,22 +89,22 @@
 		every time.Duration
 		cross bool
 	}{{100 * time.Millisecond, true}, {time.Second, false}} {
-		s := newStation(t)
+		s := newEngineHost(t)
 		for range 5 {
 			s.send()
 		}
 		for i := range 100 {
 			if i%2 == 0 {
 				s.now = s.now.Add(tc.every)
-				s.end()
-				s.news(uint64(i + 2))
+				s.endOldest()
+				s.reportLoad(uint64(i + 2))
 			}
-			if tc.cross || len(s.live) < 5 {
+			if tc.cross || len(s.attempts) < 5 {
 				s.send()
 			}
 		}
-		if got := s.moved > 0; got != tc.cross {
-			t.Errorf("a place each %v: %d of %d crossed", tc.every, s.moved, s.sent)
+		if got := s.forwarded > 0; got != tc.cross {
+			t.Errorf("a place each %v: %d of %d crossed", tc.every, s.forwarded, s.sent)
 		}
 	}
 }
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -13,9 +13,9 @@
 type refusal struct {
 	code    codes.ID
 	outcome event.Outcome
-	// later is when to come back, zero for the default.
-	later   time.Duration
-	entries []event.Host
+	// retryAfter is when to come back, zero for the default.
+	retryAfter time.Duration
+	entries    []event.Host
 }
 
 func refuseAs(c codes.Code) refusal { return refusal{code: c.ID, outcome: event.NotRun} }
@@ -23,16 +23,16 @@
 // maxEntries bounds the other hosts that an answer names.
 const maxEntries = 4
 
-// elsewhere is a refusal that names the hosts to use instead.
-func (rd *Reducer) elsewhere(now ident.Time, r *request, c codes.Code) refusal {
+// refuseWithEntries is a refusal that names the hosts to use instead.
+func (rd *Reducer) refuseWithEntries(now ident.Time, r *request, c codes.Code) refusal {
 	ref := refuseAs(c)
-	ref.entries = rd.others(now, r.profile, r.client, uint64(r.arrived))
+	ref.entries = rd.otherEntries(now, r.profile, r.client, uint64(r.arrived))
 	return ref
 }
 
-// others returns hosts that may take requests of a profile, best first, this
+// otherEntries returns hosts that may take requests of a profile, best first, this
 // host left out.
-func (rd *Reducer) others(now ident.Time, p rules.Profile, c rules.Client, spread uint64) []event.Host {
+func (rd *Reducer) otherEntries(now ident.Time, p rules.Profile, c rules.Client, spread uint64) []event.Host {
 	var hs []event.Host
 	for _, h := range rd.allowedEntries(now, p, c, spread) {
 		if h.ID != rd.self.ID && len(hs) < maxEntries {
@@ -49,18 +49,18 @@
 
 // refuse gives a request its final answer, at once.
 func (rd *Reducer) refuse(now ident.Time, r *request, ref refusal) {
-	if r.untried(ref) {
+	if r.isUntriedForward(ref) {
 		ref.code = codes.TurnedAway.ID
 	}
 	eff := event.Refuse{
-		Request: r.ID, Code: ref.code, Outcome: ref.outcome, RetryAfter: ref.later, Entries: ref.entries,
-		Basis: rd.basis(now, r, r.looked), Denial: r.denied,
+		Request: r.ID, Code: ref.code, Outcome: ref.outcome, RetryAfter: ref.retryAfter, Entries: ref.entries,
+		Basis: rd.basis(now, r, r.lastDecision), Denial: r.lastDenial,
 	}
 	if ref.outcome == event.Unknown {
-		eff.Ending = r.broke
+		eff.Ending = r.lastEnding
 	}
 	if c, ok := codes.Find(ref.code); ok && c.Wait && eff.RetryAfter <= 0 {
-		eff.RetryAfter = retryLater
+		eff.RetryAfter = defaultRetryAfter
 	}
 	rd.emit(eff)
 	if r.forwarded {
@@ -68,8 +68,8 @@
 	}
 }
 
-// end refuses a request that had been taken in.
-func (rd *Reducer) end(now ident.Time, r *request, ref refusal) {
+// endRefused refuses a request that had been taken in.
+func (rd *Reducer) endRefused(now ident.Time, r *request, ref refusal) {
 	if rd.requests[r.ID] != r {
 		return
 	}
@@ -80,8 +80,8 @@
 		ref.outcome = event.Unknown
 	}
 	if r.profile.Route != nil && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun && !r.forwarded {
-		ref.later = rd.comeBack(now, r)
+		ref.retryAfter = rd.retryAfter(now, r)
 	}
-	rd.close(now, r, ref.outcome)
+	rd.closeRequest(now, r, ref.outcome)
 	rd.refuse(now, r, ref)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,8 +17,8 @@
 	defaultDeadline = 60 * time.Second
 	// defaultTokens is the length of an answer whose request names none.
 	defaultTokens = 256
-	// retryLater is when to come back where nothing better is known.
-	retryLater = time.Second
+	// defaultRetryAfter is when to come back where nothing better is known.
+	defaultRetryAfter = time.Second
 )
 
 // request is one request that has not had its final answer.
@@ -33,35 +33,35 @@
 	env       event.Envelope
 	forwarded bool
 
-	// age is how long it waited before it arrived here, by its deadline.
-	age      time.Duration
-	arrived  ident.Time
-	deadline ident.Time
-	// claiming says that the platform is asked for the key.
-	claiming bool
-	// reserved is what was taken from the account's limit.
-	reserved ident.Tokens
+	// waitedBefore is how long it waited before it arrived here, by its deadline.
+	waitedBefore time.Duration
+	arrived      ident.Time
+	deadline     ident.Time
+	// claimPending says that the platform is asked for the key.
+	claimPending bool
+	// reservedTokens is what was taken from the account's limit.
+	reservedTokens ident.Tokens
 
 	tried        value.Set[ident.TargetID]
 	triedCentres value.Set[ident.DataCentre]
 	tries        int
-	// only is the target that the rest of a stream is bound to, empty for any.
-	only ident.TargetID
+	// boundTarget is the target that the rest of a stream is bound to, empty for any.
+	boundTarget ident.TargetID
 	// unsent counts the tries of which nothing was sent to a target.
 	unsent int
-	// waits counts how often a broken stream found no place to go on.
-	waits int
-	live  *attempt
-	// looked is the last decision and denied the last denial, which a refusal is logged with.
-	looked route.Decision
-	denied event.Denial
-	// broke is which side ended the last attempt that may have run.
-	broke event.Ending
-	// barring is set while a peer is asked what became of an attempt.
-	barring   *attempt
-	delivered ident.Tokens
-	generated ident.Tokens
-	kept      bool
+	// resumeWaits counts how often a broken stream found no place to go on.
+	resumeWaits int
+	live        *attempt
+	// lastDecision is the last decision and denied the last denial, which a refusal is logged with.
+	lastDecision route.Decision
+	lastDenial   event.Denial
+	// lastEnding is which side ended the last attempt that may have run.
+	lastEnding event.Ending
+	// pendingBar is set while a peer is asked what became of an attempt.
+	pendingBar   *attempt
+	delivered    ident.Tokens
+	generated    ident.Tokens
+	answerStored bool
 	// mayHaveRun says that an attempt ended without proof that nothing ran.
 	mayHaveRun bool
 }
@@ -81,14 +81,14 @@
 	host        event.Host
 	dec         route.Decision
 	sent        bool
-	// follows says that the attempt was to be broken off for the silence since silentSince, and
-	// that the retry which follows has been taken from the budget.
-	follows     bool
+	// retryTaken says that the attempt was to be broken off for the silence since silentSince, and
+	// that the retry which retryTaken has been taken from the budget.
+	retryTaken  bool
 	silentSince ident.Time
-	// unread is the part of the prompt that the target has to read and whose first
+	// prefillTokens is the part of the prompt that the target has to read and whose first
 	// token has not come, before what it had to read first when this was sent.
-	unread ident.Tokens
-	before ident.Tokens
+	prefillTokens ident.Tokens
+	prefillAhead  ident.Tokens
 }
 
 // arrive takes a new request.
@@ -112,8 +112,8 @@
 		return
 	}
 	rd.requests[req.ID] = r
-	rd.arrived(now, r)
-	rd.onceFirst(now, r)
+	rd.countArrival(now, r)
+	rd.checkOnce(now, r)
 }
 
 // resolveRequest fills in what the request asks for, or returns why it is refused. Nothing of the
@@ -140,20 +140,20 @@
 	// of a route may pass through here on its way to an allowed region, since its
 	// caller got this host from the directory.
 	if !p.Allows(c, rd.self.Place.Region) && (p.Route == nil || r.forwarded) {
-		return rd.elsewhere(now, r, codes.OutsideResidency), false
+		return rd.refuseWithEntries(now, r, codes.OutsideResidency), false
 	}
-	if r.forwarded && rd.circles(r) {
+	if r.forwarded && rd.isLoop(r) {
 		return refuseAs(codes.TooManyHops), false
 	}
-	if rd.draining && r.Ticket == "" && !rd.stillServes(now, r) {
+	if rd.draining && r.Ticket == "" && !rd.acceptsWhileDraining(now, r) {
 		return rd.refuseDraining(now, r), false
 	}
 	r.once = p.Once || r.Ticket != "" || r.Key != "" || p.Route != nil && !p.Route.Repeatable()
 	rd.pickService(r)
-	return rd.judgeTime(now, r)
+	return rd.resolveDeadline(now, r)
 }
 
-func (rd *Reducer) judgeTime(now ident.Time, r *request) (refusal, bool) {
+func (rd *Reducer) resolveDeadline(now ident.Time, r *request) (refusal, bool) {
 	r.deadline = r.Deadline
 	if r.deadline == 0 {
 		r.deadline = now.Add(profileDeadline(r.profile))
@@ -171,11 +171,11 @@
 	return defaultDeadline
 }
 
-// circles guards against a request that goes round: two regions that each
+// isLoop guards against a request that goes round: two regions that each
 // believe the other idle would pass it to and fro until its deadline, and
 // load would rise with nobody new calling. The count and the hosts seen travel
 // with the request, so that no host needs to remember it.
-func (rd *Reducer) circles(r *request) bool {
+func (rd *Reducer) isLoop(r *request) bool {
 	if r.env.Crossings > r.profile.MaxCrossings {
 		return true
 	}
@@ -187,21 +187,21 @@
 	return false
 }
 
-// admitted takes a request that may run as far as once-only goes.
-func (rd *Reducer) admitted(now ident.Time, r *request) {
+// reserveAndPlace takes a request that may run as far as once-only goes.
+func (rd *Reducer) reserveAndPlace(now ident.Time, r *request) {
 	if !r.forwarded {
-		r.reserved = r.Prompt + wanted(r)
-		ok, later := rd.quota.Take(now, r.client, r.reserved)
+		r.reservedTokens = r.Prompt + answerTokens(r)
+		ok, later := rd.quota.Take(now, r.client, r.reservedTokens)
 		if !ok {
-			r.reserved = 0
-			rd.end(now, r, refusal{code: codes.AccountLimit.ID, outcome: event.NotRun, later: later})
+			r.reservedTokens = 0
+			rd.endRefused(now, r, refusal{code: codes.AccountLimit.ID, outcome: event.NotRun, retryAfter: later})
 			return
 		}
 	}
 	rd.place(now, r)
 }
 
-func wanted(r *request) ident.Tokens {
+func answerTokens(r *request) ident.Tokens {
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
 	}
@@ -215,7 +215,7 @@
 	if !ok {
 		return
 	}
-	if r.barring != nil {
+	if r.pendingBar != nil {
 		// The answer of the peer still decides the outcome for a repeat.
 		return
 	}
@@ -224,27 +224,27 @@
 		outcome = event.Unknown
 	}
 	if r.live != nil {
-		rd.forget(r.live, tellsNothing)
+		rd.dropAttempt(r.live, healthUnknown)
 	}
-	rd.close(now, r, outcome)
+	rd.closeRequest(now, r, outcome)
 }
 
-// close settles the accounts of a request that is over.
-func (rd *Reducer) close(now ident.Time, r *request, outcome event.Outcome) {
+// closeRequest settles the accounts of a request that is over.
+func (rd *Reducer) closeRequest(now ident.Time, r *request, outcome event.Outcome) {
 	if rd.requests[r.ID] != r {
 		return
 	}
 	delete(rd.requests, r.ID)
 	rd.pools.remove(r)
-	if r.reserved > 0 {
+	if r.reservedTokens > 0 {
 		used := r.Prompt + r.generated
 		if outcome == event.NotRun {
 			used = 0
 		}
-		rd.quota.Settle(now, r.Account, r.reserved, used)
+		rd.quota.Settle(now, r.Account, r.reservedTokens, used)
 	}
 	if r.once && !r.forwarded {
-		rd.once.Ended(now, r.ID, outcome, r.kept)
+		rd.once.Ended(now, r.ID, outcome, r.answerStored)
 	}
 	if r.forwarded {
 		rd.once.PeerEnded(now, r.env.Attempt, answerOf(outcome))
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -17,7 +17,7 @@
 
 // The failure of a second target ends a broken stream as complete.
 func TestHeldFailureIsNotForHalfAStream(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	p.now = p.now.Add(retry.Window)
 	d := p.send("draft")
 	if d.IdleTimeouts.First == 0 || d.IdleTimeouts.Gap == 0 {
@@ -37,7 +37,7 @@
 
 // The rest of a stream is dropped after another region has refused it.
 func TestRestOfAStreamThatIsTurnedAwayIsPlacedAgain(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	p := newTestHost(t, 1, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	p.now = p.now.Add(retry.Window)
 	p.step(event.HostsRead{Version: 2, Complete: true, Targets: []event.Target{boardTarget("t0")}})
 	east := event.Place{DataCentre: "east-a", Region: "east", Reach: "east"}
@@ -66,11 +66,11 @@
 	}
 }
 
-// newRest returns a host before some targets, one of which has broken off a stream, and the rest of
+// newResumedStream returns a host before some targets, one of which has broken off a stream, and the rest of
 // the stream as it is sent to a second one, the last that may get it.
-func newRest(t *testing.T, targets int) (*post, event.Dispatch) {
+func newResumedStream(t *testing.T, targets int) (*testHost, event.Dispatch) {
 	t.Helper()
-	p := newPost(t, targets, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	p := newTestHost(t, targets, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	p.now = p.now.Add(retry.Window)
 	d := p.send("draft")
 	p.step(event.FirstToken{Attempt: d.Attempt})
@@ -84,7 +84,7 @@
 
 // The rest of a stream is cut when the last target that may get it sheds it once.
 func TestRestOfAStreamOutlastsAShedAtItsLastTarget(t *testing.T) {
-	p, rest := newRest(t, 3)
+	p, rest := newResumedStream(t, 3)
 	for range 3 {
 		p.step(event.AttemptSent{Attempt: rest.Attempt})
 		effs := p.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 200 * time.Millisecond})
@@ -103,7 +103,7 @@
 
 // A stream that is bound to a full target holds up requests that another target has room for.
 func TestBoundStreamHoldsUpNoOther(t *testing.T) {
-	p, rest := newRest(t, 2)
+	p, rest := newResumedStream(t, 2)
 	p.step(event.AttemptSent{Attempt: rest.Attempt})
 	p.step(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 2 * time.Second})
 	var there, elsewhere []event.Dispatch
@@ -133,9 +133,9 @@
 }
 
 // endUntilSent ends attempts one after the other until a request is sent.
-func (p *post) endUntilSent(ds []event.Dispatch, id ident.RequestID) (event.Dispatch, bool) {
+func (p *testHost) endUntilSent(ds []event.Dispatch, id ident.RequestID) (event.Dispatch, bool) {
 	for _, d := range ds {
-		for _, eff := range p.end2(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone}) {
+		for _, eff := range p.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone}) {
 			if sent, ok := eff.(event.Dispatch); ok && sent.Request == id {
 				return sent, true
 			}
@@ -146,7 +146,7 @@
 
 // The target of the rest of a stream is bound to it for longer than its caller waits.
 func TestRestOfAStreamEndsWithItsDeadline(t *testing.T) {
-	p, rest := newRest(t, 3)
+	p, rest := newResumedStream(t, 3)
 	p.step(event.AttemptSent{Attempt: rest.Attempt})
 	effs := p.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 20 * time.Second})
 	if _, ok := pick[event.Refuse](effs); !ok {
@@ -155,9 +155,9 @@
 }
 
 // The rest of a stream is refused after the goal of a new request.
-func TestRestOfAStreamIsHeldForAPlace(t *testing.T) {
+func TestForwardedRestIsQueuedPastTheGoal(t *testing.T) {
 	for _, begun := range []bool{true, false} {
-		p := newPost(t, 1, core.Bounds{})
+		p := newTestHost(t, 1, core.Bounds{})
 		for i := 0; ; i++ {
 			_, ok := pick[event.Dispatch](p.step(event.RequestArrived{Request: event.Request{
 				ID: ident.RequestID(fmt.Sprint("home", i)), Account: "callers", Profile: "draft", Deadline: p.now.Add(10 * time.Second),
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -24,21 +24,21 @@
 	// ColdOvershoot and ColdSlack widen the rate of a cold target to what all
 	// hosts may send it in one second.
 	ColdOvershoot, ColdSlack float64
-	// DrainLeast is how long a drain lasts at least, DrainServe how long new
-	// requests of routes are served in it whatever they take, DrainEnd when what
+	// MinDrain is how long a drain lasts at least, DrainAccept how long new
+	// requests of routes are served in it whatever they take, DrainTimeout when what
 	// still runs is cut.
-	DrainLeast, DrainServe, DrainEnd time.Duration
+	MinDrain, DrainAccept, DrainTimeout time.Duration
 	// SharedReads says that the platform's store is read all the time by two hosts
 	// of a data centre only.
 	SharedReads bool
-	// Pace is the fixed part of the time between summaries to data centres
+	// SummaryInterval is the fixed part of the time between summaries to data centres
 	// that want nothing.
-	Pace time.Duration
+	SummaryInterval time.Duration
 }
 
-// filled returns the bounds with their defaults.
-func (b Bounds) filled() Bounds {
-	b.DrainLeast = cmp.Or(b.DrainLeast, drainLeast)
+// withDefaults returns the bounds with their defaults.
+func (b Bounds) withDefaults() Bounds {
+	b.MinDrain = cmp.Or(b.MinDrain, defaultMinDrain)
 	return b
 }
 
@@ -47,22 +47,22 @@
 // from one second to the next.
 const retryMargin = 0.8
 
-// service returns the budget of second tries of a service. The floor is split
+// retryBudget returns the budget of second tries of a retryBudget. The floor is split
 // evenly among the most hosts that were known at one time, so that the sum stays
 // within it whoever is cut off from whom; the ratio is of the requests that this
 // host took itself, which sum up by themselves. A host that has just started knows
 // neither the others nor what it spent before it was restarted: hosts that are
 // restarted together would each take the whole floor. So for one window it has half
 // of its part, and none before it has read who the others are.
-func (rd *Reducer) service(now ident.Time, name string) *retry.Budget {
-	b, ok := rd.services[name]
+func (rd *Reducer) retryBudget(now ident.Time, name string) *retry.Budget {
+	b, ok := rd.retryBudgets[name]
 	if !ok {
 		b = &retry.Budget{}
-		rd.services[name] = b
+		rd.retryBudgets[name] = b
 	}
-	rd.hostsMost = max(rd.hostsMost, rd.table.HostCount())
+	rd.maxHosts = max(rd.maxHosts, rd.table.HostCount())
 	b.Share = retryMargin * rd.bounds.RetryRatio
-	b.Floor = int(retryMargin * float64(rd.bounds.RetryFloor) / float64(rd.hostsMost))
+	b.Floor = int(retryMargin * float64(rd.bounds.RetryFloor) / float64(rd.maxHosts))
 	if now.Sub(rd.startedAt) < retry.Window {
 		b.Floor /= 2
 	}
@@ -75,26 +75,26 @@
 	return b
 }
 
-// arrived counts a request for the budgets of second tries. One that another
+// countArrival counts a request for the budgets of second tries. One that another
 // host passed on was counted there.
-func (rd *Reducer) arrived(now ident.Time, r *request) {
+func (rd *Reducer) countArrival(now ident.Time, r *request) {
 	if r.profile.Route == nil {
 		rd.budget.Arrived(now)
 		return
 	}
-	r.age = rd.slack.Asked(r.profile.Name, r.deadline.Sub(now))
+	r.waitedBefore = rd.slack.Arrived(r.profile.Name, r.deadline.Sub(now))
 	if !r.forwarded {
-		rd.service(now, r.profile.Service).Arrived(now)
+		rd.retryBudget(now, r.profile.Service).Arrived(now)
 	}
-	if rd.isBrought(r) {
-		rd.table.Brought(now, &r.Request, rd.expected(r))
+	if rd.isLocalDemand(r) {
+		rd.table.Brought(now, &r.Request, rd.expectedEvents(r))
 	}
 }
 
-// isBrought reports whether a request of a route counts as work of the callers here:
+// isLocalDemand reports whether a request of a route counts as work of the callers here:
 // it came from one, and may be served here, or it had to come, since the data centre
 // that took it may not serve it.
-func (rd *Reducer) isBrought(r *request) bool {
+func (rd *Reducer) isLocalDemand(r *request) bool {
 	from := rd.self.Place.Region
 	if r.forwarded {
 		from = r.env.FromPlace.Region
@@ -102,33 +102,33 @@
 	return r.profile.Allows(r.client, from) != r.forwarded
 }
 
-// maxUnsent bounds the tries of one request of which no byte reached a target.
+// maxUnsentTries bounds the tries of one request of which no byte reached a target.
 // They cost the targets nothing, but each takes some of the caller's time.
-const maxUnsent = 4
+const maxUnsentTries = 4
 
-// reached reports whether a request that was not run has been seen by a target.
-func reached(a *attempt, e event.AttemptEnded) bool {
+// reachedTarget reports whether a request that was not run has been seen by a target.
+func reachedTarget(a *attempt, e event.AttemptEnded) bool {
 	if a.target == "" {
 		return e.Code == codes.Overloaded.ID
 	}
 	return a.sent
 }
 
-// noRoom reports whether another data centre turned a request away for want of room.
-func noRoom(code codes.ID) bool {
+// lacksCapacity reports whether another data centre turned a request away for want of room.
+func lacksCapacity(code codes.ID) bool {
 	return code == codes.Overloaded.ID || code == codes.TurnedAway.ID || code == codes.NoTarget.ID
 }
 
-// untried reports whether a refusal is of a forwarded request that no target has seen. It
+// isUntriedForward reports whether a refusal is of a forwarded request that no target has seen. It
 // counts as no try of a request that may have run, whose caller may have a part of the answer.
-func (r *request) untried(ref refusal) bool {
+func (r *request) isUntriedForward(ref refusal) bool {
 	return r.forwarded && r.tries == 0 && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun
 }
 
-// shedBy is the refusal of a request that a target or another host turned away.
-func shedBy(a *attempt, e event.AttemptEnded) refusal {
-	ref := refusal{code: codes.NoTarget.ID, outcome: event.NotRun, later: e.RetryAfter}
-	if reached(a, e) || e.Code == codes.TurnedAway.ID {
+// shedRefusal is the refusal of a request that a target or another host turned away.
+func shedRefusal(a *attempt, e event.AttemptEnded) refusal {
+	ref := refusal{code: codes.NoTarget.ID, outcome: event.NotRun, retryAfter: e.RetryAfter}
+	if reachedTarget(a, e) || e.Code == codes.TurnedAway.ID {
 		ref.code = codes.Overloaded.ID
 	}
 	return ref
@@ -148,45 +148,45 @@
 	r.profile.Service = r.Service
 }
 
-// finishes reports whether an attempt goes on though its caller has left: only a plain call
+// outlivesCaller reports whether an attempt goes on though its caller has left: only a plain call
 // that is not idempotent, so that its outcome stays known.
-func (r *request) finishes() bool {
+func (r *request) outlivesCaller() bool {
 	rt := r.profile.Route
 	return r.once && (rt == nil || rt.Kind != rules.Streaming)
 }
 
-// keeps reports whether the answer is kept for repeats with the same ticket or
+// storesAnswer reports whether the answer is kept for repeats with the same ticket or
 // key, of which a request of a route has none.
-func (r *request) keeps() bool { return r.once && r.profile.Route == nil }
+func (r *request) storesAnswer() bool { return r.once && r.profile.Route == nil }
 
 // Following of the length of streams.
 const (
 	// lengthWeight is the weight of one stream in the usual length of its route's.
 	lengthWeight = 1.0 / 16
-	// maxLengths bounds the routes whose lengths are known. Configurations add and
+	// maxStreamLengths bounds the routes whose lengths are known. Configurations add and
 	// drop routes thousands of times a day; past the bound all are learned anew.
-	maxLengths = 4096
+	maxStreamLengths = 4096
 )
 
-// streamed records the length of a whole stream.
-func (rd *Reducer) streamed(r *request) {
+// recordStreamLength records the length of a whole stream.
+func (rd *Reducer) recordStreamLength(r *request) {
 	if rt := r.profile.Route; rt == nil || rt.Kind != rules.Streaming {
 		return
 	}
 	name := r.profile.Name
-	if old, ok := rd.lengths[name]; ok {
-		rd.lengths[name] = old + lengthWeight*(float64(r.delivered)-old)
+	if old, ok := rd.streamLengths[name]; ok {
+		rd.streamLengths[name] = old + lengthWeight*(float64(r.delivered)-old)
 		return
 	}
-	if len(rd.lengths) >= maxLengths {
-		clear(rd.lengths)
+	if len(rd.streamLengths) >= maxStreamLengths {
+		clear(rd.streamLengths)
 	}
-	rd.lengths[name] = float64(r.delivered)
+	rd.streamLengths[name] = float64(r.delivered)
 }
 
-// expected returns how many events the rest of a stream usually has.
-func (rd *Reducer) expected(r *request) float64 {
-	return max(0, rd.lengths[r.profile.Name]-float64(r.delivered))
+// expectedEvents returns how many events the rest of a stream usually has.
+func (rd *Reducer) expectedEvents(r *request) float64 {
+	return max(0, rd.streamLengths[r.profile.Name]-float64(r.delivered))
 }
 
 func (rd *Reducer) streamPaced(e event.StreamPaced) {
@@ -205,13 +205,13 @@
 	return s.ColdPerSecond*max(rd.bounds.ColdOvershoot, 1) + rd.bounds.ColdSlack
 }
 
-func (rd *Reducer) coldSpan(service string) time.Duration {
+func (rd *Reducer) coldDuration(service string) time.Duration {
 	s, _ := rd.spread.Book().Service(service)
 	return time.Duration(s.ColdMs) * time.Millisecond
 }
 
-// noLoad is the age of a load that is not known.
-const noLoad = -1
+// loadAgeUnknown is the age of a load that is not known.
+const loadAgeUnknown = -1
 
 // basis returns the inputs of a decision about a request of a route.
 func (rd *Reducer) basis(now ident.Time, r *request, dec route.Decision) event.Basis {
@@ -219,13 +219,13 @@
 		return event.Basis{}
 	}
 	b := event.Basis{
-		Profile: r.profile.Name, Revision: rd.spread.Revision(), Try: r.tries, Wait: dec.Wait, LoadAge: noLoad,
-		Expect: rd.expected(r), Pace: rd.table.Pace(now, r.profile.Service), PaceThere: dec.Pace,
+		Profile: r.profile.Name, Revision: rd.spread.Revision(), Try: r.tries, Wait: dec.Wait, LoadAge: loadAgeUnknown,
+		Expect: rd.expectedEvents(r), Pace: rd.table.Pace(now, r.profile.Service), PaceThere: dec.Pace,
 		Part: dec.Part, Room: dec.Room, Full: dec.Full, Unread: dec.Prefill,
 	}
 	if r.arrived > 0 {
 		b.Waited = now.Sub(r.arrived)
-		b.Left = rd.startBy(r).Sub(now)
+		b.Left = rd.queueDeadline(r).Sub(now)
 		b.Queued = rd.pools.of(r).waiting()
 	}
 	if t := dec.Target; t != nil {
--- a/internal/core/routed_test.go
+++ b/internal/core/routed_test.go
@@ -16,14 +16,14 @@
 )
 
 // Retries exceed the budget of a failing target.
-func TestSecondTriesKeepToTheBudget(t *testing.T) {
-	p := newPost(t, 4, core.Bounds{RetryRatio: 0.2, RetryFloor: 10})
+func TestRetriesKeepToTheBudget(t *testing.T) {
+	p := newTestHost(t, 4, core.Bounds{RetryRatio: 0.2, RetryFloor: 10})
 	p.now = p.now.Add(retry.Window)
 	tries, held := 0, 0
 	const calls = 200
 	for range calls {
 		d := p.send("fetch")
-		effs := p.end2(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
+		effs := p.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
 		if again, ok := pick[event.Dispatch](effs); ok {
 			tries++
 			if again.Target.ID == d.Target.ID {
@@ -45,7 +45,7 @@
 // A call that is not idempotent is repeated, or promised not to have run.
 func TestRoutedOnceIsNeverRepeated(t *testing.T) {
 	for _, res := range []event.Result{event.ResultBroken, event.ResultFailed} {
-		p := newPost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+		p := newTestHost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 		d := p.send("publish")
 		if !d.Once || d.IdleTimeouts != (event.IdleTimeouts{}) {
 			t.Errorf("a call that may run once goes out as %+v", d)
@@ -61,8 +61,8 @@
 }
 
 // A request that was never sent is not tried elsewhere.
-func TestUnsentGoesElsewhere(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{})
+func TestUnsentIsRetriedElsewhere(t *testing.T) {
+	p := newTestHost(t, 3, core.Bounds{})
 	p.n++
 	effs := p.step(event.RequestArrived{Request: event.Request{ID: "r", Account: "callers", Profile: "publish", Deadline: p.now.Add(10 * time.Second)}})
 	d, _ := pick[event.Dispatch](effs)
@@ -78,8 +78,8 @@
 }
 
 // A request that can't start in time is held until its deadline.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{})
+func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
+	p := newTestHost(t, 1, core.Bounds{})
 	long := func(i int) []event.Effect {
 		return p.step(event.RequestArrived{Request: event.Request{
 			ID: ident.RequestID(fmt.Sprint("long", i)), Account: "callers", Profile: "draft", Prompt: 50000, MaxTokens: 400,
@@ -109,7 +109,7 @@
 
 // A request is refused though a slot is about to be free.
 func TestBriefWaitIsNoRefusal(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{})
+	p := newTestHost(t, 1, core.Bounds{})
 	arrive := func(i int) []event.Effect {
 		return p.step(event.RequestArrived{Request: event.Request{
 			ID: ident.RequestID(fmt.Sprint("q", i)), Account: "callers", Profile: "draft", Prompt: 10, MaxTokens: 4000,
@@ -144,8 +144,8 @@
 }
 
 // Late answers under load are broken off and made twice.
-func TestPatienceFollowsTheService(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+func TestIdleTimeoutFollowsTheService(t *testing.T) {
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	before := p.send("draft").IdleTimeouts.First
 	for range 20 {
 		d := p.send("draft")
@@ -160,8 +160,8 @@
 }
 
 // Late streams are prefilled a second time without gain.
-func TestLateStreamsAreNotReadTwice(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+func TestLateStreamsAreNotPrefilledTwice(t *testing.T) {
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	for range 20 {
 		d := p.send("draft")
 		p.now = p.now.Add(900 * time.Millisecond)
@@ -174,8 +174,8 @@
 }
 
 // A request is queued until its caller has no time to come back.
-func TestWaitLeavesTimeToComeBack(t *testing.T) {
-	p := newPost(t, 1, core.Bounds{})
+func TestQueueingLeavesTimeToComeBack(t *testing.T) {
+	p := newTestHost(t, 1, core.Bounds{})
 	for range 200 {
 		p.now = p.now.Add(-time.Millisecond)
 		effs := p.step(event.RequestArrived{Request: event.Request{
@@ -202,13 +202,13 @@
 }
 
 // Hosts that restart together exceed the retry budget.
-func TestFreshHostHasHalfOfItsFloor(t *testing.T) {
-	p := newPost(t, 4, core.Bounds{RetryRatio: 0.001, RetryFloor: 50})
+func TestNewHostHasHalfOfItsRetryFloor(t *testing.T) {
+	p := newTestHost(t, 4, core.Bounds{RetryRatio: 0.001, RetryFloor: 50})
 	tries := func() int {
 		n := 0
 		for range 60 {
 			d := p.send("fetch")
-			effs := p.end2(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
+			effs := p.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
 			if again, ok := pick[event.Dispatch](effs); ok {
 				n++
 				p.step(event.AttemptEnded{Attempt: again.Attempt, Result: event.ResultDone})
@@ -226,8 +226,8 @@
 }
 
 // A fresh host refuses what can run in a region that it has not seen yet.
-func TestFreshHostHoldsWhatHasNoPlaceYet(t *testing.T) {
-	p := newPost(t, 0, core.Bounds{})
+func TestNewHostQueuesDuringDiscovery(t *testing.T) {
+	p := newTestHost(t, 0, core.Bounds{})
 	id := ident.RequestID("early")
 	effs := p.step(event.RequestArrived{Request: event.Request{
 		ID: id, Account: "callers", Profile: "draft", Deadline: p.now.Add(3 * time.Second),
@@ -250,9 +250,9 @@
 }
 
 // A prefix that a peer has sent to an engine is prefilled by another one.
-func TestPeersTellWhoHoldsABeginning(t *testing.T) {
+func TestPeersAnnounceWhoHoldsAPrefix(t *testing.T) {
 	const blocks, own = 12, 4
-	prompt := func(id string, p *post) event.Request {
+	prompt := func(id string, p *testHost) event.Request {
 		r := event.Request{
 			ID: ident.RequestID(id), Account: "callers", Profile: "draft", Prompt: 512 * (blocks + own), Shared: blocks,
 			Deadline: p.now.Add(10 * time.Second),
@@ -265,7 +265,7 @@
 		}
 		return r
 	}
-	first := newPost(t, 6, core.Bounds{})
+	first := newTestHost(t, 6, core.Bounds{})
 	usual, ok := pick[event.Dispatch](first.step(event.RequestArrived{Request: prompt("a", first)}))
 	if !ok {
 		t.Fatal("the first prompt is not sent")
@@ -276,7 +276,7 @@
 			holder.Target = event.TargetKey(rank.Hash(string(id)))
 		}
 	}
-	second := newPost(t, 6, core.Bounds{})
+	second := newTestHost(t, 6, core.Bounds{})
 	peer := event.Host{ID: "w2", Incarnation: 1, Place: event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}}
 	second.step(event.DigestReceived{Digest: event.Digest{Host: peer, Seq: 1, Holders: []event.PrefixHolder{holder}}})
 	d, ok := pick[event.Dispatch](second.step(event.RequestArrived{Request: prompt("b", second)}))
--- a/internal/core/same_test.go
+++ b/internal/core/same_test.go
@@ -50,9 +50,9 @@
 	return out
 }
 
-// asking are acts that bring about what the others rarely do: questions, and
+// queryActs are acts that bring about what the others rarely do: questions, and
 // requests of several kinds that wait at once.
-var asking = []act{
+var queryActs = []act{
 	{"status", func(rt *rapid.T, w *world) { w.Post(anyHost(rt), 0, event.StatusAsked{Ask: 1}) }},
 	{"entries", func(rt *rapid.T, w *world) {
 		w.Post(anyHost(rt), 0, event.EntriesAsked{Ask: 2, Account: "third", Profile: "draft", Spread: uint64(w.n)})
@@ -77,7 +77,7 @@
 			return &twin{a: core.New(self), b: core.New(self), fail: rt.Fatalf}
 		})
 		for range rapid.IntRange(5, 25).Draw(rt, "steps") {
-			rapid.SampledFrom(append(asking, acts...)).Draw(rt, "act").do(rt, w)
+			rapid.SampledFrom(append(queryActs, acts...)).Draw(rt, "act").do(rt, w)
 			w.Run(time.Duration(rapid.IntRange(0, 1500).Draw(rt, "ms")) * time.Millisecond)
 		}
 	})
--- a/internal/core/sign_test.go
+++ b/internal/core/sign_test.go
@@ -14,7 +14,7 @@
 )
 
 // An engine that streams is suspected after a burst of failures.
-func TestFirstTokensAreSignsOfLife(t *testing.T) {
+func TestFirstTokensShowThatATargetIsAlive(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		token bool
--- a/internal/core/silent_test.go
+++ b/internal/core/silent_test.go
@@ -13,20 +13,20 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-var plenty = core.Bounds{RetryRatio: 1, RetryFloor: 100}
+var ampleBudget = core.Bounds{RetryRatio: 1, RetryFloor: 100}
 
-// begin sends a stream whose first events come, and then nothing.
-func (p *post) begin() event.Dispatch {
+// beginStream sends a stream whose first events come, and then nothing.
+func (p *testHost) beginStream() event.Dispatch {
 	p.t.Helper()
 	d := p.send("draft")
 	p.step(event.FirstToken{Attempt: d.Attempt})
-	p.quiet = p.now
+	p.silentSince = p.now
 	p.now = p.now.Add(2 * time.Second)
 	return d
 }
 
-func (p *post) silent(a ident.Attempt) []event.Effect {
-	return p.step(event.AttemptSilent{Attempt: a, Since: p.quiet, Begun: true})
+func (p *testHost) reportSilence(a ident.Attempt) []event.Effect {
+	return p.step(event.AttemptSilent{Attempt: a, Since: p.silentSince, Begun: true})
 }
 
 // A stream is cut for a silence although no other attempt can follow.
@@ -35,18 +35,18 @@
 		reason  event.DenialReason
 		targets int
 		bounds  core.Bounds
-		before  func(p *post)
+		before  func(p *testHost)
 	}{
-		{event.DeniedPlace, 1, plenty, func(*post) {}},
-		{event.DeniedBudget, 3, core.Bounds{RetryRatio: 0.001}, func(*post) {}},
-		{event.DeniedTime, 3, plenty, func(p *post) { p.now = p.now.Add(7990 * time.Millisecond) }},
+		{event.DeniedPlace, 1, ampleBudget, func(*testHost) {}},
+		{event.DeniedBudget, 3, core.Bounds{RetryRatio: 0.001}, func(*testHost) {}},
+		{event.DeniedTime, 3, ampleBudget, func(p *testHost) { p.now = p.now.Add(7990 * time.Millisecond) }},
 	} {
 		t.Run(string(tc.reason), func(t *testing.T) {
-			p := newPost(t, tc.targets, tc.bounds)
+			p := newTestHost(t, tc.targets, tc.bounds)
 			p.now = p.now.Add(retry.Window)
-			d := p.begin()
+			d := p.beginStream()
 			tc.before(p)
-			effs := p.silent(d.Attempt)
+			effs := p.reportSilence(d.Attempt)
 			if _, ok := pick[event.BreakOff](effs); ok {
 				t.Fatal("it is broken off")
 			}
@@ -64,11 +64,11 @@
 
 // A stream at its last attempt is cut for a silence.
 func TestSilentStreamIsKeptAtItsLastAttempt(t *testing.T) {
-	p, rest := newRest(t, 4)
+	p, rest := newResumedStream(t, 4)
 	p.step(event.AttemptSent{Attempt: rest.Attempt})
 	p.step(event.FirstToken{Attempt: rest.Attempt})
 	p.now = p.now.Add(2 * time.Second)
-	kept, ok := pick[event.KeepAttempt](p.silent(rest.Attempt))
+	kept, ok := pick[event.KeepAttempt](p.reportSilence(rest.Attempt))
 	if !ok || kept.Denial.Reason != event.DeniedAttempts {
 		t.Errorf("at its last attempt: %+v", kept)
 	}
@@ -76,18 +76,18 @@
 
 // The retry that a silent stream was broken off for is denied to it, or taken twice from the budget.
 func TestSilentStreamIsBrokenOffWithItsRetryTaken(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 0.001, RetryFloor: 2})
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 0.001, RetryFloor: 2})
 	p.now = p.now.Add(retry.Window)
-	first, second := p.begin(), p.begin()
-	if _, ok := pick[event.BreakOff](p.silent(first.Attempt)); !ok {
+	first, second := p.beginStream(), p.beginStream()
+	if _, ok := pick[event.BreakOff](p.reportSilence(first.Attempt)); !ok {
 		t.Fatal("it is kept although another target can go on")
 	}
-	if effs := p.silent(first.Attempt); len(effs) > 0 {
+	if effs := p.reportSilence(first.Attempt); len(effs) > 0 {
 		if _, ok := pick[event.BreakOff](effs); ok {
 			t.Error("it is broken off twice")
 		}
 	}
-	kept, _ := pick[event.KeepAttempt](p.silent(second.Attempt))
+	kept, _ := pick[event.KeepAttempt](p.reportSilence(second.Attempt))
 	if diff := cmp.Diff(event.DeniedBudget, kept.Denial.Reason); diff != "" {
 		t.Errorf("the other stream, with the budget used up (-want +got):\n%s", diff)
 	}
@@ -101,7 +101,7 @@
 // A request whose answer has not begun stays at a silent target although it could be queued.
 func TestSilentAttemptWithoutAnAnswerIsQueued(t *testing.T) {
 	for _, begun := range []bool{false, true} {
-		p := newPost(t, 2, plenty)
+		p := newTestHost(t, 2, ampleBudget)
 		p.now = p.now.Add(retry.Window)
 		d := p.send("draft")
 		for i := 0; ; i++ {
@@ -120,25 +120,25 @@
 
 // A stream that went on after it was to be broken off is never broken off again, or takes a second
 // retry from the budget.
-func TestStreamThatWentOnIsBrokenOffLater(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 0.001, RetryFloor: 2})
+func TestStreamThatContinuedIsBrokenOffLater(t *testing.T) {
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 0.001, RetryFloor: 2})
 	p.now = p.now.Add(retry.Window)
-	d := p.begin()
+	d := p.beginStream()
 	for range 2 {
-		if _, ok := pick[event.BreakOff](p.silent(d.Attempt)); !ok {
+		if _, ok := pick[event.BreakOff](p.reportSilence(d.Attempt)); !ok {
 			t.Fatal("it is not broken off")
 		}
-		p.quiet = p.now
+		p.silentSince = p.now
 		p.now = p.now.Add(3 * time.Second)
 	}
 }
 
 // A begun stream that is queued is cut while its targets can't be used for a moment.
 func TestQueuedRestWaitsForATarget(t *testing.T) {
-	p := newPost(t, 2, plenty)
+	p := newTestHost(t, 2, ampleBudget)
 	p.now = p.now.Add(retry.Window)
 	var fill []event.Dispatch
-	d := p.begin()
+	d := p.beginStream()
 	for {
 		p.n++
 		sent, ok := pick[event.Dispatch](p.step(event.RequestArrived{Request: event.Request{
@@ -171,9 +171,9 @@
 
 // A stream that broke off is cut at once because the retry budget is used up for a moment.
 func TestRestOfAStreamWaitsForTheBudget(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 0.25})
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 0.25})
 	p.now = p.now.Add(retry.Window)
-	d := p.begin()
+	d := p.beginStream()
 	effs := p.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	if r, ok := pick[event.Refuse](effs); ok {
 		t.Fatalf("it is cut with 8 s left: %+v", r)
@@ -193,9 +193,9 @@
 
 // A stream that may never go on is held until its deadline.
 func TestRestOfAStreamWithoutBudgetIsCutWithinSeconds(t *testing.T) {
-	p := newPost(t, 3, core.Bounds{RetryRatio: 0.001})
+	p := newTestHost(t, 3, core.Bounds{RetryRatio: 0.001})
 	p.now = p.now.Add(retry.Window)
-	d := p.begin()
+	d := p.beginStream()
 	effs := p.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	for range 30 {
 		p.now = p.now.Add(100 * time.Millisecond)
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -7,25 +7,25 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// onceFirst settles whether a non-idempotent request may run at all, before
+// checkOnce settles whether a non-idempotent request may run at all, before
 // anything else is decided about it. The host that passed a request on has
 // settled it already.
-func (rd *Reducer) onceFirst(now ident.Time, r *request) {
+func (rd *Reducer) checkOnce(now ident.Time, r *request) {
 	switch {
 	case r.forwarded || !r.once || r.profile.Route != nil:
-		rd.admitted(now, r)
+		rd.reserveAndPlace(now, r)
 	case r.Ticket != "":
-		rd.verdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Print))
+		rd.applyVerdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Print))
 	case r.Key != "":
-		rd.verdict(now, r, rd.once.Key(now, r.Key, r.Print, r.ID))
+		rd.applyVerdict(now, r, rd.once.Key(now, r.Key, r.Print, r.ID))
 	default:
-		rd.end(now, r, refuseAs(codes.NeedsOnce))
+		rd.endRefused(now, r, refuseAs(codes.NeedsOnce))
 	}
 }
 
 func (rd *Reducer) keyClaimed(now ident.Time, e event.KeyClaimed) {
 	r, ok := rd.requests[e.Request]
-	if ok && !r.claiming {
+	if ok && !r.claimPending {
 		// A second answer to one claim.
 		return
 	}
@@ -36,35 +36,35 @@
 		rd.once.Ended(now, e.Request, event.NotRun, false)
 		return
 	}
-	r.claiming = false
-	rd.verdict(now, r, rd.once.Claimed(now, e.Request, e.Claim, e.Owner))
+	r.claimPending = false
+	rd.applyVerdict(now, r, rd.once.Claimed(now, e.Request, e.Claim, e.Owner))
 }
 
-func (rd *Reducer) verdict(now ident.Time, r *request, v once.Verdict) {
+func (rd *Reducer) applyVerdict(now ident.Time, r *request, v once.Verdict) {
 	switch v.Do {
 	case once.Run:
-		rd.admitted(now, r)
+		rd.reserveAndPlace(now, r)
 	case once.Claim:
-		r.claiming = true
+		r.claimPending = true
 		rd.emit(event.ClaimKey{Request: r.ID, Key: r.Key, Record: v.Record, Deadline: r.deadline})
 	case once.Replay:
-		rd.drop(r)
+		rd.dropRequest(r)
 		rd.emit(event.Replay{Request: r.ID, Of: v.Of})
 	case once.Owner:
-		rd.drop(r)
-		rd.refuse(now, r, rd.owned(v))
+		rd.dropRequest(r)
+		rd.refuse(now, r, rd.ownerRefusal(v))
 	default:
-		rd.drop(r)
-		rd.refuse(now, r, refusal{code: v.Code, outcome: v.Outcome, later: v.RetryAfter})
+		rd.dropRequest(r)
+		rd.refuse(now, r, refusal{code: v.Code, outcome: v.Outcome, retryAfter: v.RetryAfter})
 	}
 }
 
-// drop forgets a request whose ticket or key belongs to another one, without ending that one.
-func (rd *Reducer) drop(r *request) { delete(rd.requests, r.ID) }
+// dropRequest forgets a request whose ticket or key belongs to another one, without ending that one.
+func (rd *Reducer) dropRequest(r *request) { delete(rd.requests, r.ID) }
 
-// owned answers a request whose ticket or key belongs to another host. A host
+// ownerRefusal answers a request whose ticket or key belongs to another host. A host
 // that has restarted since can't know whether it ran, and nobody else can.
-func (rd *Reducer) owned(v once.Verdict) refusal {
+func (rd *Reducer) ownerRefusal(v once.Verdict) refusal {
 	h, ok := rd.table.Host(v.Entry)
 	if !ok || h.Incarnation != v.Incarnation {
 		return refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown}
@@ -74,9 +74,9 @@
 	return refusal{code: v.Code, outcome: v.Outcome, entries: []event.Host{h}}
 }
 
-func (rd *Reducer) ticket(now ident.Time, e event.TicketAsked) {
+func (rd *Reducer) issueTicket(now ident.Time, e event.TicketAsked) {
 	ans := event.TicketIssued{Ask: e.Ask}
-	ref, ok := rd.judgeTicket(now, e)
+	ref, ok := rd.validateTicket(now, e)
 	if !ok {
 		ans.Code = ref.code
 		ans.Entries = ref.entries
@@ -87,8 +87,8 @@
 	rd.emit(ans)
 }
 
-// judgeTicket refuses a ticket that this host could not redeem.
-func (rd *Reducer) judgeTicket(now ident.Time, e event.TicketAsked) (refusal, bool) {
+// validateTicket refuses a ticket that this host could not redeem.
+func (rd *Reducer) validateTicket(now ident.Time, e event.TicketAsked) (refusal, bool) {
 	r := &request{Request: event.Request{
 		ID: ident.RequestID("ticket"), Account: e.Account, Profile: e.Profile,
 	}, arrived: now}
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -35,24 +35,24 @@
 type world struct {
 	*drive.Driver
 	fatal func(format string, args ...any)
-	// down are the pairs of regions that are cut, one way, and the hosts that
+	// cutLinks are the pairs of regions that are cut, one way, and the hosts that
 	// are cut off from the platform.
-	down     value.Set[string]
-	platform value.Set[ident.EntryID]
+	cutLinks        value.Set[string]
+	cutFromPlatform value.Set[ident.EntryID]
 	// jobs maps a request to the ticket or key that it came with.
 	jobs    map[ident.RequestID]string
 	sent    map[ident.RequestID]event.Request
-	to      map[ident.RequestID]ident.EntryID
-	tickets []ticketOf
-	// lowest is the lowest revision that each host may show.
-	lowest map[string]ident.Revision
-	n      int
-	// saw counts the effects by name, to show that a test brings about what it
+	sentTo  map[ident.RequestID]ident.EntryID
+	tickets []issuedTicket
+	// revisions is the revisions revision that each host may show.
+	revisions map[string]ident.Revision
+	n         int
+	// seenEffects counts the effects by name, to show that a test brings about what it
 	// is meant for.
-	saw map[string]int
+	seenEffects map[string]int
 }
 
-type ticketOf struct {
+type issuedTicket struct {
 	host   ident.EntryID
 	ticket string
 }
@@ -68,22 +68,22 @@
 // newWorldOf is newWorld with reducers of its own.
 func newWorldOf(fatal func(format string, args ...any), reducer func(self event.Host) drive.Reducer) *world {
 	w := &world{
-		Driver: drive.New(), fatal: fatal, down: value.SetOf[string](), platform: value.SetOf[ident.EntryID](),
+		Driver: drive.New(), fatal: fatal, cutLinks: value.SetOf[string](), cutFromPlatform: value.SetOf[ident.EntryID](),
 		jobs: make(map[ident.RequestID]string), sent: make(map[ident.RequestID]event.Request),
-		to: make(map[ident.RequestID]ident.EntryID), lowest: make(map[string]ident.Revision),
-		saw: make(map[string]int),
+		sentTo: make(map[ident.RequestID]ident.EntryID), revisions: make(map[string]ident.Revision),
+		seenEffects: make(map[string]int),
 	}
 	if reducer != nil {
 		w.NewReducer = reducer
 	}
 	w.Delay = func(from, to event.Host) (time.Duration, bool) {
-		cut := w.down.Has(string(from.Place.Region) + ">" + string(to.Place.Region))
+		cut := w.cutLinks.Has(string(from.Place.Region) + ">" + string(to.Place.Region))
 		if from.Place.Region == to.Place.Region {
 			return time.Millisecond, cut
 		}
 		return 80 * time.Millisecond, cut
 	}
-	w.PlatformDown = func(h event.Host) bool { return w.platform.Has(h.ID) }
+	w.PlatformDown = func(h event.Host) bool { return w.cutFromPlatform.Has(h.ID) }
 	w.OnStep = w.check
 	for _, r := range regions {
 		for n := range hostsPerCentre {
@@ -138,15 +138,15 @@
 		req.Account = []ident.Account{"foundation", "clydeside", "third"}[w.n%3]
 	}
 	w.sent[req.ID] = req
-	w.to[req.ID] = to
+	w.sentTo[req.ID] = to
 	w.jobs[req.ID] = job
 	w.Know(req)
 	w.Send(to, req)
 	return req.ID
 }
 
-// ask asks a host for a ticket, which check collects.
-func (w *world) ask(host ident.EntryID) {
+// requestTicket asks a host for a ticket, which check collects.
+func (w *world) requestTicket(host ident.EntryID) {
 	w.n++
 	w.Post(host, 0, event.TicketAsked{Ask: event.Ask(w.n), Account: "foundation", Profile: "publish", Secret: fmt.Sprintf("%032x", w.n)})
 }
@@ -154,20 +154,20 @@
 // check holds the effects of one step against the promises.
 func (w *world) check(h *drive.Host, ev event.Event, effs []event.Effect) {
 	for _, eff := range effs {
-		w.saw[event.TypeName(eff)]++
+		w.seenEffects[event.TypeName(eff)]++
 		switch e := eff.(type) {
 		case event.AnswerBar:
-			w.saw["bar "+string(e.Answer)]++
+			w.seenEffects["bar "+string(e.Answer)]++
 		case event.Dispatch:
-			w.allowed(e.Request, e.Target.Place.Region)
+			w.checkResidency(e.Request, e.Target.Place.Region)
 		case event.Forward:
-			w.allowed(e.Request, e.To.Place.Region)
-			w.crossed(e)
+			w.checkResidency(e.Request, e.To.Place.Region)
+			w.checkCrossings(e)
 		case event.InForceNow:
-			w.inForce(h, e)
+			w.checkRevision(h, e)
 		case event.TicketIssued:
 			if e.Code == "" {
-				w.tickets = append(w.tickets, ticketOf{h.ID, e.Ticket})
+				w.tickets = append(w.tickets, issuedTicket{h.ID, e.Ticket})
 			}
 		}
 	}
@@ -183,24 +183,24 @@
 	return w.sent[id]
 }
 
-func (w *world) allowed(id ident.RequestID, r ident.Region) {
+func (w *world) checkResidency(id ident.RequestID, r ident.Region) {
 	if w.requestOf(id).Profile == "bound" && r != "uvs" {
 		w.fatal("request %s is bound to uvs and goes to %s", id, r)
 	}
 }
 
-func (w *world) crossed(e event.Forward) {
+func (w *world) checkCrossings(e event.Forward) {
 	if e.Envelope.Crossings > 1 {
 		w.fatal("request %s crosses between regions %d times", e.Request, e.Envelope.Crossings)
 	}
 }
 
-func (w *world) inForce(h *drive.Host, e event.InForceNow) {
+func (w *world) checkRevision(h *drive.Host, e event.InForceNow) {
 	key := fmt.Sprint(h.ID, "/", h.Incarnation)
-	if e.Book.Rev() <= w.lowest[key] {
-		w.fatal("host %s goes from revision %d to %d", key, w.lowest[key], e.Book.Rev())
+	if e.Book.Rev() <= w.revisions[key] {
+		w.fatal("host %s goes from revision %d to %d", key, w.revisions[key], e.Book.Rev())
 	}
-	w.lowest[key] = e.Book.Rev()
+	w.revisions[key] = e.Book.Rev()
 }
 
 // runs counts the runs of a request at all targets.
--- a/internal/mech/ablate.go
+++ b/internal/mech/ablate.go
@@ -15,7 +15,7 @@
 // goes before what the build says.
 var off string
 
-var left = parse(cmp.Or(os.Getenv("VERBENADALE_OFF"), off))
+var disabled = parse(cmp.Or(os.Getenv("VERBENADALE_OFF"), off))
 
 // parse reads the ids. One that is not declared ends the process: the run would measure
 // nothing, and look as if the mechanism were worth nothing.
@@ -35,4 +35,4 @@
 }
 
 // On reports whether a mechanism is on.
-func On(c codes.Code) bool { return !left[c.ID] }
+func On(c codes.Code) bool { return !disabled[c.ID] }
--- a/internal/mech/ablate_test.go
+++ b/internal/mech/ablate_test.go
@@ -8,10 +8,10 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-func TestOnlyWhatIsNamedIsOff(t *testing.T) {
-	was := left
-	defer func() { left = was }()
-	left = parse("VB6001, VB6003")
+func TestListedMechanismsAreDisabled(t *testing.T) {
+	saved := disabled
+	defer func() { disabled = saved }()
+	disabled = parse("VB6001, VB6003")
 	for _, c := range codes.Mechanisms {
 		want := c.ID != "VB6001" && c.ID != "VB6003"
 		if got := On(c); got != want {
@@ -21,7 +21,7 @@
 }
 
 // A misspelt mechanism counts as switched off and looks worthless.
-func TestUnknownMechanismIsNoted(t *testing.T) {
+func TestUndeclaredMechanismPanics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
 			t.Error("an id that is not declared is taken")
--- a/internal/mech/on_test.go
+++ b/internal/mech/on_test.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-func TestAllAreOnInProduction(t *testing.T) {
+func TestAllEnabledInProductionBuild(t *testing.T) {
 	t.Setenv("VERBENADALE_OFF", "VB6001")
 	for _, c := range codes.Mechanisms {
 		if !On(c) {
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -12,29 +12,29 @@
 
 import "verbenadale.example/verbenadale/pkg/ident"
 
-// Top is the highest level and the highest urgency of a profile.
-const Top = 9
+// MaxLevel is the highest level and the highest urgency of a profile.
+const MaxLevel = 9
 
 // The lengths that prompts go by, in tokens that are left to read. An engine that reads 70
-// tokens in a millisecond needs 30 ms up to brief and 120 ms up to medium: a prompt of the
+// tokens in a millisecond needs 30 ms up to maxShort and 120 ms up to maxMedium: a prompt of the
 // next length would hold up several of these for a noticeable part of a goal of a second.
 const (
-	brief  ident.Tokens = 2048
-	medium ident.Tokens = 8192
+	maxShort  ident.Tokens = 2048
+	maxMedium ident.Tokens = 8192
 )
 
-// ranks is how many levels there are for each length, by urgency.
-const ranks = 3
+// levelsPerLength is how many levels there are for each length, by urgency.
+const levelsPerLength = 3
 
 // Level returns the level of a prompt by what is left to read of it and by the urgency of
 // its profile, from 0 to Top.
 func Level(urgency int, unread ident.Tokens) int {
 	length := 0
 	switch {
-	case unread > medium:
+	case unread > maxMedium:
 		length = 2
-	case unread > brief:
+	case unread > maxShort:
 		length = 1
 	}
-	return Top - ranks*length - min(max(Top-urgency, 0), ranks-1)
+	return MaxLevel - levelsPerLength*length - min(max(MaxLevel-urgency, 0), levelsPerLength-1)
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -14,8 +14,8 @@
 
 func TestLevelGoesByLengthAndThenByUrgency(t *testing.T) {
 	var got []int
-	for _, unread := range []ident.Tokens{0, brief, brief + 1, medium, medium + 1, 1 << 20} {
-		for _, urgency := range []int{Top, Top - 1, 0, -3, Top + 2} {
+	for _, unread := range []ident.Tokens{0, maxShort, maxShort + 1, maxMedium, maxMedium + 1, 1 << 20} {
+		for _, urgency := range []int{MaxLevel, MaxLevel - 1, 0, -3, MaxLevel + 2} {
 			got = append(got, Level(urgency, unread))
 		}
 	}
@@ -40,24 +40,24 @@
 
 // Figures of the played engine.
 const (
-	// reads is what it reads in a millisecond, chunk what it reads at one go.
-	reads = 70.0
-	chunk = 1024.0
+	// tokensPerMs is what it tokensPerMs in a millisecond, chunk what it tokensPerMs at one go.
+	tokensPerMs = 70.0
+	chunkTokens = 1024.0
 	// goal is that of both kinds of prompts.
 	goal = time.Second
-	// played is how long callers come.
-	played = 120 * time.Second
+	// arrivalSpan is how long callers come.
+	arrivalSpan = 120 * time.Second
 )
 
-// play has an engine read prompts by level, those of one level in the order of their coming,
+// simulate has an engine read prompts by level, those of one level in the order of their coming,
 // and returns which part of the short and of the long ones began within the goal.
-func play(load float64, level func(long bool, unread ident.Tokens) int) (short, long float64) {
+func simulate(load float64, level func(long bool, unread ident.Tokens) int) (short, long float64) {
 	rnd := rand.New(rand.NewPCG(7, 11))
 	var jobs []*job
 	const meanShort, meanLong, longPart = 1800, 6600, 0.2
 	each := (1-longPart)*meanShort + longPart*meanLong
-	for at := time.Duration(0); at < played; {
-		at += time.Duration(rnd.ExpFloat64() * each / (reads * load) * float64(time.Millisecond))
+	for at := time.Duration(0); at < arrivalSpan; {
+		at += time.Duration(rnd.ExpFloat64() * each / (tokensPerMs * load) * float64(time.Millisecond))
 		j := &job{at: at, long: rnd.Float64() < longPart}
 		mean := float64(meanShort)
 		if j.long {
@@ -83,9 +83,9 @@
 			return !slices.ContainsFunc(waiting, func(o *job) bool { return o.level > j.level })
 		})
 		j := waiting[best]
-		n := min(chunk, j.left)
+		n := min(chunkTokens, j.left)
 		j.left -= n
-		now += time.Duration(n / reads * float64(time.Millisecond))
+		now += time.Duration(n / tokensPerMs * float64(time.Millisecond))
 		if j.left <= 0 {
 			j.started = now
 			waiting = slices.Delete(waiting, best, best+1)
@@ -112,14 +112,14 @@
 func TestLongPromptsAreNotAllLast(t *testing.T) {
 	byUrgency := func(long bool, _ ident.Tokens) int {
 		if long {
-			return Top - 1
+			return MaxLevel - 1
 		}
-		return Top
+		return MaxLevel
 	}
 	byLength := func(long bool, unread ident.Tokens) int { return Level(byUrgency(long, unread), unread) }
 	for _, load := range []float64{0.7, 0.9, 0.97} {
-		s0, l0 := play(load, byUrgency)
-		s1, l1 := play(load, byLength)
+		s0, l0 := simulate(load, byUrgency)
+		s1, l1 := simulate(load, byLength)
 		t.Logf("load %.2f: begun in time by urgency short %.3f long %.3f, by length %.3f and %.3f", load, s0, l0, s1, l1)
 		if l1 < l0 {
 			t.Errorf("load %.2f: %.3f of long prompts begin in time, by urgency alone %.3f", load, l1, l0)
--- a/internal/slack/slack.go
+++ b/internal/slack/slack.go
@@ -21,92 +21,94 @@
 )
 
 const (
-	// weight is the weight of one answer in the smoothed times: with some ten answers a
+	// smoothingWeight is the smoothingWeight of one answer in the smoothed times: with some ten answers a
 	// second of one route at a host, a change of load shows within a second.
-	weight = 1.0 / 8
-	// deviations is how many times its usual deviation the time to a first byte is
+	smoothingWeight = 1.0 / 8
+	// usualDeviations is how many times its usual deviation the time to a first byte is
 	// taken to be longer than usual. With one, some five of six answers of a steady load
 	// begin earlier.
-	deviations = 1
+	usualDeviations = 1
 	// lostDeviations is how many deviations an answer may be late before it counts as lost, as
 	// for packets of TCP. It is taken by route, since long prompts begin later than short ones.
 	lostDeviations = 4
-	// againBelow is the part of the time that callers usually give below which a request has
+	// returnedBelow is the part of the time that callers usually give below which a request has
 	// probably been refused before.
-	againBelow = 0.8
-	// forget is the part by which the longest time is forgotten with each request.
-	forget = 1.0 / 2048
+	returnedBelow = 0.8
+	// longestDecay is the part by which the longest time is forgotten with each request.
+	longestDecay = 1.0 / 2048
 	// maxRoutes bounds the routes that are remembered. Past it all are learned anew.
 	maxRoutes = 4096
 )
 
 // Book holds what is known of the answers of routes.
 type Book struct {
-	routes map[ident.Profile]*answers
+	routes map[ident.Profile]*routeStats
 }
 
-// answers is what is known of the answers of one route.
-type answers struct {
-	// first is the time from sending to the first byte.
-	first span
-	// usual is the longest time that callers gave of late.
-	usual time.Duration
+// routeStats is what is known of the routeStats of one route.
+type routeStats struct {
+	// firstByte is the time from sending to the firstByte byte.
+	firstByte smoothedTime
+	// longest is the longest time that callers gave of late.
+	longest time.Duration
 }
 
-// span is a smoothed time and its smoothed deviation. The zero value knows nothing.
-type span struct {
-	mean, spread time.Duration
+// smoothedTime is a smoothed time and its smoothed deviation. The zero value knows nothing.
+type smoothedTime struct {
+	mean, deviation time.Duration
 }
 
-func (s *span) add(took time.Duration) {
+func (s *smoothedTime) add(took time.Duration) {
 	if s.mean == 0 {
-		s.mean, s.spread = took, took/2
+		s.mean, s.deviation = took, took/2
 		return
 	}
 	off := took - s.mean
-	s.mean += time.Duration(weight * float64(off))
-	s.spread += time.Duration(weight * float64(off.Abs()-s.spread))
+	s.mean += time.Duration(smoothingWeight * float64(off))
+	s.deviation += time.Duration(smoothingWeight * float64(off.Abs()-s.deviation))
 }
 
-// within returns the time that is longer than the mean by a number of deviations.
-func (s span) within(deviations time.Duration) time.Duration { return s.mean + deviations*s.spread }
+// plusDeviations returns the time that is longer than the mean by a number of deviations.
+func (s smoothedTime) plusDeviations(deviations time.Duration) time.Duration {
+	return s.mean + deviations*s.deviation
+}
 
 // New returns an empty book.
-func New() *Book { return &Book{routes: make(map[ident.Profile]*answers)} }
+func New() *Book { return &Book{routes: make(map[ident.Profile]*routeStats)} }
 
-// Asked takes the time that a caller gives for an answer, and returns for how long it has
+// Arrived takes the time that a caller gives for an answer, and returns for how long it has
 // probably waited before, since it came back after a refusal: zero for one that asks for the
 // first time.
-func (b *Book) Asked(name ident.Profile, left time.Duration) time.Duration {
-	a := b.of(name)
-	a.usual -= time.Duration(forget * float64(a.usual))
-	a.usual = max(a.usual, left)
-	if float64(left) >= againBelow*float64(a.usual) {
+func (b *Book) Arrived(name ident.Profile, left time.Duration) time.Duration {
+	a := b.statsOf(name)
+	a.longest -= time.Duration(longestDecay * float64(a.longest))
+	a.longest = max(a.longest, left)
+	if float64(left) >= returnedBelow*float64(a.longest) {
 		return 0
 	}
-	return a.usual - left
+	return a.longest - left
 }
 
-func (b *Book) of(name ident.Profile) *answers {
+func (b *Book) statsOf(name ident.Profile) *routeStats {
 	a, ok := b.routes[name]
 	if !ok {
 		if len(b.routes) >= maxRoutes {
 			clear(b.routes)
 		}
-		a = &answers{}
+		a = &routeStats{}
 		b.routes[name] = a
 	}
 	return a
 }
 
-// Began takes the time from sending a request to the first byte of its answer.
-func (b *Book) Began(name ident.Profile, took time.Duration) { b.of(name).first.add(took) }
+// FirstByte takes the time from sending a request to the first byte of its answer.
+func (b *Book) FirstByte(name ident.Profile, took time.Duration) { b.statsOf(name).firstByte.add(took) }
 
-// First returns the time to a first byte that most answers of a route stay below, zero
+// UsualFirstByte returns the time to a first byte that most answers of a route stay below, zero
 // where none is known.
-func (b *Book) First(name ident.Profile) time.Duration {
+func (b *Book) UsualFirstByte(name ident.Profile) time.Duration {
 	if a, ok := b.routes[name]; ok {
-		return a.first.within(deviations)
+		return a.firstByte.plusDeviations(usualDeviations)
 	}
 	return 0
 }
@@ -115,13 +117,13 @@
 // late, zero where none is known.
 func (b *Book) LateAfter(name ident.Profile) time.Duration {
 	if a, ok := b.routes[name]; ok {
-		return a.first.within(lostDeviations)
+		return a.firstByte.plusDeviations(lostDeviations)
 	}
 	return 0
 }
 
-// Wait returns how long a request of a route may wait for a place, where age is what it has
+// MaxWait returns how long a request of a route may wait for a place, where age is what it has
 // waited before. It is negative for one that can't be answered within its goal any more.
-func (b *Book) Wait(name ident.Profile, goal, age time.Duration) time.Duration {
-	return goal - age - b.First(name)
+func (b *Book) MaxWait(name ident.Profile, goal, age time.Duration) time.Duration {
+	return goal - age - b.UsualFirstByte(name)
 }
--- a/internal/slack/slack_test.go
+++ b/internal/slack/slack_test.go
@@ -13,34 +13,34 @@
 const goal = time.Second
 
 // Requests are queued for longer than slower answers leave of their goal.
-func TestWaitFollowsTheAnswers(t *testing.T) {
+func TestMaxWaitFollowsAnswerTimes(t *testing.T) {
 	b := New()
-	if got := b.Wait("r", goal, 0); got != goal {
+	if got := b.MaxWait("r", goal, 0); got != goal {
 		t.Errorf("with no answer known a request may wait %s", got)
 	}
 	last := goal
 	for _, took := range []time.Duration{100, 400, 700, 1100} {
 		for range 60 {
-			b.Began("r", took*time.Millisecond)
+			b.FirstByte("r", took*time.Millisecond)
 		}
-		got := b.Wait("r", goal, 0)
+		got := b.MaxWait("r", goal, 0)
 		want := goal - took*time.Millisecond
 		if off := (got - want).Abs(); off > 20*time.Millisecond || got >= last {
 			t.Errorf("with answers after %dms a request may wait %s", took, got)
 		}
 		last = got
 	}
-	if b.Wait("r", goal, 0) > 0 {
+	if b.MaxWait("r", goal, 0) > 0 {
 		t.Error("a request may wait though no answer begins in time")
 	}
 }
 
 // A caller that returns late is not distinguished from one with a shorter time.
-func TestWhoComesBackIsTold(t *testing.T) {
+func TestReturningCallersAreRecognised(t *testing.T) {
 	b := New()
 	var got []time.Duration
 	for _, left := range []time.Duration{3000, 2600, 1700, 2900, 2300} {
-		got = append(got, b.Asked("r", left*time.Millisecond).Round(100*time.Millisecond))
+		got = append(got, b.Arrived("r", left*time.Millisecond).Round(100*time.Millisecond))
 	}
 	want := []time.Duration{0, 0, 1300 * time.Millisecond, 0, 700 * time.Millisecond}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -51,11 +51,11 @@
 // After an operator shortens a route's time all callers count as late for good.
 func TestShorterTimesAreLearned(t *testing.T) {
 	b := New()
-	b.Asked("r", 10*time.Second)
+	b.Arrived("r", 10*time.Second)
 	for range 4000 {
-		b.Asked("r", 3*time.Second)
+		b.Arrived("r", 3*time.Second)
 	}
-	if got := b.Asked("r", 3*time.Second); got != 0 {
+	if got := b.Arrived("r", 3*time.Second); got != 0 {
 		t.Errorf("counts as one that waited %s", got)
 	}
 }
@@ -63,7 +63,7 @@
 func TestRoutesAreBounded(t *testing.T) {
 	b := New()
 	for i := range 3 * maxRoutes {
-		b.Asked(ident.Profile(fmt.Sprint(i)), time.Second)
+		b.Arrived(ident.Profile(fmt.Sprint(i)), time.Second)
 	}
 	if len(b.routes) > maxRoutes {
 		t.Errorf("%d routes are remembered", len(b.routes))
