--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -7,8 +7,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// retryOrEnd tries a request elsewhere, after a pause and within the budget, or
-// ends it.
+// retryOrEnd retries a request elsewhere, after a backoff and within the retry budget, or ends it
+// with ref.
 func (rd *Reducer) retryOrEnd(now ident.Time, r *request, a *attempt, e event.AttemptEnded, ref refusal) {
 	if rd.takeRetry(now, r, a, e) {
 		rd.retryElsewhere(now, r, a, ref)
@@ -20,8 +20,9 @@
 	rd.endRefused(now, r, ref)
 }
 
-// retryWhenBudgetAllows asks for the rest of a stream again when only the budget denies it: the budget grows
-// with each request that arrives, and to end the stream would cut the part that its caller has.
+// retryWhenBudgetAllows schedules another try for the rest of a stream that only the retry budget
+// denies, and reports whether it did. The budget grows with each arriving request, and ending the
+// stream would truncate an answer that the caller has a part of.
 func (rd *Reducer) retryWhenBudgetAllows(now ident.Time, r *request, a *attempt, e event.AttemptEnded, ref refusal) bool {
 	at := now.Add(resumeInterval)
 	if r.delivered == 0 || r.lastDenial.Reason != event.DeniedBudget || r.resumeWaits >= maxResumeWaits || at >= r.deadline {
@@ -32,9 +33,10 @@
 	return true
 }
 
-// retrySameTarget tries the rest of a stream again at the target that turned it away, and reports
-// whether it does. MaxAttempts bounds the targets that see a request, so that no other may get
-// it, and to end it would cut the answer that its caller has a part of.
+// retrySameTarget schedules the rest of a stream at the target that turned it away, and reports
+// whether it did. MaxAttempts bounds the targets that see a request, so no other target may
+// receive the rest, and ending the request would truncate an answer that the caller has a part
+// of.
 func (rd *Reducer) retrySameTarget(now ident.Time, r *request, a *attempt, e event.AttemptEnded) bool {
 	begun := r.delivered > 0 || r.Begun
 	if !begun || r.profile.Route == nil || e.Result != event.ResultNotRun || a.target == "" || !reachedTarget(a, e) || e.Draining {
@@ -52,9 +54,9 @@
 	return true
 }
 
-// resumeStream lets a broken stream go on at another target. It does not use the retry budget: a
-// target that dies breaks all its streams at once, and a resumed stream asks only for the
-// tokens that are left, so that load does not grow with failures.
+// resumeStream continues a broken stream at another target. It does not use the retry budget: a
+// target that dies breaks all its streams at once, and a resumed stream requests only the
+// remaining tokens, so load does not grow with failures.
 func (rd *Reducer) resumeStream(now ident.Time, r *request, a *attempt, ref refusal) {
 	if r.tries >= retry.MaxTries {
 		rd.endRefused(now, r, ref)
@@ -63,7 +65,8 @@
 	rd.retryElsewhere(now, r, a, ref)
 }
 
-// retryElsewhere places a request again after a pause, but not where it failed.
+// retryElsewhere places a request again after a backoff, excluding the target or data centre
+// where it failed.
 func (rd *Reducer) retryElsewhere(now ident.Time, r *request, a *attempt, ref refusal) {
 	if a.target != "" {
 		r.tried.Add(a.target)
@@ -86,8 +89,8 @@
 	rd.timers.add(timer{at: at, req: r, run: rd.place})
 }
 
-// takeRetry decides whether a request may be tried again after an attempt ended, and takes
-// what that costs from the budget.
+// takeRetry reports whether a request may be retried after an attempt ended, and if so takes the
+// retry from the budget.
 func (rd *Reducer) takeRetry(now ident.Time, r *request, a *attempt, e event.AttemptEnded) bool {
 	r.lastDenial = rd.denyRetry(now, r, a, e)
 	return r.lastDenial.Reason == ""
@@ -115,7 +118,7 @@
 	return spendAttempt(now, r, max(rt.MaxAttempts, 1), rd.retryBudget(now, r.profile.Service))
 }
 
-// spendAttempt is spend for a request that is to be sent to at most so many targets.
+// spendAttempt is spendRetry for a request that may be sent to at most maxTries targets.
 func spendAttempt(now ident.Time, r *request, maxTries int, b *retry.Budget) event.Denial {
 	if r.tries >= maxTries {
 		return event.Denial{Reason: event.DeniedAttempts, Tries: r.tries, MaxTries: maxTries}
@@ -123,7 +126,7 @@
 	return spendRetry(now, r, b)
 }
 
-// spendRetry takes one retry of a request from a budget, or says why it may not.
+// spendRetry takes one retry of a request from a budget, or returns why the budget denies it.
 func spendRetry(now ident.Time, r *request, b *retry.Budget) event.Denial {
 	if b.Spend(now) {
 		return event.Denial{}
--- a/internal/core/agenda.go
+++ b/internal/core/agenda.go
@@ -6,15 +6,15 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// timer is something to be done for a request at a time.
+// timer is a function to run for a request at a given time.
 type timer struct {
 	at  ident.Time
 	req *request
 	run func(now ident.Time, r *request)
 }
 
-// timerQueue holds the appointments in the order of time, those of one time in
-// the order they were made.
+// timerQueue holds timers ordered by time. Timers of the same time keep the order in which they
+// were added.
 type timerQueue struct{ timers []timer }
 
 func (q *timerQueue) add(t timer) {
@@ -27,7 +27,7 @@
 	q.timers = slices.Insert(q.timers, i, t)
 }
 
-// next returns the time of the first appointment, zero for none.
+// next returns the time of the earliest timer, zero if there is none.
 func (q *timerQueue) next() ident.Time {
 	if len(q.timers) == 0 {
 		return 0
@@ -35,7 +35,7 @@
 	return q.timers[0].at
 }
 
-// pop returns the first appointment if it is due.
+// pop removes and returns the earliest timer if it is due.
 func (q *timerQueue) pop(now ident.Time) (timer, bool) {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return timer{}, false
@@ -45,8 +45,7 @@
 	return t, true
 }
 
-// runTimers does what is due. Appointments of requests that have ended are
-// dropped.
+// runTimers runs the timers that are due. Timers of requests that have ended are dropped.
 func (rd *Reducer) runTimers(now ident.Time) {
 	for {
 		t, ok := rd.timers.pop(now)
--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -9,15 +9,15 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// entriesTTL is how long callers may go by a list of entry hosts. It is
-// shorter than a drain is announced before a host stops answering.
+// entriesTTL is how long callers may use a list of entry hosts. It is shorter than the time
+// between the announcement of a drain and the moment when the host stops answering.
 const entriesTTL = 5 * time.Second
 
-// nearbyTTL is how long a caller may go by the hosts near it. It bounds how
-// long callers keep to a host that has gone.
+// nearbyTTL is how long a caller may use a list of nearby hosts. It bounds how long callers keep
+// using a host that has stopped.
 const nearbyTTL = 900 * time.Millisecond
 
-// queryEvent answers callers and operators who ask.
+// queryEvent handles queries of callers and operators.
 func (rd *Reducer) queryEvent(now ident.Time, ev event.Event) {
 	switch e := ev.(type) {
 	case event.TicketAsked:
@@ -50,7 +50,7 @@
 	rd.emit(ans)
 }
 
-// explainRoute returns where a request would go, by the same decision as for a real one.
+// explainRoute returns where a request would be sent, by the same decision as for a real request.
 func (rd *Reducer) explainRoute(now ident.Time, e event.RouteAsked) {
 	ans := event.RouteAnswered{Ask: e.Ask, Chosen: -1}
 	r := &request{
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,8 +21,7 @@
 	}
 }
 
-// place sends a request to the best choice, has it wait for room, or refuses
-// it.
+// place sends a request to the best choice, queues it until there is room, or refuses it.
 func (rd *Reducer) place(now ident.Time, r *request) {
 	if now >= r.deadline {
 		rd.endRefused(now, r, refuseAs(codes.DeadlineExceeded))
@@ -45,14 +44,16 @@
 	}
 }
 
-// Bounds of the search for a target to resume a stream at.
+// Limits of the search for a target that can resume a stream.
 const (
 	maxResumeWaits = 4
 	resumeInterval = 500 * time.Millisecond
 )
 
-// handleNoTarget ends a request that no target is left for. One whose caller has a part of the answer
-// is queued, since suspected targets may come back and its caller can not.
+// handleNoTarget handles a request for which no target is left. During discovery a new request is
+// placed again shortly. A request whose caller has a part of the answer is placed again up to
+// maxResumeWaits times, since suspected targets may recover and the caller cannot repeat the
+// request. All others are refused.
 func (rd *Reducer) handleNoTarget(now ident.Time, r *request, code codes.ID) {
 	if at := now.Add(discoveryInterval); rd.isDiscovering(now, r) && at < rd.queueDeadline(r) {
 		rd.timers.add(timer{at: at, req: r, run: rd.place})
@@ -67,8 +68,9 @@
 	rd.timers.add(timer{at: at, req: r, run: rd.place})
 }
 
-// schedulePlace looks again for room at the one target that a request is bound to. In the queue it
-// would hold up requests that may go elsewhere.
+// schedulePlace places a request again after resumeInterval. It is used for a request that is
+// bound to one target while that target is full: in the queue it would block requests that can go
+// elsewhere.
 func (rd *Reducer) schedulePlace(now ident.Time, r *request) {
 	at := now.Add(resumeInterval)
 	if at >= r.deadline {
@@ -78,20 +80,21 @@
 	rd.timers.add(timer{at: at, req: r, run: rd.place})
 }
 
-// How long a host that has started learns who else is there, and the pause between two
-// looks for a place meanwhile. Links to all other regions stood 0.9 s after a start.
+// How long a host discovers other regions after its start, and the interval at which it tries
+// to place a request meanwhile. Links to all other regions were up 0.9 s after a start.
 const (
 	discoveryWindow   = 2 * time.Second
 	discoveryInterval = 50 * time.Millisecond
 )
 
-// isDiscovering reports whether a target for a request may still become known: this host has read the
-// list of targets and has not seen another region yet, as after a loss of power.
+// isDiscovering reports whether a target for a new request may still become known: shortly after
+// its start a host has read the list of targets but may not have seen another region yet, as
+// after a power failure.
 func (rd *Reducer) isDiscovering(now ident.Time, r *request) bool {
 	return r.profile.Route != nil && r.delivered == 0 && r.tries == 0 && now.Sub(rd.startedAt) < discoveryWindow
 }
 
-// noTargetRefusal is the refusal of a request that no choice is left for.
+// noTargetRefusal returns the refusal of a request that has no choice left.
 func noTargetRefusal(r *request, code codes.ID) refusal {
 	if r.mayHaveRun {
 		return refusal{code: codes.TargetFailed.ID, outcome: event.Unknown}
@@ -99,7 +102,7 @@
 	return refusal{code: code, outcome: event.NotRun}
 }
 
-// send starts an attempt.
+// send starts an attempt at the target or host that dec selects.
 func (rd *Reducer) send(now ident.Time, r *request, dec route.Decision) {
 	rd.lastAttempt++
 	a := &attempt{
@@ -130,8 +133,8 @@
 	})
 }
 
-// engineLevel returns the priority engineLevel at an engine. Where a profile has no route it is the urgency
-// of the profile; see docs/targets.md.
+// engineLevel returns the priority level of a request at an engine. Without a route it is the
+// priority of the profile; see docs/targets.md.
 func engineLevel(r *request, dec route.Decision) int {
 	if r.profile.Route == nil || !mech.On(codes.OrderByLength) {
 		return r.profile.Priority
@@ -139,7 +142,8 @@
 	return order.Level(r.profile.Priority, dec.Prefill)
 }
 
-// announceHolder announces that a target gets a long prefix, unless that is known.
+// announceHolder announces to peers that a target receives a long shared prefix, unless that is
+// already known.
 func (rd *Reducer) announceHolder(now ident.Time, r *request, id ident.TargetID) {
 	if r.profile.Route == nil || !member.SharesMuch(&r.Request) || !mech.On(codes.AnnouncedHolders) {
 		return
@@ -150,7 +154,7 @@
 	}
 }
 
-// holderOf names a target to copy from.
+// holderOf returns a target as the holder to copy a prefix from, the zero Holder for nil.
 func holderOf(t *member.Target) event.Holder {
 	if t == nil {
 		return event.Holder{}
@@ -158,7 +162,7 @@
 	return event.Holder{Target: t.ID, URL: t.URL}
 }
 
-// forward passes the request to an entry host of another data centre.
+// forward passes a request to an entry host of another data centre.
 func (rd *Reducer) forward(now ident.Time, r *request, a *attempt) {
 	a.host = a.dec.Host
 	rd.table.OfferTake(a.dec.Centre, a.dec.Pool)
@@ -183,7 +187,7 @@
 	}
 }
 
-// firstToken records the first token of an answer, which is a sign of life of its target.
+// firstToken records the first token of an answer, which shows that its target is alive.
 func (rd *Reducer) firstToken(now ident.Time, e event.FirstToken) {
 	if a, ok := rd.attempts[e.Attempt]; ok && a.req.live == a && rd.isCurrent(a) {
 		rd.table.Answered(a.target)
@@ -201,17 +205,16 @@
 	a.prefillTokens = 0
 }
 
-// health is what the end of an attempt says about its target.
+// health is what the end of an attempt shows about its target.
 type health int
 
-// The kinds of health.
 const (
 	healthUnknown health = iota
 	healthy
 	failed
 )
 
-// dropAttempt drops an attempt and gives back what it held.
+// dropAttempt removes an attempt and releases what was reserved for it.
 func (rd *Reducer) dropAttempt(a *attempt, h health) {
 	delete(rd.attempts, a.id)
 	a.req.live = nil
@@ -227,9 +230,8 @@
 	}
 }
 
-// healthOf judges a target by the end of an attempt. One that breaks off in
-// time has failed; one that was not done when the caller's time was over may
-// be well.
+// healthOf judges a target by the end of an attempt. A target that breaks off before the deadline
+// has failed; one that was still running at the deadline may be healthy.
 func healthOf(now ident.Time, a *attempt, e event.AttemptEnded) health {
 	switch {
 	case e.Result == event.ResultDone || e.Draining || e.Held:
@@ -242,9 +244,9 @@
 	return failed
 }
 
-// attemptEnded handles the end of an attempt. A second, late or crossed end of one that is not
-// live is ignored: it would start another try beside the one that the answer of a peer starts,
-// and the job would run twice.
+// attemptEnded handles the end of an attempt. A duplicate or late end of an attempt that is not
+// live is ignored: it would start another try beside the one that the peer's answer starts, and
+// the job would run twice.
 func (rd *Reducer) attemptEnded(now ident.Time, e event.AttemptEnded) {
 	a, ok := rd.attempts[e.Attempt]
 	if !ok || a.req.live != a {
@@ -269,7 +271,7 @@
 		r.answerStored = e.Kept
 		rd.pools.of(r).recordRun(now.Sub(a.start), e.Generated)
 		rd.recordStreamLength(r)
-		rd.closeRequest(now, r, event.Done)
+		rd.close(now, r, event.Done)
 		rd.emit(event.Finish{Request: r.ID, Outcome: event.Done})
 	case event.ResultNotRun:
 		rd.retryOrEnd(now, r, a, e, shedRefusal(a, e))
@@ -279,7 +281,7 @@
 	rd.sendWaiting(now)
 }
 
-// handleBroken goes on after an attempt that may have run.
+// handleBroken decides how to continue after an attempt that may have run.
 func (rd *Reducer) handleBroken(now ident.Time, r *request, a *attempt, e event.AttemptEnded) {
 	if r.once && a.target == "" && e.Result == event.ResultBroken {
 		r.pendingBar = a
@@ -289,7 +291,7 @@
 	r.mayHaveRun = true
 	r.lastEnding = endingOf(now, a, e)
 	if e.Held && r.delivered == 0 && (r.once || !rd.takeRetry(now, r, a, e)) {
-		// The failure of the target itself says more than one of this host.
+		// The target's own failure is more informative to the caller than a refusal by this host.
 		rd.deliverBuffered(now, r)
 		return
 	}
@@ -328,17 +330,17 @@
 	return event.Ending{Side: event.SideTarget, Reason: event.ReasonClosed}
 }
 
-// deliverBuffered sends the caller the whole answer that is buffered, though it is a failure.
+// deliverBuffered sends the caller the buffered answer, although it is a failure.
 func (rd *Reducer) deliverBuffered(now ident.Time, r *request) {
-	rd.closeRequest(now, r, event.Done)
+	rd.close(now, r, event.Done)
 	rd.emit(event.Finish{Request: r.ID, Outcome: event.Done})
 }
 
-// barInterval is the time between two questions about one attempt.
+// barInterval is the time between two AskBar messages about one attempt.
 const barInterval = 300 * time.Millisecond
 
-// askBar asks the peer what became of a broken attempt, until it answers or
-// the caller's time is over.
+// askBar asks the peer for the outcome of a broken attempt until the peer answers or the deadline
+// passes.
 func (rd *Reducer) askBar(now ident.Time, r *request) {
 	if r.pendingBar == nil {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,16 +6,16 @@
 //	effs := red.Step(now, ev)
 //
 // Step is deterministic: it reads no clock, no socket and no source of
-// randomness, starts no goroutine and lets no map order show, so the same
+// randomness, starts no goroutine and does not depend on map order, so the same
 // events give the same effects, byte for byte. Several reducers fit into one
 // process and can be driven in virtual time.
 //
 // The state is split by decision, one package each: member holds hosts,
-// targets and loads; route chooses where a request runs; admit holds requests
-// while there is no room; quota limits accounts; retry bounds second tries;
-// once keeps non-idempotent requests from running twice; spread holds the
-// configuration. This package follows each request through them. A Reducer
-// belongs to one goroutine.
+// targets and loads; route chooses where a request runs; admit queues requests
+// while there is no room; quota limits accounts; retry bounds retries; once keeps
+// non-idempotent requests from running twice; spread holds and distributes the
+// configuration. This package takes each request through them. A Reducer belongs
+// to one goroutine.
 package core
 
 import (
@@ -32,8 +32,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// defaultMinDrain is the minimum duration of a drain where no bound is given: callers may use a
-// directory answer for entriesValid.
+// defaultMinDrain is the minimum duration of a drain if Bounds gives none. It exceeds entriesTTL,
+// for which callers may use a directory answer.
 const defaultMinDrain = entriesTTL + time.Second
 
 // Reducer is the state of one entry host.
@@ -45,14 +45,14 @@
 	once   *once.Registry
 	quota  *quota.Ledger
 	budget retry.Budget
-	// bounds and services hold what routes are served by: the bounds of all
-	// hosts together, and the budget of second tries of each service.
+	// bounds holds the limits that all hosts share, and retryBudgets the retry budget of each
+	// service.
 	bounds       Bounds
 	retryBudgets map[string]*retry.Budget
 	// streamLengths is the smoothed number of events in the streams of each route.
 	streamLengths map[ident.Profile]float64
-	// maxHosts is the most entry hosts that were known at one time, startedAt
-	// the time of the first step.
+	// maxHosts is the highest number of entry hosts known at one time, and startedAt the time of
+	// the first step.
 	maxHosts  int
 	startedAt ident.Time
 	pools     pools
@@ -63,25 +63,24 @@
 	attempts    map[ident.Attempt]*attempt
 	lastAttempt uint64
 
-	// activeReader says that this host is an active reader of the store.
+	// activeReader is set while this host reads the store continuously.
 	activeReader   bool
 	draining       bool
 	drainStartedAt ident.Time
-	// drainEnded says that the drain has ended and that the process is about to.
+	// drainEnded is set once the drain has ended and the process is about to exit.
 	drainEnded bool
 	wakeAt     ident.Time
 	// peerDemandAt is when each peer of the data centre last sent a digest.
 	peerDemandAt map[ident.EntryID]ident.Time
-	// nextDemandAt is when the demand of the accounts is next sent.
+	// nextDemandAt is when the demand of the accounts is next announced.
 	nextDemandAt ident.Time
 	out          []event.Effect
 }
 
-// New returns the reducer of a host that knows nothing yet.
+// New returns the reducer of a host that has received no events yet, with default bounds.
 func New(self event.Host) *Reducer { return NewBounded(self, Bounds{}) }
 
-// NewBounded returns a reducer that keeps to bounds which hold for all hosts
-// together.
+// NewBounded returns a reducer with bounds that hold for all hosts together.
 func NewBounded(self event.Host, bounds Bounds) *Reducer {
 	rd := &Reducer{
 		bounds:        bounds.withDefaults(),
@@ -109,11 +108,11 @@
 	return rd
 }
 
-// Router returns the router, for comparisons of policies.
+// Router returns the router, so that routing policies can be compared.
 func (rd *Reducer) Router() *route.Router { return rd.router }
 
-// Step takes one event and returns what is to be done. The effects belong to
-// the caller.
+// Step handles one event and returns the effects to carry out. The returned slice belongs to the
+// caller.
 func (rd *Reducer) Step(now ident.Time, ev event.Event) []event.Effect {
 	rd.out = nil
 	if rd.startedAt == 0 {
@@ -134,7 +133,7 @@
 	return rd.out
 }
 
-// requestEvent takes the events of requests.
+// requestEvent handles the events of requests. It reports whether ev is one of them.
 func (rd *Reducer) requestEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.RequestArrived:
@@ -161,7 +160,7 @@
 	return true
 }
 
-// peerEvent takes the events of other entry hosts.
+// peerEvent handles the events of other entry hosts. It reports whether ev is one of them.
 func (rd *Reducer) peerEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.PeerUp:
@@ -187,7 +186,8 @@
 	return true
 }
 
-// environmentEvent takes the events of targets, the platform and the process.
+// environmentEvent handles the events of targets, the platform and the process. It reports
+// whether ev is one of them.
 func (rd *Reducer) environmentEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.LoadReported:
@@ -243,8 +243,8 @@
 	}
 }
 
-// summary handles what a summary contains beyond members and offers. Of the hosts that receive
-// it from a peer only the representative asks for changes. The host that the summary was sent
+// summary handles the parts of a summary other than members and offers. Of the hosts that receive
+// it through a peer, only the representative asks for changes. The host that the summary was sent
 // to asks too, since the representative may be frozen.
 func (rd *Reducer) summary(now ident.Time, s event.Summary, direct bool) {
 	rd.quota.Place(s.Place.Group(), s.Place.Region)
@@ -266,7 +266,7 @@
 	}
 }
 
-// tick does what is due by time, after each event.
+// tick runs everything that is due. Step calls it after each event.
 func (rd *Reducer) tick(now ident.Time) {
 	rd.table.SetBlind(rd.spread.Blind())
 	if now >= rd.table.Next(now) {
@@ -287,8 +287,8 @@
 	rd.scheduleWake(now)
 }
 
-// updateReadPace emits how to read the platform's store when that changes. A host begins as an
-// active reader.
+// updateReadPace emits how to read the platform's store whenever that changes. A host starts as
+// an active reader.
 func (rd *Reducer) updateReadPace(now ident.Time) {
 	if !rd.bounds.SharedReads || rd.table.Reads(now) == rd.activeReader {
 		return
@@ -297,18 +297,18 @@
 	rd.emit(event.PaceReads{Active: rd.activeReader})
 }
 
-// announcedAccountsPerSecond bounds how many accounts a host announces to its peers each second, on
-// average. With more of them the whole list goes out less often.
+// announcedAccountsPerSecond bounds how many accounts a host announces to its peers per second,
+// on average. With more accounts the whole list is sent less often.
 const announcedAccountsPerSecond = 4
 
-// peerDemandTTL is the silence of a peer after which its demand counts no more. It
-// is the time after which members count a host as dead.
+// peerDemandTTL is the silence of a peer after which its demand no longer counts. It equals the
+// time after which package member considers a host dead.
 const peerDemandTTL = 10 * time.Second
 
-// expirePeerDemand forgets the demand of peers that have gone. A host that is replaced
-// by one of another name never reports again: its last demand would keep its
-// share of every limit, and callers of the others would be refused below their
-// limits until these restart too. The order of the peers does not show.
+// expirePeerDemand drops the demand of peers that have gone. A host that is replaced by one of
+// another name never reports again: its last demand would keep its share of every limit, and the
+// remaining hosts would refuse callers below their limits until they restart too. The result does
+// not depend on the order of the peers.
 func (rd *Reducer) expirePeerDemand(now ident.Time) {
 	for id, at := range rd.peerDemandAt {
 		if now.Sub(at) > peerDemandTTL {
@@ -333,10 +333,10 @@
 	return own
 }
 
-// maxTickInterval is the longest time without a tick.
+// maxTickInterval is the longest time between two ticks.
 const maxTickInterval = time.Second
 
-// scheduleWake asks for the next tick.
+// scheduleWake requests the next tick.
 func (rd *Reducer) scheduleWake(now ident.Time) {
 	at := now.Add(maxTickInterval)
 	for _, t := range []ident.Time{
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -21,8 +21,8 @@
 	rd.table.SetDraining()
 }
 
-// drainExpired gives what still runs its final answer. Of a request at a target or host it isn't
-// known whether it ran.
+// drainExpired gives all remaining requests their final answer. For a request at a target or
+// another host it is unknown whether it ran.
 func (rd *Reducer) drainExpired(now ident.Time) {
 	rd.drainEnded = true
 	ids := slices.Sorted(maps.Keys(rd.requests))
@@ -41,16 +41,17 @@
 }
 
 const (
-	// drainAnswerMargin is the time before the end of a drain in which its last answers leave.
+	// drainAnswerMargin is the time reserved before the end of a drain for the last answers to
+	// reach their callers.
 	drainAnswerMargin = 200 * time.Millisecond
-	// replacementDelay is how long after its end a host is back in its place.
+	// replacementDelay is how long after the end of a drain the successor of the host is ready.
 	replacementDelay = time.Second
 )
 
-// acceptsWhileDraining reports whether a draining host takes a request. Callers keep using a host for as
-// long as its directory answer holds, and know no other where all hosts of a region drain. So a
-// request is taken if its deadline comes before the end of the drain; its usual duration is no
-// measure under load.
+// acceptsWhileDraining reports whether a draining host accepts a request. Callers use a host for
+// as long as its directory answer is valid, and know no other host where all hosts of a region
+// drain. So a request is accepted if its deadline is before the end of the drain. The usual
+// duration of its route is no reliable criterion under load.
 func (rd *Reducer) acceptsWhileDraining(now ident.Time, r *request) bool {
 	if r.profile.Route == nil || rd.drainEnded {
 		return false
@@ -61,8 +62,8 @@
 	return mech.On(codes.LateDrain) && r.Deadline > 0 && r.Deadline <= rd.drainStartedAt.Add(rd.bounds.DrainTimeout-drainAnswerMargin)
 }
 
-// refuseDraining sends a caller elsewhere. Without another host in the region it is to come
-// back when the successor of this host has started.
+// refuseDraining refers a caller to other hosts. Without another host in the region the caller is
+// asked to come back when the successor of this host has started.
 func (rd *Reducer) refuseDraining(now ident.Time, r *request) refusal {
 	ref := rd.refuseWithEntries(now, r, codes.Draining)
 	if r.profile.Route != nil && !rd.table.Relieved(now) {
--- a/internal/core/foreign_test.go
+++ b/internal/core/foreign_test.go
@@ -11,14 +11,15 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// A repeat at another host is answered "not run" though the job runs.
+// Guards against a repeat at another host being answered with NotRun while the first request
+// runs.
 func TestRepeatAtAnotherHostIsUnknown(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	w.send("uvs-0", "publish", "notice", "", "key-1", 10*time.Second)
 	w.Run(time.Second)
-	again := w.send("uvs-1", "publish", "notice", "", "key-1", 10*time.Second)
+	repeat := w.send("uvs-1", "publish", "notice", "", "key-1", 10*time.Second)
 	w.Run(time.Second)
-	ans, ok := w.answerTo(again)
+	ans, ok := w.answerTo(repeat)
 	if !ok {
 		t.Fatal("no answer to the repeat")
 	}
@@ -30,12 +31,12 @@
 	for _, h := range ref.Entries {
 		hosts = append(hosts, h.ID)
 	}
-	want := event.Refuse{Request: again, Code: codes.ForeignTicket.ID, Outcome: event.Unknown}
+	want := event.Refuse{Request: repeat, Code: codes.ForeignTicket.ID, Outcome: event.Unknown}
 	ref.Entries = nil
 	if diff := cmp.Diff(want, ref); diff != "" {
 		t.Errorf("answer to the repeat (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]ident.EntryID{"uvs-0"}, hosts); diff != "" {
-		t.Errorf("hosts that are named (-want +got):\n%s", diff)
+		t.Errorf("hosts named in the refusal (-want +got):\n%s", diff)
 	}
 }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -11,26 +11,28 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Idle timeouts of attempts that another can follow.
+// Idle timeouts of attempts that another attempt can follow.
 const (
-	// firstByteGoalRatio is the least part of the goal that the first byte of a stream may take, and
-	// callPart that of the answer to a call. What is left of the goal is for the second try.
+	// firstByteGoalRatio is the shortest timeout for the first byte of a stream as a fraction of
+	// the goal, and callGoalRatio that for the answer to a call. The rest of the goal is left for
+	// the second try.
 	firstByteGoalRatio = 0.75
 	callGoalRatio      = 1.0 / 3
-	// lateFirstByteGoalRatio is the part of the goal that the first byte of a stream may take where a second
-	// try could not meet the goal either. Callers wait for at least four goals.
+	// lateFirstByteGoalRatio is the shortest timeout for the first byte of a stream as a multiple
+	// of the goal, where a second try could not meet the goal either. Callers wait for at least
+	// four goals.
 	lateFirstByteGoalRatio = 2.5
-	// gapMultiple is the part of the goal between two events that a stream may pause for, and
-	// gapLeast the least pause: engines that prefill a long prompt or preempt a request pause
-	// for a second and more.
+	// gapMultiple is the timeout between two events of a stream as a multiple of the goal for
+	// that gap, and minGapTimeout its minimum: engines that prefill a long prompt or preempt a
+	// request pause for a second or more.
 	gapMultiple   = 4
 	minGapTimeout = 2 * time.Second
 )
 
-// idleTimeouts returns how long an attempt may bring nothing before another one is made. The
-// answer of a target may be lost on a connection that stays open. Under load all answers are
-// late, so that the bound follows the usual times of the service. Where no other attempt can
-// follow there is none.
+// idleTimeouts returns how long an attempt may be silent before another one is made: the answer
+// of a target may be lost on a connection that stays open. Under load all answers are late, so
+// the timeouts follow the usual times of the service. They are zero where no other attempt can
+// follow.
 func (rd *Reducer) idleTimeouts(r *request, dec route.Decision) event.IdleTimeouts {
 	rt := r.profile.Route
 	if rt == nil || r.once || r.forwarded || rt.GoalMs <= 0 || r.tries >= rt.MaxAttempts {
@@ -50,9 +52,9 @@
 	}
 }
 
-// attemptSilent breaks a silent attempt off if another one can follow: the connection may be
-// dead. Otherwise it goes on, since its target may be paused and the caller may have a part of
-// the answer.
+// attemptSilent breaks off a silent attempt if another one can follow, since the connection may
+// be dead. Otherwise the attempt continues, since its target may be paused and the caller may
+// have a part of the answer.
 func (rd *Reducer) attemptSilent(now ident.Time, e event.AttemptSilent) {
 	a, ok := rd.attempts[e.Attempt]
 	if !ok || a.req.live != a || a.req.profile.Route == nil || a.retryTaken && a.silentSince == e.Since {
@@ -67,12 +69,12 @@
 	rd.emit(event.BreakOff{Request: a.req.ID, Attempt: a.id, Silence: s})
 }
 
-// minRetryTime is what the next attempt takes at the least beyond its predicted wait.
+// minRetryTime is the minimum time that the next attempt needs beyond its predicted wait.
 const minRetryTime = 250 * time.Millisecond
 
-// reserveRetry takes a retry from the budget for the attempt that is to follow a silent one,
-// or says why none can. A request whose answer has begun needs a place at once, another one may
-// be queued.
+// reserveRetry takes a retry from the budget for the attempt that follows a silent one, or
+// returns why none can follow. A request whose answer has begun needs a free place at once; any
+// other may be queued.
 func (rd *Reducer) reserveRetry(now ident.Time, a *attempt, begun bool) event.Denial {
 	r := a.req
 	if r.forwarded {
--- a/internal/core/later.go
+++ b/internal/core/later.go
@@ -9,27 +9,26 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// When a request of a route that finds no room is to come back.
+// Bounds of the Retry-After time of requests of routes that are refused for lack of capacity.
 const (
-	// minRetryAfter keeps callers from coming back into the same second.
+	// minRetryAfter keeps callers from coming back within the same second.
 	minRetryAfter = time.Second
-	// maxRetryAfterRatio is the part of the time that is left which a caller is sent away for at
-	// the most: half of it is for the answer, and callers don't wait for longer than a
-	// third.
+	// maxRetryAfterRatio bounds the Retry-After time as a fraction of the time left: half of the
+	// time left is needed for the answer, and callers wait for no longer than a third.
 	maxRetryAfterRatio = 1.0 / 3
-	// retryAfterJitter is the part by which the times of callers differ: those that are
-	// refused in one second must not come back in one.
+	// retryAfterJitter is the range of the jitter as a fraction of the Retry-After time: callers
+	// that are refused within one second must not all come back within one second.
 	retryAfterJitter = 0.5
-	// overloadQuietTime is the time without a refusal after which an overload is over.
+	// overloadQuietTime is the time without a refusal after which an overload has ended.
 	overloadQuietTime = time.Second
 )
 
-// overload is a time in which requests were refused for want of room.
+// overload is a period in which requests were refused for lack of capacity.
 type overload struct {
 	since, last ident.Time
 }
 
-// recordRefusal records a refusal and returns how long they have been going on.
+// recordRefusal records a refusal and returns how long the overload has lasted.
 func (o *overload) recordRefusal(now ident.Time) time.Duration {
 	if o.last == 0 || now.Sub(o.last) > overloadQuietTime {
 		o.since = now
@@ -38,9 +37,9 @@
 	return now.Sub(o.since)
 }
 
-// retryAfter returns when the caller of a request that is refused for want of room is to come
-// back. An overload that has lasted for seconds rarely ends within the next one, so that the
-// time grows with its duration, within the time of the caller.
+// retryAfter returns when the caller of a request that is refused for lack of capacity should
+// come back. An overload that has lasted for seconds rarely ends within the next second, so the
+// time grows with the duration of the overload, up to a fraction of the time left to the caller.
 func (rd *Reducer) retryAfter(now ident.Time, r *request) time.Duration {
 	lasted := rd.pools.of(r).overload.recordRefusal(now)
 	if !mech.On(codes.GrowingReturns) {
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -11,7 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The share of a removed host in a limit is never used again.
+// Guards against the share of a removed host in a limit staying reserved, so that the remaining
+// hosts refuse requests below the limit.
 func TestShareOfARemovedHostIsReleased(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	const perSecond = 10
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -12,9 +12,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The load of these tests: short prompts before three engines that read one after the
-// other, as many as their callers ask for. A caller that is refused comes back once, when
-// it was asked to.
+// Parameters of the simulated load: short prompts for three engines, each of which prefills one
+// prompt after the other. A caller that is refused comes back once, after the time in RetryAfter.
 const (
 	loadEngines     = 3
 	loadPrompt      = 2400
@@ -24,7 +23,7 @@
 	loadDuration    = 20 * time.Second
 )
 
-// scheduledCall is something that happens at a time of the play.
+// scheduledCall is a function to call at a virtual time.
 type scheduledCall struct {
 	at ident.Time
 	do func()
@@ -32,34 +31,36 @@
 
 type callQueue []scheduledCall
 
-func (a callQueue) Len() int           { return len(a) }
-func (a callQueue) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a callQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *callQueue) Push(x any)        { *a = append(*a, x.(scheduledCall)) }
-func (a *callQueue) Pop() any {
-	old := *a
+func (q callQueue) Len() int           { return len(q) }
+func (q callQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q callQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)        { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-// overload plays callers and engines around a reducer in virtual time.
+// overload simulates callers and engines around a reducer in virtual time.
 type overload struct {
 	t     *testing.T
 	red   *core.Reducer
 	now   ident.Time
 	queue callQueue
-	// busyUntil is until when each engine reads what it was sent.
+	// busyUntil is when each engine has prefilled all prompts that it was sent.
 	busyUntil map[ident.TargetID]ident.Time
-	// firstAskedAt is when the caller of a request firstAskedAt asked.
+	// firstAskedAt is when the caller of a request first sent it, isRepeat whether the request is
+	// its second.
 	firstAskedAt map[ident.RequestID]ident.Time
 	isRepeat     map[ident.RequestID]bool
 	n            int
-	// inTime counts answers that began within the goal, late the others, idleRefusals
-	// refusals while an engine would have begun the answer within the goal.
+	// inTime counts answers that began within the goal, late those that began after it, and
+	// idleRefusals refusals while an engine would have begun the answer within the goal.
 	inTime, late, refused, idleRefusals int
-	// waiting counts the requests that the host holds, lateAgain those late that came back.
-	waiting, lateAgain int
+	// waiting counts the requests that the host has neither sent nor refused, lateRepeats the late
+	// answers to repeated requests.
+	waiting, lateRepeats int
 }
 
 func newOverload(t *testing.T) *overload {
@@ -106,7 +107,7 @@
 	}
 }
 
-// prefill has an engine prefill a prompt after those that it has.
+// prefill has an engine prefill a prompt after those that it was sent before.
 func (o *overload) prefill(e event.Dispatch) {
 	id := e.Target.ID
 	o.waiting--
@@ -117,7 +118,7 @@
 		} else {
 			o.late++
 			if o.isRepeat[e.Request] {
-				o.lateAgain++
+				o.lateRepeats++
 			}
 		}
 		o.step(event.FirstToken{Attempt: e.Attempt})
@@ -133,7 +134,7 @@
 		ahead += max(0, o.busyUntil[ident.TargetID(fmt.Sprint("t", i))].Sub(o.now))
 	}
 	since := o.firstAskedAt[e.Request]
-	// A quarter of the goal is what a host may be wrong by that goes by what it sees.
+	// A host that decides by its own estimates may be wrong by a quarter of the goal.
 	if begins := o.now.Add(ahead / loadEngines); !o.isRepeat[e.Request] && begins.Add(loadPrefillTime).Sub(since) < loadGoal*3/4 {
 		o.idleRefusals++
 	}
@@ -143,18 +144,18 @@
 	o.at(o.now.Add(e.RetryAfter), func() { o.ask(since, true) })
 }
 
-func (o *overload) ask(first ident.Time, again bool) {
+func (o *overload) ask(first ident.Time, repeat bool) {
 	o.n++
 	o.waiting++
 	id := ident.RequestID(fmt.Sprint("q", o.n))
-	o.firstAskedAt[id], o.isRepeat[id] = first, again
+	o.firstAskedAt[id], o.isRepeat[id] = first, repeat
 	o.step(event.RequestArrived{Request: event.Request{
 		ID: id, Account: "callers", Profile: "tag", Prompt: loadPrompt, Stream: true,
 		Prefix: []uint64{uint64(o.n)}, Deadline: first.Add(loadDeadline),
 	}})
 }
 
-// play offers a multiple of what the engines can read.
+// play offers a multiple of the load that the engines can prefill.
 func (o *overload) play(load float64) {
 	gap := time.Duration(float64(loadPrefillTime) / loadEngines / load)
 	start := o.now
@@ -168,19 +169,20 @@
 	}
 }
 
-// Goodput falls under overload, as all requests are answered just too late.
+// Guards against goodput that collapses under overload because all requests are answered just too
+// late.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	most := 0
 	for _, load := range []float64{0.5, 1, 1.5, 2, 4} {
 		o := newOverload(t)
 		o.play(load)
-		t.Logf("%.1f times the capacity: %d in time, %d late (%d that came back), %d refused, %d of them beside an engine with room", load, o.inTime, o.late, o.lateAgain, o.refused, o.idleRefusals)
+		t.Logf("load of %.1f times the capacity: %d in time, %d late (%d of them repeats), %d refused, %d of them while an engine had room", load, o.inTime, o.late, o.lateRepeats, o.refused, o.idleRefusals)
 		most = max(most, o.inTime)
 		if load == 4 && float64(o.inTime) < 0.9*float64(most) {
-			t.Errorf("%d answered in time at four times the load, %d at the best", o.inTime, most)
+			t.Errorf("%d answered in time at four times the capacity, %d at the best load", o.inTime, most)
 		}
 		if o.idleRefusals > 0 {
-			t.Errorf("%d refused at %.1f times the load beside an engine that would have begun in time", o.idleRefusals, load)
+			t.Errorf("%d refused at %.1f times the capacity while an engine would have begun in time", o.idleRefusals, load)
 		}
 	}
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -13,22 +13,21 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// pools holds the requests that wait for room, one queue for each set of
-// models or service, so that a full model does not hold up another.
+// pools holds the requests that wait for room. Each set of models and each service has its own
+// queue, so that a full model does not block another.
 type pools struct {
 	byKey map[string]*pool
 	order []*pool
 }
 
-// pool is what is known of the requests for one set of models or service.
+// pool is the queue and the statistics of the requests for one set of models or one service.
 type pool struct {
 	key   string
 	queue *admit.Queue
-	// head is the request that is next; it has left the queue and waits for
-	// room.
+	// head is the next request to send. It has left the queue and waits for room.
 	head *request
-	// tokenTime is the smoothed time for one generated token, runTime that of
-	// a whole request, gap that between two places that became free.
+	// tokenTime is the smoothed time for one generated token, runTime that of a whole request,
+	// slotInterval that between two places that became free.
 	tokenTime    time.Duration
 	runTime      time.Duration
 	slotInterval time.Duration
@@ -38,7 +37,7 @@
 
 func newPools() pools { return pools{byKey: make(map[string]*pool)} }
 
-// poolKey names what a profile can run on.
+// poolKey identifies the service or the models that a profile can run on.
 func poolKey(p rules.Profile) string {
 	if p.Service != "" {
 		return "service " + p.Service
@@ -92,12 +91,12 @@
 	return at
 }
 
-// hasOthersWaiting reports whether others wait before a request.
+// hasOthersWaiting reports whether other requests wait ahead of r.
 func (pl *pool) hasOthersWaiting(r *request) bool {
 	return pl.head != r && (pl.head != nil || pl.queue.Len() > 0)
 }
 
-// waiting counts the requests that wait.
+// waiting returns the number of waiting requests.
 func (pl *pool) waiting() int {
 	n := pl.queue.Len()
 	if pl.head != nil {
@@ -106,7 +105,7 @@
 	return n
 }
 
-// smoothingDivisor is the weight of a new value in the smoothed times.
+// smoothingDivisor is the inverse of the weight of a new value in the smoothed times.
 const smoothingDivisor = 8
 
 func smoothed(old, v time.Duration) time.Duration {
@@ -116,7 +115,7 @@
 	return old + (v-old)/smoothingDivisor
 }
 
-// recordRun records a request that recordRun to its end.
+// recordRun records the duration of a request that ran to completion.
 func (pl *pool) recordRun(took time.Duration, generated ident.Tokens) {
 	pl.runTime = smoothed(pl.runTime, took)
 	if generated > 0 {
@@ -132,34 +131,31 @@
 	return pl.runTime
 }
 
-// backlog predicts the time that the requests that wait here take to get a
-// place.
+// backlog predicts how long the requests that wait here take to get a place.
 //
-// It is a part of the cost of every local choice. Without it a request behind
-// fifty others looked as cheap to keep as the first, so that none crossed while
-// other data centres offered room, and the queue was refused its deadlines
-// instead. For the request that is next it stands for what those behind it
-// would gain if it went elsewhere.
+// It is part of the cost of every local choice. Without it a request behind fifty others looked
+// as cheap to keep as the first one, so that none was forwarded while other data centres offered
+// room, and queued requests were refused at their deadlines instead. For the head of the queue
+// the backlog stands for what the requests behind it would gain if it went elsewhere.
 func (pl *pool) backlog() time.Duration {
 	return time.Duration(pl.queue.Len()) * pl.slotInterval
 }
 
-// queueItem is a request as it waits.
+// queueItem returns the queue entry of a request.
 func (rd *Reducer) queueItem(pl *pool, r *request) admit.Item {
 	it := admit.Item{
 		ID: r.ID, Account: r.Account, Home: r.profile.Confined(), Priority: r.profile.Priority, Late: rd.isLate(r),
 		Deadline: rd.queueDeadline(r), Work: pl.expectedRunTime(r),
 	}
 	if r.profile.Route != nil {
-		// What its answer may be at most says little of how long it will be,
-		// and a bound on the start is all that is wanted of the queue. The time at the
-		// target is taken off that bound already.
+		// The maximum length of an answer says little about its actual length, and the queue only
+		// has to bound the start. That bound already allows for the time at the target.
 		it.Work = 0
 	}
 	return it
 }
 
-// enqueue has a request wait, or refuses it at once if it would wait in vain.
+// enqueue queues a request, or refuses it at once if it would wait in vain.
 func (rd *Reducer) enqueue(now ident.Time, pl *pool, r *request, dec route.Decision) {
 	it := rd.queueItem(pl, r)
 	wait := dec.Wait
@@ -171,15 +167,15 @@
 	if !ok {
 		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
 	} else if pl.head != nil && !it.Late && rd.isLate(pl.head) {
-		// The one that was next is late already, and would make this one late too.
+		// The head is late already and would make this request late too.
 		pl.queue.Put(rd.queueItem(pl, pl.head))
 		pl.head = nil
 	}
 	rd.table.Crowded(now)
 }
 
-// shed gives requests that can no longer be met their final answer now, not
-// when their time is over: the caller can do something else in the meantime.
+// shed refuses requests that can no longer start in time now, and not at their deadlines, so that
+// their callers can do something else in the meantime.
 func (rd *Reducer) shed(now ident.Time, ids []ident.RequestID, later time.Duration) {
 	for _, id := range ids {
 		if r, ok := rd.requests[id]; ok {
@@ -188,7 +184,8 @@
 	}
 }
 
-// shedAndSendWaiting sheds what has become hopeless and fills the places that are free.
+// shedAndSendWaiting refuses waiting requests that can no longer start in time and sends others
+// to the places that are free.
 func (rd *Reducer) shedAndSendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
 		if pl.head != nil && now >= rd.queueDeadline(pl.head) {
@@ -201,7 +198,7 @@
 	rd.sendWaiting(now)
 }
 
-// sendWaiting sends the requests that wait as far as there is room.
+// sendWaiting sends waiting requests for as long as there is room.
 func (rd *Reducer) sendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
 		for rd.sendNext(now, pl) {
@@ -209,7 +206,7 @@
 	}
 }
 
-// sendNext sends the next request of a pool and reports whether it went.
+// sendNext sends the next request of a pool. It reports whether a request left the pool.
 func (rd *Reducer) sendNext(now ident.Time, pl *pool) bool {
 	r := rd.nextWaiting(now, pl)
 	if r == nil {
@@ -233,7 +230,7 @@
 	return true
 }
 
-// nextWaiting returns the request that is next, nil for none.
+// nextWaiting returns the next request of a pool, nil if none waits.
 func (rd *Reducer) nextWaiting(now ident.Time, pl *pool) *request {
 	for pl.head == nil {
 		it, ok := pl.queue.Pop(now)
--- a/internal/core/post_test.go
+++ b/internal/core/post_test.go
@@ -11,13 +11,13 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// testHost is one host before targets of a route, stepped by hand.
+// testHost is one host with targets of routes, stepped by hand.
 type testHost struct {
 	t   *testing.T
 	red *core.Reducer
 	now ident.Time
 	n   int
-	// silentSince is when the last event of the streams came.
+	// silentSince is when the streams last received an event.
 	silentSince ident.Time
 }
 
@@ -34,8 +34,8 @@
 func newTestHost(t *testing.T, targets int, bounds core.Bounds) *testHost {
 	t.Helper()
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
-	p := &testHost{t: t, red: core.NewBounded(event.Host{ID: "w1", Incarnation: 1, Place: place}, bounds), now: ident.Time(time.Second)}
-	p.step(event.SnapshotReceived{Book: rules.FromSheet(1, rules.Sheet{
+	h := &testHost{t: t, red: core.NewBounded(event.Host{ID: "w1", Incarnation: 1, Place: place}, bounds), now: ident.Time(time.Second)}
+	h.step(event.SnapshotReceived{Book: rules.FromSheet(1, rules.Sheet{
 		Profiles: []rules.Profile{
 			routeProfile("fetch", rules.Idempotent, 2), routeProfile("publish", rules.NonIdempotent, 1), routeProfile("draft", rules.Streaming, 2),
 		},
@@ -47,13 +47,13 @@
 			ID: ident.TargetID(fmt.Sprint("t", i)), Incarnation: 1, Kind: event.Service, Service: "board", Place: place, Capacity: 64,
 		})
 	}
-	p.step(event.HostsRead{Version: 1, Complete: true, Targets: ts})
-	return p
+	h.step(event.HostsRead{Version: 1, Complete: true, Targets: ts})
+	return h
 }
 
-func (p *testHost) step(ev event.Event) []event.Effect {
-	p.now = p.now.Add(time.Millisecond)
-	return p.red.Step(p.now, ev)
+func (h *testHost) step(ev event.Event) []event.Effect {
+	h.now = h.now.Add(time.Millisecond)
+	return h.red.Step(h.now, ev)
 }
 
 // pick returns the first effect of a type.
@@ -67,35 +67,35 @@
 	return zero, false
 }
 
-func (p *testHost) send(profile string) event.Dispatch {
-	p.t.Helper()
-	p.n++
-	effs := p.step(event.RequestArrived{Request: event.Request{
-		ID: ident.RequestID(fmt.Sprint("r", p.n)), Account: "callers", Profile: ident.Profile(profile), Deadline: p.now.Add(10 * time.Second),
+func (h *testHost) send(profile string) event.Dispatch {
+	h.t.Helper()
+	h.n++
+	effs := h.step(event.RequestArrived{Request: event.Request{
+		ID: ident.RequestID(fmt.Sprint("r", h.n)), Account: "callers", Profile: ident.Profile(profile), Deadline: h.now.Add(10 * time.Second),
 	}})
 	d, ok := pick[event.Dispatch](effs)
 	if !ok {
-		p.t.Fatalf("%s is not sent: %v", profile, effs)
+		h.t.Fatalf("the request of profile %s is not sent: %v", profile, effs)
 	}
-	p.step(event.AttemptSent{Attempt: d.Attempt})
+	h.step(event.AttemptSent{Attempt: d.Attempt})
 	return d
 }
 
-// end ends an attempt and returns what was decided within a second.
-func (p *testHost) end(e event.AttemptEnded) []event.Effect {
-	effs := p.step(e)
+// end ends an attempt and returns the effects of the following second.
+func (h *testHost) end(e event.AttemptEnded) []event.Effect {
+	effs := h.step(e)
 	for range 20 {
-		p.now = p.now.Add(50 * time.Millisecond)
-		effs = append(effs, p.red.Step(p.now, event.Tick{})...)
+		h.now = h.now.Add(50 * time.Millisecond)
+		effs = append(effs, h.red.Step(h.now, event.Tick{})...)
 	}
 	return effs
 }
 
-// endBriefly is end within a tenth of a second.
-func (p *testHost) endBriefly(e event.AttemptEnded) []event.Effect {
-	effs := p.step(e)
-	p.now = p.now.Add(60 * time.Millisecond)
-	return append(effs, p.red.Step(p.now, event.Tick{})...)
+// endBriefly is end with the effects of the following 60 ms.
+func (h *testHost) endBriefly(e event.AttemptEnded) []event.Effect {
+	effs := h.step(e)
+	h.now = h.now.Add(60 * time.Millisecond)
+	return append(effs, h.red.Step(h.now, event.Tick{})...)
 }
 
 func boardTarget(id ident.TargetID) event.Target {
--- a/internal/core/promise_test.go
+++ b/internal/core/promise_test.go
@@ -16,12 +16,13 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// A promise is broken under partitions, freezes, restarts and changes.
+// Guards against violated guarantees under partitions, freezes, restarts and configuration
+// changes.
 func TestGuaranteesUnderFailure(t *testing.T) {
-	saw := make(map[string]int)
+	seen := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt.Fatalf)
-		w.seenEffects = saw
+		w.seenEffects = seen
 		w.Early = func() (time.Duration, bool) { return 0, w.n%7 == 0 }
 		w.LoseClaim = func() bool { return w.n%5 == 0 }
 		steps := rapid.IntRange(5, 40).Draw(rt, "steps")
@@ -32,27 +33,28 @@
 		}
 		w.settle()
 	})
-	requireSeen(t, saw, "dispatch", "forward", "refuse", "finish", "replay", "claimKey")
+	requireSeen(t, seen, "dispatch", "forward", "refuse", "finish", "replay", "claimKey")
 }
 
-// requireSeen guards the test itself: sequences that never bring a thing about
-// would pass whatever the code does with it.
-func requireSeen(t *testing.T, saw map[string]int, names ...string) {
+// requireSeen guards the test itself: sequences that never cause an effect would pass whatever
+// the code does about it.
+func requireSeen(t *testing.T, seen map[string]int, names ...string) {
 	t.Helper()
-	t.Log(saw)
+	t.Log(seen)
 	for _, name := range names {
-		if saw[name] == 0 {
-			t.Errorf("%s never came about; the sequences show nothing of it", name)
+		if seen[name] == 0 {
+			t.Errorf("%s never occurred; the sequences show nothing about it", name)
 		}
 	}
 }
 
-// A forwarded job runs twice, or is reported as not run after it has run.
+// Guards against a forwarded job that runs twice, or is reported as not run after it has run: the
+// link to the peer fails while the job runs there.
 func TestOnceAcrossRegions(t *testing.T) {
-	saw := make(map[string]int)
+	seen := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt.Fatalf)
-		w.seenEffects = saw
+		w.seenEffects = seen
 		early := rapid.IntRange(2, 9).Draw(rt, "early")
 		w.Early = func() (time.Duration, bool) {
 			return time.Duration(w.n%4) * 400 * time.Millisecond, w.n%early == 0
@@ -71,10 +73,10 @@
 		}
 		w.settle()
 	})
-	requireSeen(t, saw, "forward", "askBar", "bar barred", "bar ended", "bar running")
+	requireSeen(t, seen, "forward", "askBar", "bar barred", "bar ended", "bar running")
 }
 
-// sendTicketed sends a job with a new ticket of the host.
+// sendTicketed requests a ticket from a host and sends a job with it.
 func sendTicketed(w *world, host ident.EntryID) {
 	had := len(w.tickets)
 	w.requestTicket(host)
@@ -94,7 +96,7 @@
 			sendTicketed(w, "uvs-0")
 		}
 	}},
-	{"cut", func(rt *rapid.T, w *world) { w.cutLinks.Add(link(rt)) }},
+	{"cut", func(rt *rapid.T, w *world) { w.cutLinks.Add(drawLink(rt)) }},
 	{"heal", func(_ *rapid.T, w *world) { clear(w.cutLinks) }},
 	{"freeze", func(rt *rapid.T, w *world) {
 		w.Freeze(anyHost(rt), time.Duration(rapid.IntRange(100, 6000).Draw(rt, "ms"))*time.Millisecond)
@@ -110,13 +112,13 @@
 	}},
 }
 
-// act is something that callers, operators or fate do.
+// act is an action of a caller or operator, or a failure.
 type act struct {
 	name string
 	do   func(rt *rapid.T, w *world)
 }
 
-// String names the act where a failing sequence is printed.
+// String returns the name that is printed for a failing sequence.
 func (a act) String() string { return a.name }
 
 var acts = []act{
@@ -134,8 +136,8 @@
 		job := fmt.Sprint("key-", rapid.IntRange(0, 4).Draw(rt, "key"))
 		w.send(anyHost(rt), "publish", job, "", job, 5*time.Second)
 	}},
-	{"cut", func(rt *rapid.T, w *world) { w.cutLinks.Add(link(rt)) }},
-	{"heal", func(rt *rapid.T, w *world) { delete(w.cutLinks, link(rt)) }},
+	{"cut", func(rt *rapid.T, w *world) { w.cutLinks.Add(drawLink(rt)) }},
+	{"heal", func(rt *rapid.T, w *world) { delete(w.cutLinks, drawLink(rt)) }},
 	{"platformCut", func(rt *rapid.T, w *world) { w.cutFromPlatform.Add(anyHost(rt)) }},
 	{"platformHeal", func(_ *rapid.T, w *world) { clear(w.cutFromPlatform) }},
 	{"freeze", func(rt *rapid.T, w *world) {
@@ -177,13 +179,14 @@
 	w.send(host, "publish", tk.ticket, tk.ticket, "", 5*time.Second)
 }
 
-func link(rt *rapid.T) string {
+func drawLink(rt *rapid.T) string {
 	from := rapid.SampledFrom(regions).Draw(rt, "from")
 	to := rapid.SampledFrom(regions).Draw(rt, "to")
 	return string(from) + ">" + string(to)
 }
 
-// A region that is cut off refuses its own callers.
+// Guards against a region that refuses its own callers when it is cut off from the others and the
+// platform.
 func TestCutOffRegionKeepsServing(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	for _, r := range regions[1:] {
@@ -206,7 +209,8 @@
 	}
 }
 
-// A data centre that is cut off from the platform misses a change.
+// Guards against a data centre missing a configuration change while it is cut off from the
+// platform.
 func TestChangeReachesACentreWithoutPlatform(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	for n := range hostsPerCentre {
@@ -217,12 +221,13 @@
 	w.Run(4 * time.Second)
 	for _, h := range w.Hosts {
 		if h.Revision != rev {
-			t.Errorf("host %s is at revision %d, 4 s after %d was accepted", h.ID, h.Revision, rev)
+			t.Errorf("host %s is at revision %d 4 s after revision %d was accepted", h.ID, h.Revision, rev)
 		}
 	}
 }
 
-// A draining target gets new work while the list lags.
+// Guards against a draining target getting new work while the platform's list still shows it as
+// active.
 func TestDrainingTargetGetsNothingNew(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	tg := w.Target("uvs-e0")
@@ -231,21 +236,21 @@
 		w.Run(50 * time.Millisecond)
 	}
 	tg.Draining = true
-	left := w.Now
+	drainedAt := w.Now
 	for range 100 {
 		w.send(hostID("uvs", w.n%2), "bound", "", "", "", 5*time.Second)
 		w.Run(50 * time.Millisecond)
 	}
-	if late := tg.Last.Sub(left); late > 2*time.Second {
-		t.Errorf("the last new request came %v after the target began to leave", late)
+	if late := tg.Last.Sub(drainedAt); late > 2*time.Second {
+		t.Errorf("the last new request arrived %v after the target began to drain", late)
 	}
 	if tg.Last == 0 {
-		t.Error("the target had no work before it left; the test shows nothing")
+		t.Error("the target had no work before it drained; the test shows nothing")
 	}
 	w.settle()
 }
 
-// A drain cuts requests in flight or accepts new ones.
+// Guards against a drain that cuts requests in flight or accepts new ones.
 func TestDrainCutsNothing(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	var before []ident.RequestID
@@ -258,7 +263,7 @@
 	w.Run(10 * time.Second)
 	for _, id := range before {
 		if a, _ := w.answerTo(id); a.Outcome != event.Done {
-			t.Errorf("request %s, taken before the drain, ends as %+v", id, a)
+			t.Errorf("request %s, accepted before the drain, ends as %+v", id, a)
 		}
 	}
 	a, _ := w.answerTo(after)
@@ -271,7 +276,8 @@
 	}
 }
 
-// A forged or outdated envelope moves data out of its region or makes a request circulate.
+// Guards against a forged or outdated envelope that moves data out of its region or makes a
+// request circulate.
 func TestEnvelopesAreCheckedAgain(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -301,7 +307,7 @@
 	}
 }
 
-// Two full regions forward their work to each other.
+// Guards against two full regions that forward their work to each other.
 func TestFullRegionsDoNotSwapWork(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	for range 40 {
@@ -320,7 +326,8 @@
 	}
 }
 
-// A second end of an attempt starts a second try.
+// Guards against the duplicate end of an attempt starting a second try while the peer is still
+// being asked for the outcome of the first.
 func TestSecondEndOfAnAttemptIsIgnored(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	for _, tg := range w.Targets {
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -11,7 +11,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// engineHost is a reducer with one engine at home and one offer abroad.
+// engineHost is a reducer with one local engine and one offer of another data centre.
 type engineHost struct {
 	red       *core.Reducer
 	now       ident.Time
@@ -42,7 +42,7 @@
 	return s
 }
 
-// reportLoad reports the load of the engine and an offer.
+// reportLoad reports the load of the engine and an offer of the other data centre.
 func (s *engineHost) reportLoad(seq uint64) {
 	serve := rules.Serve{Model: "draft"}
 	s.step(event.LoadReported{Load: event.Load{
@@ -75,7 +75,7 @@
 	}})
 }
 
-// endOldest has the oldest request at the engine endOldest.
+// endOldest ends the oldest request at the engine.
 func (s *engineHost) endOldest() {
 	a := s.attempts[0]
 	s.attempts = s.attempts[1:]
@@ -83,7 +83,8 @@
 	s.step(event.AttemptEnded{Attempt: a, Result: event.ResultDone, Delivered: 50, Generated: 50})
 }
 
-// A long queue waits though another data centre has offered room.
+// Guards against a long queue that keeps all its requests although another data centre offers
+// room.
 func TestLongQueueCrosses(t *testing.T) {
 	for _, tc := range []struct {
 		every time.Duration
@@ -104,7 +105,7 @@
 			}
 		}
 		if got := s.forwarded > 0; got != tc.cross {
-			t.Errorf("a place each %v: %d of %d crossed", tc.every, s.forwarded, s.sent)
+			t.Errorf("one slot freed every %v: %d of %d requests crossed", tc.every, s.forwarded, s.sent)
 		}
 	}
 }
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -9,29 +9,29 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// refusal is a final answer that is not a target's.
+// refusal is a final answer that this host gives instead of a target.
 type refusal struct {
 	code    codes.ID
 	outcome event.Outcome
-	// retryAfter is when to come back, zero for the default.
+	// retryAfter is how long the caller should wait before it comes back, zero for the default.
 	retryAfter time.Duration
 	entries    []event.Host
 }
 
 func refuseAs(c codes.Code) refusal { return refusal{code: c.ID, outcome: event.NotRun} }
 
-// maxEntries bounds the other hosts that an answer names.
+// maxEntries bounds the number of other hosts that an answer names.
 const maxEntries = 4
 
-// refuseWithEntries is a refusal that names the hosts to use instead.
+// refuseWithEntries returns a refusal that names other hosts to use.
 func (rd *Reducer) refuseWithEntries(now ident.Time, r *request, c codes.Code) refusal {
 	ref := refuseAs(c)
 	ref.entries = rd.otherEntries(now, r.profile, r.client, uint64(r.arrived))
 	return ref
 }
 
-// otherEntries returns hosts that may take requests of a profile, best first, this
-// host left out.
+// otherEntries returns the hosts other than this one that may take requests of a profile, best
+// first.
 func (rd *Reducer) otherEntries(now ident.Time, p rules.Profile, c rules.Client, spread uint64) []event.Host {
 	var hs []event.Host
 	for _, h := range rd.allowedEntries(now, p, c, spread) {
@@ -47,7 +47,7 @@
 	return rd.table.Entries(now, allowed, spread)
 }
 
-// refuse gives a request its final answer, at once.
+// refuse sends a request its final answer immediately.
 func (rd *Reducer) refuse(now ident.Time, r *request, ref refusal) {
 	if r.isUntriedForward(ref) {
 		ref.code = codes.TurnedAway.ID
@@ -68,20 +68,19 @@
 	}
 }
 
-// endRefused refuses a request that had been taken in.
+// endRefused closes an accepted request and refuses it.
 func (rd *Reducer) endRefused(now ident.Time, r *request, ref refusal) {
 	if rd.requests[r.ID] != r {
 		return
 	}
-	// A later refusal, of a retry that found no room, must not hide that an
-	// earlier attempt may have run: the caller would send the work again
-	// elsewhere and take it for the first time.
+	// A later refusal, of a retry that found no room, must not hide that an earlier attempt may
+	// have run: the caller would send the work again elsewhere as if for the first time.
 	if r.mayHaveRun && ref.outcome == event.NotRun {
 		ref.outcome = event.Unknown
 	}
 	if r.profile.Route != nil && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun && !r.forwarded {
 		ref.retryAfter = rd.retryAfter(now, r)
 	}
-	rd.closeRequest(now, r, ref.outcome)
+	rd.close(now, r, ref.outcome)
 	rd.refuse(now, r, ref)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,57 +12,59 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// Defaults of requests.
+// Defaults for requests.
 const (
 	defaultDeadline = 60 * time.Second
-	// defaultTokens is the length of an answer whose request names none.
+	// defaultTokens is the assumed length of an answer if the request gives none.
 	defaultTokens = 256
-	// defaultRetryAfter is when to come back where nothing better is known.
+	// defaultRetryAfter is the Retry-After time where no better value is known.
 	defaultRetryAfter = time.Second
 )
 
-// request is one request that has not had its final answer.
+// request is a request that has not received its final answer.
 type request struct {
 	event.Request
 	profile rules.Profile
 	client  rules.Client
-	// once says that it may not be repeated: by its profile, or because it
-	// came with a ticket or key.
+	// once is set if the request must not be repeated, by its profile or because it came with a
+	// ticket or key.
 	once bool
-	// env is set for a request from another entry host.
+	// env is set for a request forwarded by another entry host.
 	env       event.Envelope
 	forwarded bool
 
-	// waitedBefore is how long it waited before it arrived here, by its deadline.
+	// waitedBefore is how long the caller waited before the request arrived here, derived from
+	// its deadline.
 	waitedBefore time.Duration
 	arrived      ident.Time
 	deadline     ident.Time
-	// claimPending says that the platform is asked for the key.
+	// claimPending is set while the platform is asked for the key.
 	claimPending bool
-	// reservedTokens is what was taken from the account's limit.
+	// reservedTokens is what was taken from the limit of the account.
 	reservedTokens ident.Tokens
 
 	tried        value.Set[ident.TargetID]
 	triedCentres value.Set[ident.DataCentre]
 	tries        int
-	// boundTarget is the target that the rest of a stream is bound to, empty for any.
+	// boundTarget is the only target that may receive the rest of a stream, empty for any.
 	boundTarget ident.TargetID
-	// unsent counts the tries of which nothing was sent to a target.
+	// unsent counts the tries that sent nothing to a target.
 	unsent int
-	// resumeWaits counts how often a broken stream found no place to go on.
+	// resumeWaits counts how often a broken stream has waited for a target or for the retry
+	// budget.
 	resumeWaits int
 	live        *attempt
-	// lastDecision is the last decision and denied the last denial, which a refusal is logged with.
+	// lastDecision and lastDenial are logged with a refusal.
 	lastDecision route.Decision
 	lastDenial   event.Denial
 	// lastEnding is which side ended the last attempt that may have run.
 	lastEnding event.Ending
-	// pendingBar is set while a peer is asked what became of an attempt.
+	// pendingBar is the attempt whose outcome a peer is being asked for.
 	pendingBar   *attempt
 	delivered    ident.Tokens
 	generated    ident.Tokens
 	answerStored bool
-	// mayHaveRun says that an attempt ended without proof that nothing ran.
+	// mayHaveRun is set if an attempt ended without proof that nothing ran.
 	mayHaveRun bool
 }
 
@@ -72,26 +74,26 @@
 	req    *request
 	start  ident.Time
 	tokens ident.Tokens
-	// target is set for an attempt at a target, host for one at another entry
-	// host.
+	// target is set for an attempt at a target, host for one forwarded to another entry host.
 	target ident.TargetID
-	// incarnation is the one of the target that it was sent to: the target may have
-	// started anew since.
+	// incarnation is that of the target when the attempt was sent. The target may have restarted
+	// since.
 	incarnation ident.Incarnation
 	host        event.Host
 	dec         route.Decision
 	sent        bool
-	// retryTaken says that the attempt was to be broken off for the silence since silentSince, and
-	// that the retry which retryTaken has been taken from the budget.
+	// retryTaken is set once this host has decided to break the attempt off for the silence since
+	// silentSince, and has taken the retry that follows from the budget.
 	retryTaken  bool
 	silentSince ident.Time
-	// prefillTokens is the part of the prompt that the target has to read and whose first
-	// token has not come, before what it had to read first when this was sent.
+	// prefillTokens is the part of the prompt that the target has to prefill, zero after the
+	// first token. prefillAhead is what the target had to prefill first when the attempt was
+	// sent.
 	prefillTokens ident.Tokens
 	prefillAhead  ident.Tokens
 }
 
-// arrive takes a new request.
+// arrive handles a new request.
 func (rd *Reducer) arrive(now ident.Time, req event.Request) {
 	if _, ok := rd.requests[req.ID]; ok {
 		return
@@ -116,8 +118,8 @@
 	rd.checkOnce(now, r)
 }
 
-// resolveRequest fills in what the request asks for, or returns why it is refused. Nothing of the
-// request has been sent by then.
+// resolveRequest fills in what a request refers to, or returns why it is refused. Nothing of the
+// request has been sent at that point.
 func (rd *Reducer) resolveRequest(now ident.Time, r *request) (refusal, bool) {
 	book := rd.spread.Book()
 	if book == nil {
@@ -136,9 +138,9 @@
 	if !c.May(p.Name) {
 		return refuseAs(codes.ProfileForbidden), false
 	}
-	// The sender has checked the same rule, but may have an older profile. A request
-	// of a route may pass through here on its way to an allowed region, since its
-	// caller got this host from the directory.
+	// The sending host checked the same rule, but may have an older profile. A request of a route
+	// may pass through this host on its way to an allowed region, since the directory referred
+	// its caller here.
 	if !p.Allows(c, rd.self.Place.Region) && (p.Route == nil || r.forwarded) {
 		return rd.refuseWithEntries(now, r, codes.OutsideResidency), false
 	}
@@ -171,10 +173,10 @@
 	return defaultDeadline
 }
 
-// isLoop guards against a request that goes round: two regions that each
-// believe the other idle would pass it to and fro until its deadline, and
-// load would rise with nobody new calling. The count and the hosts seen travel
-// with the request, so that no host needs to remember it.
+// isLoop reports whether a forwarded request circulates: two regions that each believe the other
+// to be idle would forward it back and forth until its deadline, and load would rise without any
+// new caller. The number of crossings and the hosts seen travel with the request, so that no host
+// needs to remember it.
 func (rd *Reducer) isLoop(r *request) bool {
 	if r.env.Crossings > r.profile.MaxCrossings {
 		return true
@@ -187,7 +189,8 @@
 	return false
 }
 
-// reserveAndPlace takes a request that may run as far as once-only goes.
+// reserveAndPlace reserves the tokens of a request from the limit of its account and places it.
+// The once-only check has passed at that point.
 func (rd *Reducer) reserveAndPlace(now ident.Time, r *request) {
 	if !r.forwarded {
 		r.reservedTokens = r.Prompt + answerTokens(r)
@@ -208,15 +211,15 @@
 	return defaultTokens
 }
 
-// callerLeft drops a request whose goroutine has ended. Nothing of it runs:
-// the goroutine ends only between attempts.
+// callerLeft drops a request whose goroutine has ended. Nothing of it runs any more, since the
+// goroutine ends only between attempts.
 func (rd *Reducer) callerLeft(now ident.Time, id ident.RequestID) {
 	r, ok := rd.requests[id]
 	if !ok {
 		return
 	}
 	if r.pendingBar != nil {
-		// The answer of the peer still decides the outcome for a repeat.
+		// The peer's answer still decides the outcome that a repeat receives.
 		return
 	}
 	outcome := event.NotRun
@@ -226,11 +229,12 @@
 	if r.live != nil {
 		rd.dropAttempt(r.live, healthUnknown)
 	}
-	rd.closeRequest(now, r, outcome)
+	rd.close(now, r, outcome)
 }
 
-// closeRequest settles the accounts of a request that is over.
-func (rd *Reducer) closeRequest(now ident.Time, r *request, outcome event.Outcome) {
+// close removes a request that is over, settles its reserved tokens and records its
+// outcome.
+func (rd *Reducer) close(now ident.Time, r *request, outcome event.Outcome) {
 	if rd.requests[r.ID] != r {
 		return
 	}
@@ -251,7 +255,7 @@
 	}
 }
 
-// answerOf maps an outcome to the answer for a peer that asks "run or bar".
+// answerOf maps an outcome to the answer to a peer's AskBar.
 func answerOf(outcome event.Outcome) event.Answer {
 	if outcome == event.NotRun {
 		return event.Refused
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -15,127 +15,130 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// The failure of a second target ends a broken stream as complete.
-func TestHeldFailureIsNotForHalfAStream(t *testing.T) {
-	p := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
-	p.now = p.now.Add(retry.Window)
-	d := p.send("draft")
+// Guards against a broken stream that is ended as complete when the second target answers with a
+// failure.
+func TestFailureDoesNotCompleteABrokenStream(t *testing.T) {
+	h := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	h.now = h.now.Add(retry.Window)
+	d := h.send("draft")
 	if d.IdleTimeouts.First == 0 || d.IdleTimeouts.Gap == 0 {
-		t.Errorf("a stream that may be resumed is waited for without bound: %+v", d.IdleTimeouts)
+		t.Errorf("a resumable stream has no idle timeouts: %+v", d.IdleTimeouts)
 	}
-	effs := p.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 4, Generated: 4})
-	again, ok := pick[event.Dispatch](effs)
-	if !ok || again.Resume != 4 {
-		t.Fatalf("the stream does not go on after event 4: %v", effs)
+	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 4, Generated: 4})
+	retried, ok := pick[event.Dispatch](effs)
+	if !ok || retried.Resume != 4 {
+		t.Fatalf("the stream is not resumed after event 4: %v", effs)
 	}
-	p.step(event.AttemptSent{Attempt: again.Attempt})
-	effs = p.end(event.AttemptEnded{Attempt: again.Attempt, Result: event.ResultFailed, Status: 500, Held: true, Delivered: 4})
+	h.step(event.AttemptSent{Attempt: retried.Attempt})
+	effs = h.end(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultFailed, Status: 500, Held: true, Delivered: 4})
 	if f, ok := pick[event.Finish](effs); ok {
-		t.Errorf("half a stream is sent to the caller as a whole one: %+v", f)
+		t.Errorf("a truncated stream is finished as complete: %+v", f)
 	}
 }
 
-// The rest of a stream is dropped after another region has refused it.
+// Guards against the rest of a stream being dropped after another region has refused it.
 func TestRestOfAStreamThatIsTurnedAwayIsPlacedAgain(t *testing.T) {
-	p := newTestHost(t, 1, core.Bounds{RetryRatio: 1, RetryFloor: 100})
-	p.now = p.now.Add(retry.Window)
-	p.step(event.HostsRead{Version: 2, Complete: true, Targets: []event.Target{boardTarget("t0")}})
+	h := newTestHost(t, 1, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	h.now = h.now.Add(retry.Window)
+	h.step(event.HostsRead{Version: 2, Complete: true, Targets: []event.Target{boardTarget("t0")}})
 	east := event.Place{DataCentre: "east-a", Region: "east", Reach: "east"}
 	report := func(seq uint64) {
-		p.step(event.SummaryReceived{Summary: event.Summary{
+		h.step(event.SummaryReceived{Summary: event.Summary{
 			From: "e1", Place: east, Incarnation: 1, Seq: seq, HostsHash: 7,
 			Hosts: []event.Host{{ID: "e1", Incarnation: 1, Place: east}},
 			Pools: []event.Pool{{Service: "board", Targets: 1, Slots: 64, Free: 64, Offer: 64}},
 		}})
 	}
 	report(1)
-	d := p.send("draft")
-	p.step(event.FirstToken{Attempt: d.Attempt})
-	effs := p.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
+	d := h.send("draft")
+	h.step(event.FirstToken{Attempt: d.Attempt})
+	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	fwd, ok := pick[event.Forward](effs)
 	if !ok || fwd.Resume != 5 {
 		t.Fatalf("the rest of the stream is not passed on: %v", effs)
 	}
-	p.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t0"), boardTarget("t1")}})
-	effs = p.end(event.AttemptEnded{Attempt: fwd.Envelope.Attempt, Result: event.ResultNotRun, Code: codes.TurnedAway.ID, Delivered: 5})
+	h.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t0"), boardTarget("t1")}})
+	effs = h.end(event.AttemptEnded{Attempt: fwd.Envelope.Attempt, Result: event.ResultNotRun, Code: codes.TurnedAway.ID, Delivered: 5})
 	if r, ok := pick[event.Refuse](effs); ok {
 		t.Fatalf("the rest of the stream is refused: %+v", r)
 	}
 	if d, ok := pick[event.Dispatch](effs); !ok || d.Target.ID != "t1" || d.Resume != 5 {
-		t.Errorf("the rest of the stream is not sent to the target that is there now: %v", effs)
+		t.Errorf("the rest of the stream is not sent to the new target: %v", effs)
 	}
 }
 
-// newResumedStream returns a host before some targets, one of which has broken off a stream, and the rest of
-// the stream as it is sent to a second one, the last that may get it.
+// newResumedStream returns a host with a stream that one target has broken off, and the dispatch
+// of the rest to a second target, the last that may receive it.
 func newResumedStream(t *testing.T, targets int) (*testHost, event.Dispatch) {
 	t.Helper()
-	p := newTestHost(t, targets, core.Bounds{RetryRatio: 1, RetryFloor: 100})
-	p.now = p.now.Add(retry.Window)
-	d := p.send("draft")
-	p.step(event.FirstToken{Attempt: d.Attempt})
-	effs := p.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
+	h := newTestHost(t, targets, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	h.now = h.now.Add(retry.Window)
+	d := h.send("draft")
+	h.step(event.FirstToken{Attempt: d.Attempt})
+	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	rest, ok := pick[event.Dispatch](effs)
 	if !ok || rest.Target.ID == d.Target.ID {
 		t.Fatalf("the rest of the stream is not sent to another target: %v", effs)
 	}
-	return p, rest
+	return h, rest
 }
 
-// The rest of a stream is cut when the last target that may get it sheds it once.
+// Guards against the rest of a stream being cut when the last target that may receive it sheds it
+// once.
 func TestRestOfAStreamOutlastsAShedAtItsLastTarget(t *testing.T) {
-	p, rest := newResumedStream(t, 3)
+	h, rest := newResumedStream(t, 3)
 	for range 3 {
-		p.step(event.AttemptSent{Attempt: rest.Attempt})
-		effs := p.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 200 * time.Millisecond})
-		again, ok := pick[event.Dispatch](effs)
-		if !ok || again.Target.ID != rest.Target.ID || again.Resume != 5 {
+		h.step(event.AttemptSent{Attempt: rest.Attempt})
+		effs := h.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 200 * time.Millisecond})
+		retried, ok := pick[event.Dispatch](effs)
+		if !ok || retried.Target.ID != rest.Target.ID || retried.Resume != 5 {
 			t.Fatalf("the rest of the stream is not sent to the target that shed it: %v", effs)
 		}
-		rest = again
+		rest = retried
 	}
-	p.step(event.AttemptSent{Attempt: rest.Attempt})
-	effs := p.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 6, Generated: 1})
+	h.step(event.AttemptSent{Attempt: rest.Attempt})
+	effs := h.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 6, Generated: 1})
 	if _, ok := pick[event.Dispatch](effs); ok {
-		t.Error("a stream that has broken off at as many targets as may get it is sent once more")
+		t.Error("a stream that has broken off at MaxAttempts targets is sent again")
 	}
 }
 
-// A stream that is bound to a full target holds up requests that another target has room for.
-func TestBoundStreamHoldsUpNoOther(t *testing.T) {
-	p, rest := newResumedStream(t, 2)
-	p.step(event.AttemptSent{Attempt: rest.Attempt})
-	p.step(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 2 * time.Second})
+// Guards against a stream that is bound to a full target blocking requests that another target
+// has room for.
+func TestBoundStreamBlocksNoOther(t *testing.T) {
+	h, rest := newResumedStream(t, 2)
+	h.step(event.AttemptSent{Attempt: rest.Attempt})
+	h.step(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 2 * time.Second})
 	var there, elsewhere []event.Dispatch
 	for i := 0; ; i++ {
-		sent, ok := pick[event.Dispatch](p.step(event.RequestArrived{Request: event.Request{
-			ID: ident.RequestID(fmt.Sprint("fill", i)), Account: "callers", Profile: "draft", Deadline: p.now.Add(10 * time.Second),
+		sent, ok := pick[event.Dispatch](h.step(event.RequestArrived{Request: event.Request{
+			ID: ident.RequestID(fmt.Sprint("fill", i)), Account: "callers", Profile: "draft", Deadline: h.now.Add(10 * time.Second),
 		}}))
 		if !ok {
 			break
 		}
-		p.step(event.AttemptSent{Attempt: sent.Attempt})
+		h.step(event.AttemptSent{Attempt: sent.Attempt})
 		if sent.Target.ID == rest.Target.ID {
 			there = append(there, sent)
 		} else {
 			elsewhere = append(elsewhere, sent)
 		}
 	}
-	p.now = p.now.Add(2 * time.Second)
-	p.step(event.Tick{})
-	p.step(event.RequestArrived{Request: event.Request{ID: "queued", Account: "callers", Profile: "draft", Deadline: p.now.Add(10 * time.Second)}})
-	if next, ok := p.endUntilSent(elsewhere, "queued"); !ok {
+	h.now = h.now.Add(2 * time.Second)
+	h.step(event.Tick{})
+	h.step(event.RequestArrived{Request: event.Request{ID: "queued", Account: "callers", Profile: "draft", Deadline: h.now.Add(10 * time.Second)}})
+	if next, ok := h.endUntilSent(elsewhere, "queued"); !ok {
 		t.Fatalf("a queued request is not sent to the target with room: %v", next)
 	}
-	if again, ok := p.endUntilSent(there, rest.Request); !ok || again.Target.ID != rest.Target.ID {
-		t.Errorf("the rest of the stream is not sent once its target has room: %v", again)
+	if retried, ok := h.endUntilSent(there, rest.Request); !ok || retried.Target.ID != rest.Target.ID {
+		t.Errorf("the rest of the stream is not sent once its target has room: %v", retried)
 	}
 }
 
-// endUntilSent ends attempts one after the other until a request is sent.
-func (p *testHost) endUntilSent(ds []event.Dispatch, id ident.RequestID) (event.Dispatch, bool) {
+// endUntilSent ends attempts one by one until a request is sent.
+func (h *testHost) endUntilSent(ds []event.Dispatch, id ident.RequestID) (event.Dispatch, bool) {
 	for _, d := range ds {
-		for _, eff := range p.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone}) {
+		for _, eff := range h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone}) {
 			if sent, ok := eff.(event.Dispatch); ok && sent.Request == id {
 				return sent, true
 			}
@@ -144,36 +147,38 @@
 	return event.Dispatch{}, false
 }
 
-// The target of the rest of a stream is bound to it for longer than its caller waits.
+// Guards against the rest of a stream staying bound to its target for longer than its caller
+// waits.
 func TestRestOfAStreamEndsWithItsDeadline(t *testing.T) {
-	p, rest := newResumedStream(t, 3)
-	p.step(event.AttemptSent{Attempt: rest.Attempt})
-	effs := p.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 20 * time.Second})
+	h, rest := newResumedStream(t, 3)
+	h.step(event.AttemptSent{Attempt: rest.Attempt})
+	effs := h.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 20 * time.Second})
 	if _, ok := pick[event.Refuse](effs); !ok {
-		t.Errorf("a stream whose target has no room before its deadline is not ended: %v", effs)
+		t.Errorf("a stream whose target has no room before the deadline is not refused: %v", effs)
 	}
 }
 
-// The rest of a stream is refused after the goal of a new request.
+// Guards against the rest of a forwarded stream being refused once the goal of a new request has
+// passed.
 func TestForwardedRestIsQueuedPastTheGoal(t *testing.T) {
 	for _, begun := range []bool{true, false} {
-		p := newTestHost(t, 1, core.Bounds{})
+		h := newTestHost(t, 1, core.Bounds{})
 		for i := 0; ; i++ {
-			_, ok := pick[event.Dispatch](p.step(event.RequestArrived{Request: event.Request{
-				ID: ident.RequestID(fmt.Sprint("home", i)), Account: "callers", Profile: "draft", Deadline: p.now.Add(10 * time.Second),
+			_, ok := pick[event.Dispatch](h.step(event.RequestArrived{Request: event.Request{
+				ID: ident.RequestID(fmt.Sprint("home", i)), Account: "callers", Profile: "draft", Deadline: h.now.Add(10 * time.Second),
 			}}))
 			if !ok {
 				break
 			}
 		}
 		from := event.Place{DataCentre: "east-a", Region: "east", Reach: "east"}
-		effs := p.step(event.RequestArrived{Request: event.Request{
-			ID: "rest", Account: "callers", Profile: "draft", Service: "board", Begun: begun, Deadline: p.now.Add(8 * time.Second),
+		effs := h.step(event.RequestArrived{Request: event.Request{
+			ID: "rest", Account: "callers", Profile: "draft", Service: "board", Begun: begun, Deadline: h.now.Add(8 * time.Second),
 			Envelope: value.Some(event.Envelope{Attempt: ident.Attempt{Entry: "e1", Incarnation: 1, Number: 1}, To: 1, From: "e1", FromPlace: from, Crossings: 1}),
 		}})
 		for range 40 {
-			p.now = p.now.Add(50 * time.Millisecond)
-			effs = append(effs, p.red.Step(p.now, event.Tick{})...)
+			h.now = h.now.Add(50 * time.Millisecond)
+			effs = append(effs, h.red.Step(h.now, event.Tick{})...)
 		}
 		var refused codes.ID
 		for _, eff := range effs {
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -8,29 +8,30 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// isCurrent reports whether an attempt is at the current incarnation of its target. One at a
-// former incarnation says nothing about the target and holds no slot there.
+// isCurrent reports whether an attempt was sent to the current incarnation of its target. An
+// attempt at an earlier incarnation shows nothing about the target and holds no slot there.
 func (rd *Reducer) isCurrent(a *attempt) bool {
 	return a.target != "" && rd.table.Runs(a.target, a.incarnation)
 }
 
-// targetsRestarted ends the attempts at former starts of targets. A target may restart under
-// its id behind a partition, so that no connection is reset and nothing comes any more. Streams
-// are resumed elsewhere, idempotent requests are sent again, and others end as unknown.
+// targetsRestarted breaks off the attempts at earlier incarnations of targets. A target may
+// restart under its id behind a partition, so that no connection is reset and no more data
+// arrives. Streams are resumed elsewhere, idempotent requests are sent again, and others end with
+// an unknown outcome.
 func (rd *Reducer) targetsRestarted() {
 	for _, id := range rd.table.Restarted() {
 		rd.router.Forget(id)
 		if t, ok := rd.table.Target(id); ok {
 			rd.emit(event.DropLinks{Target: id, URL: t.URL})
 		}
-		for _, a := range rd.stale(id) {
+		for _, a := range rd.staleAttempts(id) {
 			rd.emit(event.BreakOff{Request: a.req.ID, Attempt: a.id})
 		}
 	}
 }
 
-// stale returns the attempts at former incarnations of a target, oldest first.
-func (rd *Reducer) stale(id ident.TargetID) []*attempt {
+// staleAttempts returns the attempts at earlier incarnations of a target, oldest first.
+func (rd *Reducer) staleAttempts(id ident.TargetID) []*attempt {
 	var as []*attempt
 	for _, a := range rd.attempts {
 		if a.target == id && a.req.live == a && !rd.isCurrent(a) {
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -13,47 +13,44 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Bounds hold for all entry hosts of a deployment together. Zero fields stand
-// for the defaults.
+// Bounds are limits that hold for all entry hosts of a deployment together. Zero fields stand for
+// the defaults.
 type Bounds struct {
-	// RetryRatio is the most second tries at a service for each of its
-	// requests, RetryFloor those that need no requests, both in one
-	// retry.Window.
+	// RetryRatio bounds the retries at a service as a fraction of its requests, and RetryFloor is
+	// the number of retries that need no requests. Both apply to one retry.Window.
 	RetryRatio float64
 	RetryFloor int
-	// ColdOvershoot and ColdSlack widen the rate of a cold target to what all
-	// hosts may send it in one second.
+	// ColdOvershoot and ColdSlack extend the rate of a cold target to what all hosts together may
+	// send it in one second: the rate times ColdOvershoot plus ColdSlack.
 	ColdOvershoot, ColdSlack float64
-	// MinDrain is how long a drain lasts at least, DrainAccept how long new
-	// requests of routes are served in it whatever they take, DrainTimeout when what
-	// still runs is cut.
+	// MinDrain is the minimum duration of a drain. For DrainAccept from its start, new requests
+	// of routes are accepted whatever their deadline. After DrainTimeout the remaining requests
+	// are cut.
 	MinDrain, DrainAccept, DrainTimeout time.Duration
-	// SharedReads says that the platform's store is read all the time by two hosts
-	// of a data centre only.
+	// SharedReads limits continuous reads of the platform's store to two hosts of each data
+	// centre.
 	SharedReads bool
-	// SummaryInterval is the fixed part of the time between summaries to data centres
-	// that want nothing.
+	// SummaryInterval is the fixed part of the interval between summaries to data centres that
+	// need nothing.
 	SummaryInterval time.Duration
 }
 
-// withDefaults returns the bounds with their defaults.
+// withDefaults returns the bounds with their defaults filled in.
 func (b Bounds) withDefaults() Bounds {
 	b.MinDrain = cmp.Or(b.MinDrain, defaultMinDrain)
 	return b
 }
 
-// retryMargin is the part of the budget of second tries that is used. The rest
-// covers that each host counts in whole seconds, and tries that are under way
-// from one second to the next.
+// retryMargin is the fraction of the retry budget that is used. The rest covers that each host
+// counts in whole seconds, and retries that are in flight from one second to the next.
 const retryMargin = 0.8
 
-// retryBudget returns the budget of second tries of a retryBudget. The floor is split
-// evenly among the most hosts that were known at one time, so that the sum stays
-// within it whoever is cut off from whom; the ratio is of the requests that this
-// host took itself, which sum up by themselves. A host that has just started knows
-// neither the others nor what it spent before it was restarted: hosts that are
-// restarted together would each take the whole floor. So for one window it has half
-// of its part, and none before it has read who the others are.
+// retryBudget returns the retry budget of a service. The floor is split evenly among the highest
+// number of hosts known at one time, so that the sum stays within the floor in any partition. The
+// ratio applies to the requests that this host accepted from callers, so the hosts' budgets add
+// up to it without coordination. A host that has just started knows neither the others nor what
+// it spent before a restart: hosts that restart together would each use the whole floor. So for
+// one window it has half of its part, and none before it has read the list of hosts.
 func (rd *Reducer) retryBudget(now ident.Time, name string) *retry.Budget {
 	b, ok := rd.retryBudgets[name]
 	if !ok {
@@ -75,8 +72,8 @@
 	return b
 }
 
-// countArrival counts a request for the budgets of second tries. One that another
-// host passed on was counted there.
+// countArrival counts a request for the retry budgets. A forwarded request was counted by the
+// host that forwarded it.
 func (rd *Reducer) countArrival(now ident.Time, r *request) {
 	if r.profile.Route == nil {
 		rd.budget.Arrived(now)
@@ -91,9 +88,9 @@
 	}
 }
 
-// isLocalDemand reports whether a request of a route counts as work of the callers here:
-// it came from one, and may be served here, or it had to come, since the data centre
-// that took it may not serve it.
+// isLocalDemand reports whether a request of a route counts as demand here: it came from a caller
+// here and may be served here, or it was forwarded because the data centre that took it may not
+// serve it.
 func (rd *Reducer) isLocalDemand(r *request) bool {
 	from := rd.self.Place.Region
 	if r.forwarded {
@@ -102,11 +99,11 @@
 	return r.profile.Allows(r.client, from) != r.forwarded
 }
 
-// maxUnsentTries bounds the tries of one request of which no byte reached a target.
-// They cost the targets nothing, but each takes some of the caller's time.
+// maxUnsentTries bounds the tries of one request that sent no byte to a target. They cost the
+// targets nothing, but each takes some of the caller's time.
 const maxUnsentTries = 4
 
-// reachedTarget reports whether a request that was not run has been seen by a target.
+// reachedTarget reports whether a target has seen a request that was not run.
 func reachedTarget(a *attempt, e event.AttemptEnded) bool {
 	if a.target == "" {
 		return e.Code == codes.Overloaded.ID
@@ -114,18 +111,19 @@
 	return a.sent
 }
 
-// lacksCapacity reports whether another data centre turned a request away for want of room.
+// lacksCapacity reports whether another data centre refused a request for lack of capacity.
 func lacksCapacity(code codes.ID) bool {
 	return code == codes.Overloaded.ID || code == codes.TurnedAway.ID || code == codes.NoTarget.ID
 }
 
-// isUntriedForward reports whether a refusal is of a forwarded request that no target has seen. It
-// counts as no try of a request that may have run, whose caller may have a part of the answer.
+// isUntriedForward reports whether ref refuses a forwarded request that no target has seen. If
+// the request may have run before, the host that forwarded it does not count the refusal as a
+// try, since the caller may have a part of the answer.
 func (r *request) isUntriedForward(ref refusal) bool {
 	return r.forwarded && r.tries == 0 && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun
 }
 
-// shedRefusal is the refusal of a request that a target or another host turned away.
+// shedRefusal returns the refusal of a request that a target or another host turned away.
 func shedRefusal(a *attempt, e event.AttemptEnded) refusal {
 	ref := refusal{code: codes.NoTarget.ID, outcome: event.NotRun, retryAfter: e.RetryAfter}
 	if reachedTarget(a, e) || e.Code == codes.TurnedAway.ID {
@@ -134,9 +132,9 @@
 	return ref
 }
 
-// pickService settles the service of a request of a route. The host that passed
-// it on has picked already: its configuration may be another one, and one
-// request must not be counted at two services.
+// pickService selects the service of a request of a route. For a forwarded request the sending
+// host has selected it already: its configuration may differ, and one request must not be counted
+// at two services.
 func (rd *Reducer) pickService(r *request) {
 	rt := r.profile.Route
 	if rt == nil {
@@ -148,27 +146,28 @@
 	r.profile.Service = r.Service
 }
 
-// outlivesCaller reports whether an attempt goes on though its caller has left: only a plain call
-// that is not idempotent, so that its outcome stays known.
+// outlivesCaller reports whether an attempt continues after its caller has left: only a
+// non-streaming call that is not idempotent, so that its outcome stays known.
 func (r *request) outlivesCaller() bool {
 	rt := r.profile.Route
 	return r.once && (rt == nil || rt.Kind != rules.Streaming)
 }
 
-// storesAnswer reports whether the answer is kept for repeats with the same ticket or
-// key, of which a request of a route has none.
+// storesAnswer reports whether the answer is stored for repeats with the same ticket or key. A
+// request of a route has neither.
 func (r *request) storesAnswer() bool { return r.once && r.profile.Route == nil }
 
-// Following of the length of streams.
+// Estimation of stream lengths.
 const (
-	// lengthWeight is the weight of one stream in the usual length of its route's.
+	// lengthWeight is the weight of one stream in the smoothed length of the streams of its
+	// route.
 	lengthWeight = 1.0 / 16
-	// maxStreamLengths bounds the routes whose lengths are known. Configurations add and
-	// drop routes thousands of times a day; past the bound all are learned anew.
+	// maxStreamLengths bounds the routes whose lengths are stored. Configurations add and drop
+	// routes thousands of times a day; past the bound all lengths are dropped and learned again.
 	maxStreamLengths = 4096
 )
 
-// recordStreamLength records the length of a whole stream.
+// recordStreamLength records the length of a complete stream.
 func (rd *Reducer) recordStreamLength(r *request) {
 	if rt := r.profile.Route; rt == nil || rt.Kind != rules.Streaming {
 		return
@@ -195,8 +194,8 @@
 	}
 }
 
-// coldPerSecond is how many requests a second all hosts together may send to a
-// cold target of a service.
+// coldPerSecond returns how many requests per second all hosts together may send to a cold target
+// of a service.
 func (rd *Reducer) coldPerSecond(service string) float64 {
 	s, ok := rd.spread.Book().Service(service)
 	if !ok || s.ColdPerSecond <= 0 {
@@ -210,7 +209,7 @@
 	return time.Duration(s.ColdMs) * time.Millisecond
 }
 
-// loadAgeUnknown is the age of a load that is not known.
+// loadAgeUnknown is the load age of a target without a load report.
 const loadAgeUnknown = -1
 
 // basis returns the inputs of a decision about a request of a route.
--- a/internal/core/routed_test.go
+++ b/internal/core/routed_test.go
@@ -15,44 +15,44 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Retries exceed the budget of a failing target.
+// Guards against retries that exceed the budget when a target fails.
 func TestRetriesKeepToTheBudget(t *testing.T) {
-	p := newTestHost(t, 4, core.Bounds{RetryRatio: 0.2, RetryFloor: 10})
-	p.now = p.now.Add(retry.Window)
+	h := newTestHost(t, 4, core.Bounds{RetryRatio: 0.2, RetryFloor: 10})
+	h.now = h.now.Add(retry.Window)
 	tries, held := 0, 0
 	const calls = 200
 	for range calls {
-		d := p.send("fetch")
-		effs := p.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
-		if again, ok := pick[event.Dispatch](effs); ok {
+		d := h.send("fetch")
+		effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
+		if retried, ok := pick[event.Dispatch](effs); ok {
 			tries++
-			if again.Target.ID == d.Target.ID {
-				t.Fatalf("tried again at %s, where it had failed", d.Target.ID)
+			if retried.Target.ID == d.Target.ID {
+				t.Fatalf("retried at %s, where it had failed", d.Target.ID)
 			}
-			p.step(event.AttemptEnded{Attempt: again.Attempt, Result: event.ResultDone})
+			h.step(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultDone})
 		} else if f, ok := pick[event.Finish](effs); ok && f.Outcome == event.Done {
 			held++
 		}
 	}
 	if most := calls/5 + 10; tries == 0 || tries > most {
-		t.Errorf("%d second tries of %d calls, at most %d are allowed", tries, calls, most)
+		t.Errorf("%d retries of %d calls, at most %d are allowed", tries, calls, most)
 	}
 	if tries+held != calls {
-		t.Errorf("%d calls were tried again and %d got the failure, of %d", tries, held, calls)
+		t.Errorf("%d calls were retried and %d got the failure, of %d", tries, held, calls)
 	}
 }
 
-// A call that is not idempotent is repeated, or promised not to have run.
+// Guards against a call that is not idempotent being sent again, or being reported as not run.
 func TestRoutedOnceIsNeverRepeated(t *testing.T) {
 	for _, res := range []event.Result{event.ResultBroken, event.ResultFailed} {
-		p := newTestHost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
-		d := p.send("publish")
+		h := newTestHost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+		d := h.send("publish")
 		if !d.Once || d.IdleTimeouts != (event.IdleTimeouts{}) {
-			t.Errorf("a call that may run once goes out as %+v", d)
+			t.Errorf("a call that may run only once is dispatched as %+v", d)
 		}
-		effs := p.end(event.AttemptEnded{Attempt: d.Attempt, Result: res})
+		effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: res})
 		if _, ok := pick[event.Dispatch](effs); ok {
-			t.Errorf("%s: it is sent again", res)
+			t.Errorf("%s: the call is sent again", res)
 		}
 		if r, ok := pick[event.Refuse](effs); !ok || r.Outcome != event.Unknown {
 			t.Errorf("%s: the caller gets %+v", res, r)
@@ -60,36 +60,36 @@
 	}
 }
 
-// A request that was never sent is not tried elsewhere.
+// Guards against a request that was never sent to its target not being tried at another one.
 func TestUnsentIsRetriedElsewhere(t *testing.T) {
-	p := newTestHost(t, 3, core.Bounds{})
-	p.n++
-	effs := p.step(event.RequestArrived{Request: event.Request{ID: "r", Account: "callers", Profile: "publish", Deadline: p.now.Add(10 * time.Second)}})
+	h := newTestHost(t, 3, core.Bounds{})
+	h.n++
+	effs := h.step(event.RequestArrived{Request: event.Request{ID: "r", Account: "callers", Profile: "publish", Deadline: h.now.Add(10 * time.Second)}})
 	d, _ := pick[event.Dispatch](effs)
-	effs = p.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultNotRun})
-	again, ok := pick[event.Dispatch](effs)
-	if !ok || again.Target.ID == d.Target.ID {
-		t.Fatalf("not tried elsewhere: %v", effs)
+	effs = h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultNotRun})
+	retried, ok := pick[event.Dispatch](effs)
+	if !ok || retried.Target.ID == d.Target.ID {
+		t.Fatalf("the request is not retried elsewhere: %v", effs)
 	}
-	effs = p.end(event.AttemptEnded{Attempt: again.Attempt, Result: event.ResultNotRun})
+	effs = h.end(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultNotRun})
 	if _, ok := pick[event.Dispatch](effs); !ok {
 		t.Error("a third target is not tried")
 	}
 }
 
-// A request that can't start in time is held until its deadline.
+// Guards against a request that can't start in time being queued until its deadline.
 func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
-	p := newTestHost(t, 1, core.Bounds{})
+	h := newTestHost(t, 1, core.Bounds{})
 	long := func(i int) []event.Effect {
-		return p.step(event.RequestArrived{Request: event.Request{
+		return h.step(event.RequestArrived{Request: event.Request{
 			ID: ident.RequestID(fmt.Sprint("long", i)), Account: "callers", Profile: "draft", Prompt: 50000, MaxTokens: 400,
-			Deadline: p.now.Add(10 * time.Second),
+			Deadline: h.now.Add(10 * time.Second),
 		}})
 	}
 	d, _ := pick[event.Dispatch](long(0))
-	p.step(event.AttemptSent{Attempt: d.Attempt})
-	p.now = p.now.Add(time.Second)
-	p.step(event.FirstToken{Attempt: d.Attempt})
+	h.step(event.AttemptSent{Attempt: d.Attempt})
+	h.now = h.now.Add(time.Second)
+	h.step(event.FirstToken{Attempt: d.Attempt})
 	refused := 0
 	for i := range 400 {
 		effs := long(i + 1)
@@ -107,13 +107,13 @@
 	}
 }
 
-// A request is refused though a slot is about to be free.
-func TestBriefWaitIsNoRefusal(t *testing.T) {
-	p := newTestHost(t, 1, core.Bounds{})
+// Guards against a request being refused although a slot is about to become free.
+func TestBriefWaitIsQueued(t *testing.T) {
+	h := newTestHost(t, 1, core.Bounds{})
 	arrive := func(i int) []event.Effect {
-		return p.step(event.RequestArrived{Request: event.Request{
+		return h.step(event.RequestArrived{Request: event.Request{
 			ID: ident.RequestID(fmt.Sprint("q", i)), Account: "callers", Profile: "draft", Prompt: 10, MaxTokens: 4000,
-			Deadline: p.now.Add(10 * time.Second),
+			Deadline: h.now.Add(10 * time.Second),
 		}})
 	}
 	var first event.Dispatch
@@ -129,133 +129,136 @@
 		if r, refused := pick[event.Refuse](effs); refused {
 			t.Fatalf("request %d is refused with %s", i, r.Code)
 		}
-		p.step(event.FirstToken{Attempt: first.Attempt})
-		p.now = p.now.Add(100 * time.Millisecond)
-		effs = p.step(event.AttemptEnded{Attempt: first.Attempt, Result: event.ResultDone, Generated: 5, Delivered: 5})
+		h.step(event.FirstToken{Attempt: first.Attempt})
+		h.now = h.now.Add(100 * time.Millisecond)
+		effs = h.step(event.AttemptEnded{Attempt: first.Attempt, Result: event.ResultDone, Generated: 5, Delivered: 5})
 		if d, ok := pick[event.Dispatch](effs); !ok || d.Request != ident.RequestID(fmt.Sprint("q", i)) {
-			t.Fatalf("the request that waits is not sent when a place is free: %v", effs)
+			t.Fatalf("the queued request is not sent when a slot is free: %v", effs)
 		}
 		if r, refused := pick[event.Refuse](arrive(1000)); refused {
-			t.Fatalf("after a whole answer the next request is refused with %s", r.Code)
+			t.Fatalf("after a complete answer the next request is refused with %s", r.Code)
 		}
 		return
 	}
 	t.Fatal("the engine is never full")
 }
 
-// Late answers under load are broken off and made twice.
+// Guards against late answers under load being broken off and computed twice.
 func TestIdleTimeoutFollowsTheService(t *testing.T) {
-	p := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
-	before := p.send("draft").IdleTimeouts.First
+	h := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	before := h.send("draft").IdleTimeouts.First
 	for range 20 {
-		d := p.send("draft")
-		p.now = p.now.Add(1500 * time.Millisecond)
-		p.step(event.FirstToken{Attempt: d.Attempt})
-		p.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone})
+		d := h.send("draft")
+		h.now = h.now.Add(1500 * time.Millisecond)
+		h.step(event.FirstToken{Attempt: d.Attempt})
+		h.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone})
 	}
-	after := p.send("draft").IdleTimeouts.First
+	after := h.send("draft").IdleTimeouts.First
 	if before > time.Second || after < 1500*time.Millisecond {
 		t.Errorf("an attempt may be silent for %s at first and %s once answers take 1.5 s", before, after)
 	}
 }
 
-// Late streams are prefilled a second time without gain.
+// Guards against a late stream being prefilled a second time when a second try can't meet the
+// goal either.
 func TestLateStreamsAreNotPrefilledTwice(t *testing.T) {
-	p := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
+	h := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	for range 20 {
-		d := p.send("draft")
-		p.now = p.now.Add(900 * time.Millisecond)
-		p.step(event.FirstToken{Attempt: d.Attempt})
-		p.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone})
+		d := h.send("draft")
+		h.now = h.now.Add(900 * time.Millisecond)
+		h.step(event.FirstToken{Attempt: d.Attempt})
+		h.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone})
 	}
-	if got := p.send("draft").IdleTimeouts.First; got < time.Second {
+	if got := h.send("draft").IdleTimeouts.First; got < time.Second {
 		t.Errorf("an attempt may be silent for %s where answers begin after 0.9 s and the goal has passed by then", got)
 	}
 }
 
-// A request is queued until its caller has no time to come back.
+// Guards against a request being queued until its caller has no time left to come back.
 func TestQueueingLeavesTimeToComeBack(t *testing.T) {
-	p := newTestHost(t, 1, core.Bounds{})
+	h := newTestHost(t, 1, core.Bounds{})
 	for range 200 {
-		p.now = p.now.Add(-time.Millisecond)
-		effs := p.step(event.RequestArrived{Request: event.Request{
-			ID: ident.RequestID(fmt.Sprint("fill", p.n)), Account: "callers", Profile: "draft", Deadline: p.now.Add(600 * time.Millisecond),
+		h.now = h.now.Add(-time.Millisecond)
+		effs := h.step(event.RequestArrived{Request: event.Request{
+			ID: ident.RequestID(fmt.Sprint("fill", h.n)), Account: "callers", Profile: "draft", Deadline: h.now.Add(600 * time.Millisecond),
 		}})
-		p.n++
+		h.n++
 		if _, sent := pick[event.Dispatch](effs); sent {
 			continue
 		}
-		began := p.now
+		began := h.now
 		for range 600 {
-			for _, eff := range p.step(event.Tick{}) {
+			for _, eff := range h.step(event.Tick{}) {
 				if r, ok := eff.(event.Refuse); ok {
-					if waited := p.now.Sub(began); waited > 350*time.Millisecond || r.Outcome != event.NotRun {
+					if waited := h.now.Sub(began); waited > 350*time.Millisecond || r.Outcome != event.NotRun {
 						t.Errorf("refused after %s of 600 ms as %s", waited, r.Outcome)
 					}
 					return
 				}
 			}
 		}
-		t.Fatal("it is never given up")
+		t.Fatal("the request is never refused")
 	}
 	t.Fatal("the engine is never full")
 }
 
-// Hosts that restart together exceed the retry budget.
+// Guards against hosts that restart together exceeding the retry budget.
 func TestNewHostHasHalfOfItsRetryFloor(t *testing.T) {
-	p := newTestHost(t, 4, core.Bounds{RetryRatio: 0.001, RetryFloor: 50})
+	h := newTestHost(t, 4, core.Bounds{RetryRatio: 0.001, RetryFloor: 50})
 	tries := func() int {
 		n := 0
 		for range 60 {
-			d := p.send("fetch")
-			effs := p.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
-			if again, ok := pick[event.Dispatch](effs); ok {
+			d := h.send("fetch")
+			effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
+			if retried, ok := pick[event.Dispatch](effs); ok {
 				n++
-				p.step(event.AttemptEnded{Attempt: again.Attempt, Result: event.ResultDone})
+				h.step(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultDone})
 			}
 		}
 		return n
 	}
 	if n := tries(); n != 20 {
-		t.Errorf("a host that has just started makes %d second tries of 40", n)
+		t.Errorf("a host that has just started makes %d retries of 40", n)
 	}
-	p.now = p.now.Add(2 * retry.Window)
+	h.now = h.now.Add(2 * retry.Window)
 	if n := tries(); n != 40 {
-		t.Errorf("a host that has run for a window makes %d second tries of 40", n)
+		t.Errorf("a host that has run for a window makes %d retries of 40", n)
 	}
 }
 
-// A fresh host refuses what can run in a region that it has not seen yet.
+// Guards against a newly started host refusing a request that can run in a region that it has not
+// discovered yet.
 func TestNewHostQueuesDuringDiscovery(t *testing.T) {
-	p := newTestHost(t, 0, core.Bounds{})
+	h := newTestHost(t, 0, core.Bounds{})
 	id := ident.RequestID("early")
-	effs := p.step(event.RequestArrived{Request: event.Request{
-		ID: id, Account: "callers", Profile: "draft", Deadline: p.now.Add(3 * time.Second),
+	effs := h.step(event.RequestArrived{Request: event.Request{
+		ID: id, Account: "callers", Profile: "draft", Deadline: h.now.Add(3 * time.Second),
 	}})
 	if r, refused := pick[event.Refuse](effs); refused {
-		t.Fatalf("refused with %s in the first moment", r.Code)
+		t.Fatalf("refused with %s immediately", r.Code)
 	}
 	var refused bool
-	began := p.now
+	began := h.now
 	for range 40 {
-		p.now = p.now.Add(50 * time.Millisecond)
-		if _, ok := pick[event.Refuse](p.step(event.Tick{})); ok {
+		h.now = h.now.Add(50 * time.Millisecond)
+		if _, ok := pick[event.Refuse](h.step(event.Tick{})); ok {
 			refused = true
 			break
 		}
 	}
-	if held := p.now.Sub(began); !refused || held > 600*time.Millisecond {
+	if held := h.now.Sub(began); !refused || held > 600*time.Millisecond {
 		t.Errorf("refused: %v, after %s of a goal of 500 ms", refused, held)
 	}
 }
 
-// A prefix that a peer has sent to an engine is prefilled by another one.
+// Guards against a prefix that a peer has sent to one engine being prefilled again by another
+// one.
 func TestPeersAnnounceWhoHoldsAPrefix(t *testing.T) {
 	const blocks, own = 12, 4
-	prompt := func(id string, p *testHost) event.Request {
+	prompt := func(id string, h *testHost) event.Request {
 		r := event.Request{
 			ID: ident.RequestID(id), Account: "callers", Profile: "draft", Prompt: 512 * (blocks + own), Shared: blocks,
-			Deadline: p.now.Add(10 * time.Second),
+			Deadline: h.now.Add(10 * time.Second),
 		}
 		for i := range blocks {
 			r.Prefix = append(r.Prefix, uint64(1000+i))
@@ -284,7 +287,7 @@
 		t.Fatal("the second prompt is not sent")
 	}
 	if event.TargetKey(rank.Hash(string(d.Target.ID))) != holder.Target && d.CopyFrom.Target == "" {
-		t.Errorf("the prefix is read again at %s, though a peer has announced who holds it", d.Target.ID)
+		t.Errorf("the prefix is prefilled again at %s, although a peer has announced its holder", d.Target.ID)
 	}
 	var announced []event.PrefixHolder
 	for range 3 {
--- a/internal/core/same_test.go
+++ b/internal/core/same_test.go
@@ -14,14 +14,14 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// twin steps a second reducer beside the first and compares what they decide.
+// twin steps a second reducer beside the first and compares their effects.
 type twin struct {
 	a, b *core.Reducer
 	fail func(format string, args ...any)
 }
 
-// Step steps both. The second gets the event by way of its recorded form, as a
-// replay does.
+// Step steps both reducers. The second gets the event decoded from its recorded form, as in a
+// replay.
 func (tw *twin) Step(now ident.Time, ev event.Event) []event.Effect {
 	line, err := event.EncodeEvent(now, ev)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return out
 }
 
-// queryActs are acts that bring about what the others rarely do: questions, and
-// requests of several kinds that wait at once.
+// queryActs cause what acts rarely do: queries, and waiting requests of several kinds at the same
+// time.
 var queryActs = []act{
 	{"status", func(rt *rapid.T, w *world) { w.Post(anyHost(rt), 0, event.StatusAsked{Ask: 1}) }},
 	{"entries", func(rt *rapid.T, w *world) {
@@ -70,7 +70,7 @@
 	}},
 }
 
-// A replay of recorded events decides otherwise.
+// Guards against a replay of recorded events that decides differently from the original run.
 func TestSameEventsGiveSameEffects(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorldOf(rt.Fatalf, func(self event.Host) drive.Reducer {
--- a/internal/core/sign_test.go
+++ b/internal/core/sign_test.go
@@ -13,7 +13,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// An engine that streams is suspected after a burst of failures.
+// Guards against an engine being suspected after a burst of failures while it streams.
 func TestFirstTokensShowThatATargetIsAlive(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -7,9 +7,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// checkOnce settles whether a non-idempotent request may run at all, before
-// anything else is decided about it. The host that passed a request on has
-// settled it already.
+// checkOnce decides whether a non-idempotent request may run at all, before any other decision
+// about it. For a forwarded request the sending host has decided that already.
 func (rd *Reducer) checkOnce(now ident.Time, r *request) {
 	switch {
 	case r.forwarded || !r.once || r.profile.Route != nil:
@@ -26,12 +25,12 @@
 func (rd *Reducer) keyClaimed(now ident.Time, e event.KeyClaimed) {
 	r, ok := rd.requests[e.Request]
 	if ok && !r.claimPending {
-		// A second answer to one claim.
+		// This is a duplicate answer to the claim.
 		return
 	}
 	if !ok {
-		// The caller has left. The claim is settled all the same, so that a
-		// repeat with the key is judged by what is on record.
+		// The caller has left. The claim is settled anyway, so that a repeat with the key is
+		// judged by the recorded outcome.
 		rd.once.Claimed(now, e.Request, e.Claim, e.Owner)
 		rd.once.Ended(now, e.Request, event.NotRun, false)
 		return
@@ -59,18 +58,20 @@
 	}
 }
 
-// dropRequest forgets a request whose ticket or key belongs to another one, without ending that one.
+// dropRequest removes a request whose ticket or key belongs to another request, without ending
+// the other one.
 func (rd *Reducer) dropRequest(r *request) { delete(rd.requests, r.ID) }
 
-// ownerRefusal answers a request whose ticket or key belongs to another host. A host
-// that has restarted since can't know whether it ran, and nobody else can.
+// ownerRefusal returns the refusal of a request whose ticket or key belongs to another host. If
+// that host has restarted since, neither it nor any other host knows whether the first request
+// ran.
 func (rd *Reducer) ownerRefusal(v once.Verdict) refusal {
 	h, ok := rd.table.Host(v.Entry)
 	if !ok || h.Incarnation != v.Incarnation {
 		return refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown}
 	}
-	// The outcome is unknown: the owner may have run the first request, and a
-	// caller that read "not run" would do the work again by other means.
+	// The outcome is unknown: the owner may have run the first request, and a caller that
+	// receives NotRun would do the work again by other means.
 	return refusal{code: v.Code, outcome: v.Outcome, entries: []event.Host{h}}
 }
 
@@ -87,7 +88,7 @@
 	rd.emit(ans)
 }
 
-// validateTicket refuses a ticket that this host could not redeem.
+// validateTicket returns the refusal of a ticket that this host could not redeem.
 func (rd *Reducer) validateTicket(now ident.Time, e event.TicketAsked) (refusal, bool) {
 	r := &request{Request: event.Request{
 		ID: ident.RequestID("ticket"), Account: e.Account, Profile: e.Profile,
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -18,37 +18,35 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// TestMain fixes the seed, so that a run has the same verdict every time. A
-// longer run with other seeds is asked for by -rapid.seed and -rapid.checks.
+// TestMain fixes the seed, so that the result of a run is reproducible. Use -rapid.seed and
+// -rapid.checks for longer runs with other seeds.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
 }
 
-// regions are the places of the tests: one data centre each.
+// regions are the regions of the tests, with one data centre each.
 var regions = []ident.Region{"uvs", "erdenet", "khovd"}
 
 const hostsPerCentre = 2
 
-// world is a small system under a driver, with the promises checked after
-// every step.
+// world is a small deployment under a driver that checks the guarantees after every step.
 type world struct {
 	*drive.Driver
 	fatal func(format string, args ...any)
-	// cutLinks are the pairs of regions that are cut, one way, and the hosts that
-	// are cut off from the platform.
+	// cutLinks are the pairs of regions whose link is cut in one direction, cutFromPlatform the
+	// hosts that are cut off from the platform.
 	cutLinks        value.Set[string]
 	cutFromPlatform value.Set[ident.EntryID]
-	// jobs maps a request to the ticket or key that it came with.
+	// jobs maps a request to the ticket or key that it was sent with.
 	jobs    map[ident.RequestID]string
 	sent    map[ident.RequestID]event.Request
 	sentTo  map[ident.RequestID]ident.EntryID
 	tickets []issuedTicket
-	// revisions is the revisions revision that each host may show.
+	// revisions is the highest revision that each incarnation of a host has put in force.
 	revisions map[string]ident.Revision
 	n         int
-	// seenEffects counts the effects by name, to show that a test brings about what it
-	// is meant for.
+	// seenEffects counts the effects by name, to show that a test causes what it is meant for.
 	seenEffects map[string]int
 }
 
@@ -65,7 +63,7 @@
 
 func newWorld(fatal func(format string, args ...any)) *world { return newWorldOf(fatal, nil) }
 
-// newWorldOf is newWorld with reducers of its own.
+// newWorldOf is newWorld with the given reducers.
 func newWorldOf(fatal func(format string, args ...any), reducer func(self event.Host) drive.Reducer) *world {
 	w := &world{
 		Driver: drive.New(), fatal: fatal, cutLinks: value.SetOf[string](), cutFromPlatform: value.SetOf[ident.EntryID](),
@@ -127,7 +125,7 @@
 
 func clientItem(c rules.Client) rules.Item { return itemOf(rules.KindAccount, string(c.Name), c) }
 
-// send brings a request of a profile to a host. A job is a ticket or key.
+// send sends a request of a profile to a host. The job is the ticket or key of the request.
 func (w *world) send(to ident.EntryID, profile ident.Profile, job string, ticket, key string, within time.Duration) ident.RequestID {
 	w.n++
 	req := event.Request{
@@ -145,13 +143,13 @@
 	return req.ID
 }
 
-// requestTicket asks a host for a ticket, which check collects.
+// requestTicket requests a ticket from a host; check collects it.
 func (w *world) requestTicket(host ident.EntryID) {
 	w.n++
 	w.Post(host, 0, event.TicketAsked{Ask: event.Ask(w.n), Account: "foundation", Profile: "publish", Secret: fmt.Sprintf("%032x", w.n)})
 }
 
-// check holds the effects of one step against the promises.
+// check verifies the guarantees for the effects of one step.
 func (w *world) check(h *drive.Host, ev event.Event, effs []event.Effect) {
 	for _, eff := range effs {
 		w.seenEffects[event.TypeName(eff)]++
@@ -203,7 +201,7 @@
 	w.revisions[key] = e.Book.Rev()
 }
 
-// runs counts the runs of a request at all targets.
+// runs returns how often a request ran at all targets together.
 func (w *world) runs(id ident.RequestID) int {
 	n := 0
 	for _, t := range w.Targets {
@@ -212,7 +210,7 @@
 	return n
 }
 
-// settle lets everything end and holds the answers against what ran.
+// settle lets all requests end and verifies their answers against the runs at the targets.
 func (w *world) settle() {
 	w.Run(40 * time.Second)
 	answers := make(map[ident.RequestID]int)
@@ -252,7 +250,7 @@
 	return drive.Answer{}, false
 }
 
-// anyHost draws a host.
+// anyHost draws one of the hosts.
 func anyHost(rt *rapid.T) ident.EntryID {
 	return hostID(rapid.SampledFrom(regions).Draw(rt, "region"), rapid.IntRange(0, hostsPerCentre-1).Draw(rt, "host"))
 }
--- a/internal/mech/ablate.go
+++ b/internal/mech/ablate.go
@@ -11,14 +11,14 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// off names the mechanisms that are left out, by their ids behind commas. The environment
-// goes before what the build says.
+// off lists the ids of the disabled mechanisms, separated by commas. The linker sets it; the
+// environment variable VERBENADALE_OFF takes precedence.
 var off string
 
 var disabled = parse(cmp.Or(os.Getenv("VERBENADALE_OFF"), off))
 
-// parse reads the ids. One that is not declared ends the process: the run would measure
-// nothing, and look as if the mechanism were worth nothing.
+// parse returns the set of the listed ids. It panics on an id that is not declared: the run would
+// measure nothing and make the mechanism look useless.
 func parse(ids string) map[codes.ID]bool {
 	out := make(map[codes.ID]bool)
 	for text := range strings.SplitSeq(ids, ",") {
@@ -34,5 +34,5 @@
 	return out
 }
 
-// On reports whether a mechanism is on.
+// On reports whether a mechanism is enabled.
 func On(c codes.Code) bool { return !disabled[c.ID] }
--- a/internal/mech/ablate_test.go
+++ b/internal/mech/ablate_test.go
@@ -15,16 +15,17 @@
 	for _, c := range codes.Mechanisms {
 		want := c.ID != "VB6001" && c.ID != "VB6003"
 		if got := On(c); got != want {
-			t.Errorf("%s is on: %v, want %v", c.ID, got, want)
+			t.Errorf("%s is enabled: %v, want %v", c.ID, got, want)
 		}
 	}
 }
 
-// A misspelt mechanism counts as switched off and looks worthless.
+// Guards against a misspelt id that disables nothing, so that the run shows the mechanism as
+// useless.
 func TestUndeclaredMechanismPanics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("an id that is not declared is taken")
+			t.Error("an id that is not declared is accepted")
 		}
 	}()
 	parse("VB6999")
--- a/internal/mech/mech.go
+++ b/internal/mech/mech.go
@@ -1,17 +1,17 @@
-// Package mech says which mechanisms of placing, queueing and refusing are on.
+// Package mech reports which mechanisms of placing, queueing and refusing requests are enabled.
 //
 // # Usage
 //
 //	if mech.On(codes.PrefixTransfer) {
 //
-// In production builds all are, and the question costs nothing: it is a constant to the
-// compiler. A mechanism stays only as long as a measurement shows what it is worth, and for
-// that a build with the tag ablate leaves out those that the environment names:
+// In production builds all mechanisms are enabled, and On costs nothing, since it is a constant
+// to the compiler. A mechanism is kept only as long as a measurement shows its benefit. For such
+// measurements a build with the tag ablate disables the mechanisms that the environment lists:
 //
 //	go build -tags ablate -o target/ ./cmd/...
 //	VERBENADALE_OFF=VB6001,VB6003 target/verbenadale edge
 //
-// A deployment that passes no environment on names them at the build:
+// Where a deployment does not pass the environment on, the build lists them:
 //
 //	go build -tags ablate -ldflags "-X verbenadale.example/verbenadale/internal/mech.off=VB6001" ./cmd/...
 //
--- a/internal/mech/on.go
+++ b/internal/mech/on.go
@@ -4,5 +4,5 @@
 
 import "verbenadale.example/verbenadale/pkg/codes"
 
-// On reports whether a mechanism is on, which it always is.
+// On reports whether a mechanism is enabled. In production builds all are.
 func On(codes.Code) bool { return true }
--- a/internal/mech/on_test.go
+++ b/internal/mech/on_test.go
@@ -12,7 +12,7 @@
 	t.Setenv("VERBENADALE_OFF", "VB6001")
 	for _, c := range codes.Mechanisms {
 		if !On(c) {
-			t.Errorf("%s is off in a production build", c.ID)
+			t.Errorf("%s is disabled in a production build", c.ID)
 		}
 	}
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -14,9 +14,9 @@
 
 func TestLevelGoesByLengthAndThenByUrgency(t *testing.T) {
 	var got []int
-	for _, unread := range []ident.Tokens{0, maxShort, maxShort + 1, maxMedium, maxMedium + 1, 1 << 20} {
+	for _, prefill := range []ident.Tokens{0, maxShort, maxShort + 1, maxMedium, maxMedium + 1, 1 << 20} {
 		for _, urgency := range []int{MaxLevel, MaxLevel - 1, 0, -3, MaxLevel + 2} {
-			got = append(got, Level(urgency, unread))
+			got = append(got, Level(urgency, prefill))
 		}
 	}
 	want := []int{
@@ -29,43 +29,43 @@
 	}
 }
 
-// job is a prompt at the played engine.
+// job is a prompt at the simulated engine.
 type job struct {
-	at      time.Duration
-	left    float64
-	level   int
-	long    bool
-	started time.Duration
+	at        time.Duration
+	remaining float64
+	level     int
+	long      bool
+	started   time.Duration
 }
 
-// Figures of the played engine.
+// Parameters of the simulated engine.
 const (
-	// tokensPerMs is what it tokensPerMs in a millisecond, chunk what it tokensPerMs at one go.
+	// tokensPerMs is the engine's prefill rate, chunkTokens what it prefills in one step.
 	tokensPerMs = 70.0
 	chunkTokens = 1024.0
-	// goal is that of both kinds of prompts.
+	// goal is the goal of short and long prompts.
 	goal = time.Second
-	// arrivalSpan is how long callers come.
+	// arrivalSpan is how long prompts arrive.
 	arrivalSpan = 120 * time.Second
 )
 
-// simulate has an engine read prompts by level, those of one level in the order of their coming,
-// and returns which part of the short and of the long ones began within the goal.
-func simulate(load float64, level func(long bool, unread ident.Tokens) int) (short, long float64) {
+// simulate has an engine prefill prompts by level, in order of arrival within a level. It returns
+// the fractions of short and of long prompts whose prefill ended within the goal.
+func simulate(load float64, level func(long bool, prefill ident.Tokens) int) (short, long float64) {
 	rnd := rand.New(rand.NewPCG(7, 11))
 	var jobs []*job
-	const meanShort, meanLong, longPart = 1800, 6600, 0.2
-	each := (1-longPart)*meanShort + longPart*meanLong
+	const meanShort, meanLong, longRatio = 1800, 6600, 0.2
+	meanTokens := (1-longRatio)*meanShort + longRatio*meanLong
 	for at := time.Duration(0); at < arrivalSpan; {
-		at += time.Duration(rnd.ExpFloat64() * each / (tokensPerMs * load) * float64(time.Millisecond))
-		j := &job{at: at, long: rnd.Float64() < longPart}
+		at += time.Duration(rnd.ExpFloat64() * meanTokens / (tokensPerMs * load) * float64(time.Millisecond))
+		j := &job{at: at, long: rnd.Float64() < longRatio}
 		mean := float64(meanShort)
 		if j.long {
 			mean = meanLong
 		}
 		const spread = 1.2
-		j.left = min(mean*math.Exp(spread*rnd.NormFloat64()-spread*spread/2), 50000)
-		j.level = level(j.long, ident.Tokens(j.left))
+		j.remaining = min(mean*math.Exp(spread*rnd.NormFloat64()-spread*spread/2), 50000)
+		j.level = level(j.long, ident.Tokens(j.remaining))
 		jobs = append(jobs, j)
 	}
 	var waiting []*job
@@ -83,18 +83,18 @@
 			return !slices.ContainsFunc(waiting, func(o *job) bool { return o.level > j.level })
 		})
 		j := waiting[best]
-		n := min(chunkTokens, j.left)
-		j.left -= n
+		n := min(chunkTokens, j.remaining)
+		j.remaining -= n
 		now += time.Duration(n / tokensPerMs * float64(time.Millisecond))
-		if j.left <= 0 {
+		if j.remaining <= 0 {
 			j.started = now
 			waiting = slices.Delete(waiting, best, best+1)
 		}
 	}
-	return inTime(jobs, false), inTime(jobs, true)
+	return fractionInTime(jobs, false), fractionInTime(jobs, true)
 }
 
-func inTime(jobs []*job, long bool) float64 {
+func fractionInTime(jobs []*job, long bool) float64 {
 	n, all := 0, 0
 	for _, j := range jobs {
 		if j.long != long {
@@ -108,7 +108,8 @@
 	return float64(n) / float64(all)
 }
 
-// Long prompts with little left to read wait behind all urgent short ones.
+// Guards against ordering by urgency alone, where a long prompt with little left to prefill waits
+// behind all short prompts of a more urgent profile.
 func TestLongPromptsAreNotAllLast(t *testing.T) {
 	byUrgency := func(long bool, _ ident.Tokens) int {
 		if long {
@@ -116,11 +117,11 @@
 		}
 		return MaxLevel
 	}
-	byLength := func(long bool, unread ident.Tokens) int { return Level(byUrgency(long, unread), unread) }
+	byLength := func(long bool, prefill ident.Tokens) int { return Level(byUrgency(long, prefill), prefill) }
 	for _, load := range []float64{0.7, 0.9, 0.97} {
 		s0, l0 := simulate(load, byUrgency)
 		s1, l1 := simulate(load, byLength)
-		t.Logf("load %.2f: begun in time by urgency short %.3f long %.3f, by length %.3f and %.3f", load, s0, l0, s1, l1)
+		t.Logf("load %.2f: fractions in time by urgency: short %.3f, long %.3f; by length: short %.3f, long %.3f", load, s0, l0, s1, l1)
 		if l1 < l0 {
 			t.Errorf("load %.2f: %.3f of long prompts begin in time, by urgency alone %.3f", load, l1, l0)
 		}
--- a/internal/slack/slack.go
+++ b/internal/slack/slack.go
@@ -4,12 +4,12 @@
 // # Usage
 //
 //	b := slack.New()
-//	b.Began(profile, took)             // an answer has begun
-//	age := b.Asked(profile, left)      // a request has come
-//	wait := b.Wait(profile, goal, age) // what it may wait
+//	b.FirstByte(profile, took)            // an answer has begun
+//	age := b.Arrived(profile, left)       // a request has arrived
+//	wait := b.MaxWait(profile, goal, age) // how long it may be queued
 //
-// The time to a first byte at the target comes on top of what a request waits here, so that a
-// request is queued only for what is left of its goal after it.
+// The time to a first byte at the target adds to the time in the queue, so a request is queued
+// only for the part of its goal that remains after it.
 //
 // A Book belongs to one goroutine. It reads no clock.
 package slack
@@ -21,39 +21,40 @@
 )
 
 const (
-	// smoothingWeight is the smoothingWeight of one answer in the smoothed times: with some ten answers a
-	// second of one route at a host, a change of load shows within a second.
+	// smoothingWeight is the weight of one answer in the smoothed times. With some ten answers
+	// per second of a route at one host, a change of load shows within a second.
 	smoothingWeight = 1.0 / 8
-	// usualDeviations is how many times its usual deviation the time to a first byte is
-	// taken to be longer than usual. With one, some five of six answers of a steady load
-	// begin earlier.
+	// usualDeviations is by how many deviations the usual time to a first byte exceeds the mean.
+	// With one deviation some five of six answers under a steady load begin earlier.
 	usualDeviations = 1
-	// lostDeviations is how many deviations an answer may be late before it counts as lost, as
-	// for packets of TCP. It is taken by route, since long prompts begin later than short ones.
+	// lostDeviations is by how many deviations an answer may exceed the mean before it counts as
+	// lost, as in TCP's retransmission timeout. It applies per route, since long prompts are
+	// answered later than short ones.
 	lostDeviations = 4
-	// returnedBelow is the part of the time that callers usually give below which a request has
-	// probably been refused before.
+	// returnedBelow is the fraction of the time that callers usually give below which a request
+	// has probably been refused before.
 	returnedBelow = 0.8
-	// longestDecay is the part by which the longest time is forgotten with each request.
+	// longestDecay is the fraction by which the longest time decays with each request.
 	longestDecay = 1.0 / 2048
-	// maxRoutes bounds the routes that are remembered. Past it all are learned anew.
+	// maxRoutes bounds the routes with statistics. Past the bound all are dropped and learned
+	// again.
 	maxRoutes = 4096
 )
 
-// Book holds what is known of the answers of routes.
+// Book holds the answer times of routes.
 type Book struct {
 	routes map[ident.Profile]*routeStats
 }
 
-// routeStats is what is known of the routeStats of one route.
+// routeStats holds the answer times of one route.
 type routeStats struct {
-	// firstByte is the time from sending to the firstByte byte.
+	// firstByte is the time from sending a request to the first byte of its answer.
 	firstByte smoothedTime
-	// longest is the longest time that callers gave of late.
+	// longest is the longest time that callers gave recently.
 	longest time.Duration
 }
 
-// smoothedTime is a smoothed time and its smoothed deviation. The zero value knows nothing.
+// smoothedTime is a smoothed duration and its smoothed deviation. The zero value has no samples.
 type smoothedTime struct {
 	mean, deviation time.Duration
 }
@@ -68,7 +69,7 @@
 	s.deviation += time.Duration(smoothingWeight * float64(off.Abs()-s.deviation))
 }
 
-// plusDeviations returns the time that is longer than the mean by a number of deviations.
+// plusDeviations returns the mean plus a number of deviations.
 func (s smoothedTime) plusDeviations(deviations time.Duration) time.Duration {
 	return s.mean + deviations*s.deviation
 }
@@ -76,9 +77,8 @@
 // New returns an empty book.
 func New() *Book { return &Book{routes: make(map[ident.Profile]*routeStats)} }
 
-// Arrived takes the time that a caller gives for an answer, and returns for how long it has
-// probably waited before, since it came back after a refusal: zero for one that asks for the
-// first time.
+// Arrived records the time that a caller gives for an answer. It returns how long the caller has
+// probably waited before, if it came back after a refusal, and zero for a first request.
 func (b *Book) Arrived(name ident.Profile, left time.Duration) time.Duration {
 	a := b.statsOf(name)
 	a.longest -= time.Duration(longestDecay * float64(a.longest))
@@ -101,11 +101,11 @@
 	return a
 }
 
-// FirstByte takes the time from sending a request to the first byte of its answer.
+// FirstByte records the time from sending a request to the first byte of its answer.
 func (b *Book) FirstByte(name ident.Profile, took time.Duration) { b.statsOf(name).firstByte.add(took) }
 
 // UsualFirstByte returns the time to a first byte that most answers of a route stay below, zero
-// where none is known.
+// if none is known.
 func (b *Book) UsualFirstByte(name ident.Profile) time.Duration {
 	if a, ok := b.routes[name]; ok {
 		return a.firstByte.plusDeviations(usualDeviations)
@@ -113,8 +113,8 @@
 	return 0
 }
 
-// LateAfter returns the time to a first byte past which an answer of a route is unusually
-// late, zero where none is known.
+// LateAfter returns the time to a first byte past which an answer of a route is unusually late,
+// zero if none is known.
 func (b *Book) LateAfter(name ident.Profile) time.Duration {
 	if a, ok := b.routes[name]; ok {
 		return a.firstByte.plusDeviations(lostDeviations)
@@ -122,8 +122,8 @@
 	return 0
 }
 
-// MaxWait returns how long a request of a route may wait for a place, where age is what it has
-// waited before. It is negative for one that can't be answered within its goal any more.
+// MaxWait returns how long a request of a route may wait for a place, where age is how long it
+// has waited before. It is negative for a request that can no longer be answered within its goal.
 func (b *Book) MaxWait(name ident.Profile, goal, age time.Duration) time.Duration {
 	return goal - age - b.UsualFirstByte(name)
 }
--- a/internal/slack/slack_test.go
+++ b/internal/slack/slack_test.go
@@ -12,7 +12,7 @@
 
 const goal = time.Second
 
-// Requests are queued for longer than slower answers leave of their goal.
+// Guards against requests that are queued for longer than slower answers leave of their goal.
 func TestMaxWaitFollowsAnswerTimes(t *testing.T) {
 	b := New()
 	if got := b.MaxWait("r", goal, 0); got != goal {
@@ -35,7 +35,8 @@
 	}
 }
 
-// A caller that returns late is not distinguished from one with a shorter time.
+// Guards against a caller that comes back after a refusal being counted as one that gives a
+// shorter time from the start.
 func TestReturningCallersAreRecognised(t *testing.T) {
 	b := New()
 	var got []time.Duration
@@ -48,7 +49,8 @@
 	}
 }
 
-// After an operator shortens a route's time all callers count as late for good.
+// Guards against all callers counting as late for good after an operator shortens the time of a
+// route.
 func TestShorterTimesAreLearned(t *testing.T) {
 	b := New()
 	b.Arrived("r", 10*time.Second)
@@ -56,7 +58,7 @@
 		b.Arrived("r", 3*time.Second)
 	}
 	if got := b.Arrived("r", 3*time.Second); got != 0 {
-		t.Errorf("counts as one that waited %s", got)
+		t.Errorf("a request with the new time counts as having waited %s", got)
 	}
 }
 
@@ -66,6 +68,6 @@
 		b.Arrived(ident.Profile(fmt.Sprint(i)), time.Second)
 	}
 	if len(b.routes) > maxRoutes {
-		t.Errorf("%d routes are remembered", len(b.routes))
+		t.Errorf("%d routes are stored", len(b.routes))
 	}
 }
