--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -11,8 +11,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The share of a removed host in a limit is never used again.
-func TestShareOfAGoneHostIsFree(t *testing.T) {
+// Guards against the share of a removed host in a limit staying reserved, so that the remaining
+// hosts refuse requests below the limit.
+func TestShareOfARemovedHostIsReleased(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	const perSecond = 10
 	w.Change(clientItem(rules.Client{Name: "clydeside", KeyDigest: rules.Digest("c"), RequestsPerMinute: perSecond * 60}))
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -12,61 +12,62 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The load of these tests: short prompts before three engines that read one after the
-// other, as many as their callers ask for. A caller that is refused comes back once, when
-// it was asked to.
+// Parameters of the simulated load: short prompts for three engines, each of which prefills one
+// prompt after the other. A caller that is refused comes back once, after the time in RetryAfter.
 const (
-	loadEngines  = 3
-	loadPrompt   = 2400
-	loadRead     = 25 * time.Millisecond
-	loadGoal     = 1200 * time.Millisecond
-	loadDeadline = 3 * time.Second
-	loadSpan     = 20 * time.Second
+	loadEngines     = 3
+	loadPrompt      = 2400
+	loadPrefillTime = 25 * time.Millisecond
+	loadGoal        = 1200 * time.Millisecond
+	loadDeadline    = 3 * time.Second
+	loadDuration    = 20 * time.Second
 )
 
-// due is something that happens at a time of the play.
-type due struct {
+// scheduledCall is a function to call at a virtual time.
+type scheduledCall struct {
 	at ident.Time
 	do func()
 }
 
-type agenda []due
+type callQueue []scheduledCall
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
-	old := *a
+func (q callQueue) Len() int           { return len(q) }
+func (q callQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q callQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)        { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-// overload plays callers and engines around a reducer in virtual time.
+// overload simulates callers and engines around a reducer in virtual time.
 type overload struct {
-	t    *testing.T
-	red  *core.Reducer
-	now  ident.Time
-	todo agenda
-	// busy is until when each engine reads what it was sent.
-	busy map[ident.TargetID]ident.Time
-	// first is when the caller of a request first asked.
-	first map[ident.RequestID]ident.Time
-	again map[ident.RequestID]bool
-	n     int
-	// inTime counts answers that began within the goal, late the others, idleRefusals
-	// refusals while an engine would have begun the answer within the goal.
+	t     *testing.T
+	red   *core.Reducer
+	now   ident.Time
+	queue callQueue
+	// busyUntil is when each engine has prefilled all prompts that it was sent.
+	busyUntil map[ident.TargetID]ident.Time
+	// firstAskedAt is when the caller of a request first sent it, isRepeat whether the request is
+	// its second.
+	firstAskedAt map[ident.RequestID]ident.Time
+	isRepeat     map[ident.RequestID]bool
+	n            int
+	// inTime counts answers that began within the goal, late those that began after it, and
+	// idleRefusals refusals while an engine would have begun the answer within the goal.
 	inTime, late, refused, idleRefusals int
-	// waiting counts the requests that the host holds, lateAgain those late that came back.
-	waiting, lateAgain int
+	// waiting counts the requests that the host has neither sent nor refused, lateRepeats the late
+	// answers to repeated requests.
+	waiting, lateRepeats int
 }
 
 func newOverload(t *testing.T) *overload {
 	t.Helper()
 	o := &overload{
-		t: t, now: ident.Time(time.Minute), busy: make(map[ident.TargetID]ident.Time),
-		first: make(map[ident.RequestID]ident.Time), again: make(map[ident.RequestID]bool),
+		t: t, now: ident.Time(time.Minute), busyUntil: make(map[ident.TargetID]ident.Time),
+		firstAskedAt: make(map[ident.RequestID]ident.Time), isRepeat: make(map[ident.RequestID]bool),
 	}
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
 	o.red = core.New(event.Host{ID: "w1", Incarnation: 1, Place: place})
@@ -91,7 +92,7 @@
 	return o
 }
 
-func (o *overload) at(at ident.Time, do func()) { heap.Push(&o.todo, due{at, do}) }
+func (o *overload) at(at ident.Time, do func()) { heap.Push(&o.queue, scheduledCall{at, do}) }
 
 func (o *overload) step(ev event.Event) {
 	for _, eff := range o.red.Step(o.now, ev) {
@@ -99,25 +100,25 @@
 		case event.Wake:
 			o.at(e.At, func() { o.step(event.Tick{}) })
 		case event.Dispatch:
-			o.read(e)
+			o.prefill(e)
 		case event.Refuse:
 			o.refuse(e)
 		}
 	}
 }
 
-// read has an engine read a prompt after those that it has.
-func (o *overload) read(e event.Dispatch) {
+// prefill has an engine prefill a prompt after those that it was sent before.
+func (o *overload) prefill(e event.Dispatch) {
 	id := e.Target.ID
 	o.waiting--
-	o.busy[id] = max(o.busy[id], o.now).Add(loadRead)
-	o.at(o.busy[id], func() {
-		if o.now.Sub(o.first[e.Request]) <= loadGoal {
+	o.busyUntil[id] = max(o.busyUntil[id], o.now).Add(loadPrefillTime)
+	o.at(o.busyUntil[id], func() {
+		if o.now.Sub(o.firstAskedAt[e.Request]) <= loadGoal {
 			o.inTime++
 		} else {
 			o.late++
-			if o.again[e.Request] {
-				o.lateAgain++
+			if o.isRepeat[e.Request] {
+				o.lateRepeats++
 			}
 		}
 		o.step(event.FirstToken{Attempt: e.Attempt})
@@ -128,59 +129,60 @@
 func (o *overload) refuse(e event.Refuse) {
 	o.refused++
 	o.waiting--
-	ahead := time.Duration(o.waiting) * loadRead
+	ahead := time.Duration(o.waiting) * loadPrefillTime
 	for i := range loadEngines {
-		ahead += max(0, o.busy[ident.TargetID(fmt.Sprint("t", i))].Sub(o.now))
+		ahead += max(0, o.busyUntil[ident.TargetID(fmt.Sprint("t", i))].Sub(o.now))
 	}
-	since := o.first[e.Request]
-	// A quarter of the goal is what a host may be wrong by that goes by what it sees.
-	if begins := o.now.Add(ahead / loadEngines); !o.again[e.Request] && begins.Add(loadRead).Sub(since) < loadGoal*3/4 {
+	since := o.firstAskedAt[e.Request]
+	// A host that decides by its own estimates may be wrong by a quarter of the goal.
+	if begins := o.now.Add(ahead / loadEngines); !o.isRepeat[e.Request] && begins.Add(loadPrefillTime).Sub(since) < loadGoal*3/4 {
 		o.idleRefusals++
 	}
-	if o.again[e.Request] {
+	if o.isRepeat[e.Request] {
 		return
 	}
 	o.at(o.now.Add(e.RetryAfter), func() { o.ask(since, true) })
 }
 
-func (o *overload) ask(first ident.Time, again bool) {
+func (o *overload) ask(first ident.Time, repeat bool) {
 	o.n++
 	o.waiting++
 	id := ident.RequestID(fmt.Sprint("q", o.n))
-	o.first[id], o.again[id] = first, again
+	o.firstAskedAt[id], o.isRepeat[id] = first, repeat
 	o.step(event.RequestArrived{Request: event.Request{
 		ID: id, Account: "callers", Profile: "tag", Prompt: loadPrompt, Stream: true,
 		Prefix: []uint64{uint64(o.n)}, Deadline: first.Add(loadDeadline),
 	}})
 }
 
-// play offers a multiple of what the engines can read.
+// play offers a multiple of the load that the engines can prefill.
 func (o *overload) play(load float64) {
-	gap := time.Duration(float64(loadRead) / loadEngines / load)
+	gap := time.Duration(float64(loadPrefillTime) / loadEngines / load)
 	start := o.now
-	for at := start; at < start.Add(loadSpan); at = at.Add(gap) {
+	for at := start; at < start.Add(loadDuration); at = at.Add(gap) {
 		o.at(at, func() { o.ask(at, false) })
 	}
-	for len(o.todo) > 0 && o.now < start.Add(loadSpan) {
-		next := heap.Pop(&o.todo).(due)
+	for len(o.queue) > 0 && o.now < start.Add(loadDuration) {
+		next := heap.Pop(&o.queue).(scheduledCall)
 		o.now = max(o.now, next.at)
 		next.do()
 	}
 }
 
-// Goodput falls under overload, as all requests are answered just too late.
+// Guards against goodput that collapses under overload because all requests are answered just too
+// late.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	most := 0
 	for _, load := range []float64{0.5, 1, 1.5, 2, 4} {
 		o := newOverload(t)
 		o.play(load)
-		t.Logf("%.1f times the capacity: %d in time, %d late (%d that came back), %d refused, %d of them beside an engine with room", load, o.inTime, o.late, o.lateAgain, o.refused, o.idleRefusals)
+		t.Logf("load of %.1f times the capacity: %d in time, %d late (%d of them repeats), %d refused, %d of them while an engine had room", load, o.inTime, o.late, o.lateRepeats, o.refused, o.idleRefusals)
 		most = max(most, o.inTime)
 		if load == 4 && float64(o.inTime) < 0.9*float64(most) {
-			t.Errorf("%d answered in time at four times the load, %d at the best", o.inTime, most)
+			t.Errorf("%d answered in time at four times the capacity, %d at the best load", o.inTime, most)
 		}
 		if o.idleRefusals > 0 {
-			t.Errorf("%d refused at %.1f times the load beside an engine that would have begun in time", o.idleRefusals, load)
+			t.Errorf("%d refused at %.1f times the capacity while an engine would have begun in time", o.idleRefusals, load)
 		}
 	}
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -13,32 +13,31 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// pools holds the requests that wait for room, one queue for each set of
-// models or service, so that a full model does not hold up another.
+// pools holds the requests that wait for room. Each set of models and each service has its own
+// queue, so that a full model does not block another.
 type pools struct {
 	byKey map[string]*pool
 	order []*pool
 }
 
-// pool is what is known of the requests for one set of models or service.
+// pool is the queue and the statistics of the requests for one set of models or one service.
 type pool struct {
 	key   string
 	queue *admit.Queue
-	// head is the request that is next; it has left the queue and waits for
-	// room.
+	// head is the next request to send. It has left the queue and waits for room.
 	head *request
-	// tokenTime is the smoothed time for one generated token, runTime that of
-	// a whole request, gap that between two places that became free.
-	tokenTime time.Duration
-	runTime   time.Duration
-	gap       time.Duration
-	movedAt   ident.Time
-	overload  overload
+	// tokenTime is the smoothed time for one generated token, runTime that of a whole request,
+	// slotInterval that between two places that became free.
+	tokenTime    time.Duration
+	runTime      time.Duration
+	slotInterval time.Duration
+	lastSentAt   ident.Time
+	overload     overload
 }
 
 func newPools() pools { return pools{byKey: make(map[string]*pool)} }
 
-// poolKey names what a profile can run on.
+// poolKey identifies the service or the models that a profile can run on.
 func poolKey(p rules.Profile) string {
 	if p.Service != "" {
 		return "service " + p.Service
@@ -92,12 +91,12 @@
 	return at
 }
 
-// busy reports whether others wait before a request.
-func (pl *pool) busy(r *request) bool {
+// hasOthersWaiting reports whether other requests wait ahead of r.
+func (pl *pool) hasOthersWaiting(r *request) bool {
 	return pl.head != r && (pl.head != nil || pl.queue.Len() > 0)
 }
 
-// waiting counts the requests that wait.
+// waiting returns the number of waiting requests.
 func (pl *pool) waiting() int {
 	n := pl.queue.Len()
 	if pl.head != nil {
@@ -106,139 +105,137 @@
 	return n
 }
 
-// smooth is the weight of a new value in the smoothed times.
-const smooth = 8
+// smoothingDivisor is the inverse of the weight of a new value in the smoothed times.
+const smoothingDivisor = 8
 
 func smoothed(old, v time.Duration) time.Duration {
 	if old == 0 {
 		return v
 	}
-	return old + (v-old)/smooth
+	return old + (v-old)/smoothingDivisor
 }
 
-// ran records a request that ran to its end.
-func (pl *pool) ran(took time.Duration, generated ident.Tokens) {
+// recordRun records the duration of a request that ran to completion.
+func (pl *pool) recordRun(took time.Duration, generated ident.Tokens) {
 	pl.runTime = smoothed(pl.runTime, took)
 	if generated > 0 {
 		pl.tokenTime = smoothed(pl.tokenTime, took/time.Duration(generated))
 	}
 }
 
-// work predicts how long a request runs once it has a place.
-func (pl *pool) work(r *request) time.Duration {
+// expectedRunTime predicts how long a request runs once it has a place.
+func (pl *pool) expectedRunTime(r *request) time.Duration {
 	if r.MaxTokens > 0 && pl.tokenTime > 0 {
 		return time.Duration(r.MaxTokens) * pl.tokenTime
 	}
 	return pl.runTime
 }
 
-// backlog predicts the time that the requests that wait here take to get a
-// place.
+// backlog predicts how long the requests that wait here take to get a place.
 //
-// It is a part of the cost of every local choice. Without it a request behind
-// fifty others looked as cheap to keep as the first, so that none crossed while
-// other data centres offered room, and the queue was refused its deadlines
-// instead. For the request that is next it stands for what those behind it
-// would gain if it went elsewhere.
+// It is part of the cost of every local choice. Without it a request behind fifty others looked
+// as cheap to keep as the first one, so that none was forwarded while other data centres offered
+// room, and queued requests were refused at their deadlines instead. For the head of the queue
+// the backlog stands for what the requests behind it would gain if it went elsewhere.
 func (pl *pool) backlog() time.Duration {
-	return time.Duration(pl.queue.Len()) * pl.gap
+	return time.Duration(pl.queue.Len()) * pl.slotInterval
 }
 
-// item is a request as it waits.
-func (rd *Reducer) item(pl *pool, r *request) admit.Item {
+// queueItem returns the queue entry of a request.
+func (rd *Reducer) queueItem(pl *pool, r *request) admit.Item {
 	it := admit.Item{
-		ID: r.ID, Account: r.Account, HomeBound: r.profile.Confined(), Priority: r.profile.Priority, PastGoal: rd.late(r),
-		Deadline: rd.startBy(r), Work: pl.work(r),
+		ID: r.ID, Account: r.Account, HomeBound: r.profile.Confined(), Priority: r.profile.Priority, PastGoal: rd.isLate(r),
+		Deadline: rd.queueDeadline(r), Work: pl.expectedRunTime(r),
 	}
 	if r.profile.Route != nil {
-		// What its answer may be at most says little of how long it will be,
-		// and a bound on the start is all that is wanted of the queue. The time at the
-		// target is taken off that bound already.
+		// The maximum length of an answer says little about its actual length, and the queue only
+		// has to bound the start. That bound already allows for the time at the target.
 		it.Work = 0
 	}
 	return it
 }
 
-// enqueue has a request wait, or refuses it at once if it would wait in vain.
+// enqueue queues a request, or refuses it at once if it would wait in vain.
 func (rd *Reducer) enqueue(now ident.Time, pl *pool, r *request, dec route.Decision) {
-	it := rd.item(pl, r)
+	it := rd.queueItem(pl, r)
 	wait := dec.Wait
 	if r.profile.Route != nil {
-		wait = time.Duration(pl.queue.Ahead(it.PastGoal)) * pl.gap
+		wait = time.Duration(pl.queue.Ahead(it.PastGoal)) * pl.slotInterval
 	}
 	ok, shed, later := pl.queue.Push(now, it, wait)
 	rd.shed(now, shed, later)
 	if !ok {
-		rd.end(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: later})
-	} else if pl.head != nil && !it.PastGoal && rd.late(pl.head) {
-		// The one that was next is late already, and would make this one late too.
-		pl.queue.PutBack(rd.item(pl, pl.head))
+		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
+	} else if pl.head != nil && !it.PastGoal && rd.isLate(pl.head) {
+		// The head is late already and would make this request late too.
+		pl.queue.PutBack(rd.queueItem(pl, pl.head))
 		pl.head = nil
 	}
 	rd.table.RequestsQueued(now)
 }
 
-// shed gives requests that can no longer be met their final answer now, not
-// when their time is over: the caller can do something else in the meantime.
+// shed refuses requests that can no longer start in time now, and not at their deadlines, so that
+// their callers can do something else in the meantime.
 func (rd *Reducer) shed(now ident.Time, ids []ident.RequestID, later time.Duration) {
 	for _, id := range ids {
 		if r, ok := rd.requests[id]; ok {
-			rd.end(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: later})
+			rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
 		}
 	}
 }
 
-// poolsDue sheds what has become hopeless and fills the places that are free.
-func (rd *Reducer) poolsDue(now ident.Time) {
+// shedAndSendWaiting refuses waiting requests that can no longer start in time and sends others
+// to the places that are free.
+func (rd *Reducer) shedAndSendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
-		if pl.head != nil && now >= rd.startBy(pl.head) {
-			rd.end(now, pl.head, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, later: pl.gap})
+		if pl.head != nil && now >= rd.queueDeadline(pl.head) {
+			rd.endRefused(now, pl.head, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: pl.slotInterval})
 		}
 		if pl.queue.Len() > 0 {
-			rd.shed(now, pl.queue.Shed(now, pl.gap), pl.queue.RetryAfter(now, pl.gap))
+			rd.shed(now, pl.queue.Shed(now, pl.slotInterval), pl.queue.RetryAfter(now, pl.slotInterval))
 		}
 	}
-	rd.poolsMove(now)
+	rd.sendWaiting(now)
 }
 
-// poolsMove sends the requests that wait as far as there is room.
-func (rd *Reducer) poolsMove(now ident.Time) {
+// sendWaiting sends waiting requests for as long as there is room.
+func (rd *Reducer) sendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
-		for rd.moveOne(now, pl) {
+		for rd.sendNext(now, pl) {
 		}
 	}
 }
 
-// moveOne sends the next request of a pool and reports whether it went.
-func (rd *Reducer) moveOne(now ident.Time, pl *pool) bool {
-	r := rd.headOf(now, pl)
+// sendNext sends the next request of a pool. It reports whether a request left the pool.
+func (rd *Reducer) sendNext(now ident.Time, pl *pool) bool {
+	r := rd.nextWaiting(now, pl)
 	if r == nil {
 		return false
 	}
 	dec := rd.router.Choose(now, rd.query(r), rd.table)
-	r.looked = dec
+	r.lastDecision = dec
 	if dec.Full {
 		return false
 	}
 	pl.head = nil
 	if dec.Target == nil && dec.Centre == "" {
-		rd.noPlace(now, r, dec.Code)
+		rd.handleNoTarget(now, r, dec.Code)
 		return true
 	}
-	if pl.movedAt > 0 {
-		pl.gap = smoothed(pl.gap, now.Sub(pl.movedAt))
+	if pl.lastSentAt > 0 {
+		pl.slotInterval = smoothed(pl.slotInterval, now.Sub(pl.lastSentAt))
 	}
-	pl.movedAt = now
+	pl.lastSentAt = now
 	rd.send(now, r, dec)
 	return true
 }
 
-// headOf returns the request that is next, nil for none.
-func (rd *Reducer) headOf(now ident.Time, pl *pool) *request {
+// nextWaiting returns the next request of a pool, nil if none waits.
+func (rd *Reducer) nextWaiting(now ident.Time, pl *pool) *request {
 	for pl.head == nil {
 		it, ok := pl.queue.Pop(now)
 		if !ok {
-			pl.movedAt = 0
+			pl.lastSentAt = 0
 			return nil
 		}
 		pl.head = rd.requests[it.ID]
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,57 +12,59 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// Defaults of requests.
+// Defaults for requests.
 const (
 	defaultDeadline = 60 * time.Second
-	// defaultTokens is the length of an answer whose request names none.
+	// defaultTokens is the assumed length of an answer if the request gives none.
 	defaultTokens = 256
-	// retryLater is when to come back where nothing better is known.
-	retryLater = time.Second
+	// defaultRetryAfter is the Retry-After time where no better value is known.
+	defaultRetryAfter = time.Second
 )
 
-// request is one request that has not had its final answer.
+// request is a request that has not received its final answer.
 type request struct {
 	event.Request
 	profile rules.Profile
 	client  rules.Client
-	// once says that it may not be repeated: by its profile, or because it
-	// came with a ticket or key.
+	// once is set if the request must not be repeated, by its profile or because it came with a
+	// ticket or key.
 	once bool
-	// env is set for a request from another entry host.
+	// env is set for a request forwarded by another entry host.
 	env       event.Envelope
 	forwarded bool
 
-	// age is how long it waited before it arrived here, by its deadline.
-	age      time.Duration
-	arrived  ident.Time
-	deadline ident.Time
-	// claiming says that the platform is asked for the key.
-	claiming bool
-	// reserved is what was taken from the account's limit.
-	reserved ident.Tokens
+	// waitedBefore is how long the caller waited before the request arrived here, derived from
+	// its deadline.
+	waitedBefore time.Duration
+	arrived      ident.Time
+	deadline     ident.Time
+	// claimPending is set while the platform is asked for the key.
+	claimPending bool
+	// reservedTokens is what was taken from the limit of the account.
+	reservedTokens ident.Tokens
 
 	tried        value.Set[ident.TargetID]
 	triedCentres value.Set[ident.DataCentre]
 	tries        int
-	// only is the target that the rest of a stream is bound to, empty for any.
-	only ident.TargetID
-	// unsent counts the tries of which nothing was sent to a target.
+	// boundTarget is the only target that may receive the rest of a stream, empty for any.
+	boundTarget ident.TargetID
+	// unsent counts the tries that sent nothing to a target.
 	unsent int
-	// waits counts how often a broken stream found no place to go on.
-	waits int
-	live  *attempt
-	// looked is the last decision and denied the last denial, which a refusal is logged with.
-	looked route.Decision
-	denied event.Denial
-	// broke is which side ended the last attempt that may have run.
-	broke event.Ending
-	// barring is set while a peer is asked what became of an attempt.
-	barring   *attempt
-	delivered ident.Tokens
-	generated ident.Tokens
-	kept      bool
-	// mayHaveRun says that an attempt ended without proof that nothing ran.
+	// resumeWaits counts how often a broken stream has waited for a target or for the retry
+	// budget.
+	resumeWaits int
+	live        *attempt
+	// lastDecision and lastDenial are logged with a refusal.
+	lastDecision route.Decision
+	lastDenial   event.Denial
+	// lastEnding is which side ended the last attempt that may have run.
+	lastEnding event.Ending
+	// pendingBar is the attempt whose outcome a peer is being asked for.
+	pendingBar   *attempt
+	delivered    ident.Tokens
+	generated    ident.Tokens
+	answerStored bool
+	// mayHaveRun is set if an attempt ended without proof that nothing ran.
 	mayHaveRun bool
 }
 
@@ -72,26 +74,26 @@
 	req    *request
 	start  ident.Time
 	tokens ident.Tokens
-	// target is set for an attempt at a target, host for one at another entry
-	// host.
+	// target is set for an attempt at a target, host for one forwarded to another entry host.
 	target ident.TargetID
-	// incarnation is the one of the target that it was sent to: the target may have
-	// started anew since.
+	// incarnation is that of the target when the attempt was sent. The target may have restarted
+	// since.
 	incarnation ident.Incarnation
 	host        event.Host
 	dec         route.Decision
 	sent        bool
-	// follows says that the attempt was to be broken off for the silence since silentSince, and
-	// that the retry which follows has been taken from the budget.
-	follows     bool
+	// retryTaken is set once this host has decided to break the attempt off for the silence since
+	// silentSince, and has taken the retry that follows from the budget.
+	retryTaken  bool
 	silentSince ident.Time
-	// unread is the part of the prompt that the target has to read and whose first
-	// token has not come, before what it had to read first when this was sent.
-	unread ident.Tokens
-	before ident.Tokens
+	// prefillTokens is the part of the prompt that the target has to prefill, zero after the
+	// first token. prefillAhead is what the target had to prefill first when the attempt was
+	// sent.
+	prefillTokens ident.Tokens
+	prefillAhead  ident.Tokens
 }
 
-// arrive takes a new request.
+// arrive handles a new request.
 func (rd *Reducer) arrive(now ident.Time, req event.Request) {
 	if _, ok := rd.requests[req.ID]; ok {
 		return
@@ -112,12 +114,12 @@
 		return
 	}
 	rd.requests[req.ID] = r
-	rd.arrived(now, r)
-	rd.onceFirst(now, r)
+	rd.countArrival(now, r)
+	rd.checkOnce(now, r)
 }
 
-// resolveRequest fills in what the request asks for, or returns why it is refused. Nothing of the
-// request has been sent by then.
+// resolveRequest fills in what a request refers to, or returns why it is refused. Nothing of the
+// request has been sent at that point.
 func (rd *Reducer) resolveRequest(now ident.Time, r *request) (refusal, bool) {
 	book := rd.spread.Book()
 	if book == nil {
@@ -136,24 +138,24 @@
 	if !c.May(p.Name) {
 		return refuseAs(codes.ProfileForbidden), false
 	}
-	// The sender has checked the same rule, but may have an older profile. A request
-	// of a route may pass through here on its way to an allowed region, since its
-	// caller got this host from the directory.
+	// The sending host checked the same rule, but may have an older profile. A request of a route
+	// may pass through this host on its way to an allowed region, since the directory referred
+	// its caller here.
 	if !p.Allows(c, rd.self.Place.Region) && (p.Route == nil || r.forwarded) {
-		return rd.elsewhere(now, r, codes.OutsideResidency), false
+		return rd.refuseWithEntries(now, r, codes.OutsideResidency), false
 	}
-	if r.forwarded && rd.circles(r) {
+	if r.forwarded && rd.isLoop(r) {
 		return refuseAs(codes.TooManyHops), false
 	}
-	if rd.draining && r.Ticket == "" && !rd.stillServes(now, r) {
+	if rd.draining && r.Ticket == "" && !rd.acceptsWhileDraining(now, r) {
 		return rd.refuseDraining(now, r), false
 	}
 	r.once = p.Once || r.Ticket != "" || r.Key != "" || p.Route != nil && !p.Route.Repeatable()
 	rd.pickService(r)
-	return rd.judgeTime(now, r)
+	return rd.resolveDeadline(now, r)
 }
 
-func (rd *Reducer) judgeTime(now ident.Time, r *request) (refusal, bool) {
+func (rd *Reducer) resolveDeadline(now ident.Time, r *request) (refusal, bool) {
 	r.deadline = r.Deadline
 	if r.deadline == 0 {
 		r.deadline = now.Add(profileDeadline(r.profile))
@@ -171,11 +173,11 @@
 	return defaultDeadline
 }
 
-// circles guards against a request that goes round: two regions that each
-// believe the other idle would pass it to and fro until its deadline, and
-// load would rise with nobody new calling. The count and the hosts seen travel
-// with the request, so that no host needs to remember it.
-func (rd *Reducer) circles(r *request) bool {
+// isLoop reports whether a forwarded request circulates: two regions that each believe the other
+// to be idle would forward it back and forth until its deadline, and load would rise without any
+// new caller. The number of crossings and the hosts seen travel with the request, so that no host
+// needs to remember it.
+func (rd *Reducer) isLoop(r *request) bool {
 	if r.env.Crossings > r.profile.MaxCrossings {
 		return true
 	}
@@ -187,36 +189,37 @@
 	return false
 }
 
-// admitted takes a request that may run as far as once-only goes.
-func (rd *Reducer) admitted(now ident.Time, r *request) {
+// reserveAndPlace reserves the tokens of a request from the limit of its account and places it.
+// The once-only check has passed at that point.
+func (rd *Reducer) reserveAndPlace(now ident.Time, r *request) {
 	if !r.forwarded {
-		r.reserved = r.Prompt + wanted(r)
-		ok, later := rd.quota.Take(now, r.client, r.reserved)
+		r.reservedTokens = r.Prompt + answerTokens(r)
+		ok, later := rd.quota.Take(now, r.client, r.reservedTokens)
 		if !ok {
-			r.reserved = 0
-			rd.end(now, r, refusal{code: codes.AccountLimit.ID, outcome: event.NotRun, later: later})
+			r.reservedTokens = 0
+			rd.endRefused(now, r, refusal{code: codes.AccountLimit.ID, outcome: event.NotRun, retryAfter: later})
 			return
 		}
 	}
 	rd.place(now, r)
 }
 
-func wanted(r *request) ident.Tokens {
+func answerTokens(r *request) ident.Tokens {
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
 	}
 	return defaultTokens
 }
 
-// callerLeft drops a request whose goroutine has ended. Nothing of it runs:
-// the goroutine ends only between attempts.
+// callerLeft drops a request whose goroutine has ended. Nothing of it runs any more, since the
+// goroutine ends only between attempts.
 func (rd *Reducer) callerLeft(now ident.Time, id ident.RequestID) {
 	r, ok := rd.requests[id]
 	if !ok {
 		return
 	}
-	if r.barring != nil {
-		// The answer of the peer still decides the outcome for a repeat.
+	if r.pendingBar != nil {
+		// The peer's answer still decides the outcome that a repeat receives.
 		return
 	}
 	outcome := event.NotRun
@@ -224,34 +227,35 @@
 		outcome = event.Unknown
 	}
 	if r.live != nil {
-		rd.forget(r.live, tellsNothing)
+		rd.dropAttempt(r.live, healthUnknown)
 	}
 	rd.close(now, r, outcome)
 }
 
-// close settles the accounts of a request that is over.
+// close removes a request that is over, settles its reserved tokens and records its
+// outcome.
 func (rd *Reducer) close(now ident.Time, r *request, outcome event.Outcome) {
 	if rd.requests[r.ID] != r {
 		return
 	}
 	delete(rd.requests, r.ID)
 	rd.pools.remove(r)
-	if r.reserved > 0 {
+	if r.reservedTokens > 0 {
 		used := r.Prompt + r.generated
 		if outcome == event.NotRun {
 			used = 0
 		}
-		rd.quota.Settle(now, r.Account, r.reserved, used)
+		rd.quota.Settle(now, r.Account, r.reservedTokens, used)
 	}
 	if r.once && !r.forwarded {
-		rd.once.Ended(now, r.ID, outcome, r.kept)
+		rd.once.Ended(now, r.ID, outcome, r.answerStored)
 	}
 	if r.forwarded {
 		rd.once.AttemptEnded(now, r.env.Attempt, answerOf(outcome))
 	}
 }
 
-// answerOf maps an outcome to the answer for a peer that asks "run or bar".
+// answerOf maps an outcome to the answer to a peer's AskBar.
 func answerOf(outcome event.Outcome) event.Answer {
 	if outcome == event.NotRun {
 		return event.Refused
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -18,41 +18,39 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// TestMain fixes the seed, so that a run has the same verdict every time. A
-// longer run with other seeds is asked for by -rapid.seed and -rapid.checks.
+// TestMain fixes the seed, so that the result of a run is reproducible. Use -rapid.seed and
+// -rapid.checks for longer runs with other seeds.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
 }
 
-// regions are the places of the tests: one data centre each.
+// regions are the regions of the tests, with one data centre each.
 var regions = []ident.Region{"uvs", "erdenet", "khovd"}
 
 const hostsPerCentre = 2
 
-// world is a small system under a driver, with the promises checked after
-// every step.
+// world is a small deployment under a driver that checks the guarantees after every step.
 type world struct {
 	*drive.Driver
 	fatal func(format string, args ...any)
-	// down are the pairs of regions that are cut, one way, and the hosts that
-	// are cut off from the platform.
-	down     value.Set[string]
-	platform value.Set[ident.EntryID]
-	// jobs maps a request to the ticket or key that it came with.
+	// cutLinks are the pairs of regions whose link is cut in one direction, cutFromPlatform the
+	// hosts that are cut off from the platform.
+	cutLinks        value.Set[string]
+	cutFromPlatform value.Set[ident.EntryID]
+	// jobs maps a request to the ticket or key that it was sent with.
 	jobs    map[ident.RequestID]string
 	sent    map[ident.RequestID]event.Request
-	to      map[ident.RequestID]ident.EntryID
-	tickets []ticketOf
-	// lowest is the lowest revision that each host may show.
-	lowest map[string]ident.Revision
-	n      int
-	// saw counts the effects by name, to show that a test brings about what it
-	// is meant for.
-	saw map[string]int
+	sentTo  map[ident.RequestID]ident.EntryID
+	tickets []issuedTicket
+	// revisions is the highest revision that each incarnation of a host has put in force.
+	revisions map[string]ident.Revision
+	n         int
+	// seenEffects counts the effects by name, to show that a test causes what it is meant for.
+	seenEffects map[string]int
 }
 
-type ticketOf struct {
+type issuedTicket struct {
 	host   ident.EntryID
 	ticket string
 }
@@ -65,25 +63,25 @@
 
 func newWorld(fatal func(format string, args ...any)) *world { return newWorldOf(fatal, nil) }
 
-// newWorldOf is newWorld with reducers of its own.
+// newWorldOf is newWorld with the given reducers.
 func newWorldOf(fatal func(format string, args ...any), reducer func(self event.Host) drive.Reducer) *world {
 	w := &world{
-		Driver: drive.New(), fatal: fatal, down: value.SetOf[string](), platform: value.SetOf[ident.EntryID](),
+		Driver: drive.New(), fatal: fatal, cutLinks: value.SetOf[string](), cutFromPlatform: value.SetOf[ident.EntryID](),
 		jobs: make(map[ident.RequestID]string), sent: make(map[ident.RequestID]event.Request),
-		to: make(map[ident.RequestID]ident.EntryID), lowest: make(map[string]ident.Revision),
-		saw: make(map[string]int),
+		sentTo: make(map[ident.RequestID]ident.EntryID), revisions: make(map[string]ident.Revision),
+		seenEffects: make(map[string]int),
 	}
 	if reducer != nil {
 		w.NewReducer = reducer
 	}
 	w.Delay = func(from, to event.Host) (time.Duration, bool) {
-		cut := w.down.Has(string(from.Place.Region) + ">" + string(to.Place.Region))
+		cut := w.cutLinks.Has(string(from.Place.Region) + ">" + string(to.Place.Region))
 		if from.Place.Region == to.Place.Region {
 			return time.Millisecond, cut
 		}
 		return 80 * time.Millisecond, cut
 	}
-	w.PlatformDown = func(h event.Host) bool { return w.platform.Has(h.ID) }
+	w.PlatformDown = func(h event.Host) bool { return w.cutFromPlatform.Has(h.ID) }
 	w.OnStep = w.check
 	for _, r := range regions {
 		for n := range hostsPerCentre {
@@ -127,7 +125,7 @@
 
 func clientItem(c rules.Client) rules.Item { return itemOf(rules.KindAccount, string(c.Name), c) }
 
-// send brings a request of a profile to a host. A job is a ticket or key.
+// send sends a request of a profile to a host. The job is the ticket or key of the request.
 func (w *world) send(to ident.EntryID, profile ident.Profile, job string, ticket, key string, within time.Duration) ident.RequestID {
 	w.n++
 	req := event.Request{
@@ -138,36 +136,36 @@
 		req.Account = []ident.Account{"foundation", "clydeside", "third"}[w.n%3]
 	}
 	w.sent[req.ID] = req
-	w.to[req.ID] = to
+	w.sentTo[req.ID] = to
 	w.jobs[req.ID] = job
 	w.Know(req)
 	w.Send(to, req)
 	return req.ID
 }
 
-// ask asks a host for a ticket, which check collects.
-func (w *world) ask(host ident.EntryID) {
+// requestTicket requests a ticket from a host; check collects it.
+func (w *world) requestTicket(host ident.EntryID) {
 	w.n++
 	w.Post(host, 0, event.TicketAsked{Ask: event.Ask(w.n), Account: "foundation", Profile: "publish", Secret: fmt.Sprintf("%032x", w.n)})
 }
 
-// check holds the effects of one step against the promises.
+// check verifies the guarantees for the effects of one step.
 func (w *world) check(h *drive.Host, ev event.Event, effs []event.Effect) {
 	for _, eff := range effs {
-		w.saw[event.TypeName(eff)]++
+		w.seenEffects[event.TypeName(eff)]++
 		switch e := eff.(type) {
 		case event.AnswerBar:
-			w.saw["bar "+string(e.Answer)]++
+			w.seenEffects["bar "+string(e.Answer)]++
 		case event.Dispatch:
-			w.allowed(e.Request, e.Target.Place.Region)
+			w.checkResidency(e.Request, e.Target.Place.Region)
 		case event.Forward:
-			w.allowed(e.Request, e.To.Place.Region)
-			w.crossed(e)
+			w.checkResidency(e.Request, e.To.Place.Region)
+			w.checkCrossings(e)
 		case event.InForceNow:
-			w.inForce(h, e)
+			w.checkRevision(h, e)
 		case event.TicketIssued:
 			if e.Code == "" {
-				w.tickets = append(w.tickets, ticketOf{h.ID, e.Ticket})
+				w.tickets = append(w.tickets, issuedTicket{h.ID, e.Ticket})
 			}
 		}
 	}
@@ -183,27 +181,27 @@
 	return w.sent[id]
 }
 
-func (w *world) allowed(id ident.RequestID, r ident.Region) {
+func (w *world) checkResidency(id ident.RequestID, r ident.Region) {
 	if w.requestOf(id).Profile == "bound" && r != "uvs" {
 		w.fatal("request %s is bound to uvs and goes to %s", id, r)
 	}
 }
 
-func (w *world) crossed(e event.Forward) {
+func (w *world) checkCrossings(e event.Forward) {
 	if e.Envelope.Crossings > 1 {
 		w.fatal("request %s crosses between regions %d times", e.Request, e.Envelope.Crossings)
 	}
 }
 
-func (w *world) inForce(h *drive.Host, e event.InForceNow) {
+func (w *world) checkRevision(h *drive.Host, e event.InForceNow) {
 	key := fmt.Sprint(h.ID, "/", h.Incarnation)
-	if e.Book.Rev() <= w.lowest[key] {
-		w.fatal("host %s goes from revision %d to %d", key, w.lowest[key], e.Book.Rev())
+	if e.Book.Rev() <= w.revisions[key] {
+		w.fatal("host %s goes from revision %d to %d", key, w.revisions[key], e.Book.Rev())
 	}
-	w.lowest[key] = e.Book.Rev()
+	w.revisions[key] = e.Book.Rev()
 }
 
-// runs counts the runs of a request at all targets.
+// runs returns how often a request ran at all targets together.
 func (w *world) runs(id ident.RequestID) int {
 	n := 0
 	for _, t := range w.Targets {
@@ -212,7 +210,7 @@
 	return n
 }
 
-// settle lets everything end and holds the answers against what ran.
+// settle lets all requests end and verifies their answers against the runs at the targets.
 func (w *world) settle() {
 	w.Run(40 * time.Second)
 	answers := make(map[ident.RequestID]int)
@@ -252,7 +250,7 @@
 	return drive.Answer{}, false
 }
 
-// anyHost draws a host.
+// anyHost draws one of the hosts.
 func anyHost(rt *rapid.T) ident.EntryID {
 	return hostID(rapid.SampledFrom(regions).Draw(rt, "region"), rapid.IntRange(0, hostsPerCentre-1).Draw(rt, "host"))
 }
