--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		t.Removed = false
-		tb.note(t, "target is listed again")
+		tb.note(t, "target is there again")
 	}
 }
 
