--- a/internal/conns/conn.go
+++ b/internal/conns/conn.go
@@ -13,36 +13,36 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// use is what a connection is in.
-type use int
+// connState is what a connection is in.
+type connState int
 
 // The uses of a connection.
 const (
-	// serves says that a byte of a request has been read whose answer is not whole yet.
-	serves use = iota
-	// waits says that no byte of another request has been read.
-	waits
-	// expired says that the read which waits for the next request is to bring nothing more.
-	expired
+	// stateServing says that a byte of a request has been read whose answer is not whole yet.
+	stateServing connState = iota
+	// stateIdle says that no byte of another request has been read.
+	stateIdle
+	// stateExpired says that the read which waits for the next request is to bring nothing more.
+	stateExpired
 )
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that has passed.
+var expiredDeadline = time.Unix(1, 0)
 
 // conn is a connection that is closed as idle only if no byte of a request has been read.
 type conn struct {
 	net.Conn
-	k *Keeper
+	tracker *Tracker
 
-	mu    sync.Mutex
-	use   use
-	since ident.Time
-	// early says that the last read took a single byte, as net/http does beside a request that
+	mu        sync.Mutex
+	state     connState
+	idleSince ident.Time
+	// nextRequestBegun says that the last read took a single byte, as net/http does beside a request that
 	// it serves: the byte is the first of the next request.
-	early bool
-	// deadline is the one that the server has set for reads.
-	deadline time.Time
-	end      event.Ending
+	nextRequestBegun bool
+	// readDeadline is the one that the server has set for reads.
+	readDeadline time.Time
+	endedBy      event.Ending
 }
 
 // Read reads. What it brings is always part of a request that is served, also if the connection
@@ -52,34 +52,34 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > 0 {
-		c.early = len(b) == 1
-		if c.use == expired {
-			_ = c.Conn.SetReadDeadline(c.deadline)
+		c.nextRequestBegun = len(b) == 1
+		if c.state == stateExpired {
+			_ = c.Conn.SetReadDeadline(c.readDeadline)
 		}
-		c.use = serves
+		c.state = stateServing
 		return n, err
 	}
-	if err != nil && c.use != expired {
-		c.note(err)
+	if err != nil && c.state != stateExpired {
+		c.recordEnd(err)
 	}
 	return n, err
 }
 
-// note records which side ended the connection. The first that is known stays.
-func (c *conn) note(err error) {
+// recordEnd records which side ended the connection. The first that is known stays.
+func (c *conn) recordEnd(err error) {
 	var ne net.Error
 	switch {
-	case c.end != (event.Ending{}):
+	case c.endedBy != (event.Ending{}):
 	case errors.Is(err, io.EOF):
-		c.end = event.Ending{Side: event.SideCaller, Reason: event.ReasonClosed}
+		c.endedBy = event.Ending{Side: event.SideCaller, Reason: event.ReasonClosed}
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		c.end = event.Ending{Side: event.SideCaller, Reason: event.ReasonReset}
+		c.endedBy = event.Ending{Side: event.SideCaller, Reason: event.ReasonReset}
 	case errors.Is(err, net.ErrClosed):
-		c.end = event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}
+		c.endedBy = event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}
 	case errors.As(err, &ne) && ne.Timeout():
 		// A read is expired by the server when it takes back the one beside a request.
 	default:
-		c.end = event.Ending{Side: event.SideCaller, Reason: event.ReasonFailed}
+		c.endedBy = event.Ending{Side: event.SideCaller, Reason: event.ReasonFailed}
 	}
 }
 
@@ -92,10 +92,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var ne net.Error
-	if c.end == (event.Ending{}) && errors.As(err, &ne) && ne.Timeout() {
-		c.end = event.Ending{Side: event.SideHost, Reason: event.ReasonWriteTimeout}
+	if c.endedBy == (event.Ending{}) && errors.As(err, &ne) && ne.Timeout() {
+		c.endedBy = event.Ending{Side: event.SideHost, Reason: event.ReasonWriteTimeout}
 	}
-	c.note(err)
+	c.recordEnd(err)
 	return n, err
 }
 
@@ -103,8 +103,8 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
-	if c.use == expired {
+	c.readDeadline = t
+	if c.state == stateExpired {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -129,41 +129,41 @@
 
 // Close closes the connection.
 func (c *conn) Close() error {
-	c.k.forget(c)
+	c.tracker.remove(c)
 	c.mu.Lock()
-	if c.end == (event.Ending{}) {
-		c.end = event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}
+	if c.endedBy == (event.Ending{}) {
+		c.endedBy = event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}
 	}
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// waitForNext records that an answer is whole. Where the first byte of the next request has been
+// markIdle records that an answer is whole. Where the first byte of the next request has been
 // read already, the connection serves on.
-func (c *conn) waitForNext(now ident.Time) {
+func (c *conn) markIdle(now ident.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.early {
+	if c.nextRequestBegun {
 		return
 	}
-	c.use, c.since = waits, now
+	c.state, c.idleSince = stateIdle, now
 }
 
-// serve records that a request has been read whole, which the buffer of the server may have held.
-func (c *conn) serve() {
+// markServing records that a request has been read whole, which the buffer of the server may have held.
+func (c *conn) markServing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.use == expired {
-		_ = c.Conn.SetReadDeadline(c.deadline)
+	if c.state == stateExpired {
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
-	c.use = serves
+	c.state = stateServing
 }
 
-// cut closes the connection for a reason of the host's.
-func (c *conn) cut(why event.Reason) {
+// closeWith closes the connection for a reason of the host's.
+func (c *conn) closeWith(why event.Reason) {
 	c.mu.Lock()
-	if c.end == (event.Ending{}) {
-		c.end = event.Ending{Side: event.SideHost, Reason: why}
+	if c.endedBy == (event.Ending{}) {
+		c.endedBy = event.Ending{Side: event.SideHost, Reason: why}
 	}
 	c.mu.Unlock()
 	_ = c.Close()
@@ -173,10 +173,10 @@
 func (c *conn) idleFor(now ident.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.use == serves {
+	if c.state == stateServing {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.idleSince)
 }
 
 // expire ends the read that waits for the next request, if there is one, and reports whether the
@@ -184,16 +184,16 @@
 func (c *conn) expire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.use != waits {
+	if c.state != stateIdle {
 		return false
 	}
-	c.use = expired
-	_ = c.Conn.SetReadDeadline(past)
+	c.state = stateExpired
+	_ = c.Conn.SetReadDeadline(expiredDeadline)
 	return true
 }
 
 func (c *conn) ending() event.Ending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.end
+	return c.endedBy
 }
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -37,73 +37,73 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sweepEvery is the time between two looks for idle connections, and so how late one is closed.
-const sweepEvery = time.Second
+// sweepInterval is the time between two looks for idle connections, and so how late one is closed.
+const sweepInterval = time.Second
 
 // Config is what a Keeper needs.
 type Config struct {
 	Clock *clock.Service
-	// Limit returns how long a connection may wait for a request; zero or less is no limit. It
+	// IdleTimeout returns how long a connection may wait for a request; zero or less is no limit. It
 	// is asked for each time, since operators change it while connections stand.
-	Limit func() time.Duration
+	IdleTimeout func() time.Duration
 	// Metrics takes the counters; nil is a registry of the keeper's own.
 	Metrics metrics.Registry
 }
 
-// Keeper knows the open connections of the servers of one host.
-type Keeper struct {
-	t    tomb.Tomb
-	cfg  Config
-	idle metrics.Counter
+// Tracker knows the open connections of the servers of one host.
+type Tracker struct {
+	t          tomb.Tomb
+	cfg        Config
+	idleClosed metrics.Counter
 
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	retired bool
+	mu       sync.Mutex
+	conns    map[*conn]struct{}
+	draining bool
 }
 
 // New returns a running keeper.
-func New(cfg Config) *Keeper {
-	k := newKeeper(cfg)
+func New(cfg Config) *Tracker {
+	k := newTracker(cfg)
 	k.t.Go(k.run)
 	return k
 }
 
-func newKeeper(cfg Config) *Keeper {
+func newTracker(cfg Config) *Tracker {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
-	return &Keeper{
+	return &Tracker{
 		cfg: cfg, conns: make(map[*conn]struct{}),
-		idle: metrics.GetOrRegisterCounter("callers.idleClosed", cfg.Metrics),
+		idleClosed: metrics.GetOrRegisterCounter("callers.idleClosed", cfg.Metrics),
 	}
 }
 
 // Stop ends the keeper and leaves the connections open.
-func (k *Keeper) Stop() {
+func (k *Tracker) Stop() {
 	k.t.Kill(nil)
 	_ = k.t.Wait()
 }
 
-// Open returns the number of open connections.
-func (k *Keeper) Open() int {
+// Len returns the number of open connections.
+func (k *Tracker) Len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.conns)
 }
 
-// Retire ends the connections that wait for a request, and from now on each as soon as it does.
-func (k *Keeper) Retire() {
+// Drain ends the connections that wait for a request, and from now on each as soon as it does.
+func (k *Tracker) Drain() {
 	k.mu.Lock()
-	k.retired = true
+	k.draining = true
 	k.mu.Unlock()
-	for _, c := range k.all() {
+	for _, c := range k.snapshot() {
 		c.expire()
 	}
 }
 
-// plain returns the keeper's connection below one with TLS, nil for none and for one of HTTP/2,
+// unwrap returns the keeper's connection below one with TLS, nil for none and for one of HTTP/2,
 // which serves several requests at a time and is ended by the server.
-func plain(nc net.Conn) *conn {
+func unwrap(nc net.Conn) *conn {
 	if t, ok := nc.(*tls.Conn); ok {
 		if t.ConnectionState().NegotiatedProtocol == "h2" {
 			return nil
@@ -114,22 +114,22 @@
 	return c
 }
 
-// Cut closes the connections that are still open and returns their number.
-func (k *Keeper) Cut(why event.Reason) int {
-	cs := k.all()
+// CloseAll closes the connections that are still open and returns their number.
+func (k *Tracker) CloseAll(why event.Reason) int {
+	cs := k.snapshot()
 	for _, c := range cs {
-		c.cut(why)
+		c.closeWith(why)
 	}
 	return len(cs)
 }
 
-func (k *Keeper) isRetired() bool {
+func (k *Tracker) isDraining() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.retired
+	return k.draining
 }
 
-func (k *Keeper) all() []*conn {
+func (k *Tracker) snapshot() []*conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	cs := make([]*conn, 0, len(k.conns))
@@ -139,25 +139,25 @@
 	return cs
 }
 
-// State records a connection's state. It fits http.Server.ConnState.
-func (k *Keeper) State(nc net.Conn, st http.ConnState) {
-	c := plain(nc)
+// ConnState records a connection's state. It fits http.Server.ConnState.
+func (k *Tracker) ConnState(nc net.Conn, st http.ConnState) {
+	c := unwrap(nc)
 	if c == nil {
 		return
 	}
 	switch st {
 	case http.StateActive:
-		c.serve()
+		c.markServing()
 	case http.StateIdle:
-		c.waitForNext(k.cfg.Clock.Now())
-		if k.isRetired() {
+		c.markIdle(k.cfg.Clock.Now())
+		if k.isDraining() {
 			c.expire()
 		}
 	}
 }
 
-func (k *Keeper) run() error {
-	tick := k.cfg.Clock.Every(sweepEvery)
+func (k *Tracker) run() error {
+	tick := k.cfg.Clock.Every(sweepInterval)
 	defer tick.Close()
 	for {
 		select {
@@ -169,14 +169,14 @@
 	}
 }
 
-func (k *Keeper) sweep(now ident.Time) {
-	limit := k.cfg.Limit()
+func (k *Tracker) sweep(now ident.Time) {
+	limit := k.cfg.IdleTimeout()
 	if limit <= 0 {
 		return
 	}
-	for _, c := range k.all() {
+	for _, c := range k.snapshot() {
 		if c.idleFor(now) >= limit && c.expire() {
-			k.idle.Inc(1)
+			k.idleClosed.Inc(1)
 		}
 	}
 }
@@ -184,11 +184,11 @@
 // listener hands out connections that the keeper knows.
 type listener struct {
 	net.Listener
-	k *Keeper
+	tracker *Tracker
 }
 
 // Listener returns a listener whose connections the keeper knows.
-func (k *Keeper) Listener(l net.Listener) net.Listener { return listener{l, k} }
+func (k *Tracker) Listener(l net.Listener) net.Listener { return listener{l, k} }
 
 // Accept passes errors on as they are: the server tries again after some of them.
 func (l listener) Accept() (net.Conn, error) {
@@ -196,18 +196,18 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, k: l.k, use: waits, since: l.k.cfg.Clock.Now()}
-	l.k.mu.Lock()
-	l.k.conns[c] = struct{}{}
-	retired := l.k.retired
-	l.k.mu.Unlock()
+	c := &conn{Conn: nc, tracker: l.tracker, state: stateIdle, idleSince: l.tracker.cfg.Clock.Now()}
+	l.tracker.mu.Lock()
+	l.tracker.conns[c] = struct{}{}
+	retired := l.tracker.draining
+	l.tracker.mu.Unlock()
 	if retired {
 		c.expire()
 	}
 	return c, nil
 }
 
-func (k *Keeper) forget(c *conn) {
+func (k *Tracker) remove(c *conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.conns, c)
@@ -215,8 +215,8 @@
 
 type contextKey struct{}
 
-// Context returns the context of the requests of a connection. It fits http.Server.ConnContext.
-func (k *Keeper) Context(ctx context.Context, nc net.Conn) context.Context {
+// ConnContext returns the context of the requests of a connection. It fits http.Server.ConnContext.
+func (k *Tracker) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, nc)
 }
 
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -28,7 +28,7 @@
 	fr := front.New(front.Config{
 		Self: d.self, Loop: d.loop, Runner: d.runner, Clock: d.clock, Log: d.cfg.Log, Book: d.book.Load,
 		MaxBody: lim.MaxBodyBytes, Budget: d.budget, MaxRequests: lim.MaxRequests,
-		BodyTime: config.Millis(lim.BodyMs), WriteTime: config.Millis(lim.WriteMs),
+		BodyTimeout: config.Millis(lim.BodyMs), WriteTimeout: config.Millis(lim.WriteMs),
 		Trace: d.trace, Meter: meter.New(d.metrics),
 	})
 	return &http.Server{
--- a/internal/daemon/carry.go
+++ b/internal/daemon/carry.go
@@ -18,13 +18,13 @@
 		d.book.Store(e.Book)
 		d.cfg.Log.Info("configuration in force", "revision", e.Book.Revision)
 	case event.ForgetOutcome:
-		d.outs.Forget(e.Request)
+		d.outs.Delete(e.Request)
 	case event.Note:
 		trail.Note(d.cfg.Log, e)
 	case event.DropLinks:
 		// The library of the engines' client finds out by itself.
 	case event.Drained:
-		d.halt.Drained()
+		d.halt.MarkDrained()
 	default:
 		if !d.platform.carry(eff) && !d.mesh.Send(eff) {
 			d.enqueue(eff)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -70,10 +70,10 @@
 	platform *platform
 	metrics  metrics.Registry
 	book     atomic.Pointer[rules.Book]
-	outs     *serve.Outcomes
+	outs     *serve.AnswerCache
 	mesh     *peer.Mesh
 	work     chan event.Effect
-	conns    *conns.Keeper
+	conns    *conns.Tracker
 	halt     *halt.Sequence
 	servers  []*httpsv.Listener
 	runner   *serve.Runner
@@ -93,14 +93,14 @@
 	set := cfg.Settings
 	d := &Daemon{
 		cfg: cfg, self: self(set), clock: clock.New(),
-		targets: target.New(), outs: &serve.Outcomes{}, metrics: cfg.Metrics,
+		targets: target.New(), outs: &serve.AnswerCache{}, metrics: cfg.Metrics,
 		work: make(chan event.Effect, workQueue),
 	}
 	if d.metrics == nil {
 		d.metrics = metrics.NewRegistry()
 	}
-	d.conns = conns.New(conns.Config{Clock: d.clock, Limit: noLimit, Metrics: d.metrics})
-	d.halt = &halt.Sequence{Clock: d.clock, Log: cfg.Log, Last: lastAnswers, Running: d.Requests, Post: d.post, Conns: d.conns}
+	d.conns = conns.New(conns.Config{Clock: d.clock, IdleTimeout: noLimit, Metrics: d.metrics})
+	d.halt = &halt.Sequence{Clock: d.clock, Log: cfg.Log, FinalTimeout: lastAnswers, Running: d.Requests, Post: d.post, Conns: d.conns}
 	var err error
 	if d.trace, err = newTracer(set); err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 	d.budget = serve.NewBudget(lim.MaxHeldBytes)
 	d.runner = &serve.Runner{
 		Loop: d.loop, Clock: d.clock, Log: d.cfg.Log, Targets: d.targets, Forward: d.forward,
-		Outcomes: d.outs, MaxAnswer: maxAnswer, Budget: d.budget, Trace: d.trace,
+		Answers: d.outs, MaxAnswer: maxAnswer, Budget: d.budget, Trace: d.trace,
 	}
 	ad := admin.New(admin.Config{
 		Loop: d.loop, Clock: d.clock, Log: d.cfg.Log, Level: d.cfg.Level, Revs: d.revs,
@@ -201,7 +201,7 @@
 
 // serve has the keeper know the connections of a server and runs it.
 func (d *Daemon) serve(l *httpsv.Listener) {
-	l.Server.ConnState, l.Server.ConnContext = d.conns.State, d.conns.Context
+	l.Server.ConnState, l.Server.ConnContext = d.conns.ConnState, d.conns.ConnContext
 	l.Net = d.conns.Listener(l.Net)
 	d.servers = append(d.servers, l)
 	d.t.Go(l.Run)
--- a/internal/daemon/mesh.go
+++ b/internal/daemon/mesh.go
@@ -41,7 +41,7 @@
 
 // forward passes a request on and counts it if it goes to another region, on
 // the operators' address as peers.crossings.
-func (d *Daemon) forward(ctx context.Context, p serve.Passed, sent func(), out serve.Relay) event.AttemptEnded {
+func (d *Daemon) forward(ctx context.Context, p serve.ForwardedRequest, sent func(), out serve.Relay) event.AttemptEnded {
 	if p.Forward.To.Place.Region != d.self.Place.Region {
 		metrics.GetOrRegisterCounter(crossingsName, d.metrics).Inc(1)
 	}
--- a/internal/front/answer_test.go
+++ b/internal/front/answer_test.go
@@ -14,7 +14,7 @@
 
 // sender sends one call and gives its reply.
 type sender struct {
-	b    *bench
+	b    *fixture
 	t    *testing.T
 	c    call
 	done chan reply
@@ -22,35 +22,35 @@
 
 func (s *sender) run() { s.done <- s.b.send(s.t, s.c) }
 
-// flood holds connections that never end their body.
-type flood struct {
-	b       *bench
+// bodyFlood holds connections that never end their body.
+type bodyFlood struct {
+	b       *fixture
 	head    string
 	refused chan int
 	conns   []net.Conn
 }
 
-func (f *flood) start(t *testing.T) {
+func (f *bodyFlood) start(t *testing.T) {
 	conn, br := f.b.raw(t, f.head)
 	f.conns = append(f.conns, conn)
-	w := &waiter{conn: conn, r: br, refused: f.refused}
+	w := &statusReader{conn: conn, r: br, refused: f.refused}
 	go w.run()
 }
 
-func (f *flood) stop() {
+func (f *bodyFlood) stop() {
 	for _, c := range f.conns {
 		c.Close()
 	}
 }
 
-// waiter waits for the answer on one connection.
-type waiter struct {
+// statusReader waits for the answer on one connection.
+type statusReader struct {
 	conn    net.Conn
 	r       io.Reader
 	refused chan int
 }
 
-func (w *waiter) run() {
+func (w *statusReader) run() {
 	var status int
 	if _, err := fmt.Fscanf(w.r, "HTTP/1.1 %d", &status); err == nil {
 		w.refused <- status
@@ -73,7 +73,7 @@
 
 // A stream lacks its end mark or its trailer.
 func TestStream(t *testing.T) {
-	b := newBench(t, streamed(3))
+	b := newFixture(t, streamed(3))
 	rep := b.send(t, call{"POST", chatPath, streamChat, nil})
 	check(t, "status", http.StatusOK, rep.status)
 	check(t, "end mark", true, strings.HasSuffix(rep.body, "data: [DONE]\n\n"))
@@ -85,7 +85,7 @@
 
 // A broken stream gets an end mark.
 func TestStreamCut(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		fmt.Fprintf(w, "id: 1\ndata: {\"id\":\"%s\"}\n\n", r.Header.Get(target.HeaderRequest))
 	})
@@ -97,7 +97,7 @@
 
 // A plain refusal of an engine gets the end mark of a stream.
 func TestStreamAnsweredPlain(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusBadRequest)
 		fmt.Fprint(w, `{"error":{}}`)
@@ -110,7 +110,7 @@
 
 // A service call loses its method, query, body or status, or leaks keys and cookies.
 func TestService(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Location", "/jobs/7")
 		w.Header().Set("Set-Cookie", "a=b")
@@ -128,7 +128,7 @@
 
 // The lists that callers start from.
 func TestLists(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	few := []string{"Authorization: Bearer few"}
 	check(t, "models", `{"object":"list","data":[{"id":"draft","object":"model","created":0,"owned_by":"verbenadale"}]}`+"\n",
 		b.send(t, call{"GET", "/v1/models", "", few}).body)
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -30,30 +30,30 @@
 
 const maxTestBody = 1 << 10
 
-// bench is a front before one target, with a step function in the reducer's
+// fixture is a front before one target, with a step function in the reducer's
 // place that sends every request there.
-type bench struct {
+type fixture struct {
 	fr  *Front
 	srv *httptest.Server
-	// hits counts the calls that reached the target.
-	hits atomic.Int32
+	// targetCalls counts the calls that reached the target.
+	targetCalls atomic.Int32
 
-	mu   sync.Mutex
-	reqs []event.Request
-	url  string
-	num  uint64
+	mu       sync.Mutex
+	reqs     []event.Request
+	url      string
+	attempts uint64
 	// refuse, where set, is the reducer's answer to every request.
 	refuse *event.Refuse
 }
 
-// change alters the config of a front under test.
-type change func(cfg *Config)
+// configOption alters the config of a front under test.
+type configOption func(cfg *Config)
 
-func newBench(t testing.TB, answer http.HandlerFunc, changes ...change) *bench {
+func newFixture(t testing.TB, answer http.HandlerFunc, changes ...configOption) *fixture {
 	t.Helper()
-	b := &bench{}
+	b := &fixture{}
 	tgt := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.hits.Add(1)
+		b.targetCalls.Add(1)
 		w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
 		answer(w, r)
 	}))
@@ -71,7 +71,7 @@
 	}
 	cfg.Runner = &serve.Runner{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Targets: target.New(),
-		Outcomes: &serve.Outcomes{}, MaxAnswer: 1 << 20, Budget: cfg.Budget,
+		Answers: &serve.AnswerCache{}, MaxAnswer: 1 << 20, Budget: cfg.Budget,
 	}
 	for _, c := range changes {
 		c(&cfg)
@@ -107,7 +107,7 @@
 	return rules.Item{Kind: kind, Name: name, Doc: b}
 }
 
-func (b *bench) step(now ident.Time, ev event.Event) []event.Effect {
+func (b *fixture) step(now ident.Time, ev event.Event) []event.Effect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch e := ev.(type) {
@@ -118,9 +118,9 @@
 			ref.Request = e.Request.ID
 			return []event.Effect{ref}
 		}
-		b.num++
+		b.attempts++
 		return []event.Effect{event.Dispatch{
-			Request: e.Request.ID, Attempt: ident.Attempt{Entry: ident.EntryID(e.Request.ID), Number: b.num},
+			Request: e.Request.ID, Attempt: ident.Attempt{Entry: ident.EntryID(e.Request.ID), Number: b.attempts},
 			Target: event.Target{URL: b.url}, Deadline: now.Add(time.Minute),
 		}}
 	case event.AttemptEnded:
@@ -153,7 +153,7 @@
 	err     error
 }
 
-func (b *bench) send(t *testing.T, c call) reply {
+func (b *fixture) send(t *testing.T, c call) reply {
 	t.Helper()
 	req, err := http.NewRequest(c.method, b.srv.URL+c.path, strings.NewReader(c.body))
 	if err != nil {
@@ -177,7 +177,7 @@
 }
 
 // raw opens a connection, writes text and returns a reader of the answer.
-func (b *bench) raw(t *testing.T, text string) (net.Conn, *bufio.Reader) {
+func (b *fixture) raw(t *testing.T, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", b.srv.Listener.Addr().String())
 	if err != nil {
--- a/internal/front/complete.go
+++ b/internal/front/complete.go
@@ -19,13 +19,13 @@
 // time of a prefill.
 const bytesPerToken = 4
 
-// maxAskTokens bounds the length of an answer that a caller may ask for. More
+// maxAnswerTokens bounds the length of an answer that a caller may ask for. More
 // is a slip of the caller, and would be predicted to take for ever.
-const maxAskTokens = 1 << 20
+const maxAnswerTokens = 1 << 20
 
-// ask is what the front reads of a completion request; the target gets the
+// completionRequest is what the front reads of a completion request; the target gets the
 // body as it came.
-type ask struct {
+type completionRequest struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
 	MaxTokens           ident.Tokens    `json:"max_tokens"`
@@ -35,61 +35,63 @@
 	Prompt              json.RawMessage `json:"prompt"`
 }
 
-func (a ask) tokens() ident.Tokens { return max(a.MaxTokens, a.MaxCompletionTokens) }
+func (a completionRequest) answerTokens() ident.Tokens {
+	return max(a.MaxTokens, a.MaxCompletionTokens)
+}
 
 // shape is what one of the two APIs demands.
 type shape struct {
 	field string
-	text  func(a ask) json.RawMessage
-	// first are the bytes that the value may start with.
-	first string
+	value func(a completionRequest) json.RawMessage
+	// firstBytes are the bytes that the value may start with.
+	firstBytes string
 }
 
 var (
-	chatShape       = shape{"messages", func(a ask) json.RawMessage { return a.Messages }, "["}
-	completionShape = shape{"prompt", func(a ask) json.RawMessage { return a.Prompt }, `["`}
+	chatShape       = shape{"messages", func(a completionRequest) json.RawMessage { return a.Messages }, "["}
+	completionShape = shape{"prompt", func(a completionRequest) json.RawMessage { return a.Prompt }, `["`}
 )
 
-func (x *exchange) chat() *event.Refuse { return x.complete(chatShape) }
+func (x *exchange) chat() *event.Refuse { return x.serveCompletion(chatShape) }
 
-func (x *exchange) completion() *event.Refuse { return x.complete(completionShape) }
+func (x *exchange) completion() *event.Refuse { return x.serveCompletion(completionShape) }
 
-func (x *exchange) complete(sh shape) *event.Refuse {
+func (x *exchange) serveCompletion(sh shape) *event.Refuse {
 	named := ident.Profile(x.r.Header.Get(HeaderProfile))
-	req, ref := x.head(named)
+	req, ref := x.newRequest(named)
 	if ref != nil {
 		return ref
 	}
-	if ref := x.checkJSON(); ref != nil {
+	if ref := x.checkContentType(); ref != nil {
 		return ref
 	}
-	if ref := x.read(); ref != nil {
+	if ref := x.readBody(); ref != nil {
 		return ref
 	}
-	a, err := parse(x.body, sh)
+	a, err := parseCompletion(x.body, sh)
 	if err != nil {
-		return x.not(codes.BadRequest, err.Error())
+		return x.notRun(codes.BadRequest, err.Error())
 	}
 	if named == "" {
-		if ref := x.allow(ident.Profile(a.Model)); ref != nil {
+		if ref := x.checkProfile(ident.Profile(a.Model)); ref != nil {
 			return ref
 		}
 	}
 	if x.profile.Service != "" {
-		return x.not(codes.BadRequest, "the profile is of a plain service; use "+servicePrefix)
+		return x.notRun(codes.BadRequest, "the profile is of a plain service; use "+servicePrefix)
 	}
-	x.run(req, a, sh)
+	x.runCompletion(req, a, sh)
 	return nil
 }
 
-func (x *exchange) run(req event.Request, a ask, sh shape) {
-	prompt := sh.text(a)
+func (x *exchange) runCompletion(req event.Request, a completionRequest, sh shape) {
+	prompt := sh.value(a)
 	req.Profile = x.profile.Name
 	req.Prompt = ident.Tokens(len(prompt) / bytesPerToken)
-	req.MaxTokens = a.tokens()
-	req.Prefix = prefixes(prompt)
+	req.MaxTokens = a.answerTokens()
+	req.Prefix = prefixDigests(prompt)
 	req.Stream = a.Stream
-	x.mark(&req)
+	x.setDigests(&req)
 	call := serve.Call{
 		Method: http.MethodPost, Path: x.r.URL.Path, Body: x.body, Stream: a.Stream, Engine: true,
 		Header: http.Header{"Content-Type": {"application/json"}, "Via": {x.via()}},
@@ -98,22 +100,22 @@
 	x.cfg.Runner.Run(x.r.Context(), call, req, x.sink(true))
 }
 
-// parse reads a completion request and judges its shape.
-func parse(text []byte, sh shape) (ask, error) {
-	var a ask
+// parseCompletion reads a completion request and judges its shape.
+func parseCompletion(text []byte, sh shape) (completionRequest, error) {
+	var a completionRequest
 	if err := json.Unmarshal(text, &a); err != nil {
-		return ask{}, jsonFault(err)
+		return completionRequest{}, jsonFault(err)
 	}
-	if a.MaxTokens < 0 || a.MaxCompletionTokens < 0 || a.tokens() > maxAskTokens {
-		return ask{}, fmt.Errorf("max_tokens takes 1 to %d", maxAskTokens)
+	if a.MaxTokens < 0 || a.MaxCompletionTokens < 0 || a.answerTokens() > maxAnswerTokens {
+		return completionRequest{}, fmt.Errorf("max_tokens takes 1 to %d", maxAnswerTokens)
 	}
 	if a.N != nil && *a.N != 1 {
-		return ask{}, errors.New("n takes 1 only: one request has one answer")
+		return completionRequest{}, errors.New("n takes 1 only: one request has one answer")
 	}
-	v := bytes.TrimSpace(sh.text(a))
+	v := bytes.TrimSpace(sh.value(a))
 	const empty = 2
-	if len(v) <= empty || !bytes.ContainsAny(v[:1], sh.first) {
-		return ask{}, fmt.Errorf("write the field %s", sh.field)
+	if len(v) <= empty || !bytes.ContainsAny(v[:1], sh.firstBytes) {
+		return completionRequest{}, fmt.Errorf("write the field %s", sh.field)
 	}
 	return a, nil
 }
@@ -123,7 +125,7 @@
 func jsonFault(err error) error {
 	var typ *json.UnmarshalTypeError
 	if errors.As(err, &typ) {
-		return fmt.Errorf("the field %s can't be a JSON %s", clip(typ.Field), clip(typ.Value))
+		return fmt.Errorf("the field %s can't be a JSON %s", truncate(typ.Field), truncate(typ.Value))
 	}
 	var syn *json.SyntaxError
 	if errors.As(err, &syn) {
@@ -138,8 +140,8 @@
 	maxBlocks  = 32
 )
 
-// prefixes returns the chained digests of the whole blocks of a prompt.
-func prefixes(prompt []byte) []uint64 {
+// prefixDigests returns the chained digests of the whole blocks of a prompt.
+func prefixDigests(prompt []byte) []uint64 {
 	n := min(len(prompt)/blockBytes, maxBlocks)
 	if n == 0 {
 		return nil
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -48,19 +48,19 @@
 	Budget  *serve.Budget
 	// MaxRequests bounds the requests in flight; zero is no bound.
 	MaxRequests int
-	// BodyTime is how long a body may take to arrive, WriteTime how long a
+	// BodyTimeout is how long a body may take to arrive, WriteTime how long a
 	// caller may take to accept a piece of its answer. Zero is no bound.
-	BodyTime  time.Duration
-	WriteTime time.Duration
-	Trace     *trace.Tracer
-	Meter     *meter.Traffic
+	BodyTimeout  time.Duration
+	WriteTimeout time.Duration
+	Trace        *trace.Tracer
+	Meter        *meter.Traffic
 }
 
 // Front is the handler for callers.
 type Front struct {
-	cfg    Config
-	router *bunrouter.Router
-	open   atomic.Int64
+	cfg      Config
+	router   *bunrouter.Router
+	inFlight atomic.Int64
 }
 
 // New returns a handler.
@@ -84,33 +84,33 @@
 // ServeHTTP serves one request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.router.ServeHTTP(w, r) }
 
-// Open returns the number of requests in flight.
-func (f *Front) Open() int { return int(f.open.Load()) }
+// InFlight returns the number of requests in flight.
+func (f *Front) InFlight() int { return int(f.inFlight.Load()) }
 
 // exchange is one request and its answer.
 type exchange struct {
 	*Front
-	w     http.ResponseWriter
-	r     *http.Request
-	rc    *http.ResponseController
-	id    ident.RequestID
-	began ident.Time
-	span  trace.Span
+	w         http.ResponseWriter
+	r         *http.Request
+	rc        *http.ResponseController
+	id        ident.RequestID
+	startedAt ident.Time
+	span      trace.Span
 
 	client  rules.Client
 	profile rules.Profile
 	// body is held until the request is over.
-	body  []byte
-	taken int
-	// reading says that reading the body has begun, whole that it has come to
+	body     []byte
+	reserved int
+	// bodyStarted says that bodyStarted the body has begun, bodyComplete that it has come to
 	// its end.
-	reading, whole bool
+	bodyStarted, bodyComplete bool
 
 	outcome event.Outcome
 	status  int
 	code    codes.ID
-	// stream says that the answer is a stream.
-	stream bool
+	// streaming says that the answer is a streaming.
+	streaming bool
 }
 
 // ending returns which side ended the connection of the request.
@@ -122,41 +122,41 @@
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		x := &exchange{
 			Front: f, w: w, rc: http.NewResponseController(w),
-			id: newRequestID(), began: f.cfg.Clock.Now(),
+			id: newRequestID(), startedAt: f.cfg.Clock.Now(),
 		}
 		w.Header().Set(HeaderRequest, string(x.id))
-		n := f.open.Add(1)
+		n := f.inFlight.Add(1)
 		f.cfg.Meter.Open(1)
-		defer f.done(x)
+		defer f.finish(x)
 		var ctx context.Context
 		ctx, x.span = f.cfg.Trace.Serve(r.Context(), r.Header, name)
 		x.r = r.WithContext(ctx).Request
-		x.limitBody()
+		x.setBodyDeadline()
 		if f.cfg.MaxRequests > 0 && n > int64(f.cfg.MaxRequests) {
-			x.refuse(x.not(codes.HostBusy, ""))
+			x.writeRefusal(x.notRun(codes.HostBusy, ""))
 			return nil
 		}
 		if ref := x.checkHead(); ref != nil {
-			x.refuse(ref)
+			x.writeRefusal(ref)
 			return nil
 		}
 		if ref := do(x); ref != nil {
-			x.refuse(ref)
+			x.writeRefusal(ref)
 		}
 		return nil
 	}
 }
 
-// done records the end of an exchange. It runs also when the connection
+// finish records the end of an exchange. It runs also when the connection
 // is cut by a panic, which is how net/http cuts one.
-func (f *Front) done(x *exchange) {
-	f.open.Add(-1)
+func (f *Front) finish(x *exchange) {
+	f.inFlight.Add(-1)
 	f.cfg.Meter.Open(-1)
-	f.cfg.Budget.Give(x.taken)
-	if x.stream {
+	f.cfg.Budget.Release(x.reserved)
+	if x.streaming {
 		f.cfg.Meter.Streams(-1)
 	}
-	took := f.cfg.Clock.Now().Sub(x.began)
+	took := f.cfg.Clock.Now().Sub(x.startedAt)
 	f.cfg.Meter.Took(took)
 	if x.profile.Name != "" && x.outcome != "" {
 		f.cfg.Meter.Ended(x.profile.Name, x.outcome)
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -27,12 +27,12 @@
 		x := &exchange{Front: fr, r: r}
 		ref := x.checkHead()
 		name := http.CanonicalHeaderKey(key)
-		if strings.HasPrefix(name, ownPrefix) && name != HeaderTicket && name != HeaderProfile && name != HeaderDeadline {
+		if strings.HasPrefix(name, headerPrefix) && name != HeaderTicket && name != HeaderProfile && name != HeaderDeadline {
 			if ref == nil || ref.Code != codes.ForgedEnvelope.ID {
 				t.Errorf("header %q was taken", name)
 			}
 		}
-		at, bad := x.deadline()
+		at, bad := x.parseDeadline()
 		if bad == nil && deadline != "" && (at <= 0 || at.Sub(0).Milliseconds() > maxDeadlineMs) {
 			t.Errorf("deadline %q was taken as %d", deadline, at)
 		}
@@ -48,7 +48,7 @@
 		f.Add(p)
 	}
 	f.Fuzz(func(t *testing.T, tail string) {
-		profile, path, ok := splitService(servicePrefix + tail)
+		profile, path, ok := splitServicePath(servicePrefix + tail)
 		if !ok {
 			return
 		}
@@ -71,11 +71,11 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a, err := parse(text, chatShape)
+		a, err := parseCompletion(text, chatShape)
 		if err != nil {
 			return
 		}
-		if !json.Valid(text) || a.tokens() < 0 || a.tokens() > maxAskTokens {
+		if !json.Valid(text) || a.answerTokens() < 0 || a.answerTokens() > maxAnswerTokens {
 			t.Errorf("taken: %q", text)
 		}
 	})
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -27,17 +27,17 @@
 	HeaderKey      = "Idempotency-Key"
 )
 
-// ownPrefix starts the headers of this system.
-const ownPrefix = "Verbenadale-"
+// headerPrefix starts the headers of this system.
+const headerPrefix = "Verbenadale-"
 
-// pseudonym stands for all entry hosts of the system in the header Via, which
+// viaPseudonym stands for all entry hosts of the system in the header Via, which
 // gives no address away to targets.
-const pseudonym = "verbenadale"
+const viaPseudonym = "verbenadale"
 
 // Bounds of the values in headers. The longest deadline is that of profiles.
 const (
-	maxToken      = 255
-	maxDeadlineMs = 3_600_000
+	maxHeaderValue = 255
+	maxDeadlineMs  = 3_600_000
 )
 
 // newRequestID returns an id that no other host gives out.
@@ -52,7 +52,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-func newSpread() uint64 {
+func newSpreadSeed() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:])
@@ -61,38 +61,38 @@
 // checkHead judges the shape of the headers.
 func (x *exchange) checkHead() *event.Refuse {
 	for k, vs := range x.r.Header {
-		if forged(k) {
-			return x.not(codes.ForgedEnvelope, "leave out the header "+k)
+		if isInternalHeader(k) {
+			return x.notRun(codes.ForgedEnvelope, "leave out the header "+k)
 		}
-		if single(k) && len(vs) > 1 {
-			return x.not(codes.BadRequest, "send the header "+k+" once")
+		if isSingleValued(k) && len(vs) > 1 {
+			return x.notRun(codes.BadRequest, "send the header "+k+" once")
 		}
 	}
 	for _, k := range []string{HeaderTicket, HeaderKey, HeaderProfile} {
-		if v := x.r.Header.Get(k); !plain(v) {
-			return x.not(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d visible ASCII characters", k, maxToken))
+		if v := x.r.Header.Get(k); !isVisibleASCII(v) {
+			return x.notRun(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d visible ASCII characters", k, maxHeaderValue))
 		}
 	}
 	if x.r.Header.Get(HeaderTicket) != "" && x.r.Header.Get(HeaderKey) != "" {
-		return x.not(codes.BadRequest, "send either "+HeaderTicket+" or "+HeaderKey)
+		return x.notRun(codes.BadRequest, "send either "+HeaderTicket+" or "+HeaderKey)
 	}
 	return nil
 }
 
-// forged reports whether a header is one that only entry hosts and targets
+// isInternalHeader reports whether a header is one that only entry hosts and targets
 // send. A caller that could set the hops or the attempt would lift the bound
 // on crossings or take the outcome of somebody else's request.
-func forged(key string) bool {
+func isInternalHeader(key string) bool {
 	switch key {
 	case HeaderProfile, HeaderTicket, HeaderDeadline:
 		return false
 	}
-	return strings.HasPrefix(key, ownPrefix)
+	return strings.HasPrefix(key, headerPrefix)
 }
 
-// single reports whether a header means something only once. Of two values
+// isSingleValued reports whether a header means something only once. Of two values
 // this host might judge by one and a proxy before it by the other.
-func single(key string) bool {
+func isSingleValued(key string) bool {
 	switch key {
 	case HeaderProfile, HeaderTicket, HeaderDeadline, HeaderKey, "Authorization", "Content-Type":
 		return true
@@ -100,9 +100,9 @@
 	return false
 }
 
-// plain reports whether a value that is present is short and visible ASCII.
-func plain(v string) bool {
-	if len(v) > maxToken {
+// isVisibleASCII reports whether a value that is present is short and visible ASCII.
+func isVisibleASCII(v string) bool {
+	if len(v) > maxHeaderValue {
 		return false
 	}
 	for i := range len(v) {
@@ -113,44 +113,44 @@
 	return true
 }
 
-// account finds the account by the API key.
-func (x *exchange) account() *event.Refuse {
+// authenticate finds the authenticate by the API key.
+func (x *exchange) authenticate() *event.Refuse {
 	book := x.cfg.Book()
 	if book.Rev() == 0 {
-		return x.not(codes.NotReady, "")
+		return x.notRun(codes.NotReady, "")
 	}
 	kind, key, _ := strings.Cut(x.r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(kind, "Bearer") || key == "" {
-		return x.not(codes.UnknownKey, "send the header Authorization: Bearer KEY")
+		return x.notRun(codes.UnknownKey, "send the header Authorization: Bearer KEY")
 	}
 	c, ok := book.ClientByDigest(rules.Digest(strings.TrimSpace(key)))
 	if !ok {
-		return x.not(codes.UnknownKey, "")
+		return x.notRun(codes.UnknownKey, "")
 	}
 	x.client = c
 	return nil
 }
 
-// allow judges whether the account may use the profile at this host.
-func (x *exchange) allow(name ident.Profile) *event.Refuse {
+// checkProfile judges whether the account may use the profile at this host.
+func (x *exchange) checkProfile(name ident.Profile) *event.Refuse {
 	p, ok := x.cfg.Book().Profile(name)
 	if !ok {
-		return x.not(codes.UnknownProfile, fmt.Sprintf("%q", clip(string(name))))
+		return x.notRun(codes.UnknownProfile, fmt.Sprintf("%q", truncate(string(name))))
 	}
 	x.profile = p
 	if !x.client.May(p.Name) {
-		return x.not(codes.ProfileForbidden, "")
+		return x.notRun(codes.ProfileForbidden, "")
 	}
 	if !p.Allows(x.client, x.cfg.Self.Place.Region) {
-		ref := x.not(codes.OutsideResidency, "")
+		ref := x.notRun(codes.OutsideResidency, "")
 		ref.Entries = x.allowedEntries()
 		return ref
 	}
 	return x.checkVia()
 }
 
-// clip keeps a caller's own words in a message short.
-func clip(s string) string {
+// truncate keeps a caller's own words in a message short.
+func truncate(s string) string {
 	const most = 64
 	if len(s) > most {
 		return s[:most] + "..."
@@ -165,58 +165,58 @@
 func (x *exchange) checkVia() *event.Refuse {
 	rounds := 0
 	for _, v := range x.r.Header.Values("Via") {
-		rounds += strings.Count(v, pseudonym)
+		rounds += strings.Count(v, viaPseudonym)
 	}
 	if rounds > int(x.profile.MaxCrossings) {
-		return x.not(codes.TooManyHops, "a proxy has sent the request round")
+		return x.notRun(codes.TooManyHops, "a proxy has sent the request round")
 	}
 	return nil
 }
 
 // via returns the header Via towards targets.
 func (x *exchange) via() string {
-	vs := append(x.r.Header.Values("Via"), fmt.Sprintf("%d.%d %s", x.r.ProtoMajor, x.r.ProtoMinor, pseudonym))
+	vs := append(x.r.Header.Values("Via"), fmt.Sprintf("%d.%d %s", x.r.ProtoMajor, x.r.ProtoMinor, viaPseudonym))
 	return strings.Join(vs, ", ")
 }
 
-// deadline reads the caller's deadline, zero for none.
-func (x *exchange) deadline() (ident.Time, *event.Refuse) {
+// parseDeadline reads the caller's parseDeadline, zero for none.
+func (x *exchange) parseDeadline() (ident.Time, *event.Refuse) {
 	text := x.r.Header.Get(HeaderDeadline)
 	if text == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms > maxDeadlineMs {
-		return 0, x.not(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d", HeaderDeadline, maxDeadlineMs))
+		return 0, x.notRun(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d", HeaderDeadline, maxDeadlineMs))
 	}
 	if ms <= 0 {
-		return 0, x.not(codes.DeadlinePast, "")
+		return 0, x.notRun(codes.DeadlinePast, "")
 	}
-	return x.began.Add(time.Duration(ms) * time.Millisecond), nil
+	return x.startedAt.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
-// head judges all that the headers allow, with the profile where they name it.
-func (x *exchange) head(profile ident.Profile) (event.Request, *event.Refuse) {
-	if ref := x.account(); ref != nil {
+// newRequest judges all that the headers allow, with the profile where they name it.
+func (x *exchange) newRequest(profile ident.Profile) (event.Request, *event.Refuse) {
+	if ref := x.authenticate(); ref != nil {
 		return event.Request{}, ref
 	}
-	at, ref := x.deadline()
+	at, ref := x.parseDeadline()
 	if ref != nil {
 		return event.Request{}, ref
 	}
 	if profile != "" {
-		if ref := x.allow(profile); ref != nil {
+		if ref := x.checkProfile(profile); ref != nil {
 			return event.Request{}, ref
 		}
 	}
-	if ref := x.checkLength(); ref != nil {
+	if ref := x.checkBodyHeaders(); ref != nil {
 		return event.Request{}, ref
 	}
 	return event.Request{ID: x.id, Account: x.client.Name, Deadline: at, Ticket: x.r.Header.Get(HeaderTicket)}, nil
 }
 
-// mark sets the digests that identify repeats of a request.
-func (x *exchange) mark(req *event.Request) {
+// setDigests sets the digests that identify repeats of a request.
+func (x *exchange) setDigests(req *event.Request) {
 	key := x.r.Header.Get(HeaderKey)
 	if key == "" && req.Ticket == "" {
 		return
@@ -238,10 +238,10 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func (x *exchange) unknownPath() *event.Refuse { return x.not(codes.UnknownPath, "") }
+func (x *exchange) unknownPath() *event.Refuse { return x.notRun(codes.UnknownPath, "") }
 
 func (x *exchange) wrongMethod() *event.Refuse {
-	return x.not(codes.WrongMethod, "")
+	return x.notRun(codes.WrongMethod, "")
 }
 
 // statusOf returns the status of a code that the front gives.
--- a/internal/front/lists.go
+++ b/internal/front/lists.go
@@ -10,8 +10,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// askTimeout bounds a question to the control thread.
-const askTimeout = 2 * time.Second
+// queryTimeout bounds a question to the control thread.
+const queryTimeout = 2 * time.Second
 
 type modelList struct {
 	Object string       `json:"object"`
@@ -27,16 +27,16 @@
 
 // models lists the profiles that the account may use.
 func (x *exchange) models() *event.Refuse {
-	if ref := x.account(); ref != nil {
+	if ref := x.authenticate(); ref != nil {
 		return ref
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, p := range x.cfg.Book().Profiles() {
 		if p.Service == "" && x.client.May(p.Name) {
-			list.Data = append(list.Data, modelEntry{ID: string(p.Name), Object: "model", OwnedBy: pseudonym})
+			list.Data = append(list.Data, modelEntry{ID: string(p.Name), Object: "model", OwnedBy: viaPseudonym})
 		}
 	}
-	x.answer(http.StatusOK, event.Done, list)
+	x.writeJSON(http.StatusOK, event.Done, list)
 	return nil
 }
 
@@ -48,18 +48,18 @@
 // entries lists the entry hosts to use. It is answered also by a host that the
 // profile may not be used at: that is how callers find the right ones.
 func (x *exchange) entries() *event.Refuse {
-	if ref := x.account(); ref != nil {
+	if ref := x.authenticate(); ref != nil {
 		return ref
 	}
 	profile, ref := x.queryProfile()
 	if ref != nil {
 		return ref
 	}
-	ans, ref := x.askEntries(profile)
+	ans, ref := x.queryEntries(profile)
 	if ref != nil {
 		return ref
 	}
-	x.answer(http.StatusOK, event.Done, entryList{Entries: urls(ans.Entries), ValidForMs: ans.Valid.Milliseconds()})
+	x.writeJSON(http.StatusOK, event.Done, entryList{Entries: callerURLs(ans.Entries), ValidForMs: ans.Valid.Milliseconds()})
 	return nil
 }
 
@@ -67,31 +67,31 @@
 func (x *exchange) queryProfile() (ident.Profile, *event.Refuse) {
 	name := ident.Profile(x.r.URL.Query().Get("profile"))
 	if name == "" {
-		return "", x.not(codes.BadRequest, "write the profile into the query, as ?profile=NAME")
+		return "", x.notRun(codes.BadRequest, "write the profile into the query, as ?profile=NAME")
 	}
 	p, ok := x.cfg.Book().Profile(name)
 	if !ok {
-		return "", x.not(codes.UnknownProfile, "")
+		return "", x.notRun(codes.UnknownProfile, "")
 	}
 	if !x.client.May(name) {
-		return "", x.not(codes.ProfileForbidden, "")
+		return "", x.notRun(codes.ProfileForbidden, "")
 	}
 	x.profile = p
 	return name, nil
 }
 
-func (x *exchange) askEntries(profile ident.Profile) (event.EntriesAnswered, *event.Refuse) {
-	ctx, cancel := context.WithTimeout(x.r.Context(), askTimeout)
+func (x *exchange) queryEntries(profile ident.Profile) (event.EntriesAnswered, *event.Refuse) {
+	ctx, cancel := context.WithTimeout(x.r.Context(), queryTimeout)
 	defer cancel()
 	eff, err := x.cfg.Loop.Ask(ctx, func(n event.Ask) event.Event {
-		return event.EntriesAsked{Ask: n, Account: x.client.Name, Profile: profile, Spread: newSpread()}
+		return event.EntriesAsked{Ask: n, Account: x.client.Name, Profile: profile, Spread: newSpreadSeed()}
 	})
 	ans, ok := eff.(event.EntriesAnswered)
 	if err != nil || !ok {
-		return event.EntriesAnswered{}, x.not(codes.NotReady, "")
+		return event.EntriesAnswered{}, x.notRun(codes.NotReady, "")
 	}
 	if c, ok := codes.Find(ans.Code); ok {
-		ref := x.not(c, "")
+		ref := x.notRun(c, "")
 		ref.Entries = ans.Entries
 		return event.EntriesAnswered{}, ref
 	}
@@ -100,7 +100,7 @@
 
 // allowedEntries are the hosts to name in a refusal for residency.
 func (x *exchange) allowedEntries() []event.Host {
-	ans, ref := x.askEntries(x.profile.Name)
+	ans, ref := x.queryEntries(x.profile.Name)
 	if ref != nil {
 		return ref.Entries
 	}
@@ -114,35 +114,35 @@
 
 // tickets gives out a ticket for one request that runs at most once.
 func (x *exchange) tickets() *event.Refuse {
-	if ref := x.account(); ref != nil {
+	if ref := x.authenticate(); ref != nil {
 		return ref
 	}
 	profile, ref := x.queryProfile()
 	if ref != nil {
 		return ref
 	}
-	if ref := x.allow(profile); ref != nil {
+	if ref := x.checkProfile(profile); ref != nil {
 		return ref
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), askTimeout)
+	ctx, cancel := context.WithTimeout(x.r.Context(), queryTimeout)
 	defer cancel()
 	eff, err := x.cfg.Loop.Ask(ctx, func(n event.Ask) event.Event {
 		return event.TicketAsked{Ask: n, Account: x.client.Name, Profile: profile, Secret: newSecret()}
 	})
 	ans, ok := eff.(event.TicketIssued)
 	if err != nil || !ok {
-		return x.not(codes.NotReady, "")
+		return x.notRun(codes.NotReady, "")
 	}
 	if c, ok := codes.Find(ans.Code); ok {
-		ref := x.not(c, "")
+		ref := x.notRun(c, "")
 		ref.Entries = ans.Entries
 		return ref
 	}
-	x.answer(http.StatusOK, event.Done, ticketAnswer{Ticket: ans.Ticket, ValidForMs: ans.Valid.Milliseconds()})
+	x.writeJSON(http.StatusOK, event.Done, ticketAnswer{Ticket: ans.Ticket, ValidForMs: ans.Valid.Milliseconds()})
 	return nil
 }
 
-func urls(hs []event.Host) []string {
+func callerURLs(hs []event.Host) []string {
 	us := make([]string, 0, len(hs))
 	for _, h := range hs {
 		us = append(us, h.CallerURL)
--- a/internal/front/refuse.go
+++ b/internal/front/refuse.go
@@ -27,14 +27,14 @@
 	Entries      []string `json:"entries,omitempty"`
 }
 
-// defaultWait is when to come back after a refusal of the front itself.
-const defaultWait = time.Second
+// defaultRetryDelay is when to come back after a refusal of the front itself.
+const defaultRetryDelay = time.Second
 
-// not returns the refusal of a request that has not been run.
-func (x *exchange) not(c codes.Code, reason string) *event.Refuse {
+// notRun returns the refusal of a request that has notRun been run.
+func (x *exchange) notRun(c codes.Code, reason string) *event.Refuse {
 	ref := &event.Refuse{Request: x.id, Code: c.ID, Outcome: event.NotRun, Reason: reason}
 	if c.Wait {
-		ref.RetryAfter = defaultWait
+		ref.RetryAfter = defaultRetryDelay
 	}
 	return ref
 }
@@ -47,31 +47,31 @@
 	}
 	return errorAnswer{Error: errorDetail{
 		Message: msg, Type: "verbenadale_refusal", Code: r.Code, Outcome: r.Outcome,
-		RetryAfterMs: r.RetryAfter.Milliseconds(), Entries: urls(r.Entries),
+		RetryAfterMs: r.RetryAfter.Milliseconds(), Entries: callerURLs(r.Entries),
 	}}
 }
 
-// refuse answers with a refusal.
-func (x *exchange) refuse(r *event.Refuse) {
+// writeRefusal answers with a refusal.
+func (x *exchange) writeRefusal(r *event.Refuse) {
 	c, _ := codes.Find(r.Code)
 	x.code = r.Code
 	x.cfg.Meter.Refused(r.Code)
 	if c.Wait {
-		x.w.Header().Set("Retry-After", strconv.Itoa(seconds(r.RetryAfter)))
+		x.w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
 	if c.Status == http.StatusUnauthorized {
 		x.w.Header().Set("Www-Authenticate", "Bearer")
 	}
-	x.hangUp()
-	x.answer(statusOf(c), r.Outcome, errorBody(r))
+	x.closeIfBodyUnread()
+	x.writeJSON(statusOf(c), r.Outcome, errorBody(r))
 }
 
-// seconds rounds up, since Retry-After has no fractions and coming back too
+// ceilSeconds rounds up, since Retry-After has no fractions and coming back too
 // early would meet the same refusal.
-func seconds(d time.Duration) int { return max(int(math.Ceil(d.Seconds())), 1) }
+func ceilSeconds(d time.Duration) int { return max(int(math.Ceil(d.Seconds())), 1) }
 
-// answer answers with JSON.
-func (x *exchange) answer(status int, outcome event.Outcome, v any) {
+// writeJSON answers with JSON.
+func (x *exchange) writeJSON(status int, outcome event.Outcome, v any) {
 	x.status = status
 	x.outcome = outcome
 	x.w.Header().Set("Content-Type", "application/json")
--- a/internal/front/refuse_test.go
+++ b/internal/front/refuse_test.go
@@ -63,7 +63,7 @@
 	{"deadline of words", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: soon"}}},
 	{"ticket and key", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: t", "Idempotency-Key: k"}}},
 	{"two tickets", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: t", "Verbenadale-Ticket: u"}}},
-	{"long ticket", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: " + strings.Repeat("t", maxToken+1)}}},
+	{"long ticket", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: " + strings.Repeat("t", maxHeaderValue+1)}}},
 	{"key with a space", call{"POST", chatPath, goodChat, []string{"Idempotency-Key: a b"}}},
 	{"unknown path", call{"GET", "/v2/models", "", nil}},
 	{"wrong method", call{"DELETE", chatPath, "", nil}},
@@ -76,7 +76,7 @@
 
 // A malformed or forged request reaches a target.
 func TestBadInput(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	var out strings.Builder
 	for _, c := range badCalls {
 		rep := b.send(t, c.call)
@@ -95,13 +95,13 @@
 		fmt.Fprintf(&out, "%s: %d %s %s %s\n", c.name, rep.status, ans.Error.Code, ans.Error.Message, ans.Error.Entries)
 	}
 	goldie.New(t).Assert(t, "bad", []byte(out.String()))
-	check(t, "calls at the target", int32(0), b.hits.Load())
+	check(t, "calls at the target", int32(0), b.targetCalls.Load())
 	check(t, "requests that reached the reducer", 0, len(b.reqs))
 }
 
 // A body is read at a host where its profile forbids it.
 func TestBodyNeverSent(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	_, br := b.raw(t, "POST "+chatPath+" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\n"+
 		"Verbenadale-Profile: far\r\nExpect: 100-continue\r\nContent-Length: 100\r\n\r\n")
 	res, err := http.ReadResponse(br, nil)
@@ -116,7 +116,7 @@
 
 // Slow bodies hold requests open without bound.
 func TestSlowBody(t *testing.T) {
-	b := newBench(t, plainAnswer, func(cfg *Config) { cfg.BodyTime = 50 * time.Millisecond })
+	b := newFixture(t, plainAnswer, func(cfg *Config) { cfg.BodyTimeout = 50 * time.Millisecond })
 	_, br := b.raw(t, "POST "+chatPath+" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\nContent-Length: 100\r\n\r\n{")
 	res, err := http.ReadResponse(br, nil)
 	if err != nil {
@@ -131,23 +131,23 @@
 // The limit for bodies cuts a long answer.
 func TestLongAnswerAfterBody(t *testing.T) {
 	const limit = 50 * time.Millisecond
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(4 * limit)
 		plainAnswer(w, r)
-	}, func(cfg *Config) { cfg.BodyTime = limit })
+	}, func(cfg *Config) { cfg.BodyTimeout = limit })
 	check(t, "status", http.StatusOK, b.send(t, call{"POST", chatPath, goodChat, nil}).status)
 }
 
 // Bodies together exceed the memory of the host.
 func TestFloodOfBodies(t *testing.T) {
 	const room = 16 << 10
-	b := newBench(t, plainAnswer, func(cfg *Config) {
+	b := newFixture(t, plainAnswer, func(cfg *Config) {
 		cfg.Budget = serve.NewBudget(room)
 		cfg.Runner.Budget = cfg.Budget
 	})
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n", chatPath, maxTestBody)
 	refused := make(chan int, 64)
-	f := &flood{b: b, head: head + strings.Repeat(" ", maxTestBody-1), refused: refused}
+	f := &bodyFlood{b: b, head: head + strings.Repeat(" ", maxTestBody-1), refused: refused}
 	const senders = 40
 	for range senders {
 		f.start(t)
@@ -156,18 +156,18 @@
 	for range over {
 		check(t, "status", http.StatusServiceUnavailable, <-refused)
 	}
-	check(t, "memory within the budget", true, b.fr.cfg.Budget.Taken() <= room)
+	check(t, "memory within the budget", true, b.fr.cfg.Budget.Used() <= room)
 	f.stop()
-	eventually(t, func() bool { return b.fr.cfg.Budget.Taken() == 0 && b.fr.Open() == 0 })
+	eventually(t, func() bool { return b.fr.cfg.Budget.Used() == 0 && b.fr.InFlight() == 0 })
 	check(t, "serves again", http.StatusOK, b.send(t, call{"POST", chatPath, goodChat, nil}).status)
-	check(t, "calls at the target", int32(1), b.hits.Load())
+	check(t, "calls at the target", int32(1), b.targetCalls.Load())
 }
 
 // A request beyond the limit is held instead of refused.
 func TestTooManyRequests(t *testing.T) {
 	goOn := make(chan struct{})
 	arrived := make(chan struct{}, 1)
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-goOn
 		plainAnswer(w, r)
@@ -184,7 +184,7 @@
 
 // Retry-After is rounded down.
 func TestRetryAfter(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	b.refuse = &event.Refuse{
 		Code: codes.Draining.ID, Outcome: event.NotRun, RetryAfter: 1200 * time.Millisecond,
 		Entries: []event.Host{{CallerURL: "http://192.0.2.9:1"}},
@@ -204,7 +204,7 @@
 
 // A repeat is confused with another request under the same key.
 func TestKeyDigests(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	ask := func(path, key, body string) event.Request {
 		b.send(t, call{"POST", path, body, []string{"Idempotency-Key: " + key}})
 		b.mu.Lock()
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -29,26 +29,26 @@
 }
 
 func (x *exchange) service() *event.Refuse {
-	profile, path, ok := splitService(x.r.URL.EscapedPath())
+	profile, path, ok := splitServicePath(x.r.URL.EscapedPath())
 	if !ok {
-		return x.not(codes.BadRequest, "write the path as "+servicePrefix+"PROFILE/PATH")
+		return x.notRun(codes.BadRequest, "write the path as "+servicePrefix+"PROFILE/PATH")
 	}
 	if named := x.r.Header.Get(HeaderProfile); named != "" && ident.Profile(named) != profile {
-		return x.not(codes.BadRequest, "the path and "+HeaderProfile+" name different profiles")
+		return x.notRun(codes.BadRequest, "the path and "+HeaderProfile+" name different profiles")
 	}
-	req, ref := x.head(profile)
+	req, ref := x.newRequest(profile)
 	if ref != nil {
 		return ref
 	}
 	if x.profile.Service == "" {
-		return x.not(codes.BadRequest, "the profile is of a model; use /v1/chat/completions")
+		return x.notRun(codes.BadRequest, "the profile is of a model; use /v1/chat/completions")
 	}
-	if ref := x.read(); ref != nil {
+	if ref := x.readBody(); ref != nil {
 		return ref
 	}
 	req.Profile = profile
 	req.Stream = strings.Contains(x.r.Header.Get("Accept"), "text/event-stream")
-	x.mark(&req)
+	x.setDigests(&req)
 	if x.r.URL.RawQuery != "" {
 		path += "?" + x.r.URL.RawQuery
 	}
@@ -67,10 +67,10 @@
 	return h
 }
 
-// splitService splits the escaped path of a service call into the profile and
+// splitServicePath splits the escaped path of a service call into the profile and
 // the path at the service. The path goes on as it was written; one with dot
 // segments is refused, since whoever resolves them next may come out elsewhere.
-func splitService(path string) (ident.Profile, string, bool) {
+func splitServicePath(path string) (ident.Profile, string, bool) {
 	rest, ok := strings.CutPrefix(path, servicePrefix)
 	if !ok {
 		return "", "", false
@@ -81,16 +81,16 @@
 		return "", "", false
 	}
 	for seg := range strings.SplitSeq(tail, "/") {
-		if !plainSegment(seg) {
+		if !isUnambiguous(seg) {
 			return "", "", false
 		}
 	}
 	return ident.Profile(profile), "/" + tail, true
 }
 
-// plainSegment reports whether a segment of an escaped path means the same to
+// isUnambiguous reports whether a segment of an escaped path means the same to
 // whoever reads it next.
-func plainSegment(seg string) bool {
+func isUnambiguous(seg string) bool {
 	text, err := url.PathUnescape(seg)
 	if err != nil || text == "." || text == ".." || strings.ContainsAny(seg, "?#") {
 		return false
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -21,25 +21,25 @@
 	*exchange
 	// engine says that a stream ends with the end mark.
 	engine bool
-	// begun says that the status has been sent, so that only a trailer or a
+	// headerSent says that the status has been sent, so that only a trailer or a
 	// cut can show the outcome.
-	begun bool
+	headerSent bool
 }
 
 func (s *callerSink) begin(status int, h http.Header) {
 	for k, vs := range h {
 		s.w.Header()[k] = vs
 	}
-	s.stream = status == http.StatusOK && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
-	if s.stream {
+	s.streaming = status == http.StatusOK && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
+	if s.streaming {
 		s.w.Header().Set("Trailer", HeaderOutcome)
 		s.cfg.Meter.Streams(1)
 	} else {
 		s.w.Header().Set(HeaderOutcome, string(event.Done))
 	}
-	s.begun = true
+	s.headerSent = true
 	s.status = status
-	s.cfg.Meter.First(s.cfg.Clock.Now().Sub(s.began))
+	s.cfg.Meter.First(s.cfg.Clock.Now().Sub(s.startedAt))
 	s.w.WriteHeader(status)
 }
 
@@ -49,7 +49,7 @@
 		return err
 	}
 	s.cfg.Meter.Out(len(b))
-	if !s.stream {
+	if !s.streaming {
 		return nil
 	}
 	return s.rc.Flush()
@@ -58,14 +58,14 @@
 // extendWriteDeadline bounds the time that a write may wait, since a caller that stops reading
 // without closing its connection would hold its slot at the target.
 func (s *callerSink) extendWriteDeadline() {
-	if s.cfg.WriteTime > 0 {
-		_ = s.rc.SetWriteDeadline(time.Now().Add(s.cfg.WriteTime))
+	if s.cfg.WriteTimeout > 0 {
+		_ = s.rc.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
 	}
 }
 
 func (s *callerSink) finish(outcome event.Outcome) {
 	s.outcome = outcome
-	if !s.stream {
+	if !s.streaming {
 		return
 	}
 	s.extendWriteDeadline()
@@ -79,14 +79,14 @@
 // and is then cut without its end mark, so that no client takes the part for
 // the whole.
 func (s *callerSink) refuse(r event.Refuse) {
-	if !s.begun {
-		s.exchange.refuse(&r)
+	if !s.headerSent {
+		s.exchange.writeRefusal(&r)
 		return
 	}
 	s.outcome = r.Outcome
 	s.code = r.Code
 	s.cfg.Meter.Refused(r.Code)
-	if s.stream {
+	if s.streaming {
 		s.extendWriteDeadline()
 		b, _ := json.Marshal(errorBody(&r))
 		_, _ = s.w.Write([]byte("event: error\ndata: " + string(b) + "\n\n"))
--- a/internal/front/token_test.go
+++ b/internal/front/token_test.go
@@ -35,7 +35,7 @@
 		}
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}
-	bn := newBench(b, answer)
+	bn := newFixture(b, answer)
 	b.ResetTimer()
 	direct := tokenCost(b, bn.url, each)
 	relayed := tokenCost(b, bn.srv.URL, each)
--- a/internal/halt/halt.go
+++ b/internal/halt/halt.go
@@ -35,86 +35,86 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// poll is the time between two looks at what is left.
-const poll = 10 * time.Millisecond
+// pollInterval is the time between two looks at what is left.
+const pollInterval = 10 * time.Millisecond
 
 // Sequence is the end of one host.
 type Sequence struct {
 	Clock *clock.Service
 	Log   logr.Logger
-	// Grace is the time from Run after which what runs is cut; zero is no bound.
-	Grace time.Duration
-	// Last bounds the time for the last answers after the drain, and again the time for the
+	// GracePeriod is the time from Run after which what runs is cut; zero is no bound.
+	GracePeriod time.Duration
+	// FinalTimeout bounds the time for the last answers after the drain, and again the time for the
 	// connections to end.
-	Last time.Duration
+	FinalTimeout time.Duration
 	// Running returns the number of requests without their final answer.
 	Running func() int
 	// Post hands an event to the reducer.
 	Post  func(event.Event)
-	Conns *conns.Keeper
+	Conns *conns.Tracker
 
-	init    sync.Once
-	drained chan struct{}
-	done    chan struct{}
-	end     sync.Once
-	began   atomic.Bool
-	cut     atomic.Int64
+	initOnce    sync.Once
+	drained     chan struct{}
+	done        chan struct{}
+	drainedOnce sync.Once
+	started     atomic.Bool
+	cutRequests atomic.Int64
 }
 
-func (s *Sequence) channels() {
-	s.init.Do(func() { s.drained, s.done = make(chan struct{}), make(chan struct{}) })
+func (s *Sequence) initChannels() {
+	s.initOnce.Do(func() { s.drained, s.done = make(chan struct{}), make(chan struct{}) })
 }
 
-// Drained says that the reducer has reported the end of the drain.
-func (s *Sequence) Drained() {
-	s.channels()
-	s.end.Do(func() { close(s.drained) })
+// MarkDrained says that the reducer has reported the end of the drain.
+func (s *Sequence) MarkDrained() {
+	s.initChannels()
+	s.drainedOnce.Do(func() { close(s.drained) })
 }
 
 // Done is closed when every request has had its final answer.
 func (s *Sequence) Done() <-chan struct{} {
-	s.channels()
+	s.initChannels()
 	return s.done
 }
 
-// Cut returns the number of requests that were cut at the end of the grace.
-func (s *Sequence) Cut() int { return int(s.cut.Load()) }
+// CutRequests returns the number of requests that were cut at the end of the grace.
+func (s *Sequence) CutRequests() int { return int(s.cutRequests.Load()) }
 
 // Run waits for the end of the drain and cuts what outlasts the grace. Only its first call does.
 func (s *Sequence) Run(ctx context.Context) {
-	if s.began.Swap(true) {
+	if s.started.Swap(true) {
 		return
 	}
-	s.channels()
+	s.initChannels()
 	defer close(s.done)
 	var over <-chan ident.Time
-	if s.Grace > 0 {
-		sub := s.Clock.At(s.Clock.Now().Add(s.Grace))
+	if s.GracePeriod > 0 {
+		sub := s.Clock.At(s.Clock.Now().Add(s.GracePeriod))
 		defer sub.Close()
 		over = sub.C()
 	}
 	select {
 	case <-s.drained:
 	case <-over:
-		s.expire()
+		s.expireGrace()
 	case <-ctx.Done():
 		return
 	}
-	s.await(func() bool { return s.Running() == 0 })
+	s.waitUntil(func() bool { return s.Running() == 0 })
 }
 
-func (s *Sequence) expire() {
+func (s *Sequence) expireGrace() {
 	n := s.Running()
-	s.cut.Store(int64(n))
+	s.cutRequests.Store(int64(n))
 	s.Log.Info("grace is over", "requests", n)
 	s.Post(event.DrainExpired{})
 }
 
-// await waits for a condition, for Last at the most.
-func (s *Sequence) await(ok func() bool) {
-	tick := s.Clock.Every(poll)
+// waitUntil waits for a condition, for Last at the most.
+func (s *Sequence) waitUntil(ok func() bool) {
+	tick := s.Clock.Every(pollInterval)
 	defer tick.Close()
-	until := s.Clock.Now().Add(s.Last)
+	until := s.Clock.Now().Add(s.FinalTimeout)
 	for !ok() && s.Clock.Now() < until {
 		<-tick.C()
 	}
@@ -127,12 +127,12 @@
 			s.Log.Info("listener does not close", "error", err.Error())
 		}
 	}
-	s.Conns.Retire()
-	s.await(func() bool { return s.Conns.Open() == 0 })
+	s.Conns.Drain()
+	s.waitUntil(func() bool { return s.Conns.Len() == 0 })
 	for _, l := range ls {
-		s.shutdown(l)
+		s.shutdownHTTP2(l)
 	}
-	if n := s.Conns.Cut(event.ReasonStopped); n > 0 {
+	if n := s.Conns.CloseAll(event.ReasonStopped); n > 0 {
 		s.Log.Info("connections closed with a request", "connections", n)
 	}
 	for _, l := range ls {
@@ -140,12 +140,12 @@
 	}
 }
 
-// shutdown ends the connections of HTTP/2, which the server has to announce.
-func (s *Sequence) shutdown(l *httpsv.Listener) {
+// shutdownHTTP2 ends the connections of HTTP/2, which the server has to announce.
+func (s *Sequence) shutdownHTTP2(l *httpsv.Listener) {
 	if l.Server.TLSConfig == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), s.Last)
+	ctx, cancel := context.WithTimeout(context.Background(), s.FinalTimeout)
 	defer cancel()
 	if err := l.Server.Shutdown(ctx); err != nil {
 		s.Log.Info("server does not shut down in time", "error", err.Error())
--- a/internal/halt/halt_test.go
+++ b/internal/halt/halt_test.go
@@ -13,30 +13,30 @@
 	"verbenadale.example/verbenadale/internal/event"
 )
 
-const waitLimit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// host is a host with some requests, which a test ends.
-type host struct {
+// testHost is a testHost with some requests, which a test ends.
+type testHost struct {
 	*Sequence
 	running atomic.Int64
 	posted  chan event.Event
 }
 
-func newHost(t *testing.T, grace time.Duration, running int) *host {
+func newTestHost(t *testing.T, grace time.Duration, running int) *testHost {
 	t.Helper()
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	h := &host{posted: make(chan event.Event, 4)}
+	h := &testHost{posted: make(chan event.Event, 4)}
 	h.running.Store(int64(running))
 	h.Sequence = &Sequence{
-		Clock: svc, Log: logr.Discard(), Grace: grace, Last: waitLimit,
+		Clock: svc, Log: logr.Discard(), GracePeriod: grace, FinalTimeout: testTimeout,
 		Running: func() int { return int(h.running.Load()) },
 		Post:    func(ev event.Event) { h.posted <- ev },
 	}
 	return h
 }
 
-func (h *host) over(wait time.Duration) bool {
+func (h *testHost) waitDone(wait time.Duration) bool {
 	select {
 	case <-h.Done():
 		return true
@@ -46,46 +46,46 @@
 }
 
 // A host ends before its last answers have left, or counts none of those that it cut.
-func TestGraceIsOver(t *testing.T) {
-	h := newHost(t, 50*time.Millisecond, 3)
+func TestGracePeriodExpires(t *testing.T) {
+	h := newTestHost(t, 50*time.Millisecond, 3)
 	go h.Run(t.Context())
 	if diff := cmp.Diff(event.Event(event.DrainExpired{}), <-h.posted); diff != "" {
 		t.Errorf("event (-want +got):\n%s", diff)
 	}
-	if h.over(50 * time.Millisecond) {
+	if h.waitDone(50 * time.Millisecond) {
 		t.Error("it is done with requests that run")
 	}
 	h.running.Store(0)
-	if !h.over(waitLimit) {
+	if !h.waitDone(testTimeout) {
 		t.Error("it is never done")
 	}
-	if diff := cmp.Diff(3, h.Cut()); diff != "" {
+	if diff := cmp.Diff(3, h.CutRequests()); diff != "" {
 		t.Errorf("cut (-want +got):\n%s", diff)
 	}
 }
 
 // A drain that ends by itself is counted as cut, or waits for the end of the grace.
 func TestDrainEndsByItself(t *testing.T) {
-	h := newHost(t, time.Hour, 0)
+	h := newTestHost(t, time.Hour, 0)
 	go h.Run(t.Context())
-	h.Drained()
-	h.Drained()
-	if !h.over(waitLimit) {
+	h.MarkDrained()
+	h.MarkDrained()
+	if !h.waitDone(testTimeout) {
 		t.Error("it is never done")
 	}
-	if diff := cmp.Diff([]int{0, 0}, []int{h.Cut(), len(h.posted)}); diff != "" {
+	if diff := cmp.Diff([]int{0, 0}, []int{h.CutRequests(), len(h.posted)}); diff != "" {
 		t.Errorf("cut and posted (-want +got):\n%s", diff)
 	}
 }
 
 // A process that ends without a drain waits for one.
-func TestRunEndsWithItsContext(t *testing.T) {
-	h := newHost(t, 0, 1)
+func TestRunEndsWithContext(t *testing.T) {
+	h := newTestHost(t, 0, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	h.Run(ctx)
 	h.Run(ctx)
-	if !h.over(waitLimit) {
+	if !h.waitDone(testTimeout) {
 		t.Error("it is never done")
 	}
 }
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -21,7 +21,7 @@
 // The host runs nothing before it has the whole body. A link that breaks
 // before the first piece of the body was written therefore proves that the
 // request was not run; one that breaks later proves nothing.
-func (m *Mesh) Forward(ctx context.Context, p serve.Passed, sent func(), out serve.Relay) event.AttemptEnded {
+func (m *Mesh) Forward(ctx context.Context, p serve.ForwardedRequest, sent func(), out serve.Relay) event.AttemptEnded {
 	s, ok := m.await(ctx, p.Forward.To)
 	if !ok {
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
@@ -36,7 +36,7 @@
 		s.opening.Add(-1)
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
-	c := &pass{Passed: p, m: m, s: s, part: newPart(m, st), out: out, upto: p.Call.Resume}
+	c := &pass{ForwardedRequest: p, m: m, s: s, part: newPart(m, st), out: out, upto: p.Call.Resume}
 	c.upto = max(c.upto, p.Forward.Resume)
 	// Closing the stream before its end frame means that the caller has gone.
 	defer st.Close()
@@ -87,7 +87,7 @@
 
 // pass is one request on its way to a peer.
 type pass struct {
-	serve.Passed
+	serve.ForwardedRequest
 	m    *Mesh
 	s    *session
 	part *part
@@ -137,8 +137,8 @@
 func (c *pass) open() *wire.Open {
 	left := c.Forward.Deadline.Sub(c.m.cfg.Clock.Now())
 	o := wire.FromRequest(c.Request, c.Forward.Envelope, left)
-	if c.Call.Answer != "" {
-		o.Request = string(c.Call.Answer)
+	if c.Call.AnswerID != "" {
+		o.Request = string(c.Call.AnswerID)
 	}
 	o.Resume = int64(c.upto)
 	o.Once = c.Forward.Once
--- a/internal/peer/forward_test.go
+++ b/internal/peer/forward_test.go
@@ -54,8 +54,8 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if got.ID == "req-1" || call.Answer != "req-1" {
-		t.Errorf("runs as %q, answers as %q", got.ID, call.Answer)
+	if got.ID == "req-1" || call.AnswerID != "req-1" {
+		t.Errorf("runs as %q, answers as %q", got.ID, call.AnswerID)
 	}
 	if diff := cmp.Diff([]uint64(nil), got.Prefix); diff != "" {
 		t.Errorf("digests of the prompt have left their host (-want +got):\n%s", diff)
@@ -143,7 +143,7 @@
 // A host bars an attempt of another host.
 func TestForeignAttemptIsRefused(t *testing.T) {
 	x, y := pair(t, Config{}, Config{}, echo)
-	a, end := forward(t.Context(), x, y, "body", func(p *serve.Passed) { p.Forward.Envelope.Attempt.Entry = "uvs-3" })
+	a, end := forward(t.Context(), x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Envelope.Attempt.Entry = "uvs-3" })
 	want := event.AttemptEnded{Result: event.ResultNotRun, Code: codes.ForgedEnvelope.ID}
 	if diff := cmp.Diff(want, end); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
@@ -174,7 +174,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		l := &leaver{began: began, cancel: cancel}
 		go l.run()
-		_, end := forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = once })
+		_, end := forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Once = once })
 		if diff := cmp.Diff(event.ResultBroken, end.Result); diff != "" {
 			t.Errorf("once %v: result (-want +got):\n%s", once, diff)
 		}
@@ -225,7 +225,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		l := &leaver{began: began, cancel: cancel}
 		go l.run()
-		forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = true })
+		forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Once = true })
 		if err := <-read; err == nil {
 			t.Fatal("a booking that nobody wants any more is sent")
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -230,8 +230,8 @@
 }
 
 // someCall is a request of a caller that is to be passed on.
-func someCall(to event.Host, body string) serve.Passed {
-	return serve.Passed{
+func someCall(to event.Host, body string) serve.ForwardedRequest {
+	return serve.ForwardedRequest{
 		Forward: event.Forward{
 			Request: "req-1", To: to, Deadline: ident.Time(time.Hour),
 			Envelope: event.Envelope{
@@ -267,7 +267,7 @@
 }
 
 // forward passes a request from x on to y.
-func forward(ctx context.Context, x, y *node, body string, change func(p *serve.Passed)) (*answer, event.AttemptEnded) {
+func forward(ctx context.Context, x, y *node, body string, change func(p *serve.ForwardedRequest)) (*answer, event.AttemptEnded) {
 	p := someCall(y.cfg.Self, body)
 	p.Forward.Envelope.Attempt.Incarnation = x.cfg.Self.Incarnation
 	if change != nil {
--- a/internal/peer/take.go
+++ b/internal/peer/take.go
@@ -129,7 +129,7 @@
 	o := k.open
 	return serve.Call{
 		Method: o.GetMethod(), Path: o.GetPath(), Header: wire.ToHeader(o.GetHeader()),
-		ReadBody: k.readBody, Answer: ident.RequestID(o.GetRequest()), Resume: ident.Tokens(max(o.GetResume(), 0)),
+		ReadBody: k.readBody, AnswerID: ident.RequestID(o.GetRequest()), Resume: ident.Tokens(max(o.GetResume(), 0)),
 		Stream: o.GetStream(), Engine: o.GetEngine(), Routed: o.GetRouted(), Resumable: o.GetResumable(),
 		Ending: k.ending,
 	}
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	testID    = ident.RequestID("req-0001")
-	waitLimit = 20 * time.Second
+	testID      = ident.RequestID("req-0001")
+	testTimeout = 20 * time.Second
 )
 
-// bench runs one request before targets that the test makes up. Its step
+// fixture runs one request before targets that the test makes up. Its step
 // function stands in for the reducer: it sends to each target in turn until an
 // answer is whole.
-type bench struct {
-	rn       *Runner
-	targets  []event.Target
-	once     bool
-	deadline time.Duration
-	silence  event.IdleTimeouts
-	// keeps says that silent attempts are not broken off, silences counts their reports.
-	keeps    bool
-	silences int
-
-	mu   sync.Mutex
-	ends []event.AttemptEnded
-	left bool
-	num  uint64
-	got  got
+type fixture struct {
+	rn           *Runner
+	targets      []event.Target
+	once         bool
+	deadline     time.Duration
+	idleTimeouts event.IdleTimeouts
+	// ignoreSilence says that silent attempts are not broken off, silences counts their reports.
+	ignoreSilence bool
+	silences      int
+
+	mu            sync.Mutex
+	ends          []event.AttemptEnded
+	callerHasLeft bool
+	attempts      uint64
+	result        callerResult
 }
 
-// got is what the caller was given.
-type got struct {
+// callerResult is what the caller was given.
+type callerResult struct {
 	Status  int
 	Body    string
 	Outcome event.Outcome
 	Code    codes.ID
 }
 
-func newBench(t *testing.T, hs ...http.HandlerFunc) *bench {
+func newFixture(t *testing.T, hs ...http.HandlerFunc) *fixture {
 	t.Helper()
-	b := &bench{deadline: waitLimit}
+	b := &fixture{deadline: testTimeout}
 	for i, h := range hs {
 		srv := httptest.NewServer(h)
 		t.Cleanup(srv.Close)
@@ -66,22 +66,22 @@
 	t.Cleanup(lp.Stop)
 	b.rn = &Runner{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Targets: target.New(),
-		Outcomes: &Outcomes{}, MaxAnswer: 1 << 20, Budget: NewBudget(4 << 20),
+		Answers: &AnswerCache{}, MaxAnswer: 1 << 20, Budget: NewBudget(4 << 20),
 	}
 	return b
 }
 
-func (b *bench) step(now ident.Time, ev event.Event) []event.Effect {
+func (b *fixture) step(now ident.Time, ev event.Event) []event.Effect {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch e := ev.(type) {
 	case event.RequestArrived:
-		return b.next(now, 0)
+		return b.dispatchNext(now, 0)
 	case event.CallerLeft:
-		b.left = true
+		b.callerHasLeft = true
 	case event.AttemptSilent:
 		b.silences++
-		if b.keeps {
+		if b.ignoreSilence {
 			return nil
 		}
 		return []event.Effect{event.BreakOff{
@@ -93,26 +93,26 @@
 		case e.Result == event.ResultDone:
 			return []event.Effect{event.Finish{Request: testID, Outcome: event.Done}}
 		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !b.once:
-			return b.next(now, e.Delivered)
+			return b.dispatchNext(now, e.Delivered)
 		}
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.TargetFailed.ID, Outcome: event.Unknown}}
 	}
 	return nil
 }
 
-func (b *bench) next(now ident.Time, resume ident.Tokens) []event.Effect {
-	if int(b.num) >= len(b.targets) {
+func (b *fixture) dispatchNext(now ident.Time, resume ident.Tokens) []event.Effect {
+	if int(b.attempts) >= len(b.targets) {
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.NoTarget.ID, Outcome: event.NotRun}}
 	}
-	b.num++
+	b.attempts++
 	return []event.Effect{event.Dispatch{
-		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: b.num}, Target: b.targets[b.num-1],
-		Deadline: now.Add(b.deadline), Resume: resume, Once: b.once, Keep: b.once, IdleTimeouts: b.silence,
+		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: b.attempts}, Target: b.targets[b.attempts-1],
+		Deadline: now.Add(b.deadline), Resume: resume, Once: b.once, Keep: b.once, IdleTimeouts: b.idleTimeouts,
 	}}
 }
 
 // results lists how the attempts ended.
-func (b *bench) results() []event.Result {
+func (b *fixture) results() []event.Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var rs []event.Result
@@ -122,18 +122,18 @@
 	return rs
 }
 
-func (b *bench) sink() Sink {
+func (b *fixture) sink() Sink {
 	return Sink{
-		Begin:  func(status int, _ http.Header) { b.got.Status = status },
-		Data:   func(p []byte, _ ident.Tokens) error { b.got.Body += string(p); return nil },
-		Finish: func(o event.Outcome) { b.got.Outcome = o },
-		Refuse: func(r event.Refuse) { b.got.Code, b.got.Outcome = r.Code, r.Outcome },
+		Begin:  func(status int, _ http.Header) { b.result.Status = status },
+		Data:   func(p []byte, _ ident.Tokens) error { b.result.Body += string(p); return nil },
+		Finish: func(o event.Outcome) { b.result.Outcome = o },
+		Refuse: func(r event.Refuse) { b.result.Code, b.result.Outcome = r.Code, r.Outcome },
 	}
 }
 
-func (b *bench) run(ctx context.Context, call Call) got {
+func (b *fixture) run(ctx context.Context, call Call) callerResult {
 	b.rn.Run(ctx, call, event.Request{ID: testID}, b.sink())
-	return b.got
+	return b.result
 }
 
 // The calls of the tests.
@@ -143,8 +143,8 @@
 	serviceCall = Call{Method: http.MethodGet, Path: "/jobs"}
 )
 
-// open starts the stream of an engine.
-func open(w http.ResponseWriter, r *http.Request) {
+// openStream starts the stream of an engine.
+func openStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
 	w.Header().Set("Content-Type", "text/event-stream")
 }
@@ -163,18 +163,18 @@
 	return text
 }
 
-const endEvent = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
-// says answers with a stream of the given text.
-func says(text string) http.HandlerFunc {
+// streamAnswer answers with a stream of the given text.
+func streamAnswer(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		open(w, r)
+		openStream(w, r)
 		_, _ = w.Write([]byte(text))
 	}
 }
 
-// whole answers with JSON.
-func whole(status int, body string) http.HandlerFunc {
+// jsonAnswer answers with JSON.
+func jsonAnswer(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
 		w.Header().Set("Content-Type", "application/json")
@@ -183,11 +183,11 @@
 	}
 }
 
-// short answers with less than the length that it announces.
-func short(body string) http.HandlerFunc {
+// truncatedAnswer answers with less than the length that it announces.
+func truncatedAnswer(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "99")
-		whole(200, body)(w, r)
+		jsonAnswer(200, body)(w, r)
 	}
 }
 
--- a/internal/serve/budget.go
+++ b/internal/serve/budget.go
@@ -11,37 +11,37 @@
 // allowed would end the process for want of memory, and with it every request
 // in flight. The zero Budget has no bound.
 type Budget struct {
-	most  ident.Bytes
-	taken atomic.Int64
+	limit ident.Bytes
+	used  atomic.Int64
 }
 
 // NewBudget returns a budget of the given size.
-func NewBudget(most ident.Bytes) *Budget { return &Budget{most: most} }
+func NewBudget(most ident.Bytes) *Budget { return &Budget{limit: most} }
 
-// Take takes n bytes and reports whether there was room.
-func (b *Budget) Take(n int) bool {
+// Reserve takes n bytes and reports whether there was room.
+func (b *Budget) Reserve(n int) bool {
 	if b == nil {
 		return true
 	}
-	now := b.taken.Add(int64(n))
-	if b.most > 0 && now > int64(b.most) {
-		b.taken.Add(int64(-n))
+	now := b.used.Add(int64(n))
+	if b.limit > 0 && now > int64(b.limit) {
+		b.used.Add(int64(-n))
 		return false
 	}
 	return true
 }
 
-// Give returns n bytes.
-func (b *Budget) Give(n int) {
+// Release returns n bytes.
+func (b *Budget) Release(n int) {
 	if b != nil {
-		b.taken.Add(int64(-n))
+		b.used.Add(int64(-n))
 	}
 }
 
-// Taken returns the bytes in use.
-func (b *Budget) Taken() ident.Bytes {
+// Used returns the bytes in use.
+func (b *Budget) Used() ident.Bytes {
 	if b == nil {
 		return 0
 	}
-	return ident.Bytes(b.taken.Load())
+	return ident.Bytes(b.used.Load())
 }
--- a/internal/serve/fuzz_test.go
+++ b/internal/serve/fuzz_test.go
@@ -15,20 +15,20 @@
 // Whatever an engine sends, the tokens that go on to the caller follow one
 // another from the first, and an answer counts as whole only with its end mark.
 func FuzzStream(f *testing.F) {
-	f.Add([]byte(tokens(1, 3)+endEvent), int64(0))
-	f.Add([]byte(tokens(3, 5)+endEvent), int64(2))
-	f.Add([]byte(strings.ReplaceAll(tokens(1, 2), "\n", "\r\n")+": c\n\n"+endEvent), int64(0))
+	f.Add([]byte(tokens(1, 3)+doneEvent), int64(0))
+	f.Add([]byte(tokens(3, 5)+doneEvent), int64(2))
+	f.Add([]byte(strings.ReplaceAll(tokens(1, 2), "\n", "\r\n")+": c\n\n"+doneEvent), int64(0))
 	f.Add([]byte("id: x\ndata: 1\n\n"), int64(0))
 	f.Fuzz(func(t *testing.T, text []byte, resume int64) {
-		s := &sse{
-			br: bufio.NewReaderSize(bytes.NewReader(text), streamBuffer), own: []byte(testID),
-			upto: ident.Tokens(resume), resumed: resume > 0,
+		s := &engineStream{
+			br: bufio.NewReaderSize(bytes.NewReader(text), streamBufferSize), quotedID: []byte(testID),
+			lastID: ident.Tokens(resume), skipOpening: resume > 0,
 		}
-		last := s.upto
+		last := s.lastID
 		for {
 			out, err := s.next()
 			if errors.Is(err, io.EOF) {
-				if !bytes.Contains(text, []byte(endMark)) {
+				if !bytes.Contains(text, []byte(doneMarker)) {
 					t.Errorf("whole without its end mark: %q", text)
 				}
 				return
@@ -36,13 +36,13 @@
 			if err != nil {
 				return
 			}
-			if s.upto != last+1 {
-				t.Errorf("token %d after %d", s.upto, last)
+			if s.lastID != last+1 {
+				t.Errorf("token %d after %d", s.lastID, last)
 			}
-			if !bytes.Contains(out, []byte(testID)) || len(out) > 3*maxEvent {
+			if !bytes.Contains(out, []byte(testID)) || len(out) > 3*maxEventBytes {
 				t.Errorf("event that is not the request's own: %q", out)
 			}
-			last = s.upto
+			last = s.lastID
 		}
 	})
 }
--- a/internal/serve/held.go
+++ b/internal/serve/held.go
@@ -12,14 +12,14 @@
 // errAnswerTooLarge ends an attempt whose answer can't be held whole.
 var errAnswerTooLarge = errors.New("serve: the answer is too large to hold")
 
-// Held is an answer that waits: until it is whole, or for a repeat.
-type Held struct {
+// BufferedAnswer is an answer that waits: until it is whole, or for a repeat.
+type BufferedAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-func (h *Held) add(b []byte, most ident.Bytes) error {
+func (h *BufferedAnswer) append(b []byte, most ident.Bytes) error {
 	if ident.Bytes(len(h.Body)+len(b)) > most {
 		return errAnswerTooLarge
 	}
@@ -29,7 +29,7 @@
 
 // size is the memory that a kept answer is counted with. The fixed part
 // stands for the maps and the id, so that empty answers can't pile up.
-func (h *Held) size() int {
+func (h *BufferedAnswer) size() int {
 	const fixed = 1 << 10
 	n := fixed + len(h.Body)
 	for k, vs := range h.Header {
@@ -41,60 +41,60 @@
 	return n
 }
 
-// maxKept bounds one kept answer, and keptBytes all of them.
+// maxKeptAnswer bounds one kept answer, and maxKeptTotal all of them.
 const (
-	maxKept   = 64 << 10
-	keptBytes = 32 << 20
+	maxKeptAnswer = 64 << 10
+	maxKeptTotal  = 32 << 20
 )
 
-// Outcomes keeps answers for repeats, in bounded memory. The reducer says when
-// one is to be forgotten. The zero Outcomes is empty and ready.
-type Outcomes struct {
-	mu   sync.Mutex
-	kept map[ident.RequestID]Held
-	size int
+// AnswerCache keeps answers for repeats, in bounded memory. The reducer says when
+// one is to be forgotten. The zero AnswerCache is empty and ready.
+type AnswerCache struct {
+	mu      sync.Mutex
+	answers map[ident.RequestID]BufferedAnswer
+	size    int
 }
 
-// Keep stores an answer and reports whether there was room for it.
-func (o *Outcomes) Keep(id ident.RequestID, h Held) bool {
+// Put stores an answer and reports whether there was room for it.
+func (o *AnswerCache) Put(id ident.RequestID, h BufferedAnswer) bool {
 	n := h.size()
-	if n > maxKept {
+	if n > maxKeptAnswer {
 		return false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.forget(id)
-	if o.size+n > keptBytes {
+	o.deleteLocked(id)
+	if o.size+n > maxKeptTotal {
 		return false
 	}
-	if o.kept == nil {
-		o.kept = make(map[ident.RequestID]Held)
+	if o.answers == nil {
+		o.answers = make(map[ident.RequestID]BufferedAnswer)
 	}
-	o.kept[id] = h
+	o.answers[id] = h
 	o.size += n
 	return true
 }
 
 // Get returns a kept answer.
-func (o *Outcomes) Get(id ident.RequestID) (Held, bool) {
+func (o *AnswerCache) Get(id ident.RequestID) (BufferedAnswer, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h, ok := o.kept[id]
+	h, ok := o.answers[id]
 	return h, ok
 }
 
-// Forget drops a kept answer.
-func (o *Outcomes) Forget(id ident.RequestID) {
+// Delete drops a kept answer.
+func (o *AnswerCache) Delete(id ident.RequestID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.forget(id)
+	o.deleteLocked(id)
 }
 
-func (o *Outcomes) forget(id ident.RequestID) {
-	h, ok := o.kept[id]
+func (o *AnswerCache) deleteLocked(id ident.RequestID) {
+	h, ok := o.answers[id]
 	if !ok {
 		return
 	}
-	delete(o.kept, id)
+	delete(o.answers, id)
 	o.size -= h.size()
 }
--- a/internal/serve/model.go
+++ b/internal/serve/model.go
@@ -11,7 +11,7 @@
 // has loaded. Callers name a profile there, which no engine knows; an engine
 // refuses a model that it has not loaded. All other bytes stay as they came.
 func withModel(body []byte, model ident.Model) []byte {
-	from, to, ok := modelAt(body)
+	from, to, ok := findModel(body)
 	if !ok || model == "" {
 		return body
 	}
@@ -25,9 +25,9 @@
 	return append(out, body[to:]...)
 }
 
-// modelAt finds the value of the last top-level field model, which is the one
+// findModel finds the value of the last top-level field model, which is the one
 // that decoders take when a field stands twice.
-func modelAt(body []byte) (from, to int, ok bool) {
+func findModel(body []byte) (from, to int, ok bool) {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	if tok, err := dec.Token(); err != nil || tok != json.Delim('{') {
 		return 0, 0, false
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -20,13 +20,13 @@
 
 // Faults of an answer.
 var (
-	errCrossed = errors.New("serve: the answer belongs to another request")
-	errShort   = errors.New("serve: the answer is not whole")
-	errGone    = errors.New("serve: the caller has gone")
+	errWrongRequest = errors.New("serve: the answer belongs to another request")
+	errTruncated    = errors.New("serve: the answer is not whole")
+	errCallerGone   = errors.New("serve: the caller has gone")
 )
 
 // send runs an attempt at a target.
-func (t *try) send(ctx context.Context, d event.Dispatch) event.AttemptEnded {
+func (t *attempt) send(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ctx, span := t.Trace.Hop(ctx, "target")
 	defer span.End()
 	span.Set("target", string(d.Target.ID))
@@ -34,13 +34,13 @@
 	if send == nil {
 		send = t.Targets.Send
 	}
-	res, err := send(ctx, t.order(d), t.markSent)
+	res, err := send(ctx, t.newOrder(d), t.markSent)
 	if err != nil && !t.sent {
 		return event.AttemptEnded{Result: event.ResultNotRun}
 	}
 	if err != nil {
 		t.Log.V(1).Info("attempt broke", "attempt", d.Attempt, "target", d.Target.ID, "error", err)
-		return event.AttemptEnded{Result: event.ResultBroken, Resumable: t.resumable(), Delivered: t.upto}
+		return event.AttemptEnded{Result: event.ResultBroken, Resumable: t.resumable(), Delivered: t.delivered}
 	}
 	defer res.Body.Close()
 	end := t.receive(res, d)
@@ -51,7 +51,7 @@
 
 // markSent says once that bytes may have left. The transport may call it again
 // when it takes another connection.
-func (t *try) markSent() {
+func (t *attempt) markSent() {
 	if t.sent {
 		return
 	}
@@ -59,49 +59,49 @@
 	t.Loop.Post(event.AttemptSent{Attempt: t.id})
 }
 
-func (t *try) order(d event.Dispatch) target.Order {
+func (t *attempt) newOrder(d event.Dispatch) target.Order {
 	body := t.call.Body
 	if t.call.Engine {
 		body = withModel(body, d.Serve.Model)
 	}
 	return target.Order{
-		Target: d.Target, Attempt: d.Attempt, Request: t.call.Answer, Serve: d.Serve,
+		Target: d.Target, Attempt: d.Attempt, Request: t.call.AnswerID, Serve: d.Serve,
 		Method: t.call.Method, Path: t.call.Path, Header: t.call.Header, Body: body,
-		Priority: d.Priority, Resume: max(d.Resume, t.upto), Left: t.left(d.Deadline), Once: d.Once,
+		Priority: d.Priority, Resume: max(d.Resume, t.delivered), Left: t.remaining(d.Deadline), Once: d.Once,
 		CopyFrom: d.CopyFrom.URL,
 	}
 }
 
 // receive reads the answer of a target and judges it.
-func (t *try) receive(res *http.Response, d event.Dispatch) event.AttemptEnded {
-	end := event.AttemptEnded{Status: res.StatusCode, RetryAfter: retryAfter(res.Header), Delivered: t.upto}
+func (t *attempt) receive(res *http.Response, d event.Dispatch) event.AttemptEnded {
+	end := event.AttemptEnded{Status: res.StatusCode, RetryAfter: retryAfter(res.Header), Delivered: t.delivered}
 	if said := res.Header.Get(target.HeaderNotRun); said != "" {
 		end.Result = event.ResultNotRun
 		end.Draining = said == target.NotRunDraining
 		return end
 	}
 	if err := t.checkEcho(res, d.Attempt); err != nil {
-		return t.broken(end, err)
+		return t.brokenResult(end, err)
 	}
-	if t.call.Engine && failed(res.StatusCode) {
+	if t.call.Engine && retryableStatus(res.StatusCode) {
 		end.Result = event.ResultFailed
 		return end
 	}
-	if t.begun && !goesOn(res) {
+	if t.sinkBegun && !canContinueStream(res) {
 		end.Result, end.Resumable = event.ResultFailed, t.resumable()
 		return end
 	}
-	from := t.upto
-	t.begin(res.StatusCode, t.answerHeader(res.Header))
+	from := t.delivered
+	t.begin(res.StatusCode, t.filterHeader(res.Header))
 	err := t.copy(res)
-	end.Delivered = t.upto
-	end.Generated = t.upto - from
-	if t.use.Completion > 0 {
-		end.Generated = t.use.Completion
+	end.Delivered = t.delivered
+	end.Generated = t.delivered - from
+	if t.reportedUsage.Completion > 0 {
+		end.Generated = t.reportedUsage.Completion
 	}
-	end.Cached = t.use.Details.Cached
+	end.Cached = t.reportedUsage.Details.Cached
 	if err != nil {
-		return t.broken(end, err)
+		return t.brokenResult(end, err)
 	}
 	end.Result = event.ResultDone
 	if t.call.Routed && res.StatusCode >= http.StatusInternalServerError {
@@ -110,54 +110,54 @@
 	return end
 }
 
-// goesOn reports whether an answer can continue a stream of which the caller has a part. Any
+// canContinueStream reports whether an answer can continue a stream of which the caller has a part. Any
 // other answer is whole by itself, and its end would make that part look complete.
-func goesOn(res *http.Response) bool {
+func canContinueStream(res *http.Response) bool {
 	return res.StatusCode == http.StatusOK && isEventStream(res.Header)
 }
 
 // resumable reports whether another target may go on with a stream.
-func (t *try) resumable() bool {
+func (t *attempt) resumable() bool {
 	return t.call.Stream && (t.call.Engine || t.call.Routed && t.call.Resumable)
 }
 
-// failed reports whether a status of an engine says that another one may do
+// retryableStatus reports whether a status of an engine says that another one may do
 // better.
-func failed(status int) bool {
+func retryableStatus(status int) bool {
 	return status >= http.StatusInternalServerError || status == http.StatusTooManyRequests
 }
 
-// broken ends an attempt whose answer is of no use. Only a stream that merely
+// brokenResult ends an attempt whose answer is of no use. Only a stream that merely
 // stopped may be resumed: one that skipped or belonged to somebody else says
 // nothing true about where it stands.
-func (t *try) broken(end event.AttemptEnded, err error) event.AttemptEnded {
+func (t *attempt) brokenResult(end event.AttemptEnded, err error) event.AttemptEnded {
 	end.Result = event.ResultBroken
-	end.Resumable = t.resumable() && errors.Is(err, errShort)
+	end.Resumable = t.resumable() && errors.Is(err, errTruncated)
 	t.Log.V(1).Info("attempt broke", "attempt", t.id, "error", err)
 	return end
 }
 
 // checkEcho detects a crossed answer, of a target or proxy that mixes up two connections, by
 // the echo of the attempt, before a byte is forwarded.
-func (t *try) checkEcho(res *http.Response, a ident.Attempt) error {
+func (t *attempt) checkEcho(res *http.Response, a ident.Attempt) error {
 	echo := res.Header.Get(target.HeaderAttempt)
 	if echo == "" && !t.call.Engine {
 		return nil
 	}
 	if echo != a.String() {
-		return errCrossed
+		return errWrongRequest
 	}
 	return nil
 }
 
-func (t *try) copy(res *http.Response) error {
+func (t *attempt) copy(res *http.Response) error {
 	switch {
 	case !t.streaming:
-		return t.copyWhole(res.Body)
+		return t.bufferBody(res.Body)
 	case t.call.Engine:
-		return t.copyStream(res.Body)
+		return t.copyEngineStream(res.Body)
 	case t.call.Routed:
-		return t.copyEvents(res.Body)
+		return t.copyRoutedEvents(res.Body)
 	}
 	return t.copyRaw(res.Body)
 }
@@ -166,22 +166,22 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// copyWhole reads an answer that is given on only when it is whole.
-func (t *try) copyWhole(body io.Reader) error {
-	buf := make([]byte, streamBuffer)
+// bufferBody reads an answer that is given on only when it is whole.
+func (t *attempt) bufferBody(body io.Reader) error {
+	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			t.first()
-			if err := t.hold(buf[:n]); err != nil {
+			t.recordProgress()
+			if err := t.buffer(buf[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return t.checkWhole()
+			return t.checkEngineAnswer()
 		}
 		if err != nil {
-			return errors.Wrap(errShort, err.Error())
+			return errors.Wrap(errTruncated, err.Error())
 		}
 	}
 }
@@ -194,38 +194,38 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// checkWhole guards against a short or crossed answer of an engine that closed
+// checkEngineAnswer guards against a short or crossed answer of an engine that closed
 // the connection properly all the same.
-func (t *try) checkWhole() error {
-	if !t.call.Engine || t.held.Status != http.StatusOK {
+func (t *attempt) checkEngineAnswer() error {
+	if !t.call.Engine || t.buffered.Status != http.StatusOK {
 		return nil
 	}
 	var head struct {
 		ID    ident.RequestID `json:"id"`
 		Usage usage           `json:"usage"`
 	}
-	if err := json.Unmarshal(t.held.Body, &head); err != nil {
-		return errors.Wrap(errShort, err.Error())
+	if err := json.Unmarshal(t.buffered.Body, &head); err != nil {
+		return errors.Wrap(errTruncated, err.Error())
 	}
-	if head.ID != t.call.Answer {
-		return errCrossed
+	if head.ID != t.call.AnswerID {
+		return errWrongRequest
 	}
-	t.use = head.Usage
+	t.reportedUsage = head.Usage
 	return nil
 }
 
-// copyStream passes events on until the end mark, which is held back until
+// copyEngineStream passes events on until the end mark, which is held back until
 // the reducer has taken note of the end.
-func (t *try) copyStream(body io.Reader) error {
-	s := &sse{
-		br:  bufio.NewReaderSize(body, streamBuffer),
-		own: []byte(`"` + string(t.call.Answer) + `"`), upto: t.upto, resumed: t.upto > 0,
+func (t *attempt) copyEngineStream(body io.Reader) error {
+	s := &engineStream{
+		br:       bufio.NewReaderSize(body, streamBufferSize),
+		quotedID: []byte(`"` + string(t.call.AnswerID) + `"`), lastID: t.delivered, skipOpening: t.delivered > 0,
 	}
 	for {
 		b, err := s.next()
 		if len(b) > 0 {
-			t.first()
-			if err := t.data(b, s.upto); err != nil {
+			t.recordProgress()
+			if err := t.deliver(b, s.lastID); err != nil {
 				return err
 			}
 		}
@@ -241,13 +241,13 @@
 // copyRaw passes a stream of a plain service on as it comes. Its end is that
 // of the message, which chunked encoding or a length distinguishes from a broken
 // connection.
-func (t *try) copyRaw(body io.Reader) error {
-	buf := make([]byte, streamBuffer)
+func (t *attempt) copyRaw(body io.Reader) error {
+	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			t.first()
-			if err := t.data(buf[:n], 0); err != nil {
+			t.recordProgress()
+			if err := t.deliver(buf[:n], 0); err != nil {
 				return err
 			}
 		}
@@ -255,7 +255,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(errShort, err.Error())
+			return errors.Wrap(errTruncated, err.Error())
 		}
 	}
 }
@@ -270,18 +270,18 @@
 	return time.Duration(n) * time.Second
 }
 
-// passedHeaders are the headers of an answer that go on to the caller.
-var passedHeaders = []string{
+// forwardedHeaders are the headers of an answer that go on to the caller.
+var forwardedHeaders = []string{
 	"Cache-Control", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Type",
 	"Etag", "Last-Modified", "Link", "Location", "Retry-After", "Vary",
 }
 
-func (t *try) answerHeader(h http.Header) http.Header {
+func (t *attempt) filterHeader(h http.Header) http.Header {
 	if t.call.Routed {
 		return h
 	}
-	out := make(http.Header, len(passedHeaders))
-	for _, k := range passedHeaders {
+	out := make(http.Header, len(forwardedHeaders))
+	for _, k := range forwardedHeaders {
 		if vs := h.Values(k); len(vs) > 0 {
 			out[k] = vs
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -41,9 +41,9 @@
 	// reducer has let the request in. A body that may not enter this host is
 	// thus never read.
 	ReadBody func() ([]byte, error)
-	// Answer is the request id that the answer names, where another entry
+	// AnswerID is the request id that the answer names, where another entry
 	// host gave it out; empty stands for the id of the request.
-	Answer ident.RequestID
+	AnswerID ident.RequestID
 	// Resume is the number of tokens that the caller has been given before.
 	Resume ident.Tokens
 	// Stream says that the answer is a stream of server-sent events.
@@ -80,8 +80,8 @@
 	Data  func(b []byte, upto ident.Tokens) error
 }
 
-// Passed is a request that is passed on to another entry host.
-type Passed struct {
+// ForwardedRequest is a request that is passed on to another entry host.
+type ForwardedRequest struct {
 	Forward event.Forward
 	Request event.Request
 	Call    Call
@@ -97,9 +97,9 @@
 	Send func(ctx context.Context, o target.Order, sent func()) (*http.Response, error)
 	// Forward runs an attempt at another entry host. It calls sent before the
 	// first byte can reach it.
-	Forward func(ctx context.Context, p Passed, sent func(), out Relay) event.AttemptEnded
-	// Outcomes keeps the answers that repeats are given again.
-	Outcomes *Outcomes
+	Forward func(ctx context.Context, p ForwardedRequest, sent func(), out Relay) event.AttemptEnded
+	// Answers keeps the answers that repeats are given again.
+	Answers *AnswerCache
 	// MaxAnswer bounds an answer that is held until it is whole.
 	MaxAnswer ident.Bytes
 	// Budget bounds all held answers together; nil is no bound.
@@ -124,13 +124,13 @@
 	defer rn.Loop.Close(req.ID)
 	rn.running.Add(1)
 	defer rn.running.Add(-1)
-	r := &run{Runner: rn, call: call, req: req, sink: sink, upto: call.Resume}
-	if r.call.Answer == "" {
-		r.call.Answer = req.ID
+	r := &run{Runner: rn, call: call, req: req, sink: sink, delivered: call.Resume}
+	if r.call.AnswerID == "" {
+		r.call.AnswerID = req.ID
 	}
-	defer r.drop()
+	defer r.discardBuffer()
 	rn.Loop.Post(event.RequestArrived{Request: req})
-	r.follow(ctx, box)
+	r.process(ctx, box)
 }
 
 // run is one request that runs.
@@ -139,81 +139,81 @@
 	call Call
 	req  event.Request
 	sink Sink
-	// live is the attempt that runs, nil for none.
-	live *try
-	// once says that an attempt that may not be repeated has begun.
-	once bool
-	// gone says that the caller takes no more.
-	gone bool
-	// begun says that the sink has begun, streaming that what
+	// current is the attempt that runs, nil for none.
+	current *attempt
+	// onceStarted says that an attempt that may not be repeated has begun.
+	onceStarted bool
+	// sinkFailed says that the caller takes no more.
+	sinkFailed bool
+	// sinkBegun says that the sink has sinkBegun, streaming that what
 	// comes is passed on as it comes.
-	begun, streaming bool
-	// keep says that a stream is held for repeats beside being passed on.
-	keep bool
-	// upto counts the tokens that the sink has been given.
-	upto ident.Tokens
-	// held is the answer that waits until it is whole.
-	held  Held
-	taken int
+	sinkBegun, streaming bool
+	// keepCopy says that a stream is held for repeats beside being passed on.
+	keepCopy bool
+	// delivered counts the tokens that the sink has been given.
+	delivered ident.Tokens
+	// buffered is the answer that waits until it is whole.
+	buffered BufferedAnswer
+	reserved int
 }
 
-// follow carries out what the reducer decides until the request is over.
-func (r *run) follow(ctx context.Context, box <-chan event.Effect) {
+// process carries out what the reducer decides until the request is over.
+func (r *run) process(ctx context.Context, box <-chan event.Effect) {
 	for {
 		select {
 		case eff := <-box:
-			if r.carry(ctx, eff) {
+			if r.apply(ctx, eff) {
 				return
 			}
-		case <-r.ended():
-			if r.settle() {
+		case <-r.attemptDone():
+			if r.finishAttempt() {
 				return
 			}
-		case <-r.callerLeft(ctx):
-			r.leave(box)
+		case <-r.callerDone(ctx):
+			r.abandon(box)
 			return
 		case <-r.Loop.Done():
-			r.stop()
+			r.stopAttempt()
 			r.sink.Refuse(event.Refuse{Request: r.req.ID, Code: codes.OutcomeUnknown.ID, Outcome: event.Unknown})
 			return
 		}
 	}
 }
 
-// ended is closed when the live attempt has ended. It never is without one.
-func (r *run) ended() <-chan struct{} {
-	if r.live == nil {
+// attemptDone is closed when the live attempt has attemptDone. It never is without one.
+func (r *run) attemptDone() <-chan struct{} {
+	if r.current == nil {
 		return nil
 	}
-	return r.live.t.Dead()
+	return r.current.t.Dead()
 }
 
-// callerLeft is closed when the caller has left and the request may be broken
+// callerDone is closed when the caller has left and the request may be broken
 // off. A call that may not be repeated goes on once it has begun: to break it
 // off would leave nobody knowing whether it ran, while its outcome can still
 // be given to the caller's repeat.
-func (r *run) callerLeft(ctx context.Context) <-chan struct{} {
-	if r.once {
+func (r *run) callerDone(ctx context.Context) <-chan struct{} {
+	if r.onceStarted {
 		return nil
 	}
 	return ctx.Done()
 }
 
-// leave breaks the request off because its caller has gone.
-func (r *run) leave(box <-chan event.Effect) {
-	r.Loop.Post(r.callerGone())
-	r.stop()
+// abandon breaks the request off because its caller has gone.
+func (r *run) abandon(box <-chan event.Effect) {
+	r.Loop.Post(r.callerLeftEvent())
+	r.stopAttempt()
 	for {
 		select {
 		case eff := <-box:
-			r.decline(eff)
+			r.reportNotRun(eff)
 		default:
 			return
 		}
 	}
 }
 
-func (r *run) callerGone() event.CallerLeft {
+func (r *run) callerLeftEvent() event.CallerLeft {
 	e := event.CallerLeft{Request: r.req.ID}
 	if r.call.Ending != nil {
 		e.Ending = r.call.Ending()
@@ -221,9 +221,9 @@
 	return e
 }
 
-// decline says that an attempt that was decided before the caller left has
+// reportNotRun says that an attempt that was decided before the caller left has
 // not been run, so that nothing waits for its end.
-func (r *run) decline(eff event.Effect) {
+func (r *run) reportNotRun(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Dispatch:
 		r.Loop.Post(event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultNotRun})
@@ -232,98 +232,98 @@
 	}
 }
 
-// stop breaks off the live attempt and reports its end.
-func (r *run) stop() { r.breakOff(false) }
+// stopAttempt breaks off the live attempt and reports its end.
+func (r *run) stopAttempt() { r.abortAttempt(false) }
 
-// breakOff is stop with the reason, which may be a silence.
-func (r *run) breakOff(silent bool) {
-	if r.live == nil {
+// abortAttempt is stop with the reason, which may be a silence.
+func (r *run) abortAttempt(silent bool) {
+	if r.current == nil {
 		return
 	}
-	r.live.t.Kill(nil)
-	_ = r.live.t.Wait()
-	r.live.end.Silent = silent
-	r.Loop.Post(r.live.end)
-	r.live = nil
+	r.current.t.Kill(nil)
+	_ = r.current.t.Wait()
+	r.current.end.Silent = silent
+	r.Loop.Post(r.current.end)
+	r.current = nil
 }
 
-// settle reports the end of the live attempt. It reports true when that showed
+// finishAttempt reports the end of the live attempt. It reports true when that showed
 // that the caller has gone.
-func (r *run) settle() bool {
-	t := r.live
-	r.live = nil
-	if t.once && t.keep && t.end.Result == event.ResultDone {
-		t.end.Kept = r.Outcomes.Keep(r.req.ID, r.held)
+func (r *run) finishAttempt() bool {
+	t := r.current
+	r.current = nil
+	if t.atMostOnce && t.keepAnswer && t.end.Result == event.ResultDone {
+		t.end.Kept = r.Answers.Put(r.req.ID, r.buffered)
 	}
 	r.Loop.Post(t.end)
-	if r.gone && !r.once {
-		r.Loop.Post(r.callerGone())
+	if r.sinkFailed && !r.onceStarted {
+		r.Loop.Post(r.callerLeftEvent())
 		return true
 	}
 	return false
 }
 
-// carry carries out one effect and reports whether the request is over.
-func (r *run) carry(ctx context.Context, eff event.Effect) bool {
+// apply carries out one effect and reports whether the request is over.
+func (r *run) apply(ctx context.Context, eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.Dispatch:
-		t := &try{run: r, id: e.Attempt, once: e.Once, keep: e.Keep, deadline: e.Deadline, resume: e.Resume, idle: e.IdleTimeouts}
+		t := &attempt{run: r, id: e.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
 		t.do = func(ctx context.Context) event.AttemptEnded { return t.send(ctx, e) }
-		return r.start(ctx, t)
+		return r.startAttempt(ctx, t)
 	case event.Forward:
-		t := &try{run: r, id: e.Envelope.Attempt, once: e.Once, keep: e.Keep, deadline: e.Deadline, resume: e.Resume, idle: e.IdleTimeouts}
+		t := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
 		t.do = func(ctx context.Context) event.AttemptEnded { return t.forward(ctx, e) }
-		return r.start(ctx, t)
+		return r.startAttempt(ctx, t)
 	case event.BreakOff:
-		if r.live != nil && r.live.id == e.Attempt && !r.live.progressed(e.Silence) {
-			r.breakOff(e.Silence.Since > 0)
+		if r.current != nil && r.current.id == e.Attempt && !r.current.progressedSince(e.Silence) {
+			r.abortAttempt(e.Silence.Since > 0)
 		}
 	case event.Replay:
-		r.stop()
+		r.stopAttempt()
 		r.replay(e)
 		return true
 	case event.Refuse:
-		r.stop()
+		r.stopAttempt()
 		r.sink.Refuse(e)
 		return true
 	case event.Finish:
-		r.release()
+		r.flushBuffered()
 		r.sink.Finish(e.Outcome)
 		return true
 	}
 	return false
 }
 
-// start starts an attempt. One that still runs is broken off first, since two
+// startAttempt starts an attempt. One that still runs is broken off first, since two
 // would write to one caller. It reports true when the request is over because
 // its body did not come.
-func (r *run) start(ctx context.Context, t *try) bool {
-	r.stop()
+func (r *run) startAttempt(ctx context.Context, t *attempt) bool {
+	r.stopAttempt()
 	if !r.readBody() {
 		return true
 	}
-	if !r.begun {
-		r.drop()
+	if !r.sinkBegun {
+		r.discardBuffer()
 	}
-	r.once = r.once || t.once
-	r.keep = t.keep
-	r.upto = max(r.upto, t.resume)
-	if t.once {
+	r.onceStarted = r.onceStarted || t.atMostOnce
+	r.keepCopy = t.keepAnswer
+	r.delivered = max(r.delivered, t.resume)
+	if t.atMostOnce {
 		ctx = context.WithoutCancel(ctx)
 	}
 	t.ctx = ctx
 	t.end = event.AttemptEnded{Attempt: t.id, Result: event.ResultBroken}
-	r.live = t
-	t.lastByte.Store(int64(r.Clock.Now()))
+	r.current = t
+	t.lastByteAt.Store(int64(r.Clock.Now()))
 	t.t.Go(t.loop)
 	return false
 }
 
-// drop gives up a held answer and its share of the budget.
-func (r *run) drop() {
-	r.Budget.Give(r.taken)
-	r.taken = 0
-	r.held = Held{}
+// discardBuffer gives up a held answer and its share of the budget.
+func (r *run) discardBuffer() {
+	r.Budget.Release(r.reserved)
+	r.reserved = 0
+	r.buffered = BufferedAnswer{}
 }
 
 // readBody reads a body that was left unread until now and reports whether
@@ -335,7 +335,7 @@
 	}
 	b, err := r.call.ReadBody()
 	if err != nil {
-		r.Loop.Post(r.callerGone())
+		r.Loop.Post(r.callerLeftEvent())
 		r.sink.Refuse(event.Refuse{Request: r.req.ID, Code: codes.BadRequest.ID, Outcome: event.NotRun})
 		return false
 	}
@@ -344,70 +344,70 @@
 	return true
 }
 
-func (r *run) left(deadline ident.Time) time.Duration {
+func (r *run) remaining(deadline ident.Time) time.Duration {
 	return max(deadline.Sub(r.Clock.Now()), 0)
 }
 
 func (r *run) begin(status int, h http.Header) {
-	r.held.Status = status
-	r.held.Header = h
+	r.buffered.Status = status
+	r.buffered.Header = h
 	r.streaming = r.call.Stream && status == http.StatusOK && isEventStream(h)
 }
 
-// hold adds to the held answer within the budget.
-func (r *run) hold(b []byte) error {
-	if !r.Budget.Take(len(b)) {
+// buffer adds to the held answer within the budget.
+func (r *run) buffer(b []byte) error {
+	if !r.Budget.Reserve(len(b)) {
 		return errAnswerTooLarge
 	}
-	r.taken += len(b)
-	return r.held.add(b, r.MaxAnswer)
+	r.reserved += len(b)
+	return r.buffered.append(b, r.MaxAnswer)
 }
 
-func (r *run) data(b []byte, upto ident.Tokens) error {
+func (r *run) deliver(b []byte, upto ident.Tokens) error {
 	if !r.streaming {
-		return r.hold(b)
+		return r.buffer(b)
 	}
-	if r.keep && len(r.held.Body) <= maxKept {
+	if r.keepCopy && len(r.buffered.Body) <= maxKeptAnswer {
 		// A body that grows past what may be kept stays too large, and
 		// Outcomes refuses it.
-		_ = r.hold(b)
+		_ = r.buffer(b)
 	}
-	if r.gone {
+	if r.sinkFailed {
 		return nil
 	}
-	if !r.begun {
-		r.begun = true
-		r.sink.Begin(r.held.Status, r.held.Header)
+	if !r.sinkBegun {
+		r.sinkBegun = true
+		r.sink.Begin(r.buffered.Status, r.buffered.Header)
 	}
-	r.upto = max(r.upto, upto)
+	r.delivered = max(r.delivered, upto)
 	if err := r.sink.Data(b, upto); err != nil {
-		r.gone = true
-		if !r.once {
-			return errors.Wrap(errGone, err.Error())
+		r.sinkFailed = true
+		if !r.onceStarted {
+			return errors.Wrap(errCallerGone, err.Error())
 		}
 	}
 	return nil
 }
 
-// release gives the sink an answer that was held until it was whole.
-func (r *run) release() {
-	if r.begun {
+// flushBuffered gives the sink an answer that was held until it was whole.
+func (r *run) flushBuffered() {
+	if r.sinkBegun {
 		return
 	}
-	r.begun = true
-	r.sink.Begin(r.held.Status, r.held.Header)
-	if len(r.held.Body) > 0 {
-		_ = r.sink.Data(r.held.Body, r.upto)
+	r.sinkBegun = true
+	r.sink.Begin(r.buffered.Status, r.buffered.Header)
+	if len(r.buffered.Body) > 0 {
+		_ = r.sink.Data(r.buffered.Body, r.delivered)
 	}
 }
 
 func (r *run) replay(e event.Replay) {
-	held, ok := r.Outcomes.Get(e.Of)
+	held, ok := r.Answers.Get(e.Of)
 	if !ok {
 		r.sink.Refuse(event.Refuse{Request: r.req.ID, Code: codes.NoOutcome.ID, Outcome: event.Done})
 		return
 	}
-	r.held = held
-	r.release()
+	r.buffered = held
+	r.flushBuffered()
 	r.sink.Finish(event.Done)
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -25,24 +25,24 @@
 
 // A resumed stream repeats or loses tokens.
 func TestResume(t *testing.T) {
-	b := newBench(t, says(tokens(1, 3)), func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, streamAnswer(tokens(1, 3)), func(w http.ResponseWriter, r *http.Request) {
 		check(t, "resume asked for", "3", r.Header.Get(target.HeaderResume))
-		says(tokens(4, 5)+endEvent)(w, r)
+		streamAnswer(tokens(4, 5)+doneEvent)(w, r)
 	})
-	check(t, "caller", got{Status: 200, Body: tokens(1, 5), Outcome: event.Done}, b.run(t.Context(), streamCall))
+	check(t, "caller", callerResult{Status: 200, Body: tokens(1, 5), Outcome: event.Done}, b.run(t.Context(), streamCall))
 	check(t, "results", []event.Result{event.ResultBroken, event.ResultDone}, b.results())
 }
 
 // An engine that ignores the resume point repeats or skips text.
 func TestResumeIgnored(t *testing.T) {
 	for name, second := range map[string]string{
-		"starts again": tokens(1, 5) + endEvent,
-		"skips":        tokens(5, 6) + endEvent,
-		"repeats":      tokens(3, 5) + endEvent,
+		"starts again": tokens(1, 5) + doneEvent,
+		"skips":        tokens(5, 6) + doneEvent,
+		"repeats":      tokens(3, 5) + doneEvent,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, says(tokens(1, 3)), says(second))
-			want := got{Status: 200, Body: tokens(1, 3), Outcome: event.Unknown, Code: codes.TargetFailed.ID}
+			b := newFixture(t, streamAnswer(tokens(1, 3)), streamAnswer(second))
+			want := callerResult{Status: 200, Body: tokens(1, 3), Outcome: event.Unknown, Code: codes.TargetFailed.ID}
 			check(t, "caller", want, b.run(t.Context(), streamCall))
 		})
 	}
@@ -52,24 +52,24 @@
 func TestEventsWithoutToken(t *testing.T) {
 	role := fmt.Sprintf("data: {\"id\":\"%s\",\"role\":\"assistant\"}\n\n", testID)
 	counts := fmt.Sprintf("data: {\"id\":\"%s\",\"usage\":{}}\n\n", testID)
-	b := newBench(t, says(role+tokens(1, 2)+counts), says(role+tokens(3, 3)+counts+endEvent))
-	want := got{Status: 200, Body: role + tokens(1, 3) + counts, Outcome: event.Done}
+	b := newFixture(t, streamAnswer(role+tokens(1, 2)+counts), streamAnswer(role+tokens(3, 3)+counts+doneEvent))
+	want := callerResult{Status: 200, Body: role + tokens(1, 3) + counts, Outcome: event.Done}
 	check(t, "caller", want, b.run(t.Context(), streamCall))
 }
 
 // A valid form of a stream is rejected.
 func TestStreamForms(t *testing.T) {
-	long := fmt.Sprintf("id: 1\ndata: {\"id\":\"%s\",\"t\":\"%s\"}\n\n", testID, strings.Repeat("x", 3*streamBuffer))
+	long := fmt.Sprintf("id: 1\ndata: {\"id\":\"%s\",\"t\":\"%s\"}\n\n", testID, strings.Repeat("x", 3*streamBufferSize))
 	for name, c := range map[string]struct{ text, want string }{
-		"crlf":      {strings.ReplaceAll(tokens(1, 2)+endEvent, "\n", "\r\n"), tokens(1, 2)},
-		"comments":  {": ping\n\n" + token(1) + ": ping\n" + token(2) + endEvent, tokens(1, 2)},
-		"long line": {long + endEvent, long},
-		"no space":  {strings.ReplaceAll(token(1), ": ", ":") + endEvent, strings.ReplaceAll(token(1), ": ", ":")},
-		"empty":     {endEvent, ""},
+		"crlf":      {strings.ReplaceAll(tokens(1, 2)+doneEvent, "\n", "\r\n"), tokens(1, 2)},
+		"comments":  {": ping\n\n" + token(1) + ": ping\n" + token(2) + doneEvent, tokens(1, 2)},
+		"long line": {long + doneEvent, long},
+		"no space":  {strings.ReplaceAll(token(1), ": ", ":") + doneEvent, strings.ReplaceAll(token(1), ": ", ":")},
+		"empty":     {doneEvent, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, says(c.text))
-			check(t, "caller", got{Status: 200, Body: c.want, Outcome: event.Done}, b.run(t.Context(), streamCall))
+			b := newFixture(t, streamAnswer(c.text))
+			check(t, "caller", callerResult{Status: 200, Body: c.want, Outcome: event.Done}, b.run(t.Context(), streamCall))
 		})
 	}
 }
@@ -79,26 +79,26 @@
 	good := fmt.Sprintf(`{"id":"%s","usage":{"completion_tokens":7}}`, testID)
 	other := strings.ReplaceAll(token(1), string(testID), "req-0002")
 	for name, bad := range map[string]http.HandlerFunc{
-		"crossed body":    whole(200, `{"id":"req-0002"}`),
-		"cut json":        whole(200, good[:9]),
-		"empty":           whole(200, ""),
-		"too large":       whole(200, strings.Repeat(" ", 1<<20)+good),
-		"status 500":      whole(500, "{}"),
-		"status 429":      whole(429, "{}"),
-		"crossed stream":  says(other + endEvent),
+		"crossed body":    jsonAnswer(200, `{"id":"req-0002"}`),
+		"cut json":        jsonAnswer(200, good[:9]),
+		"empty":           jsonAnswer(200, ""),
+		"too large":       jsonAnswer(200, strings.Repeat(" ", 1<<20)+good),
+		"status 500":      jsonAnswer(500, "{}"),
+		"status 429":      jsonAnswer(429, "{}"),
+		"crossed stream":  streamAnswer(other + doneEvent),
 		"no echo":         func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, good) },
-		"short of length": short(good),
+		"short of length": truncatedAnswer(good),
 		"not run":         notRun,
-		"endless line":    says("id: 1\ndata: " + string(testID) + strings.Repeat("x", maxEvent+1)),
+		"endless line":    streamAnswer("id: 1\ndata: " + string(testID) + strings.Repeat("x", maxEventBytes+1)),
 		"no end":          func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			call, want := plainCall, got{Status: 200, Body: good, Outcome: event.Done}
-			answer := whole(200, good)
+			call, want := plainCall, callerResult{Status: 200, Body: good, Outcome: event.Done}
+			answer := jsonAnswer(200, good)
 			if strings.Contains(name, "stream") || strings.Contains(name, "line") {
-				call, answer, want.Body = streamCall, says(tokens(1, 2)+endEvent), tokens(1, 2)
+				call, answer, want.Body = streamCall, streamAnswer(tokens(1, 2)+doneEvent), tokens(1, 2)
 			}
-			b := newBench(t, bad, answer)
+			b := newFixture(t, bad, answer)
 			check(t, "caller", want, b.run(t.Context(), call))
 			check(t, "attempts", 2, len(b.results()))
 		})
@@ -106,8 +106,8 @@
 }
 
 // The refusal of a draining target is not reported.
-func TestLeaving(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestDrainingTarget(t *testing.T) {
+	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(target.HeaderNotRun, target.NotRunDraining)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
@@ -118,38 +118,38 @@
 
 // A request that was never sent is reported as unknown.
 func TestUnreachable(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.targets = []event.Target{{ID: "gone", URL: "http://127.0.0.1:1"}}
-	check(t, "caller", got{Code: codes.NoTarget.ID, Outcome: event.NotRun}, b.run(t.Context(), plainCall))
+	check(t, "caller", callerResult{Code: codes.NoTarget.ID, Outcome: event.NotRun}, b.run(t.Context(), plainCall))
 	check(t, "results", []event.Result{event.ResultNotRun}, b.results())
 }
 
 // An attempt outlasts its deadline, or a late answer reaches the caller.
 func TestLateAnswer(t *testing.T) {
 	ended := make(chan struct{})
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		<-ended
-		whole(200, fmt.Sprintf(`{"id":"%s"}`, testID))(w, r)
+		jsonAnswer(200, fmt.Sprintf(`{"id":"%s"}`, testID))(w, r)
 	})
 	b.once = true
 	b.deadline = 50 * time.Millisecond
-	check(t, "caller", got{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, b.run(t.Context(), plainCall))
+	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, b.run(t.Context(), plainCall))
 	close(ended)
 	check(t, "results", []event.Result{event.ResultBroken}, b.results())
 }
 
-func (b *bench) callerLeft() bool {
+func (b *fixture) callerLeft() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left
+	return b.callerHasLeft
 }
 
 // An engine works on after its caller has left.
 func TestCallerLeaves(t *testing.T) {
 	freed := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
-		says(tokens(1, 2))(w, r)
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		streamAnswer(tokens(1, 2))(w, r)
 		_ = http.NewResponseController(w).Flush()
 		cancel()
 		<-r.Context().Done()
@@ -158,12 +158,12 @@
 	b.run(ctx, streamCall)
 	select {
 	case <-freed:
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("the engine still generates")
 	}
 	// The reducer learns of it on the control thread, maybe after the request's
 	// goroutine has ended.
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !b.callerLeft() {
 		if time.Now().After(deadline) {
 			t.Fatal("the reducer does not learn that the caller left")
@@ -173,17 +173,17 @@
 }
 
 // A call that is not idempotent is broken off with its caller, and its outcome is lost.
-func TestOnceOutlivesCaller(t *testing.T) {
+func TestAtMostOnceOutlivesCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		cancel()
 		w.Header().Set("Location", "/jobs/7")
 		w.WriteHeader(http.StatusCreated)
 		fmt.Fprint(w, "booked")
 	})
 	b.once = true
-	check(t, "caller", got{Status: 201, Body: "booked", Outcome: event.Done}, b.run(ctx, serviceCall))
-	kept, ok := b.rn.Outcomes.Get(testID)
+	check(t, "caller", callerResult{Status: 201, Body: "booked", Outcome: event.Done}, b.run(ctx, serviceCall))
+	kept, ok := b.rn.Answers.Get(testID)
 	check(t, "kept", true, ok && b.ends[0].Kept)
 	check(t, "kept body", "booked", string(kept.Body))
 	check(t, "kept status", http.StatusCreated, kept.Status)
@@ -191,22 +191,22 @@
 }
 
 // The repeat of a stream that ran once gets no answer.
-func TestOnceStreamKept(t *testing.T) {
-	b := newBench(t, says(tokens(1, 3)+endEvent))
+func TestAtMostOnceStreamKept(t *testing.T) {
+	b := newFixture(t, streamAnswer(tokens(1, 3)+doneEvent))
 	b.once = true
 	b.run(t.Context(), streamCall)
-	kept, _ := b.rn.Outcomes.Get(testID)
+	kept, _ := b.rn.Answers.Get(testID)
 	check(t, "kept body", tokens(1, 3), string(kept.Body))
-	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Taken())
+	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Used())
 }
 
 // Buffered answers exceed the memory of the host.
 func TestAnswersShareBudget(t *testing.T) {
-	b := newBench(t, whole(200, strings.Repeat(" ", 8<<10)+fmt.Sprintf(`{"id":"%s"}`, testID)))
+	b := newFixture(t, jsonAnswer(200, strings.Repeat(" ", 8<<10)+fmt.Sprintf(`{"id":"%s"}`, testID)))
 	b.rn.Budget = NewBudget(4 << 10)
 	b.once = true
-	check(t, "caller", got{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, b.run(t.Context(), plainCall))
-	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Taken())
+	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, b.run(t.Context(), plainCall))
+	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Used())
 }
 
 // A stream of a plain service is buffered, or ends early.
@@ -214,19 +214,19 @@
 	call := serviceCall
 	call.Stream = true
 	text := "event: row\ndata: 1\n\n: note\n\ndata: 2\n\n"
-	b := newBench(t, says(text))
-	check(t, "caller", got{Status: 200, Body: text, Outcome: event.Done}, b.run(t.Context(), call))
+	b := newFixture(t, streamAnswer(text))
+	check(t, "caller", callerResult{Status: 200, Body: text, Outcome: event.Done}, b.run(t.Context(), call))
 }
 
 // The stored answers of repeats are bounded in number and size.
-func TestOutcomesBounded(t *testing.T) {
-	var o Outcomes
-	check(t, "too large", false, o.Keep("big", Held{Body: make([]byte, maxKept+1)}))
+func TestAnswerCacheBounded(t *testing.T) {
+	var o AnswerCache
+	check(t, "too large", false, o.Put("big", BufferedAnswer{Body: make([]byte, maxKeptAnswer+1)}))
 	n := 0
-	for o.Keep(ident.RequestID(fmt.Sprint(n)), Held{}) {
+	for o.Put(ident.RequestID(fmt.Sprint(n)), BufferedAnswer{}) {
 		n++
 	}
-	check(t, "bounded", true, n > 0 && n <= keptBytes>>10)
-	o.Forget("0")
-	check(t, "room again", true, o.Keep("again", Held{}))
+	check(t, "bounded", true, n > 0 && n <= maxKeptTotal>>10)
+	o.Delete("0")
+	check(t, "room again", true, o.Put("again", BufferedAnswer{}))
 }
