--- a/internal/conns/conn.go
+++ b/internal/conns/conn.go
@@ -13,20 +13,20 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// connState is what a connection is in.
+// connState is the state of a connection.
 type connState int
 
-// The uses of a connection.
+// States of a connection.
 const (
-	// stateServing says that a byte of a request has been read whose answer is not whole yet.
+	// stateServing: a byte of a request has been read, and its answer is not complete.
 	stateServing connState = iota
-	// stateIdle says that no byte of another request has been read.
+	// stateIdle: no byte of another request has been read.
 	stateIdle
-	// stateExpired says that the read which waits for the next request is to bring nothing more.
+	// stateExpired: the read that waits for the next request has been given a deadline in the past.
 	stateExpired
 )
 
-// expiredDeadline is a deadline that has passed.
+// expiredDeadline is a deadline in the past.
 var expiredDeadline = time.Unix(1, 0)
 
 // conn is a connection that is closed as idle only if no byte of a request has been read.
@@ -37,16 +37,16 @@
 	mu        sync.Mutex
 	state     connState
 	idleSince ident.Time
-	// nextRequestBegun says that the last read took a single byte, as net/http does beside a request that
-	// it serves: the byte is the first of the next request.
+	// nextRequestBegun is set if the last read asked for a single byte. net/http does so while it
+	// serves a request: the byte is the first of the next request.
 	nextRequestBegun bool
-	// readDeadline is the one that the server has set for reads.
+	// readDeadline is the read deadline that the server has set.
 	readDeadline time.Time
 	endedBy      event.Ending
 }
 
-// Read reads. What it brings is always part of a request that is served, also if the connection
-// was to be closed as idle meanwhile.
+// Read reads from the connection. Data that it returns is always part of a request that is served,
+// even if the connection expired meanwhile.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
@@ -65,7 +65,7 @@
 	return n, err
 }
 
-// recordEnd records which side ended the connection. The first that is known stays.
+// recordEnd records which side ended the connection. The first known ending is kept.
 func (c *conn) recordEnd(err error) {
 	var ne net.Error
 	switch {
@@ -77,13 +77,13 @@
 	case errors.Is(err, net.ErrClosed):
 		c.endedBy = event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}
 	case errors.As(err, &ne) && ne.Timeout():
-		// A read is expired by the server when it takes back the one beside a request.
+		// The server expires its background read for the next request when a handler returns.
 	default:
 		c.endedBy = event.Ending{Side: event.SideCaller, Reason: event.ReasonFailed}
 	}
 }
 
-// Write writes.
+// Write writes to the connection and records an error as its ending.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if err == nil {
@@ -99,7 +99,7 @@
 	return n, err
 }
 
-// SetReadDeadline sets the deadline of reads. It does not revive a read that has expired.
+// SetReadDeadline sets the read deadline. It does not revive a read that has expired.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline sets the deadline of reads and writes.
+// SetDeadline sets the read and write deadlines.
 func (c *conn) SetDeadline(t time.Time) error {
 	if err := c.SetReadDeadline(t); err != nil {
 		return err
@@ -118,8 +118,8 @@
 	return c.SetWriteDeadline(t)
 }
 
-// CloseWrite closes the sending side, as net/http does after an answer behind which unread bytes
-// may come: to close both sides would reset the connection and take the answer away.
+// CloseWrite closes the sending side, as net/http does after an answer that unread bytes may
+// follow: closing both sides would reset the connection, and the caller would lose the answer.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// Close closes the connection.
+// Close closes the connection and records the host as the side that ended it, unless an ending is
+// known.
 func (c *conn) Close() error {
 	c.tracker.remove(c)
 	c.mu.Lock()
@@ -138,8 +139,8 @@
 	return c.Conn.Close()
 }
 
-// markIdle records that an answer is whole. Where the first byte of the next request has been
-// read already, the connection serves on.
+// markIdle records that an answer is complete. If the first byte of the next request has already
+// been read, the connection stays in stateServing.
 func (c *conn) markIdle(now ident.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +150,8 @@
 	c.state, c.idleSince = stateIdle, now
 }
 
-// markServing records that a request has been read whole, which the buffer of the server may have held.
+// markServing records that the headers of a request have been read, possibly from the buffer of the
+// server.
 func (c *conn) markServing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,17 +161,18 @@
 	c.state = stateServing
 }
 
-// closeWith closes the connection for a reason of the host's.
-func (c *conn) closeWith(why event.Reason) {
+// closeWith closes the connection and records the host as the side that ended it, with the given
+// reason.
+func (c *conn) closeWith(reason event.Reason) {
 	c.mu.Lock()
 	if c.endedBy == (event.Ending{}) {
-		c.endedBy = event.Ending{Side: event.SideHost, Reason: why}
+		c.endedBy = event.Ending{Side: event.SideHost, Reason: reason}
 	}
 	c.mu.Unlock()
 	_ = c.Close()
 }
 
-// idleFor returns how long the connection has waited for a request.
+// idleFor returns how long the connection has been waiting for a request.
 func (c *conn) idleFor(now ident.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,8 +182,8 @@
 	return now.Sub(c.idleSince)
 }
 
-// expire ends the read that waits for the next request, if there is one, and reports whether the
-// connection is to end.
+// expire ends the read that waits for the next request, if the connection is idle, and reports
+// whether it did.
 func (c *conn) expire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,23 +1,23 @@
-// Package conns owns the connections of callers: it closes those that have waited too long for a
-// request, without dropping one that has begun to arrive, and records which side ended each.
+// Package conns tracks the connections of callers: it closes those that have been idle for too long,
+// without dropping a request that has begun to arrive, and records which side ended each.
 //
 // # Usage
 //
-//	k := conns.New(conns.Config{Clock: svc, Limit: func() time.Duration { return book().Limits().Idle() }})
-//	srv := &http.Server{ConnState: k.State, ConnContext: k.Context}
-//	go srv.Serve(k.Listener(ln))
+//	t := conns.New(conns.Config{Clock: svc, IdleTimeout: func() time.Duration { return book().Limits().Idle() }})
+//	srv := &http.Server{ConnState: t.ConnState, ConnContext: t.ConnContext}
+//	go srv.Serve(t.Listener(ln))
 //	...
 //	ending := conns.EndingOf(r.Context()) // in a handler whose context has ended
 //	...
-//	k.Retire()                            // idle connections end from now on
-//	defer k.Stop()
+//	t.Drain()                             // idle connections end from now on
+//	defer t.Stop()
 //
 // # Closing an idle connection
 //
 // net/http reports a connection as active only once it has read all headers, so that its own
 // state doesn't show whether a request has begun to arrive; its Shutdown closes such connections.
-// A Keeper never closes an idle connection itself. It expires the read that waits for the next
-// request, and the connection's goroutine closes it if that read has brought nothing. A byte
+// A Tracker never closes an idle connection itself. It expires the read that waits for the next
+// request, and the goroutine of the connection closes it if that read returns no data. A byte
 // that was read before is always served.
 package conns
 
@@ -37,20 +37,22 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sweepInterval is the time between two looks for idle connections, and so how late one is closed.
+// sweepInterval is the time between two checks for idle connections, and so the longest delay in
+// closing one.
 const sweepInterval = time.Second
 
-// Config is what a Keeper needs.
+// Config holds the dependencies and settings of a Tracker.
 type Config struct {
 	Clock *clock.Service
-	// IdleTimeout returns how long a connection may wait for a request; zero or less is no limit. It
-	// is asked for each time, since operators change it while connections stand.
+	// IdleTimeout returns how long a connection may wait for a request; zero or less means no
+	// limit. It is called at each check, since operators change the limit while connections are
+	// open.
 	IdleTimeout func() time.Duration
-	// Metrics takes the counters; nil is a registry of the keeper's own.
+	// Metrics registers the counters; nil means a registry of the tracker's own.
 	Metrics metrics.Registry
 }
 
-// Tracker knows the open connections of the servers of one host.
+// Tracker tracks the open connections of the servers of one host.
 type Tracker struct {
 	t          tomb.Tomb
 	cfg        Config
@@ -61,11 +63,11 @@
 	draining bool
 }
 
-// New returns a running keeper.
+// New returns a running tracker.
 func New(cfg Config) *Tracker {
-	k := newTracker(cfg)
-	k.t.Go(k.run)
-	return k
+	t := newTracker(cfg)
+	t.t.Go(t.run)
+	return t
 }
 
 func newTracker(cfg Config) *Tracker {
@@ -78,31 +80,32 @@
 	}
 }
 
-// Stop ends the keeper and leaves the connections open.
-func (k *Tracker) Stop() {
-	k.t.Kill(nil)
-	_ = k.t.Wait()
+// Stop stops the tracker and leaves the connections open.
+func (t *Tracker) Stop() {
+	t.t.Kill(nil)
+	_ = t.t.Wait()
 }
 
 // Len returns the number of open connections.
-func (k *Tracker) Len() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.conns)
-}
-
-// Drain ends the connections that wait for a request, and from now on each as soon as it does.
-func (k *Tracker) Drain() {
-	k.mu.Lock()
-	k.draining = true
-	k.mu.Unlock()
-	for _, c := range k.snapshot() {
+func (t *Tracker) Len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns)
+}
+
+// Drain ends idle connections, and from then on each connection as soon as it becomes idle.
+func (t *Tracker) Drain() {
+	t.mu.Lock()
+	t.draining = true
+	t.mu.Unlock()
+	for _, c := range t.snapshot() {
 		c.expire()
 	}
 }
 
-// unwrap returns the keeper's connection below one with TLS, nil for none and for one of HTTP/2,
-// which serves several requests at a time and is ended by the server.
+// unwrap returns the tracked connection below a TLS connection. It returns nil for a connection
+// that is not tracked, and for HTTP/2, which serves several requests at a time and is shut down by
+// the server.
 func unwrap(nc net.Conn) *conn {
 	if t, ok := nc.(*tls.Conn); ok {
 		if t.ConnectionState().NegotiatedProtocol == "h2" {
@@ -114,33 +117,34 @@
 	return c
 }
 
-// CloseAll closes the connections that are still open and returns their number.
-func (k *Tracker) CloseAll(why event.Reason) int {
-	cs := k.snapshot()
+// CloseAll closes the connections that are still open, records the reason, and returns their
+// number.
+func (t *Tracker) CloseAll(reason event.Reason) int {
+	cs := t.snapshot()
 	for _, c := range cs {
-		c.closeWith(why)
+		c.closeWith(reason)
 	}
 	return len(cs)
 }
 
-func (k *Tracker) isDraining() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.draining
+func (t *Tracker) isDraining() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.draining
 }
 
-func (k *Tracker) snapshot() []*conn {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	cs := make([]*conn, 0, len(k.conns))
-	for c := range k.conns {
+func (t *Tracker) snapshot() []*conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	cs := make([]*conn, 0, len(t.conns))
+	for c := range t.conns {
 		cs = append(cs, c)
 	}
 	return cs
 }
 
-// ConnState records a connection's state. It fits http.Server.ConnState.
-func (k *Tracker) ConnState(nc net.Conn, st http.ConnState) {
+// ConnState records the state of a connection. Use it as http.Server.ConnState.
+func (t *Tracker) ConnState(nc net.Conn, st http.ConnState) {
 	c := unwrap(nc)
 	if c == nil {
 		return
@@ -149,48 +153,48 @@
 	case http.StateActive:
 		c.markServing()
 	case http.StateIdle:
-		c.markIdle(k.cfg.Clock.Now())
-		if k.isDraining() {
+		c.markIdle(t.cfg.Clock.Now())
+		if t.isDraining() {
 			c.expire()
 		}
 	}
 }
 
-func (k *Tracker) run() error {
-	tick := k.cfg.Clock.Every(sweepInterval)
+func (t *Tracker) run() error {
+	tick := t.cfg.Clock.Every(sweepInterval)
 	defer tick.Close()
 	for {
 		select {
 		case now := <-tick.C():
-			k.sweep(now)
-		case <-k.t.Dying():
+			t.sweep(now)
+		case <-t.t.Dying():
 			return nil
 		}
 	}
 }
 
-func (k *Tracker) sweep(now ident.Time) {
-	limit := k.cfg.IdleTimeout()
+func (t *Tracker) sweep(now ident.Time) {
+	limit := t.cfg.IdleTimeout()
 	if limit <= 0 {
 		return
 	}
-	for _, c := range k.snapshot() {
+	for _, c := range t.snapshot() {
 		if c.idleFor(now) >= limit && c.expire() {
-			k.idleClosed.Inc(1)
+			t.idleClosed.Inc(1)
 		}
 	}
 }
 
-// listener hands out connections that the keeper knows.
+// listener returns tracked connections.
 type listener struct {
 	net.Listener
 	tracker *Tracker
 }
 
-// Listener returns a listener whose connections the keeper knows.
-func (k *Tracker) Listener(l net.Listener) net.Listener { return listener{l, k} }
+// Listener returns a listener whose connections are tracked.
+func (t *Tracker) Listener(l net.Listener) net.Listener { return listener{l, t} }
 
-// Accept passes errors on as they are: the server tries again after some of them.
+// Accept returns errors unchanged: the server retries after some of them.
 func (l listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -207,21 +211,22 @@
 	return c, nil
 }
 
-func (k *Tracker) remove(c *conn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.conns, c)
+func (t *Tracker) remove(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.conns, c)
 }
 
 type contextKey struct{}
 
-// ConnContext returns the context of the requests of a connection. It fits http.Server.ConnContext.
-func (k *Tracker) ConnContext(ctx context.Context, nc net.Conn) context.Context {
+// ConnContext returns the context for the requests of a connection. Use it as
+// http.Server.ConnContext.
+func (t *Tracker) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, nc)
 }
 
-// EndingOf returns which side ended the connection of a request, by the request's context. It is
-// zero for a connection that no keeper knows.
+// EndingOf returns which side ended the connection of a request, given the context of the request.
+// It is zero for a connection that is not tracked.
 func EndingOf(ctx context.Context) event.Ending {
 	nc, _ := ctx.Value(contextKey{}).(net.Conn)
 	if t, ok := nc.(*tls.Conn); ok {
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -19,17 +19,17 @@
 
 const testTimeout = 10 * time.Second
 
-// testServer is a server whose connections a keeper knows. Its sweeps are the test's.
+// testServer is a server with tracked connections. The test itself runs the sweeps.
 type testServer struct {
 	t           *testing.T
-	k           *Tracker
+	tracker     *Tracker
 	clock       *clock.Service
 	idleTimeout time.Duration
 	srv         *httptest.Server
-	// release is read by each request of the path /held before its answer ends; ended gets the
-	// ending of its connection.
+	// A request for /held waits for release before it is answered, or sends the ending of its
+	// connection to ended.
 	release chan struct{}
-	began   chan struct{}
+	arrived chan struct{}
 	ended   chan event.Ending
 }
 
@@ -37,14 +37,14 @@
 	t.Helper()
 	s := &testServer{
 		t: t, clock: clock.New(), idleTimeout: time.Second,
-		release: make(chan struct{}), began: make(chan struct{}, 8), ended: make(chan event.Ending, 8),
+		release: make(chan struct{}), arrived: make(chan struct{}, 8), ended: make(chan event.Ending, 8),
 	}
 	t.Cleanup(s.clock.Stop)
-	s.k = newTracker(Config{Clock: s.clock, IdleTimeout: func() time.Duration { return s.idleTimeout }})
+	s.tracker = newTracker(Config{Clock: s.clock, IdleTimeout: func() time.Duration { return s.idleTimeout }})
 	s.srv = httptest.NewUnstartedServer(http.HandlerFunc(s.answer))
-	s.srv.Config.ConnState = s.k.ConnState
-	s.srv.Config.ConnContext = s.k.ConnContext
-	s.srv.Listener = s.k.Listener(s.srv.Listener)
+	s.srv.Config.ConnState = s.tracker.ConnState
+	s.srv.Config.ConnContext = s.tracker.ConnContext
+	s.srv.Listener = s.tracker.Listener(s.srv.Listener)
 	s.srv.Start()
 	t.Cleanup(s.srv.Close)
 	return s
@@ -52,7 +52,7 @@
 
 func (s *testServer) answer(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/held" {
-		s.began <- struct{}{}
+		s.arrived <- struct{}{}
 		select {
 		case <-s.release:
 		case <-r.Context().Done():
@@ -63,10 +63,10 @@
 	fmt.Fprint(w, "whole")
 }
 
-// sweep has all connections that wait be idle for too long.
-func (s *testServer) sweep() { s.k.sweep(s.clock.Now().Add(time.Minute)) }
+// sweep runs a sweep at a time when every idle connection has exceeded the timeout.
+func (s *testServer) sweep() { s.tracker.sweep(s.clock.Now().Add(time.Minute)) }
 
-// testClient is a connection to the site.
+// testClient is a connection to the test server.
 type testClient struct {
 	*net.TCPConn
 	t  *testing.T
@@ -89,7 +89,7 @@
 	}
 }
 
-// answer returns the body of the next answer, or what went wrong.
+// answer returns the body of the next answer, or the error text.
 func (c *testClient) answer() string {
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.br, nil)
@@ -104,7 +104,7 @@
 	return string(b)
 }
 
-// waitClosed waits for the end of the connection.
+// waitClosed waits for the end of the connection and reports whether it was closed.
 func (c *testClient) waitClosed() bool {
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := c.br.ReadByte()
@@ -115,12 +115,12 @@
 
 const heldRequest = "GET /held HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// waitIdle waits until so many connections wait for a request.
+// waitIdle waits until n connections are idle.
 func (s *testServer) waitIdle(n int) {
 	s.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		found := 0
-		for _, c := range s.k.snapshot() {
+		for _, c := range s.tracker.snapshot() {
 			if c.idleFor(s.clock.Now().Add(time.Minute)) > 0 {
 				found++
 			}
@@ -129,7 +129,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("it never came about that %d connections wait", n)
+	s.t.Fatalf("there were never %d idle connections", n)
 }
 
 func check(t *testing.T, what string, want, have any) {
@@ -139,26 +139,27 @@
 	}
 }
 
-// A shorter idle limit is ignored by standing connections, or closes one that serves a request.
+// Guards against a shorter idle timeout that is ignored by open connections, or that closes a
+// connection which serves a request.
 func TestIdleTimeoutAppliesToOpenConnections(t *testing.T) {
 	s := newTestServer(t)
 	s.idleTimeout = time.Hour
-	waits, works := s.connect(), s.connect()
-	waits.send(request)
-	check(t, "answer", "whole", waits.answer())
-	works.send(heldRequest)
-	<-s.began
+	idle, busy := s.connect(), s.connect()
+	idle.send(request)
+	check(t, "answer", "whole", idle.answer())
+	busy.send(heldRequest)
+	<-s.arrived
 	s.waitIdle(1)
 	s.sweep()
-	check(t, "open with a long limit", 2, s.k.Len())
+	check(t, "open with a long limit", 2, s.tracker.Len())
 	s.idleTimeout = time.Second
 	s.sweep()
-	check(t, "the connection that waits is closed", true, waits.waitClosed())
+	check(t, "the idle connection is closed", true, idle.waitClosed())
 	close(s.release)
-	check(t, "the connection that serves", "whole", works.answer())
+	check(t, "the connection that serves", "whole", busy.answer())
 }
 
-// A connection is closed as idle while the headers of a request are being read.
+// Guards against closing a connection as idle while the headers of a request are being read.
 func TestPartialRequestKeepsConnection(t *testing.T) {
 	s := newTestServer(t)
 	c := s.connect()
@@ -175,13 +176,13 @@
 	check(t, "a connection that has waited too long is closed", true, c.waitClosed())
 }
 
-// A connection is closed as idle after the first byte of the next request was read beside the answer
-// before it.
+// Guards against closing a connection as idle after net/http has read the first byte of the next
+// request during the previous answer.
 func TestFirstByteDuringAnswerKeepsConnection(t *testing.T) {
 	s := newTestServer(t)
 	c := s.connect()
 	c.send(heldRequest)
-	<-s.began
+	<-s.arrived
 	c.send("G")
 	time.Sleep(50 * time.Millisecond)
 	close(s.release)
@@ -192,30 +193,30 @@
 	check(t, "a request whose first byte was read", "whole", c.answer())
 }
 
-// hookedConn is a connection on which something happens hookedConn the arrival of bytes and the return
-// of the read that takes them.
+// hookedConn calls afterRead once after data has been read from the network and before Read returns
+// it.
 type hookedConn struct {
 	net.Conn
 	afterRead func()
 }
 
-func (b *hookedConn) Read(p []byte) (int, error) {
-	n, err := b.Conn.Read(p)
-	if n > 0 && b.afterRead != nil {
-		b.afterRead()
-		b.afterRead = nil
+func (c *hookedConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 && c.afterRead != nil {
+		c.afterRead()
+		c.afterRead = nil
 	}
 	return n, err
 }
 
-// A request that was read while its connection was closed as idle is dropped.
+// Guards against dropping a request that was read while its connection expired.
 func TestRequestReadDuringExpiryIsServed(t *testing.T) {
 	s := newTestServer(t)
 	near, far := net.Pipe()
 	defer far.Close()
 	in := &hookedConn{Conn: near}
-	c := &conn{Conn: in, tracker: s.k, state: stateIdle}
-	in.afterRead = func() { check(t, "it is to end", true, c.expire()) }
+	c := &conn{Conn: in, tracker: s.tracker, state: stateIdle}
+	in.afterRead = func() { check(t, "expires", true, c.expire()) }
 	go func() { _, _ = far.Write([]byte("GET / HTTP/1.1\r\n")); _, _ = far.Write([]byte("Host: a\r\n\r\n")) }()
 	buf := make([]byte, 64)
 	for _, want := range []string{"GET / HTTP/1.1\r\n", "Host: a\r\n\r\n"} {
@@ -225,31 +226,32 @@
 			t.Errorf("read: %v", err)
 		}
 	}
-	check(t, "it ends while it serves", false, c.expire())
+	check(t, "expires while it serves", false, c.expire())
 }
 
-// A host that stops drops a request that has begun to arrive, or never ends an idle connection.
+// Guards against a host that, when it stops, drops a request that has begun to arrive, or never
+// closes an idle connection.
 func TestDrainServesPartialRequests(t *testing.T) {
 	s := newTestServer(t)
-	idle, begun, fresh := s.connect(), s.connect(), s.connect()
-	for _, c := range []*testClient{idle, begun} {
+	idle, partial, unused := s.connect(), s.connect(), s.connect()
+	for _, c := range []*testClient{idle, partial} {
 		c.send(request)
 		check(t, "answer", "whole", c.answer())
 	}
 	s.waitIdle(3)
-	begun.send("GET / HTTP/1.1\r\nHo")
+	partial.send("GET / HTTP/1.1\r\nHo")
 	s.waitIdle(2)
-	s.k.Drain()
+	s.tracker.Drain()
 	check(t, "the idle connection is closed", true, idle.waitClosed())
-	check(t, "the connection without a request is closed", true, fresh.waitClosed())
-	begun.send("st: a\r\n\r\n")
-	check(t, "the request that had begun", "whole", begun.answer())
-	check(t, "its connection is closed then", true, begun.waitClosed())
+	check(t, "the connection without a request is closed", true, unused.waitClosed())
+	partial.send("st: a\r\n\r\n")
+	check(t, "the request that had begun", "whole", partial.answer())
+	check(t, "its connection is closed then", true, partial.waitClosed())
 	late := s.connect()
 	check(t, "a late connection is closed", true, late.waitClosed())
 }
 
-// A cut by the host is logged as a caller that left, or the other way round.
+// Guards against attributing a cut by the host to the caller, or the reverse.
 func TestEndingNamesTheSide(t *testing.T) {
 	for name, tc := range map[string]struct {
 		end  func(s *testServer, c *testClient)
@@ -257,17 +259,17 @@
 	}{
 		"caller closes": {func(_ *testServer, c *testClient) { _ = c.Close() }, event.Ending{Side: event.SideCaller, Reason: event.ReasonClosed}},
 		"caller resets": {func(_ *testServer, c *testClient) { _ = c.SetLinger(0); _ = c.Close() }, event.Ending{Side: event.SideCaller, Reason: event.ReasonReset}},
-		"host stops":    {func(s *testServer, _ *testClient) { s.k.CloseAll(event.ReasonStopped) }, event.Ending{Side: event.SideHost, Reason: event.ReasonStopped}},
+		"host stops":    {func(s *testServer, _ *testClient) { s.tracker.CloseAll(event.ReasonStopped) }, event.Ending{Side: event.SideHost, Reason: event.ReasonStopped}},
 		"server closes": {func(s *testServer, _ *testClient) { _ = s.srv.Config.Close() }, event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestServer(t)
 			c := s.connect()
 			c.send(heldRequest)
-			<-s.began
+			<-s.arrived
 			tc.end(s, c)
 			check(t, "ending", tc.want, <-s.ended)
 		})
 	}
-	check(t, "a connection that no keeper knows", event.Ending{}, EndingOf(context.Background()))
+	check(t, "a connection that is not tracked", event.Ending{}, EndingOf(context.Background()))
 }
--- a/internal/front/answer_test.go
+++ b/internal/front/answer_test.go
@@ -12,7 +12,7 @@
 	"verbenadale.example/verbenadale/internal/target"
 )
 
-// sender sends one call and gives its reply.
+// sender sends one call and delivers its reply on done.
 type sender struct {
 	b    *fixture
 	t    *testing.T
@@ -22,7 +22,7 @@
 
 func (s *sender) run() { s.done <- s.b.send(s.t, s.c) }
 
-// bodyFlood holds connections that never end their body.
+// bodyFlood holds open connections whose bodies never end.
 type bodyFlood struct {
 	b       *fixture
 	head    string
@@ -33,8 +33,8 @@
 func (f *bodyFlood) start(t *testing.T) {
 	conn, br := f.b.raw(t, f.head)
 	f.conns = append(f.conns, conn)
-	w := &statusReader{conn: conn, r: br, refused: f.refused}
-	go w.run()
+	s := &statusReader{conn: conn, r: br, refused: f.refused}
+	go s.run()
 }
 
 func (f *bodyFlood) stop() {
@@ -43,47 +43,47 @@
 	}
 }
 
-// statusReader waits for the answer on one connection.
+// statusReader reads the status of the answer on one connection.
 type statusReader struct {
 	conn    net.Conn
 	r       io.Reader
 	refused chan int
 }
 
-func (w *statusReader) run() {
+func (s *statusReader) run() {
 	var status int
-	if _, err := fmt.Fscanf(w.r, "HTTP/1.1 %d", &status); err == nil {
-		w.refused <- status
+	if _, err := fmt.Fscanf(s.r, "HTTP/1.1 %d", &status); err == nil {
+		s.refused <- status
 	}
 }
 
-func eventually(t *testing.T, ok func() bool) {
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	const tries = 2000
 	for range tries {
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it did not come about")
+	t.Fatal("the condition was not met in time")
 }
 
 const streamChat = `{"model":"draft","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 
-// A stream lacks its end mark or its trailer.
+// Guards against a stream without its end marker or its trailer.
 func TestStream(t *testing.T) {
 	b := newFixture(t, streamed(3))
 	rep := b.send(t, call{"POST", chatPath, streamChat, nil})
 	check(t, "status", http.StatusOK, rep.status)
-	check(t, "end mark", true, strings.HasSuffix(rep.body, "data: [DONE]\n\n"))
+	check(t, "end marker", true, strings.HasSuffix(rep.body, "data: [DONE]\n\n"))
 	check(t, "events", 4, strings.Count(rep.body, "data: "))
 	check(t, "trailer", "done", rep.trailer.Get(HeaderOutcome))
 	check(t, "no outcome before the end", "", rep.header.Get(HeaderOutcome))
-	check(t, "names the request", true, strings.Contains(rep.body, rep.header.Get(HeaderRequest)))
+	check(t, "contains the request id", true, strings.Contains(rep.body, rep.header.Get(HeaderRequest)))
 }
 
-// A broken stream gets an end mark.
+// Guards against an end marker on a stream whose target failed.
 func TestStreamCut(t *testing.T) {
 	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -92,10 +92,10 @@
 	rep := b.send(t, call{"POST", chatPath, streamChat, nil})
 	check(t, "cut", true, rep.err != nil)
 	check(t, "error event", true, strings.Contains(rep.body, "event: error\ndata: {\"error\""))
-	check(t, "no end mark", false, strings.Contains(rep.body, "[DONE]"))
+	check(t, "no end marker", false, strings.Contains(rep.body, "[DONE]"))
 }
 
-// A plain refusal of an engine gets the end mark of a stream.
+// Guards against appending the end marker of a stream to a JSON error of an engine.
 func TestStreamAnsweredPlain(t *testing.T) {
 	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -108,7 +108,8 @@
 	check(t, "outcome", "done", rep.header.Get(HeaderOutcome))
 }
 
-// A service call loses its method, query, body or status, or leaks keys and cookies.
+// Guards against a service call that loses its method, query, body or status, or that leaks keys
+// and cookies.
 func TestService(t *testing.T) {
 	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -126,7 +127,7 @@
 	check(t, "outcome", "done", rep.header.Get(HeaderOutcome))
 }
 
-// The lists that callers start from.
+// Checks the lists of models and entry hosts, and the ticket, that callers request first.
 func TestLists(t *testing.T) {
 	b := newFixture(t, plainAnswer)
 	few := []string{"Authorization: Bearer few"}
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -30,8 +30,8 @@
 
 const maxTestBody = 1 << 10
 
-// fixture is a front before one target, with a step function in the reducer's
-// place that sends every request there.
+// fixture is a front with one target. Its step function replaces the reducer and sends every
+// request to that target.
 type fixture struct {
 	fr  *Front
 	srv *httptest.Server
@@ -42,11 +42,11 @@
 	reqs     []event.Request
 	url      string
 	attempts uint64
-	// refuse, where set, is the reducer's answer to every request.
+	// refuse, if set, is the answer of the reducer to every request.
 	refuse *event.Refuse
 }
 
-// configOption alters the config of a front under test.
+// configOption changes the configuration of the front under test.
 type configOption func(cfg *Config)
 
 func newFixture(t testing.TB, answer http.HandlerFunc, changes ...configOption) *fixture {
@@ -140,11 +140,11 @@
 // call is one request of a test.
 type call struct {
 	method, path, body string
-	// header holds lines of "Name: value".
+	// header holds lines of the form "Name: value".
 	header []string
 }
 
-// reply is what came back.
+// reply is the answer to a call.
 type reply struct {
 	status  int
 	header  http.Header
@@ -176,7 +176,7 @@
 	return reply{status: res.StatusCode, header: res.Header, trailer: res.Trailer, body: string(text), err: err}
 }
 
-// raw opens a connection, writes text and returns a reader of the answer.
+// raw opens a connection, writes text to it and returns it with a reader for the answer.
 func (b *fixture) raw(t *testing.T, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", b.srv.Listener.Addr().String())
@@ -197,7 +197,7 @@
 	}
 }
 
-// streamed answers with n tokens.
+// streamed returns a handler that answers with a stream of n tokens.
 func streamed(n int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -15,15 +15,15 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// maxDrainedBody is what the server may read of a refused body to keep the
-// connection for the next request.
+// maxDrainedBody is how much of a refused body the server may read to keep the connection for the
+// next request.
 const maxDrainedBody = 16 << 10
 
-// initialBodyCap is by how much a body's memory first grows, so that a sender that
-// announces much and sends nothing holds little.
+// initialBodyCap is the first allocation for a body, so that a sender that announces a large body
+// and sends nothing uses little memory.
 const initialBodyCap = 4 << 10
 
-// checkBodyHeaders judges what the headers say of the body.
+// checkBodyHeaders checks what the headers state about the body.
 func (x *exchange) checkBodyHeaders() *event.Refuse {
 	if x.r.ContentLength > int64(x.cfg.MaxBody) {
 		return x.tooLarge()
@@ -38,8 +38,8 @@
 	return x.notRun(codes.TooLarge, fmt.Sprintf("the limit is %d bytes", x.cfg.MaxBody))
 }
 
-// checkContentType judges the content type of a body that is to be JSON. None at all
-// counts as JSON, since simple clients send none.
+// checkContentType checks the content type of a JSON body. A missing one counts as JSON, since
+// simple clients send none.
 func (x *exchange) checkContentType() *event.Refuse {
 	text := x.r.Header.Get("Content-Type")
 	if text == "" {
@@ -51,10 +51,9 @@
 	return nil
 }
 
-// setBodyDeadline bounds the time that the body may take. Without it, senders that
-// dribble would hold all requests that are allowed in flight, and callers would
-// be refused by a host that does nothing. It holds also for a body that is
-// refused unread, of which the server reads some to keep the connection.
+// setBodyDeadline limits the time for reading the body. Without it, slow senders could occupy all
+// requests allowed in flight, and an idle host would refuse callers. The limit also applies to a
+// body that is refused unread, since the server reads some of it to keep the connection.
 func (x *exchange) setBodyDeadline() {
 	if x.cfg.BodyTimeout > 0 && x.r.Body != nil && x.r.Body != http.NoBody {
 		_ = x.rc.SetReadDeadline(time.Now().Add(x.cfg.BodyTimeout))
@@ -83,17 +82,17 @@
 			return x.bodyReadFault(err)
 		}
 	}
-	// The deadline must not outlive the body: it would break the connection
-	// off in the middle of a long answer.
+	// The deadline must not outlast the body: it would break the connection in the middle of a long
+	// answer.
 	_ = x.rc.SetReadDeadline(time.Time{})
 	x.bodyComplete = true
 	x.cfg.Meter.In(len(x.body))
 	return nil
 }
 
-// closeIfBodyUnread has the connection closed after a refusal where the body is not in
-// yet. The server would otherwise read the rest before it answers, and a sender
-// that is slow or waits for an answer would get the refusal late.
+// closeIfBodyUnread has the connection closed after a refusal if the body has not been read. The
+// server would otherwise read the rest before it answers, and a sender that is slow or waits for an
+// answer would receive the refusal late.
 func (x *exchange) closeIfBodyUnread() {
 	if x.bodyComplete || x.r.Body == nil || x.r.Body == http.NoBody {
 		return
@@ -108,23 +107,23 @@
 	if len(x.body) < cap(x.body) {
 		return nil
 	}
-	more := min(max(cap(x.body), initialBodyCap), int(x.cfg.MaxBody)+1-cap(x.body))
+	size := min(max(cap(x.body), initialBodyCap), int(x.cfg.MaxBody)+1-cap(x.body))
 	if n := x.r.ContentLength; n > 0 {
-		more = min(more, int(n)+1-cap(x.body))
+		size = min(size, int(n)+1-cap(x.body))
 	}
-	if !x.cfg.Budget.Reserve(more) {
+	if !x.cfg.Budget.Reserve(size) {
 		return x.notRun(codes.HostBusy, "the memory for bodies is used up")
 	}
-	x.reserved += more
-	body := make([]byte, len(x.body), cap(x.body)+more)
+	x.reserved += size
+	body := make([]byte, len(x.body), cap(x.body)+size)
 	copy(body, x.body)
 	x.body = body
 	return nil
 }
 
 func (x *exchange) bodyReadFault(err error) *event.Refuse {
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return x.notRun(codes.SlowBody, "")
 	}
 	return x.notRun(codes.BadRequest, "the body broke off")
--- a/internal/front/complete.go
+++ b/internal/front/complete.go
@@ -15,16 +15,16 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// bytesPerToken is the rough length of a token, good enough to predict the
-// time of a prefill.
+// bytesPerToken is the approximate length of a token, precise enough to predict the time of a
+// prefill.
 const bytesPerToken = 4
 
-// maxAnswerTokens bounds the length of an answer that a caller may ask for. More
-// is a slip of the caller, and would be predicted to take for ever.
+// maxAnswerTokens bounds the length of an answer that a caller may request. A larger number is a
+// mistake of the caller, and the predicted time would be unbounded.
 const maxAnswerTokens = 1 << 20
 
-// completionRequest is what the front reads of a completion request; the target gets the
-// body as it came.
+// completionRequest is the part of a completion request that the front reads; the target receives
+// the body with only the model replaced.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -39,7 +39,7 @@
 	return max(a.MaxTokens, a.MaxCompletionTokens)
 }
 
-// shape is what one of the two APIs demands.
+// shape describes the required field of one of the two APIs.
 type shape struct {
 	field string
 	value func(a completionRequest) json.RawMessage
@@ -57,8 +57,8 @@
 func (x *exchange) completion() *event.Refuse { return x.serveCompletion(completionShape) }
 
 func (x *exchange) serveCompletion(sh shape) *event.Refuse {
-	named := ident.Profile(x.r.Header.Get(HeaderProfile))
-	req, ref := x.newRequest(named)
+	headerProfile := ident.Profile(x.r.Header.Get(HeaderProfile))
+	req, ref := x.newRequest(headerProfile)
 	if ref != nil {
 		return ref
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return x.notRun(codes.BadRequest, err.Error())
 	}
-	if named == "" {
+	if headerProfile == "" {
 		if ref := x.checkProfile(ident.Profile(a.Model)); ref != nil {
 			return ref
 		}
@@ -100,7 +100,7 @@
 	x.cfg.Runner.Run(x.r.Context(), call, req, x.sink(true))
 }
 
-// parseCompletion reads a completion request and judges its shape.
+// parseCompletion parses a completion request and checks its shape.
 func parseCompletion(text []byte, sh shape) (completionRequest, error) {
 	var a completionRequest
 	if err := json.Unmarshal(text, &a); err != nil {
@@ -120,27 +120,27 @@
 	return a, nil
 }
 
-// jsonFault describes a fault of the JSON without any text of the body, which could
-// be part of a prompt.
+// jsonFault describes a fault in the JSON without quoting the body, which may contain a part of a
+// prompt.
 func jsonFault(err error) error {
-	var typ *json.UnmarshalTypeError
-	if errors.As(err, &typ) {
-		return fmt.Errorf("the field %s can't be a JSON %s", truncate(typ.Field), truncate(typ.Value))
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Errorf("the field %s can't be a JSON %s", truncate(typeErr.Field), truncate(typeErr.Value))
 	}
-	var syn *json.SyntaxError
-	if errors.As(err, &syn) {
-		return fmt.Errorf("the JSON is broken at byte %d", syn.Offset)
+	var syntaxErr *json.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		return fmt.Errorf("the JSON is broken at byte %d", syntaxErr.Offset)
 	}
 	return errors.New("the JSON is broken")
 }
 
-// Blocks of a prompt whose digests are compared with cache events.
+// Size and number of the prompt blocks whose digests are compared with cache events.
 const (
 	blockBytes = 256
 	maxBlocks  = 32
 )
 
-// prefixDigests returns the chained digests of the whole blocks of a prompt.
+// prefixDigests returns the chained digests of the complete blocks of a prompt.
 func prefixDigests(prompt []byte) []uint64 {
 	n := min(len(prompt)/blockBytes, maxBlocks)
 	if n == 0 {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,16 +1,14 @@
-// Package front serves callers over HTTP: the chat-completions API, plain
-// services, tickets, and the list of entry hosts to use. docs/callers.md
-// describes it.
+// Package front serves callers over HTTP: the chat-completions API, plain services, tickets, and
+// the list of entry hosts to use. docs/callers.md describes the interface.
 //
 // # Usage
 //
 //	fr := front.New(front.Config{Self: host, Loop: lp, Runner: rn, Book: book.Load})
 //	srv := &http.Server{Handler: fr}
 //
-// Whatever can be judged from the headers is judged before the body is read,
-// so that a body whose place is elsewhere never enters this host. The reducer
-// judges all that depends on state; the front judges only shapes, and the
-// account and profile by the configuration in force.
+// The front checks the headers before it reads the body, so that a body that may not enter this
+// host is never read. The reducer decides everything that depends on state; the front checks only
+// the form of a request, and its account and profile against the configuration in force.
 package front
 
 import (
@@ -34,7 +32,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Config is what the front needs.
+// Config holds the dependencies and limits of the front.
 type Config struct {
 	Self   event.Host
 	Loop   *loop.Loop
@@ -43,27 +41,27 @@
 	Log    logr.Logger
 	// Book returns the configuration in force.
 	Book func() *rules.Book
-	// MaxBody bounds one body, Budget all of them together.
+	// MaxBody bounds one body, Budget the memory of all of them together.
 	MaxBody ident.Bytes
 	Budget  *serve.Budget
-	// MaxRequests bounds the requests in flight; zero is no bound.
+	// MaxRequests bounds the requests in flight; zero means no limit.
 	MaxRequests int
-	// BodyTimeout is how long a body may take to arrive, WriteTime how long a
-	// caller may take to accept a piece of its answer. Zero is no bound.
+	// BodyTimeout bounds the time for a body to arrive, WriteTimeout the time for a caller to
+	// accept a piece of its answer. Zero means no limit.
 	BodyTimeout  time.Duration
 	WriteTimeout time.Duration
 	Trace        *trace.Tracer
 	Meter        *meter.Traffic
 }
 
-// Front is the handler for callers.
+// Front is the HTTP handler for callers.
 type Front struct {
 	cfg      Config
 	router   *bunrouter.Router
 	inFlight atomic.Int64
 }
 
-// New returns a handler.
+// New returns the handler for the given configuration.
 func New(cfg Config) *Front {
 	f := &Front{cfg: cfg}
 	f.router = bunrouter.New(
@@ -99,26 +97,25 @@
 
 	client  rules.Client
 	profile rules.Profile
-	// body is held until the request is over.
+	// body is kept until the request is over; reserved is its share of the budget.
 	body     []byte
 	reserved int
-	// bodyStarted says that bodyStarted the body has begun, bodyComplete that it has come to
-	// its end.
+	// bodyStarted is set once reading the body has begun, bodyComplete once it has been read to its
+	// end.
 	bodyStarted, bodyComplete bool
 
 	outcome event.Outcome
 	status  int
 	code    codes.ID
-	// streaming says that the answer is a streaming.
+	// streaming is set if the answer is a stream.
 	streaming bool
 }
 
 // ending returns which side ended the connection of the request.
 func (x *exchange) ending() event.Ending { return conns.EndingOf(x.r.Context()) }
 
-// handle returns the handler of one path. A refusal that the function returns
-// is the answer.
-func (f *Front) handle(name string, do func(x *exchange) *event.Refuse) bunrouter.HandlerFunc {
+// handle returns the handler of one path. A refusal returned by serve is written as the answer.
+func (f *Front) handle(name string, serve func(x *exchange) *event.Refuse) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		x := &exchange{
 			Front: f, w: w, rc: http.NewResponseController(w),
@@ -133,22 +130,22 @@
 		x.r = r.WithContext(ctx).Request
 		x.setBodyDeadline()
 		if f.cfg.MaxRequests > 0 && n > int64(f.cfg.MaxRequests) {
-			x.writeRefusal(x.notRun(codes.HostBusy, ""))
+			x.refuse(x.notRun(codes.HostBusy, ""))
 			return nil
 		}
 		if ref := x.checkHead(); ref != nil {
-			x.writeRefusal(ref)
+			x.refuse(ref)
 			return nil
 		}
-		if ref := do(x); ref != nil {
-			x.writeRefusal(ref)
+		if ref := serve(x); ref != nil {
+			x.refuse(ref)
 		}
 		return nil
 	}
 }
 
-// finish records the end of an exchange. It runs also when the connection
-// is cut by a panic, which is how net/http cuts one.
+// finish records the end of an exchange. It also runs if a panic cuts the connection, which is how
+// a net/http handler cuts one.
 func (f *Front) finish(x *exchange) {
 	f.inFlight.Add(-1)
 	f.cfg.Meter.Open(-1)
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -12,8 +12,8 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// Whatever a caller writes into its headers, a header of this system that only
-// hosts send is refused, and none of the values falls the host over.
+// Checks that, whatever headers a caller sends, a header that only hosts may send is refused, and
+// that no value causes a panic.
 func FuzzHead(f *testing.F) {
 	f.Add("Verbenadale-Ticket", "tk-1", "1.1 verbenadale", "100")
 	f.Add("Verbenadale-Envelope", "{}", "", "-1")
@@ -29,12 +29,12 @@
 		name := http.CanonicalHeaderKey(key)
 		if strings.HasPrefix(name, headerPrefix) && name != HeaderTicket && name != HeaderProfile && name != HeaderDeadline {
 			if ref == nil || ref.Code != codes.ForgedEnvelope.ID {
-				t.Errorf("header %q was taken", name)
+				t.Errorf("header %q was accepted", name)
 			}
 		}
 		at, bad := x.parseDeadline()
 		if bad == nil && deadline != "" && (at <= 0 || at.Sub(0).Milliseconds() > maxDeadlineMs) {
-			t.Errorf("deadline %q was taken as %d", deadline, at)
+			t.Errorf("deadline %q was parsed as %d", deadline, at)
 		}
 		if bad != nil && bad.Outcome != event.NotRun {
 			t.Errorf("refusal with outcome %s", bad.Outcome)
@@ -42,7 +42,7 @@
 	})
 }
 
-// A path at a plain service never climbs out of it, however it is escaped.
+// Checks that a path at a plain service can't leave that service, however it is escaped.
 func FuzzServicePath(f *testing.F) {
 	for _, p := range []string{"vans/jobs", "vans/%2e%2e/x", "a%2Fb/c", "vans", "%zz/x", "vans/..%5c"} {
 		f.Add(p)
@@ -54,18 +54,17 @@
 		}
 		u, err := url.Parse("http://vans" + path)
 		if err != nil || profile == "" {
-			t.Fatalf("path %q was taken as %q of %q: %v", tail, path, profile, err)
+			t.Fatalf("path %q was parsed as %q of %q: %v", tail, path, profile, err)
 		}
 		for seg := range strings.SplitSeq(strings.ReplaceAll(u.Path, "\\", "/"), "/") {
 			if seg == ".." || seg == "." {
-				t.Errorf("path %q climbs as %q", tail, path)
+				t.Errorf("path %q leaves the service as %q", tail, path)
 			}
 		}
 	})
 }
 
-// What is taken as a completion request is JSON of the expected shape, with
-// numbers in their range, and a fault shows no word of the body.
+// Checks that an accepted completion request is valid JSON with numbers in their range.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{goodChat, streamChat, `{"messages":[1],"max_tokens":1e3}`, `{"MESSAGES":[1],"n":null}`, "{", "[]"} {
 		f.Add([]byte(s))
@@ -76,7 +75,7 @@
 			return
 		}
 		if !json.Valid(text) || a.answerTokens() < 0 || a.answerTokens() > maxAnswerTokens {
-			t.Errorf("taken: %q", text)
+			t.Errorf("invalid request accepted: %q", text)
 		}
 	})
 }
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -17,7 +17,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The headers between callers and entry hosts.
+// Headers exchanged between callers and entry hosts.
 const (
 	HeaderProfile  = "Verbenadale-Profile"
 	HeaderTicket   = "Verbenadale-Ticket"
@@ -27,20 +27,20 @@
 	HeaderKey      = "Idempotency-Key"
 )
 
-// headerPrefix starts the headers of this system.
+// headerPrefix is the prefix of the headers of this system.
 const headerPrefix = "Verbenadale-"
 
-// viaPseudonym stands for all entry hosts of the system in the header Via, which
-// gives no address away to targets.
+// viaPseudonym names every entry host of the system in the header Via, so that targets learn no
+// address.
 const viaPseudonym = "verbenadale"
 
-// Bounds of the values in headers. The longest deadline is that of profiles.
+// Limits of header values. The longest deadline is the longest that profiles allow.
 const (
 	maxHeaderValue = 255
 	maxDeadlineMs  = 3_600_000
 )
 
-// newRequestID returns an id that no other host gives out.
+// newRequestID returns a globally unique request id.
 func newRequestID() ident.RequestID { return ident.RequestID("req-" + newSecret()) }
 
 // secretBytes is the length of a secret that can't be guessed.
@@ -58,7 +58,7 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// checkHead judges the shape of the headers.
+// checkHead checks the form of the headers.
 func (x *exchange) checkHead() *event.Refuse {
 	for k, vs := range x.r.Header {
 		if isInternalHeader(k) {
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// isInternalHeader reports whether a header is one that only entry hosts and targets
-// send. A caller that could set the hops or the attempt would lift the bound
-// on crossings or take the outcome of somebody else's request.
+// isInternalHeader reports whether only entry hosts and targets may send a header. A caller that
+// could set the hops or the attempt could evade the limit on crossings or obtain the outcome of
+// another caller's request.
 func isInternalHeader(key string) bool {
 	switch key {
 	case HeaderProfile, HeaderTicket, HeaderDeadline:
@@ -90,8 +90,8 @@
 	return strings.HasPrefix(key, headerPrefix)
 }
 
-// isSingleValued reports whether a header means something only once. Of two values
-// this host might judge by one and a proxy before it by the other.
+// isSingleValued reports whether a header may occur only once. With two values, this host could use
+// one and a proxy in front of it the other.
 func isSingleValued(key string) bool {
 	switch key {
 	case HeaderProfile, HeaderTicket, HeaderDeadline, HeaderKey, "Authorization", "Content-Type":
@@ -100,7 +100,8 @@
 	return false
 }
 
-// isVisibleASCII reports whether a value that is present is short and visible ASCII.
+// isVisibleASCII reports whether a value is short enough and consists of visible ASCII; an empty
+// one does.
 func isVisibleASCII(v string) bool {
 	if len(v) > maxHeaderValue {
 		return false
@@ -113,14 +114,14 @@
 	return true
 }
 
-// authenticate finds the authenticate by the API key.
+// authenticate finds the account by its API key.
 func (x *exchange) authenticate() *event.Refuse {
 	book := x.cfg.Book()
 	if book.Rev() == 0 {
 		return x.notRun(codes.NotReady, "")
 	}
-	kind, key, _ := strings.Cut(x.r.Header.Get("Authorization"), " ")
-	if !strings.EqualFold(kind, "Bearer") || key == "" {
+	scheme, key, _ := strings.Cut(x.r.Header.Get("Authorization"), " ")
+	if !strings.EqualFold(scheme, "Bearer") || key == "" {
 		return x.notRun(codes.UnknownKey, "send the header Authorization: Bearer KEY")
 	}
 	c, ok := book.ClientByDigest(rules.Digest(strings.TrimSpace(key)))
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// checkProfile judges whether the account may use the profile at this host.
+// checkProfile checks whether the account may use the profile at this host.
 func (x *exchange) checkProfile(name ident.Profile) *event.Refuse {
 	p, ok := x.cfg.Book().Profile(name)
 	if !ok {
@@ -149,19 +150,18 @@
 	return x.checkVia()
 }
 
-// truncate keeps a caller's own words in a message short.
+// truncate limits the text of a caller that is quoted in a message.
 func truncate(s string) string {
-	const most = 64
-	if len(s) > most {
-		return s[:most] + "..."
+	const maxLen = 64
+	if len(s) > maxLen {
+		return s[:maxLen] + "..."
 	}
 	return s
 }
 
-// checkVia guards against a proxy outside of the system that sends a request
-// back to an entry host. The envelope does not survive such a proxy, so the
-// request would go round until its deadline and take up a slot on each round.
-// Via, which proxies keep, counts the rounds.
+// checkVia detects a proxy outside the system that sends a request back to an entry host. The
+// envelope does not pass through such a proxy, so the request would circulate until its deadline
+// and occupy a slot on each round. The header Via, which proxies keep, counts the rounds.
 func (x *exchange) checkVia() *event.Refuse {
 	rounds := 0
 	for _, v := range x.r.Header.Values("Via") {
@@ -173,13 +173,13 @@
 	return nil
 }
 
-// via returns the header Via towards targets.
+// via returns the header Via for targets.
 func (x *exchange) via() string {
 	vs := append(x.r.Header.Values("Via"), fmt.Sprintf("%d.%d %s", x.r.ProtoMajor, x.r.ProtoMinor, viaPseudonym))
 	return strings.Join(vs, ", ")
 }
 
-// parseDeadline reads the caller's parseDeadline, zero for none.
+// parseDeadline returns the deadline set by the caller, or zero for none.
 func (x *exchange) parseDeadline() (ident.Time, *event.Refuse) {
 	text := x.r.Header.Get(HeaderDeadline)
 	if text == "" {
@@ -195,7 +195,8 @@
 	return x.startedAt.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
-// newRequest judges all that the headers allow, with the profile where they name it.
+// newRequest checks everything that the headers determine and returns the request; it checks the
+// profile if the caller gives it before the body.
 func (x *exchange) newRequest(profile ident.Profile) (event.Request, *event.Refuse) {
 	if ref := x.authenticate(); ref != nil {
 		return event.Request{}, ref
@@ -227,8 +228,8 @@
 	}
 }
 
-// digest returns the SHA-256 digest of parts, each with its length, so that
-// no two lists of parts run together to the same text.
+// digest returns the SHA-256 digest of parts, each preceded by its length, so that different lists
+// of parts never yield the same input.
 func digest(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -244,7 +245,7 @@
 	return x.notRun(codes.WrongMethod, "")
 }
 
-// statusOf returns the status of a code that the front gives.
+// statusOf returns the HTTP status of a code.
 func statusOf(c codes.Code) int {
 	if c.Status == 0 {
 		return http.StatusInternalServerError
--- a/internal/front/lists.go
+++ b/internal/front/lists.go
@@ -10,7 +10,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// queryTimeout bounds a question to the control thread.
+// queryTimeout bounds a query to the control thread.
 const queryTimeout = 2 * time.Second
 
 type modelList struct {
@@ -45,8 +45,8 @@
 	ValidForMs int64    `json:"validForMs"`
 }
 
-// entries lists the entry hosts to use. It is answered also by a host that the
-// profile may not be used at: that is how callers find the right ones.
+// entries lists the entry hosts to use. A host that may not serve the profile answers too, since
+// this is how callers find the right hosts.
 func (x *exchange) entries() *event.Refuse {
 	if ref := x.authenticate(); ref != nil {
 		return ref
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// queryProfile reads the profile of the query, which the account may use.
+// queryProfile returns the profile of the query after checking that the account may use it.
 func (x *exchange) queryProfile() (ident.Profile, *event.Refuse) {
 	name := ident.Profile(x.r.URL.Query().Get("profile"))
 	if name == "" {
@@ -98,7 +98,7 @@
 	return ans, nil
 }
 
-// allowedEntries are the hosts to name in a refusal for residency.
+// allowedEntries returns the hosts to list in a refusal for residency.
 func (x *exchange) allowedEntries() []event.Host {
 	ans, ref := x.queryEntries(x.profile.Name)
 	if ref != nil {
@@ -112,7 +112,7 @@
 	ValidForMs int64  `json:"validForMs"`
 }
 
-// tickets gives out a ticket for one request that runs at most once.
+// tickets issues a ticket for one request that runs at most once.
 func (x *exchange) tickets() *event.Refuse {
 	if ref := x.authenticate(); ref != nil {
 		return ref
--- a/internal/front/refuse.go
+++ b/internal/front/refuse.go
@@ -11,8 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// errorAnswer is the body of a refusal, in the shape that clients of the
-// chat-completions API expect.
+// errorAnswer is the body of a refusal, in the format that clients of the chat-completions API
+// expect.
 type errorAnswer struct {
 	Error errorDetail `json:"error"`
 }
@@ -22,15 +22,15 @@
 	Type    string        `json:"type"`
 	Code    codes.ID      `json:"code"`
 	Outcome event.Outcome `json:"outcome"`
-	// RetryAfterMs is when to come back.
+	// RetryAfterMs is the delay after which the caller may retry.
 	RetryAfterMs int64    `json:"retryAfterMs,omitempty"`
 	Entries      []string `json:"entries,omitempty"`
 }
 
-// defaultRetryDelay is when to come back after a refusal of the front itself.
+// defaultRetryDelay is the retry delay of refusals that the front itself decides.
 const defaultRetryDelay = time.Second
 
-// notRun returns the refusal of a request that has notRun been run.
+// notRun returns the refusal of a request that has not been run.
 func (x *exchange) notRun(c codes.Code, reason string) *event.Refuse {
 	ref := &event.Refuse{Request: x.id, Code: c.ID, Outcome: event.NotRun, Reason: reason}
 	if c.Wait {
@@ -51,8 +51,8 @@
 	}}
 }
 
-// writeRefusal answers with a refusal.
-func (x *exchange) writeRefusal(r *event.Refuse) {
+// refuse writes a refusal as the answer.
+func (x *exchange) refuse(r *event.Refuse) {
 	c, _ := codes.Find(r.Code)
 	x.code = r.Code
 	x.cfg.Meter.Refused(r.Code)
@@ -66,8 +66,8 @@
 	x.writeJSON(statusOf(c), r.Outcome, errorBody(r))
 }
 
-// ceilSeconds rounds up, since Retry-After has no fractions and coming back too
-// early would meet the same refusal.
+// ceilSeconds rounds up, since Retry-After has no fractions and a caller that retried too early
+// would be refused again.
 func ceilSeconds(d time.Duration) int { return max(int(math.Ceil(d.Seconds())), 1) }
 
 // writeJSON answers with JSON.
--- a/internal/front/refuse_test.go
+++ b/internal/front/refuse_test.go
@@ -22,7 +22,7 @@
 	goodChat = `{"model":"draft","messages":[{"role":"user","content":"hi"}]}`
 )
 
-// badCalls are requests that no target may see.
+// badCalls are requests that must not reach a target.
 var badCalls = []struct {
 	name string
 	call call
@@ -74,7 +74,7 @@
 	{"ticket outside", call{"POST", "/v1/tickets?profile=far", "", nil}},
 }
 
-// A malformed or forged request reaches a target.
+// Guards against a malformed or forged request that reaches a target.
 func TestBadInput(t *testing.T) {
 	b := newFixture(t, plainAnswer)
 	var out strings.Builder
@@ -99,7 +99,7 @@
 	check(t, "requests that reached the reducer", 0, len(b.reqs))
 }
 
-// A body is read at a host where its profile forbids it.
+// Guards against reading a body at a host where its profile forbids it.
 func TestBodyNeverSent(t *testing.T) {
 	b := newFixture(t, plainAnswer)
 	_, br := b.raw(t, "POST "+chatPath+" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\n"+
@@ -111,10 +111,10 @@
 	defer res.Body.Close()
 	text, _ := io.ReadAll(res.Body)
 	check(t, "status", http.StatusMisdirectedRequest, res.StatusCode)
-	check(t, "names the entry to use", true, strings.Contains(string(text), "http://192.0.2.1:8080"))
+	check(t, "contains the entry to use", true, strings.Contains(string(text), "http://192.0.2.1:8080"))
 }
 
-// Slow bodies hold requests open without bound.
+// Guards against slow bodies that keep requests open without limit.
 func TestSlowBody(t *testing.T) {
 	b := newFixture(t, plainAnswer, func(cfg *Config) { cfg.BodyTimeout = 50 * time.Millisecond })
 	_, br := b.raw(t, "POST "+chatPath+" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\nContent-Length: 100\r\n\r\n{")
@@ -128,7 +128,7 @@
 	check(t, "code", true, strings.Contains(string(text), string(codes.SlowBody.ID)))
 }
 
-// The limit for bodies cuts a long answer.
+// Guards against a read deadline for the body that cuts a long answer.
 func TestLongAnswerAfterBody(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
@@ -138,11 +138,11 @@
 	check(t, "status", http.StatusOK, b.send(t, call{"POST", chatPath, goodChat, nil}).status)
 }
 
-// Bodies together exceed the memory of the host.
+// Guards against bodies that together exceed the memory of the host.
 func TestFloodOfBodies(t *testing.T) {
-	const room = 16 << 10
+	const budget = 16 << 10
 	b := newFixture(t, plainAnswer, func(cfg *Config) {
-		cfg.Budget = serve.NewBudget(room)
+		cfg.Budget = serve.NewBudget(budget)
 		cfg.Runner.Budget = cfg.Budget
 	})
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n", chatPath, maxTestBody)
@@ -152,37 +152,37 @@
 	for range senders {
 		f.start(t)
 	}
-	over := senders - room/(maxTestBody+1)
+	over := senders - budget/(maxTestBody+1)
 	for range over {
 		check(t, "status", http.StatusServiceUnavailable, <-refused)
 	}
-	check(t, "memory within the budget", true, b.fr.cfg.Budget.Used() <= room)
+	check(t, "memory within the budget", true, b.fr.cfg.Budget.Used() <= budget)
 	f.stop()
 	eventually(t, func() bool { return b.fr.cfg.Budget.Used() == 0 && b.fr.InFlight() == 0 })
 	check(t, "serves again", http.StatusOK, b.send(t, call{"POST", chatPath, goodChat, nil}).status)
 	check(t, "calls at the target", int32(1), b.targetCalls.Load())
 }
 
-// A request beyond the limit is held instead of refused.
+// Guards against queueing a request beyond the limit instead of refusing it.
 func TestTooManyRequests(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	arrived := make(chan struct{}, 1)
 	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-goOn
+		<-proceed
 		plainAnswer(w, r)
 	}, func(cfg *Config) { cfg.MaxRequests = 1 })
 	s := &sender{b: b, t: t, c: call{"POST", chatPath, goodChat, nil}, done: make(chan reply, 1)}
 	go s.run()
 	<-arrived
 	rep := b.send(t, s.c)
-	close(goOn)
+	close(proceed)
 	check(t, "status", http.StatusServiceUnavailable, rep.status)
 	check(t, "wait", "1", rep.header.Get("Retry-After"))
 	check(t, "the first", http.StatusOK, (<-s.done).status)
 }
 
-// Retry-After is rounded down.
+// Guards against a Retry-After that is rounded down, with which callers would retry too early.
 func TestRetryAfter(t *testing.T) {
 	b := newFixture(t, plainAnswer)
 	b.refuse = &event.Refuse{
@@ -190,7 +190,7 @@
 		Entries: []event.Host{{CallerURL: "http://192.0.2.9:1"}},
 	}
 	rep := b.send(t, call{"POST", chatPath, goodChat, nil})
-	check(t, "no wait on a code that waiting does not help", "", rep.header.Get("Retry-After"))
+	check(t, "no Retry-After on a code that waiting does not resolve", "", rep.header.Get("Retry-After"))
 	b.refuse.Code = codes.Overloaded.ID
 	rep = b.send(t, call{"POST", chatPath, goodChat, nil})
 	check(t, "wait", "2", rep.header.Get("Retry-After"))
@@ -202,7 +202,7 @@
 	check(t, "entries", []string{"http://192.0.2.9:1"}, ans.Error.Entries)
 }
 
-// A repeat is confused with another request under the same key.
+// Guards against confusing a repeat with another request under the same key.
 func TestKeyDigests(t *testing.T) {
 	b := newFixture(t, plainAnswer)
 	ask := func(path, key, body string) event.Request {
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -12,17 +12,17 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// servicePrefix starts the paths of plain services.
+// servicePrefix is the prefix of the paths of plain services.
 const servicePrefix = "/v1/services/"
 
-// serviceMethods are the methods that go on to plain services.
+// serviceMethods are the methods that plain services receive.
 var serviceMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// serviceHeaders are the headers that go on to plain services. Keys, cookies
-// and addresses of callers stay here.
+// serviceHeaders are the headers that are forwarded to plain services. Keys, cookies and addresses
+// of callers are not.
 var serviceHeaders = []string{
 	"Accept", "Accept-Language", "Content-Language", "Content-Type",
 	"If-Match", "If-Modified-Since", "If-None-Match", "If-Unmodified-Since",
@@ -33,7 +33,7 @@
 	if !ok {
 		return x.notRun(codes.BadRequest, "write the path as "+servicePrefix+"PROFILE/PATH")
 	}
-	if named := x.r.Header.Get(HeaderProfile); named != "" && ident.Profile(named) != profile {
+	if headerProfile := x.r.Header.Get(HeaderProfile); headerProfile != "" && ident.Profile(headerProfile) != profile {
 		return x.notRun(codes.BadRequest, "the path and "+HeaderProfile+" name different profiles")
 	}
 	req, ref := x.newRequest(profile)
@@ -67,9 +67,9 @@
 	return h
 }
 
-// splitServicePath splits the escaped path of a service call into the profile and
-// the path at the service. The path goes on as it was written; one with dot
-// segments is refused, since whoever resolves them next may come out elsewhere.
+// splitServicePath splits the escaped path of a service call into the profile and the path at the
+// service. The path is forwarded as written; a path with dot segments is refused, since the next
+// reader could resolve it to a place outside the service.
 func splitServicePath(path string) (ident.Profile, string, bool) {
 	rest, ok := strings.CutPrefix(path, servicePrefix)
 	if !ok {
@@ -88,8 +88,8 @@
 	return ident.Profile(profile), "/" + tail, true
 }
 
-// isUnambiguous reports whether a segment of an escaped path means the same to
-// whoever reads it next.
+// isUnambiguous reports whether every reader understands a segment of an escaped path in the same
+// way.
 func isUnambiguous(seg string) bool {
 	text, err := url.PathUnescape(seg)
 	if err != nil || text == "." || text == ".." || strings.ContainsAny(seg, "?#") {
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -11,7 +11,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sink writes the answer of a target to the caller.
+// sink returns the sink that writes the answer of a target to the caller.
 func (x *exchange) sink(engine bool) serve.Sink {
 	s := &callerSink{exchange: x, engine: engine}
 	return serve.Sink{Begin: s.begin, Data: s.data, Finish: s.finish, Refuse: s.refuse}
@@ -19,10 +19,10 @@
 
 type callerSink struct {
 	*exchange
-	// engine says that a stream ends with the end mark.
+	// engine is set if a stream ends with the end marker.
 	engine bool
-	// headerSent says that the status has been sent, so that only a trailer or a
-	// cut can show the outcome.
+	// headerSent is set once the status has been sent, so that only a trailer or a cut can show the
+	// outcome.
 	headerSent bool
 }
 
@@ -55,8 +55,8 @@
 	return s.rc.Flush()
 }
 
-// extendWriteDeadline bounds the time that a write may wait, since a caller that stops reading
-// without closing its connection would hold its slot at the target.
+// extendWriteDeadline bounds the time of the next write, since a caller that stops reading without
+// closing its connection would occupy its slot at the target.
 func (s *callerSink) extendWriteDeadline() {
 	if s.cfg.WriteTimeout > 0 {
 		_ = s.rc.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
@@ -75,12 +75,11 @@
 	s.w.Header().Set(HeaderOutcome, string(outcome))
 }
 
-// refuse gives the final answer. A stream that has begun gets an error event
-// and is then cut without its end mark, so that no client takes the part for
-// the whole.
+// refuse ends the answer with a refusal. A stream that has begun gets an error event and is then
+// cut without its end marker, so that no client mistakes the partial answer for a complete one.
 func (s *callerSink) refuse(r event.Refuse) {
 	if !s.headerSent {
-		s.exchange.writeRefusal(&r)
+		s.exchange.refuse(&r)
 		return
 	}
 	s.outcome = r.Outcome
--- a/internal/front/token_test.go
+++ b/internal/front/token_test.go
@@ -13,38 +13,37 @@
 	"verbenadale.example/verbenadale/internal/target"
 )
 
-// The load of one entry host at the size that the design is made for: 1.9
-// million tokens a second over 370 hosts.
+// Load of one entry host at the design size: 1.9 million tokens a second over 370 hosts.
 const (
 	tokenStreams = 64
 	tokenGap     = 12500 * time.Microsecond
 )
 
-// BenchmarkTokenRelay measures the processor time of relaying one event of a
-// token, by what callers and a target cost with the front between them and
-// without it. Each event is written and flushed by itself, as engines do.
+// BenchmarkTokenRelay measures the processor time for relaying one token event: the cost of callers
+// and a target with the front between them, minus the cost without it. Each event is written and
+// flushed separately, as engines do.
 func BenchmarkTokenRelay(b *testing.B) {
-	each := b.N/tokenStreams + 1
+	tokensPerStream := b.N/tokenStreams + 1
 	answer := func(w http.ResponseWriter, r *http.Request) {
 		text := fmt.Sprintf("data: {\"id\":\"%s\",\"t\":\"%0110d\"}\n\n", r.Header.Get(target.HeaderRequest), 1)
 		w.Header().Set("Content-Type", "text/event-stream")
-		for n := range each {
+		for n := range tokensPerStream {
 			time.Sleep(tokenGap)
 			_, _ = fmt.Fprintf(w, "id: %d\n%s", n+1, text)
 			_ = http.NewResponseController(w).Flush()
 		}
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}
-	bn := newFixture(b, answer)
+	f := newFixture(b, answer)
 	b.ResetTimer()
-	direct := tokenCost(b, bn.url, each)
-	relayed := tokenCost(b, bn.srv.URL, each)
-	b.ReportMetric((relayed-direct).Seconds()*1e6/float64(each*tokenStreams), "cpu-µs/token")
-	b.ReportMetric(direct.Seconds()*1e6/float64(each*tokenStreams), "bench-µs/token")
+	direct := tokenCost(b, f.url, tokensPerStream)
+	relayed := tokenCost(b, f.srv.URL, tokensPerStream)
+	b.ReportMetric((relayed-direct).Seconds()*1e6/float64(tokensPerStream*tokenStreams), "cpu-µs/token")
+	b.ReportMetric(direct.Seconds()*1e6/float64(tokensPerStream*tokenStreams), "bench-µs/token")
 }
 
-// tokenCost returns the processor time of the process while streams are read.
-func tokenCost(b *testing.B, url string, each int) time.Duration {
+// tokenCost returns the processor time that the process uses to read the streams.
+func tokenCost(b *testing.B, url string, tokensPerStream int) time.Duration {
 	b.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: tokenStreams}}
 	defer client.CloseIdleConnections()
@@ -52,8 +51,8 @@
 	var all sync.WaitGroup
 	for range tokenStreams {
 		all.Go(func() {
-			if n, err := readTokens(client, url); err != nil || n != each {
-				b.Errorf("%d of %d tokens: %v", n, each, err)
+			if n, err := readTokens(client, url); err != nil || n != tokensPerStream {
+				b.Errorf("%d of %d tokens: %v", n, tokensPerStream, err)
 			}
 		})
 	}
--- a/internal/halt/halt.go
+++ b/internal/halt/halt.go
@@ -1,23 +1,23 @@
-// Package halt ends an entry host in one ordered sequence, in which no request is dropped that
-// could end.
+// Package halt shuts an entry host down in one ordered sequence that drops no request which can
+// still complete.
 //
 // # Usage
 //
-//	h := &halt.Sequence{Clock: svc, Log: log, Grace: grace, Running: runner.Running, Post: lp.Post, Conns: keeper}
+//	h := &halt.Sequence{Clock: svc, Log: log, GracePeriod: grace, Running: runner.Running, Post: lp.Post, Conns: tracker}
 //	t.Go(h.Run)      // once the drain has begun
 //	...
-//	h.Drained()      // when the reducer reports the end of the drain
+//	h.MarkDrained()  // when the reducer reports the end of the drain
 //	...
 //	<-h.Done()       // every request has had its final answer
 //	h.Close(servers) // connections end
 //
 // # Order
 //
-// A host that drains takes what it can end, until the reducer reports the drain as ended or the
-// grace is over. From then on the reducer refuses what arrives. What still runs at the end of
-// the grace gets its final answer: it is refused, or cut where its answer has begun. Then the
-// listeners close, connections without a request end, the others end with their answers, and
-// what is left is closed.
+// A draining host accepts the requests that it can complete, until the reducer reports the end of
+// the drain or the grace period expires. After that the reducer refuses new requests. A request that
+// still runs when the grace period expires gets its final answer: it is refused, or cut if its answer
+// has begun. Then the listeners close, idle connections end, the others end with their answers, and
+// the remaining ones are closed.
 package halt
 
 import (
@@ -35,19 +35,19 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// pollInterval is the time between two looks at what is left.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 10 * time.Millisecond
 
-// Sequence is the end of one host.
+// Sequence is the shutdown of one host.
 type Sequence struct {
 	Clock *clock.Service
 	Log   logr.Logger
-	// GracePeriod is the time from Run after which what runs is cut; zero is no bound.
+	// GracePeriod is the time from Run after which running requests are cut; zero means no limit.
 	GracePeriod time.Duration
 	// FinalTimeout bounds the time for the last answers after the drain, and again the time for the
 	// connections to end.
 	FinalTimeout time.Duration
-	// Running returns the number of requests without their final answer.
+	// Running returns the number of requests without a final answer.
 	Running func() int
 	// Post hands an event to the reducer.
 	Post  func(event.Event)
@@ -65,37 +65,38 @@
 	s.initOnce.Do(func() { s.drained, s.done = make(chan struct{}), make(chan struct{}) })
 }
 
-// MarkDrained says that the reducer has reported the end of the drain.
+// MarkDrained records that the reducer has reported the end of the drain.
 func (s *Sequence) MarkDrained() {
 	s.initChannels()
 	s.drainedOnce.Do(func() { close(s.drained) })
 }
 
-// Done is closed when every request has had its final answer.
+// Done returns a channel that is closed when every request has had its final answer.
 func (s *Sequence) Done() <-chan struct{} {
 	s.initChannels()
 	return s.done
 }
 
-// CutRequests returns the number of requests that were cut at the end of the grace.
+// CutRequests returns the number of requests that were running when the grace period expired.
 func (s *Sequence) CutRequests() int { return int(s.cutRequests.Load()) }
 
-// Run waits for the end of the drain and cuts what outlasts the grace. Only its first call does.
+// Run waits for the end of the drain and cuts the requests that outlast the grace period. Only its
+// first call has an effect.
 func (s *Sequence) Run(ctx context.Context) {
 	if s.started.Swap(true) {
 		return
 	}
 	s.initChannels()
 	defer close(s.done)
-	var over <-chan ident.Time
+	var graceOver <-chan ident.Time
 	if s.GracePeriod > 0 {
 		sub := s.Clock.At(s.Clock.Now().Add(s.GracePeriod))
 		defer sub.Close()
-		over = sub.C()
+		graceOver = sub.C()
 	}
 	select {
 	case <-s.drained:
-	case <-over:
+	case <-graceOver:
 		s.expireGrace()
 	case <-ctx.Done():
 		return
@@ -110,21 +111,21 @@
 	s.Post(event.DrainExpired{})
 }
 
-// waitUntil waits for a condition, for Last at the most.
+// waitUntil waits for a condition, for FinalTimeout at most.
 func (s *Sequence) waitUntil(ok func() bool) {
 	tick := s.Clock.Every(pollInterval)
 	defer tick.Close()
-	until := s.Clock.Now().Add(s.FinalTimeout)
-	for !ok() && s.Clock.Now() < until {
+	deadline := s.Clock.Now().Add(s.FinalTimeout)
+	for !ok() && s.Clock.Now() < deadline {
 		<-tick.C()
 	}
 }
 
-// Close ends the listeners and their connections.
+// Close closes the listeners and ends their connections.
 func (s *Sequence) Close(ls ...*httpsv.Listener) {
 	for _, l := range ls {
 		if err := l.Close(); err != nil {
-			s.Log.Info("listener does not close", "error", err.Error())
+			s.Log.Info("cannot close listener", "error", err.Error())
 		}
 	}
 	s.Conns.Drain()
@@ -140,7 +141,7 @@
 	}
 }
 
-// shutdownHTTP2 ends the connections of HTTP/2, which the server has to announce.
+// shutdownHTTP2 ends HTTP/2 connections, which the server has to announce to the clients.
 func (s *Sequence) shutdownHTTP2(l *httpsv.Listener) {
 	if l.Server.TLSConfig == nil {
 		return
@@ -148,6 +149,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.FinalTimeout)
 	defer cancel()
 	if err := l.Server.Shutdown(ctx); err != nil {
-		s.Log.Info("server does not shut down in time", "error", err.Error())
+		s.Log.Info("server did not shut down in time", "error", err.Error())
 	}
 }
--- a/internal/halt/halt_test.go
+++ b/internal/halt/halt_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 10 * time.Second
 
-// testHost is a testHost with some requests, which a test ends.
+// testHost is the shutdown sequence of a host with a settable number of running requests.
 type testHost struct {
 	*Sequence
 	running atomic.Int64
@@ -45,7 +45,8 @@
 	}
 }
 
-// A host ends before its last answers have left, or counts none of those that it cut.
+// Guards against a host that ends before its last answers have been sent, or that does not count
+// the requests it cut.
 func TestGracePeriodExpires(t *testing.T) {
 	h := newTestHost(t, 50*time.Millisecond, 3)
 	go h.Run(t.Context())
@@ -53,32 +54,33 @@
 		t.Errorf("event (-want +got):\n%s", diff)
 	}
 	if h.waitDone(50 * time.Millisecond) {
-		t.Error("it is done with requests that run")
+		t.Error("done while requests are running")
 	}
 	h.running.Store(0)
 	if !h.waitDone(testTimeout) {
-		t.Error("it is never done")
+		t.Error("the sequence was not done in time")
 	}
 	if diff := cmp.Diff(3, h.CutRequests()); diff != "" {
 		t.Errorf("cut (-want +got):\n%s", diff)
 	}
 }
 
-// A drain that ends by itself is counted as cut, or waits for the end of the grace.
+// Guards against counting requests as cut, or waiting for the whole grace period, when the drain
+// ends by itself.
 func TestDrainEndsByItself(t *testing.T) {
 	h := newTestHost(t, time.Hour, 0)
 	go h.Run(t.Context())
 	h.MarkDrained()
 	h.MarkDrained()
 	if !h.waitDone(testTimeout) {
-		t.Error("it is never done")
+		t.Error("the sequence was not done in time")
 	}
 	if diff := cmp.Diff([]int{0, 0}, []int{h.CutRequests(), len(h.posted)}); diff != "" {
 		t.Errorf("cut and posted (-want +got):\n%s", diff)
 	}
 }
 
-// A process that ends without a drain waits for one.
+// Guards against a process that waits for a drain although its context has ended.
 func TestRunEndsWithContext(t *testing.T) {
 	h := newTestHost(t, 0, 1)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -86,6 +88,6 @@
 	h.Run(ctx)
 	h.Run(ctx)
 	if !h.waitDone(testTimeout) {
-		t.Error("it is never done")
+		t.Error("the sequence was not done in time")
 	}
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -24,16 +24,15 @@
 	testTimeout = 20 * time.Second
 )
 
-// fixture runs one request before targets that the test makes up. Its step
-// function stands in for the reducer: it sends to each target in turn until an
-// answer is whole.
+// fixture runs one request against the target handlers of a test. Its step function replaces the
+// reducer: it sends the request to each target in turn until an answer is complete.
 type fixture struct {
 	rn           *Runner
 	targets      []event.Target
 	once         bool
 	deadline     time.Duration
 	idleTimeouts event.IdleTimeouts
-	// ignoreSilence says that silent attempts are not broken off, silences counts their reports.
+	// ignoreSilence is set if silent attempts are not aborted; silences counts their reports.
 	ignoreSilence bool
 	silences      int
 
@@ -44,7 +43,7 @@
 	result        callerResult
 }
 
-// callerResult is what the caller was given.
+// callerResult is what the caller received.
 type callerResult struct {
 	Status  int
 	Body    string
@@ -54,96 +53,96 @@
 
 func newFixture(t *testing.T, hs ...http.HandlerFunc) *fixture {
 	t.Helper()
-	b := &fixture{deadline: testTimeout}
+	f := &fixture{deadline: testTimeout}
 	for i, h := range hs {
 		srv := httptest.NewServer(h)
 		t.Cleanup(srv.Close)
-		b.targets = append(b.targets, event.Target{ID: ident.TargetID(fmt.Sprint(i)), URL: srv.URL})
+		f.targets = append(f.targets, event.Target{ID: ident.TargetID(fmt.Sprint(i)), URL: srv.URL})
 	}
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: b.step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: f.step, Clock: svc, Log: logr.Discard(), Carry: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
-	b.rn = &Runner{
+	f.rn = &Runner{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Targets: target.New(),
 		Answers: &AnswerCache{}, MaxAnswer: 1 << 20, Budget: NewBudget(4 << 20),
 	}
-	return b
+	return f
 }
 
-func (b *fixture) step(now ident.Time, ev event.Event) []event.Effect {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fixture) step(now ident.Time, ev event.Event) []event.Effect {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	switch e := ev.(type) {
 	case event.RequestArrived:
-		return b.dispatchNext(now, 0)
+		return f.dispatchNext(now, 0)
 	case event.CallerLeft:
-		b.callerHasLeft = true
+		f.callerHasLeft = true
 	case event.AttemptSilent:
-		b.silences++
-		if b.ignoreSilence {
+		f.silences++
+		if f.ignoreSilence {
 			return nil
 		}
 		return []event.Effect{event.BreakOff{
 			Request: testID, Attempt: e.Attempt, Silence: event.Silence{Since: e.Since, Begun: e.Begun},
 		}}
 	case event.AttemptEnded:
-		b.ends = append(b.ends, e)
+		f.ends = append(f.ends, e)
 		switch {
 		case e.Result == event.ResultDone:
 			return []event.Effect{event.Finish{Request: testID, Outcome: event.Done}}
-		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !b.once:
-			return b.dispatchNext(now, e.Delivered)
+		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !f.once:
+			return f.dispatchNext(now, e.Delivered)
 		}
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.TargetFailed.ID, Outcome: event.Unknown}}
 	}
 	return nil
 }
 
-func (b *fixture) dispatchNext(now ident.Time, resume ident.Tokens) []event.Effect {
-	if int(b.attempts) >= len(b.targets) {
+func (f *fixture) dispatchNext(now ident.Time, resume ident.Tokens) []event.Effect {
+	if int(f.attempts) >= len(f.targets) {
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.NoTarget.ID, Outcome: event.NotRun}}
 	}
-	b.attempts++
+	f.attempts++
 	return []event.Effect{event.Dispatch{
-		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: b.attempts}, Target: b.targets[b.attempts-1],
-		Deadline: now.Add(b.deadline), Resume: resume, Once: b.once, Keep: b.once, IdleTimeouts: b.idleTimeouts,
+		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: f.attempts}, Target: f.targets[f.attempts-1],
+		Deadline: now.Add(f.deadline), Resume: resume, Once: f.once, Keep: f.once, IdleTimeouts: f.idleTimeouts,
 	}}
 }
 
-// results lists how the attempts ended.
-func (b *fixture) results() []event.Result {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// results returns the results of the attempts.
+func (f *fixture) results() []event.Result {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var rs []event.Result
-	for _, e := range b.ends {
+	for _, e := range f.ends {
 		rs = append(rs, e.Result)
 	}
 	return rs
 }
 
-func (b *fixture) sink() Sink {
+func (f *fixture) sink() Sink {
 	return Sink{
-		Begin:  func(status int, _ http.Header) { b.result.Status = status },
-		Data:   func(p []byte, _ ident.Tokens) error { b.result.Body += string(p); return nil },
-		Finish: func(o event.Outcome) { b.result.Outcome = o },
-		Refuse: func(r event.Refuse) { b.result.Code, b.result.Outcome = r.Code, r.Outcome },
+		Begin:  func(status int, _ http.Header) { f.result.Status = status },
+		Data:   func(p []byte, _ ident.Tokens) error { f.result.Body += string(p); return nil },
+		Finish: func(o event.Outcome) { f.result.Outcome = o },
+		Refuse: func(r event.Refuse) { f.result.Code, f.result.Outcome = r.Code, r.Outcome },
 	}
 }
 
-func (b *fixture) run(ctx context.Context, call Call) callerResult {
-	b.rn.Run(ctx, call, event.Request{ID: testID}, b.sink())
-	return b.result
+func (f *fixture) run(ctx context.Context, call Call) callerResult {
+	f.rn.Run(ctx, call, event.Request{ID: testID}, f.sink())
+	return f.result
 }
 
-// The calls of the tests.
+// Calls used by the tests.
 var (
 	streamCall  = Call{Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte("{}"), Stream: true, Engine: true}
 	plainCall   = Call{Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte("{}"), Engine: true}
 	serviceCall = Call{Method: http.MethodGet, Path: "/jobs"}
 )
 
-// openStream starts the stream of an engine.
+// openStream writes the headers of an engine stream.
 func openStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -154,7 +153,7 @@
 	return fmt.Sprintf("id: %d\ndata: {\"id\":\"%s\",\"t\":%d}\n\n", n, testID, n)
 }
 
-// tokens returns the events of tokens from and to, both included.
+// tokens returns the events of the tokens from through to.
 func tokens(from, to int) string {
 	text := ""
 	for n := from; n <= to; n++ {
@@ -165,7 +164,7 @@
 
 const doneEvent = "data: [DONE]\n\n"
 
-// streamAnswer answers with a stream of the given text.
+// streamAnswer returns a handler that answers with a stream of the given text.
 func streamAnswer(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		openStream(w, r)
@@ -173,7 +172,7 @@
 	}
 }
 
-// jsonAnswer answers with JSON.
+// jsonAnswer returns a handler that answers with JSON.
 func jsonAnswer(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
@@ -183,7 +182,7 @@
 	}
 }
 
-// truncatedAnswer answers with less than the length that it announces.
+// truncatedAnswer returns a handler whose answer is shorter than its Content-Length.
 func truncatedAnswer(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "99")
--- a/internal/serve/budget.go
+++ b/internal/serve/budget.go
@@ -6,39 +6,38 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Budget bounds the memory of all bodies and held answers of one host.
-// Bounds on each body alone don't do it: a flood of bodies that are each
-// allowed would end the process for want of memory, and with it every request
-// in flight. The zero Budget has no bound.
+// Budget bounds the total memory of the bodies and buffered answers of one host. A limit on each
+// body is not enough: a flood of bodies that are each within the limit would exhaust the memory of
+// the process and end it with every request in flight. The zero Budget has no limit.
 type Budget struct {
 	limit ident.Bytes
 	used  atomic.Int64
 }
 
-// NewBudget returns a budget of the given size.
-func NewBudget(most ident.Bytes) *Budget { return &Budget{limit: most} }
+// NewBudget returns a budget of limit bytes; zero means no limit.
+func NewBudget(limit ident.Bytes) *Budget { return &Budget{limit: limit} }
 
-// Reserve takes n bytes and reports whether there was room.
+// Reserve reserves n bytes and reports whether they were available.
 func (b *Budget) Reserve(n int) bool {
 	if b == nil {
 		return true
 	}
-	now := b.used.Add(int64(n))
-	if b.limit > 0 && now > int64(b.limit) {
+	used := b.used.Add(int64(n))
+	if b.limit > 0 && used > int64(b.limit) {
 		b.used.Add(int64(-n))
 		return false
 	}
 	return true
 }
 
-// Release returns n bytes.
+// Release returns n reserved bytes to the budget.
 func (b *Budget) Release(n int) {
 	if b != nil {
 		b.used.Add(int64(-n))
 	}
 }
 
-// Used returns the bytes in use.
+// Used returns the number of reserved bytes.
 func (b *Budget) Used() ident.Bytes {
 	if b == nil {
 		return 0
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -11,14 +11,13 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// copyRoutedEvents passes the events of a route's stream on, each as it came and only
-// when it is whole, until the message ends.
+// copyRoutedEvents relays the events of a routed stream until the message ends, each event only
+// once it is complete.
 //
-// A target that breaks off may stop in the middle of an event. Passed on, the
-// half would stand before the first event of whoever goes on, and the caller
-// would read the two as one.
-func (t *attempt) copyRoutedEvents(body io.Reader) error {
-	r := &eventReader{br: bufio.NewReaderSize(body, streamBufferSize), lastID: t.delivered}
+// A target that fails may stop in the middle of an event. If the partial event were relayed, the
+// caller would read it and the first event of the next attempt as one.
+func (a *attempt) copyRoutedEvents(body io.Reader) error {
+	r := &eventReader{br: bufio.NewReaderSize(body, streamBufferSize), lastID: a.delivered}
 	for {
 		ev, err := r.next()
 		if errors.Is(err, io.EOF) {
@@ -27,24 +26,25 @@
 		if err != nil {
 			return err
 		}
-		t.recordProgress()
-		t.recordGap()
-		if err := t.deliver(ev, r.lastID); err != nil {
+		a.recordProgress()
+		a.recordGap()
+		if err := a.deliver(ev, r.lastID); err != nil {
 			return err
 		}
 	}
 }
 
-// eventReader cuts a stream into its events without changing a byte.
+// eventReader splits a stream into its events without changing a byte.
 type eventReader struct {
 	br *bufio.Reader
-	// lastID is the id of the last event, at first that of the resume.
+	// lastID is the id of the last event; at first, the number of tokens from which the stream is
+	// resumed.
 	lastID ident.Tokens
 	buf    []byte
 }
 
-// next returns the next whole event, valid until the next call, or io.EOF where
-// the message ends between two events.
+// next returns the next complete event, which is valid until the following call, or io.EOF if the
+// message ends between two events.
 func (r *eventReader) next() ([]byte, error) {
 	r.buf = r.buf[:0]
 	for {
@@ -65,8 +65,8 @@
 	}
 }
 
-// checkID takes the id of the event. Ids grow by one: an event that comes twice
-// or after a gap would give the caller a text that nobody wrote.
+// checkID checks the id of the event that has been read. Ids must increase by one: a repeated or
+// missing event would corrupt the text that the caller receives.
 func (r *eventReader) checkID() error {
 	for line := range bytes.Lines(r.buf) {
 		val, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/serve/fuzz_test.go
+++ b/internal/serve/fuzz_test.go
@@ -12,8 +12,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Whatever an engine sends, the tokens that go on to the caller follow one
-// another from the first, and an answer counts as whole only with its end mark.
+// Checks that, whatever an engine sends, the tokens relayed to the caller are contiguous from the
+// first one, and that an answer counts as complete only with its end marker.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(tokens(1, 3)+doneEvent), int64(0))
 	f.Add([]byte(tokens(3, 5)+doneEvent), int64(2))
@@ -29,7 +29,7 @@
 			out, err := s.next()
 			if errors.Is(err, io.EOF) {
 				if !bytes.Contains(text, []byte(doneMarker)) {
-					t.Errorf("whole without its end mark: %q", text)
+					t.Errorf("stream without end marker reported as complete: %q", text)
 				}
 				return
 			}
@@ -40,7 +40,7 @@
 				t.Errorf("token %d after %d", s.lastID, last)
 			}
 			if !bytes.Contains(out, []byte(testID)) || len(out) > 3*maxEventBytes {
-				t.Errorf("event that is not the request's own: %q", out)
+				t.Errorf("event of another request: %q", out)
 			}
 			last = s.lastID
 		}
--- a/internal/serve/held.go
+++ b/internal/serve/held.go
@@ -9,30 +9,30 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// errAnswerTooLarge ends an attempt whose answer can't be held whole.
-var errAnswerTooLarge = errors.New("serve: the answer is too large to hold")
+// errAnswerTooLarge ends an attempt whose answer is too large for its buffer.
+var errAnswerTooLarge = errors.New("serve: answer is too large to buffer")
 
-// BufferedAnswer is an answer that waits: until it is whole, or for a repeat.
+// BufferedAnswer is an answer in memory, kept until it is complete or for a repeat of its request.
 type BufferedAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-func (h *BufferedAnswer) append(b []byte, most ident.Bytes) error {
-	if ident.Bytes(len(h.Body)+len(b)) > most {
+func (a *BufferedAnswer) appendBody(b []byte, limit ident.Bytes) error {
+	if ident.Bytes(len(a.Body)+len(b)) > limit {
 		return errAnswerTooLarge
 	}
-	h.Body = append(h.Body, b...)
+	a.Body = append(a.Body, b...)
 	return nil
 }
 
-// size is the memory that a kept answer is counted with. The fixed part
-// stands for the maps and the id, so that empty answers can't pile up.
-func (h *BufferedAnswer) size() int {
-	const fixed = 1 << 10
-	n := fixed + len(h.Body)
-	for k, vs := range h.Header {
+// size returns the memory that a stored answer is counted with. The fixed part accounts for the
+// maps and the id, so that the number of empty answers is bounded too.
+func (a *BufferedAnswer) size() int {
+	const overhead = 1 << 10
+	n := overhead + len(a.Body)
+	for k, vs := range a.Header {
 		n += len(k)
 		for _, v := range vs {
 			n += len(v)
@@ -41,14 +41,14 @@
 	return n
 }
 
-// maxKeptAnswer bounds one kept answer, and maxKeptTotal all of them.
+// maxKeptAnswer bounds the size of one stored answer, and maxKeptTotal the size of all of them.
 const (
 	maxKeptAnswer = 64 << 10
 	maxKeptTotal  = 32 << 20
 )
 
-// AnswerCache keeps answers for repeats, in bounded memory. The reducer says when
-// one is to be forgotten. The zero AnswerCache is empty and ready.
+// AnswerCache stores answers for repeats of their requests, in bounded memory. The reducer decides
+// when an answer is deleted. The zero AnswerCache is empty and ready to use.
 type AnswerCache struct {
 	mu      sync.Mutex
 	answers map[ident.RequestID]BufferedAnswer
@@ -56,45 +56,45 @@
 }
 
 // Put stores an answer and reports whether there was room for it.
-func (o *AnswerCache) Put(id ident.RequestID, h BufferedAnswer) bool {
-	n := h.size()
+func (c *AnswerCache) Put(id ident.RequestID, a BufferedAnswer) bool {
+	n := a.size()
 	if n > maxKeptAnswer {
 		return false
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.deleteLocked(id)
-	if o.size+n > maxKeptTotal {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deleteLocked(id)
+	if c.size+n > maxKeptTotal {
 		return false
 	}
-	if o.answers == nil {
-		o.answers = make(map[ident.RequestID]BufferedAnswer)
+	if c.answers == nil {
+		c.answers = make(map[ident.RequestID]BufferedAnswer)
 	}
-	o.answers[id] = h
-	o.size += n
+	c.answers[id] = a
+	c.size += n
 	return true
 }
 
-// Get returns a kept answer.
-func (o *AnswerCache) Get(id ident.RequestID) (BufferedAnswer, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	h, ok := o.answers[id]
-	return h, ok
+// Get returns a stored answer.
+func (c *AnswerCache) Get(id ident.RequestID) (BufferedAnswer, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a, ok := c.answers[id]
+	return a, ok
 }
 
-// Delete drops a kept answer.
-func (o *AnswerCache) Delete(id ident.RequestID) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.deleteLocked(id)
+// Delete removes a stored answer.
+func (c *AnswerCache) Delete(id ident.RequestID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deleteLocked(id)
 }
 
-func (o *AnswerCache) deleteLocked(id ident.RequestID) {
-	h, ok := o.answers[id]
+func (c *AnswerCache) deleteLocked(id ident.RequestID) {
+	a, ok := c.answers[id]
 	if !ok {
 		return
 	}
-	delete(o.answers, id)
-	o.size -= h.size()
+	delete(c.answers, id)
+	c.size -= a.size()
 }
--- a/internal/serve/model.go
+++ b/internal/serve/model.go
@@ -7,9 +7,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// withModel returns a completion body whose field model names what the target
-// has loaded. Callers name a profile there, which no engine knows; an engine
-// refuses a model that it has not loaded. All other bytes stay as they came.
+// withModel returns a completion body in which the value of the field model is replaced by the
+// model that the target has loaded. Callers write the name of a profile there, which no engine
+// knows, and an engine refuses a model that it has not loaded. All other bytes are unchanged.
 func withModel(body []byte, model ident.Model) []byte {
 	from, to, ok := findModel(body)
 	if !ok || model == "" {
@@ -25,8 +25,8 @@
 	return append(out, body[to:]...)
 }
 
-// findModel finds the value of the last top-level field model, which is the one
-// that decoders take when a field stands twice.
+// findModel returns the position of the value of the last top-level field model: if a field occurs
+// twice, decoders use the last one.
 func findModel(body []byte) (from, to int, ok bool) {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	if tok, err := dec.Token(); err != nil || tok != json.Delim('{') {
--- a/internal/serve/routed_test.go
+++ b/internal/serve/routed_test.go
@@ -19,7 +19,8 @@
 	routedCall   = Call{Method: http.MethodGet, Path: "/x/", Routed: true}
 )
 
-// routedEvents returns events with the given ids, as a target of a route sends them.
+// routedEvents returns the events with the ids from through to, as the target of a route sends
+// them.
 func routedEvents(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
@@ -28,108 +29,109 @@
 	return b.String()
 }
 
-// A resumed stream repeats, loses or splits an event.
+// Guards against a resumed stream that repeats, loses or splits an event when the first target
+// fails in the middle of one.
 func TestRoutedStreamResumes(t *testing.T) {
-	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		streamAnswer(routedEvents(1, 2)+"id: 3\r\ndata: pie")(w, r)
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}, func(w http.ResponseWriter, r *http.Request) {
-		check(t, "resume asked for", "2", r.Header.Get(target.HeaderResume))
+		check(t, "requested resume", "2", r.Header.Get(target.HeaderResume))
 		streamAnswer(routedEvents(3, 4))(w, r)
 	})
-	check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 4), Outcome: event.Done}, b.run(t.Context(), routedStream))
+	check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 4), Outcome: event.Done}, f.run(t.Context(), routedStream))
 }
 
-// A failed resume ends the stream as complete.
+// Guards against reporting a stream as complete when the target that should resume it fails.
 func TestFailedResumeDoesNotEndStream(t *testing.T) {
 	for name, second := range map[string]http.HandlerFunc{
 		"failure":   jsonAnswer(500, "{}"),
 		"no events": jsonAnswer(200, "{}"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+			f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 				streamAnswer(routedEvents(1, 2))(w, r)
 				_ = http.NewResponseController(w).Flush()
 				panic(http.ErrAbortHandler)
 			}, second, streamAnswer(routedEvents(3, 3)))
-			check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, b.run(t.Context(), routedStream))
-			check(t, "held", false, b.ends[1].Held)
-			b.result, b.attempts, b.targets = callerResult{}, 0, b.targets[:2]
-			cut := b.run(t.Context(), routedStream)
+			check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, f.run(t.Context(), routedStream))
+			check(t, "held", false, f.ends[1].Held)
+			f.result, f.attempts, f.targets = callerResult{}, 0, f.targets[:2]
+			cut := f.run(t.Context(), routedStream)
 			check(t, "body", routedEvents(1, 2), cut.Body)
-			check(t, "does not count as whole", false, cut.Outcome == event.Done)
+			check(t, "reported as complete", false, cut.Outcome == event.Done)
 		})
 	}
 }
 
-// A stream goes on with a gap.
+// Guards against relaying a stream past a missing or repeated event.
 func TestRoutedGapIsCut(t *testing.T) {
 	for name, text := range map[string]string{"gap": routedEvents(1, 2) + routedEvents(4, 5), "twice": routedEvents(1, 2) + routedEvents(2, 3)} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t, streamAnswer(text))
+			f := newFixture(t, streamAnswer(text))
 			want := callerResult{Status: 200, Body: routedEvents(1, 2), Outcome: event.Unknown, Code: codes.TargetFailed.ID}
-			check(t, "caller", want, b.run(t.Context(), routedStream))
+			check(t, "caller", want, f.run(t.Context(), routedStream))
 		})
 	}
 }
 
-// A failure of a target is delivered before a second try.
+// Guards against relaying a failure of a target before the reducer can try another one.
 func TestServerErrorIsBuffered(t *testing.T) {
-	b := newFixture(t, jsonAnswer(500, "broken"))
-	b.once = true
-	b.run(t.Context(), routedCall)
-	check(t, "result", event.ResultFailed, b.ends[0].Result)
-	check(t, "held", true, b.ends[0].Held)
+	f := newFixture(t, jsonAnswer(500, "broken"))
+	f.once = true
+	f.run(t.Context(), routedCall)
+	check(t, "result", event.ResultFailed, f.ends[0].Result)
+	check(t, "held", true, f.ends[0].Held)
 }
 
-// A silent attempt waits until the deadline.
+// Guards against waiting for a silent target until the deadline instead of trying the next one.
 func TestSilentAttemptIsAborted(t *testing.T) {
 	for name, text := range map[string]string{"nothing": "", "an event": routedEvents(1, 1)} {
 		t.Run(name, func(t *testing.T) {
-			freed := make(chan struct{})
-			b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+			cancelled := make(chan struct{})
+			f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 				if text != "" {
 					streamAnswer(text)(w, r)
 					_ = http.NewResponseController(w).Flush()
 				}
 				<-r.Context().Done()
-				close(freed)
+				close(cancelled)
 			}, func(w http.ResponseWriter, r *http.Request) {
 				streamAnswer(routedEvents(1+strings.Count(text, "id:"), 3))(w, r)
 			})
-			b.idleTimeouts = event.IdleTimeouts{First: 80 * time.Millisecond, Gap: 80 * time.Millisecond}
-			began := time.Now()
-			check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, b.run(t.Context(), routedStream))
-			if took := time.Since(began); took > testTimeout/2 {
-				t.Errorf("the caller waited for %s", took)
+			f.idleTimeouts = event.IdleTimeouts{First: 80 * time.Millisecond, Gap: 80 * time.Millisecond}
+			start := time.Now()
+			check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, f.run(t.Context(), routedStream))
+			if elapsed := time.Since(start); elapsed > testTimeout/2 {
+				t.Errorf("the caller waited for %s", elapsed)
 			}
 			select {
-			case <-freed:
+			case <-cancelled:
 			case <-time.After(testTimeout):
-				t.Error("the silent target still works")
+				t.Error("the request at the silent target was not cancelled")
 			}
 		})
 	}
 }
 
-// A silent attempt is ended although the reducer keeps it.
+// Guards against ending a silent attempt that the reducer decided to keep.
 func TestSilentAttemptContinuesIfNotAborted(t *testing.T) {
-	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		streamAnswer(routedEvents(1, 1))(w, r)
 		_ = http.NewResponseController(w).Flush()
 		time.Sleep(3 * silenceReportInterval)
 		_, _ = w.Write([]byte(routedEvents(2, 3)))
 	})
-	b.idleTimeouts = event.IdleTimeouts{First: 80 * time.Millisecond, Gap: 80 * time.Millisecond}
-	b.ignoreSilence = true
-	check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, b.run(t.Context(), routedStream))
-	if b.silences < 2 || b.silences > 4 {
-		t.Errorf("the silence was reported %d times", b.silences)
+	f.idleTimeouts = event.IdleTimeouts{First: 80 * time.Millisecond, Gap: 80 * time.Millisecond}
+	f.ignoreSilence = true
+	check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, f.run(t.Context(), routedStream))
+	if f.silences < 2 || f.silences > 4 {
+		t.Errorf("the silence was reported %d times", f.silences)
 	}
 }
 
-// An attempt is broken off although its answer has gone on since the silence was reported.
+// Guards against aborting an attempt that has received data since its silence was reported.
 func TestProgressSinceSilence(t *testing.T) {
 	tr := &attempt{}
 	tr.lastByteAt.Store(100)
@@ -138,19 +140,19 @@
 	}
 }
 
-// Headers of a target's answer go on as they came, with its status.
+// Guards against changing the status, headers or body of an answer of a routed target.
 func TestRoutedAnswerIsUnchanged(t *testing.T) {
-	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Anything", "kept")
 		w.WriteHeader(http.StatusNotFound)
 		fmt.Fprint(w, "no such notice")
 	})
 	var header http.Header
-	sink := b.sink()
+	sink := f.sink()
 	begin := sink.Begin
 	sink.Begin = func(status int, h http.Header) { header = h; begin(status, h) }
-	b.rn.Run(context.Background(), routedCall, event.Request{ID: testID}, sink)
-	check(t, "caller", callerResult{Status: 404, Body: "no such notice", Outcome: event.Done}, b.result)
+	f.rn.Run(context.Background(), routedCall, event.Request{ID: testID}, sink)
+	check(t, "caller", callerResult{Status: 404, Body: "no such notice", Outcome: event.Done}, f.result)
 	check(t, "header", "kept", header.Get("X-Anything"))
-	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Used())
+	check(t, "memory released", ident.Bytes(0), f.rn.Budget.Used())
 }
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -18,167 +18,166 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Faults of an answer.
+// Faults in an answer.
 var (
-	errWrongRequest = errors.New("serve: the answer belongs to another request")
-	errTruncated    = errors.New("serve: the answer is not whole")
-	errCallerGone   = errors.New("serve: the caller has gone")
+	errWrongRequest = errors.New("serve: answer belongs to another request")
+	errTruncated    = errors.New("serve: answer is incomplete")
+	errCallerGone   = errors.New("serve: caller has disconnected")
 )
 
 // send runs an attempt at a target.
-func (t *attempt) send(ctx context.Context, d event.Dispatch) event.AttemptEnded {
-	ctx, span := t.Trace.Hop(ctx, "target")
+func (a *attempt) send(ctx context.Context, d event.Dispatch) event.AttemptEnded {
+	ctx, span := a.Trace.Hop(ctx, "target")
 	defer span.End()
 	span.Set("target", string(d.Target.ID))
-	send := t.Send
+	send := a.Send
 	if send == nil {
-		send = t.Targets.Send
+		send = a.Targets.Send
 	}
-	res, err := send(ctx, t.newOrder(d), t.markSent)
-	if err != nil && !t.sent {
+	res, err := send(ctx, a.newOrder(d), a.markSent)
+	if err != nil && !a.sent {
 		return event.AttemptEnded{Result: event.ResultNotRun}
 	}
 	if err != nil {
-		t.Log.V(1).Info("attempt broke", "attempt", d.Attempt, "target", d.Target.ID, "error", err)
-		return event.AttemptEnded{Result: event.ResultBroken, Resumable: t.resumable(), Delivered: t.delivered}
+		a.Log.V(1).Info("attempt broke", "attempt", d.Attempt, "target", d.Target.ID, "error", err)
+		return event.AttemptEnded{Result: event.ResultBroken, Resumable: a.resumable(), Delivered: a.delivered}
 	}
 	defer res.Body.Close()
-	end := t.receive(res, d)
+	end := a.receive(res, d)
 	span.Set("result", string(end.Result))
 	span.SetInt("status", end.Status)
 	return end
 }
 
-// markSent says once that bytes may have left. The transport may call it again
-// when it takes another connection.
-func (t *attempt) markSent() {
-	if t.sent {
+// markSent reports once that bytes of the request may have been sent. The transport calls it again
+// when it uses another connection.
+func (a *attempt) markSent() {
+	if a.sent {
 		return
 	}
-	t.sent = true
-	t.Loop.Post(event.AttemptSent{Attempt: t.id})
+	a.sent = true
+	a.Loop.Post(event.AttemptSent{Attempt: a.id})
 }
 
-func (t *attempt) newOrder(d event.Dispatch) target.Order {
-	body := t.call.Body
-	if t.call.Engine {
+func (a *attempt) newOrder(d event.Dispatch) target.Order {
+	body := a.call.Body
+	if a.call.Engine {
 		body = withModel(body, d.Serve.Model)
 	}
 	return target.Order{
-		Target: d.Target, Attempt: d.Attempt, Request: t.call.AnswerID, Serve: d.Serve,
-		Method: t.call.Method, Path: t.call.Path, Header: t.call.Header, Body: body,
-		Priority: d.Priority, Resume: max(d.Resume, t.delivered), Left: t.remaining(d.Deadline), Once: d.Once,
+		Target: d.Target, Attempt: d.Attempt, Request: a.call.AnswerID, Serve: d.Serve,
+		Method: a.call.Method, Path: a.call.Path, Header: a.call.Header, Body: body,
+		Priority: d.Priority, Resume: max(d.Resume, a.delivered), Left: a.remaining(d.Deadline), Once: d.Once,
 		CopyFrom: d.CopyFrom.URL,
 	}
 }
 
-// receive reads the answer of a target and judges it.
-func (t *attempt) receive(res *http.Response, d event.Dispatch) event.AttemptEnded {
-	end := event.AttemptEnded{Status: res.StatusCode, RetryAfter: retryAfter(res.Header), Delivered: t.delivered}
-	if said := res.Header.Get(target.HeaderNotRun); said != "" {
+// receive reads the answer of a target and determines the result of the attempt.
+func (a *attempt) receive(res *http.Response, d event.Dispatch) event.AttemptEnded {
+	end := event.AttemptEnded{Status: res.StatusCode, RetryAfter: retryAfter(res.Header), Delivered: a.delivered}
+	if reason := res.Header.Get(target.HeaderNotRun); reason != "" {
 		end.Result = event.ResultNotRun
-		end.Draining = said == target.NotRunDraining
+		end.Draining = reason == target.NotRunDraining
 		return end
 	}
-	if err := t.checkEcho(res, d.Attempt); err != nil {
-		return t.brokenResult(end, err)
+	if err := a.checkEcho(res, d.Attempt); err != nil {
+		return a.brokenResult(end, err)
 	}
-	if t.call.Engine && retryableStatus(res.StatusCode) {
+	if a.call.Engine && retryableStatus(res.StatusCode) {
 		end.Result = event.ResultFailed
 		return end
 	}
-	if t.sinkBegun && !canContinueStream(res) {
-		end.Result, end.Resumable = event.ResultFailed, t.resumable()
+	if a.sinkBegun && !canContinueStream(res) {
+		end.Result, end.Resumable = event.ResultFailed, a.resumable()
 		return end
 	}
-	from := t.delivered
-	t.begin(res.StatusCode, t.filterHeader(res.Header))
-	err := t.copy(res)
-	end.Delivered = t.delivered
-	end.Generated = t.delivered - from
-	if t.reportedUsage.Completion > 0 {
-		end.Generated = t.reportedUsage.Completion
+	from := a.delivered
+	a.begin(res.StatusCode, a.filterHeader(res.Header))
+	err := a.copy(res)
+	end.Delivered = a.delivered
+	end.Generated = a.delivered - from
+	if a.reportedUsage.Completion > 0 {
+		end.Generated = a.reportedUsage.Completion
 	}
-	end.Cached = t.reportedUsage.Details.Cached
+	end.Cached = a.reportedUsage.Details.Cached
 	if err != nil {
-		return t.brokenResult(end, err)
+		return a.brokenResult(end, err)
 	}
 	end.Result = event.ResultDone
-	if t.call.Routed && res.StatusCode >= http.StatusInternalServerError {
+	if a.call.Routed && res.StatusCode >= http.StatusInternalServerError {
 		end.Result, end.Held = event.ResultFailed, true
 	}
 	return end
 }
 
-// canContinueStream reports whether an answer can continue a stream of which the caller has a part. Any
-// other answer is whole by itself, and its end would make that part look complete.
+// canContinueStream reports whether an answer can continue a stream of which the caller already has
+// a part. Any other answer is complete by itself, and its end would make that part look complete.
 func canContinueStream(res *http.Response) bool {
 	return res.StatusCode == http.StatusOK && isEventStream(res.Header)
 }
 
-// resumable reports whether another target may go on with a stream.
-func (t *attempt) resumable() bool {
-	return t.call.Stream && (t.call.Engine || t.call.Routed && t.call.Resumable)
+// resumable reports whether another target may continue the stream.
+func (a *attempt) resumable() bool {
+	return a.call.Stream && (a.call.Engine || a.call.Routed && a.call.Resumable)
 }
 
-// retryableStatus reports whether a status of an engine says that another one may do
-// better.
+// retryableStatus reports whether an engine answered with a status for which another engine may
+// succeed.
 func retryableStatus(status int) bool {
 	return status >= http.StatusInternalServerError || status == http.StatusTooManyRequests
 }
 
-// brokenResult ends an attempt whose answer is of no use. Only a stream that merely
-// stopped may be resumed: one that skipped or belonged to somebody else says
-// nothing true about where it stands.
-func (t *attempt) brokenResult(end event.AttemptEnded, err error) event.AttemptEnded {
+// brokenResult ends an attempt whose answer is unusable. Only a stream that merely stopped may be
+// resumed: after a missing event or an event of another request, its position can't be trusted.
+func (a *attempt) brokenResult(end event.AttemptEnded, err error) event.AttemptEnded {
 	end.Result = event.ResultBroken
-	end.Resumable = t.resumable() && errors.Is(err, errTruncated)
-	t.Log.V(1).Info("attempt broke", "attempt", t.id, "error", err)
+	end.Resumable = a.resumable() && errors.Is(err, errTruncated)
+	a.Log.V(1).Info("attempt broke", "attempt", a.id, "error", err)
 	return end
 }
 
-// checkEcho detects a crossed answer, of a target or proxy that mixes up two connections, by
-// the echo of the attempt, before a byte is forwarded.
-func (t *attempt) checkEcho(res *http.Response, a ident.Attempt) error {
+// checkEcho compares the attempt that the answer echoes with the one sent, before a byte is
+// forwarded. It detects a target or proxy that confuses two connections.
+func (a *attempt) checkEcho(res *http.Response, id ident.Attempt) error {
 	echo := res.Header.Get(target.HeaderAttempt)
-	if echo == "" && !t.call.Engine {
+	if echo == "" && !a.call.Engine {
 		return nil
 	}
-	if echo != a.String() {
+	if echo != id.String() {
 		return errWrongRequest
 	}
 	return nil
 }
 
-func (t *attempt) copy(res *http.Response) error {
+func (a *attempt) copy(res *http.Response) error {
 	switch {
-	case !t.streaming:
-		return t.bufferBody(res.Body)
-	case t.call.Engine:
-		return t.copyEngineStream(res.Body)
-	case t.call.Routed:
-		return t.copyRoutedEvents(res.Body)
+	case !a.streaming:
+		return a.bufferBody(res.Body)
+	case a.call.Engine:
+		return a.copyEngineStream(res.Body)
+	case a.call.Routed:
+		return a.copyRoutedEvents(res.Body)
 	}
-	return t.copyRaw(res.Body)
+	return a.copyRaw(res.Body)
 }
 
 func isEventStream(h http.Header) bool {
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// bufferBody reads an answer that is given on only when it is whole.
-func (t *attempt) bufferBody(body io.Reader) error {
+// bufferBody reads an answer that is given to the caller only once it is complete.
+func (a *attempt) bufferBody(body io.Reader) error {
 	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			t.recordProgress()
-			if err := t.buffer(buf[:n]); err != nil {
+			a.recordProgress()
+			if err := a.buffer(buf[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return t.checkEngineAnswer()
+			return a.checkEngineAnswer()
 		}
 		if err != nil {
 			return errors.Wrap(errTruncated, err.Error())
@@ -186,7 +185,7 @@
 	}
 }
 
-// usage is what an engine says of the tokens of a request.
+// usage is the number of tokens that an engine reports for a request.
 type usage struct {
 	Completion ident.Tokens `json:"completion_tokens"`
 	Details    struct {
@@ -194,38 +193,38 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// checkEngineAnswer guards against a short or crossed answer of an engine that closed
-// the connection properly all the same.
-func (t *attempt) checkEngineAnswer() error {
-	if !t.call.Engine || t.buffered.Status != http.StatusOK {
+// checkEngineAnswer detects an incomplete answer, or one to another request, from an engine that
+// closed the connection properly all the same.
+func (a *attempt) checkEngineAnswer() error {
+	if !a.call.Engine || a.buffered.Status != http.StatusOK {
 		return nil
 	}
 	var head struct {
 		ID    ident.RequestID `json:"id"`
 		Usage usage           `json:"usage"`
 	}
-	if err := json.Unmarshal(t.buffered.Body, &head); err != nil {
+	if err := json.Unmarshal(a.buffered.Body, &head); err != nil {
 		return errors.Wrap(errTruncated, err.Error())
 	}
-	if head.ID != t.call.AnswerID {
+	if head.ID != a.call.AnswerID {
 		return errWrongRequest
 	}
-	t.reportedUsage = head.Usage
+	a.reportedUsage = head.Usage
 	return nil
 }
 
-// copyEngineStream passes events on until the end mark, which is held back until
-// the reducer has taken note of the end.
-func (t *attempt) copyEngineStream(body io.Reader) error {
+// copyEngineStream relays events up to the end marker, which is held back until the reducer has
+// recorded the end of the attempt.
+func (a *attempt) copyEngineStream(body io.Reader) error {
 	s := &engineStream{
 		br:       bufio.NewReaderSize(body, streamBufferSize),
-		quotedID: []byte(`"` + string(t.call.AnswerID) + `"`), lastID: t.delivered, skipOpening: t.delivered > 0,
+		quotedID: []byte(`"` + string(a.call.AnswerID) + `"`), lastID: a.delivered, skipOpening: a.delivered > 0,
 	}
 	for {
 		b, err := s.next()
 		if len(b) > 0 {
-			t.recordProgress()
-			if err := t.deliver(b, s.lastID); err != nil {
+			a.recordProgress()
+			if err := a.deliver(b, s.lastID); err != nil {
 				return err
 			}
 		}
@@ -238,16 +237,15 @@
 	}
 }
 
-// copyRaw passes a stream of a plain service on as it comes. Its end is that
-// of the message, which chunked encoding or a length distinguishes from a broken
-// connection.
-func (t *attempt) copyRaw(body io.Reader) error {
+// copyRaw relays a stream of a plain service as it arrives. The stream ends with its message:
+// chunked encoding or a content length distinguishes the end from a broken connection.
+func (a *attempt) copyRaw(body io.Reader) error {
 	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			t.recordProgress()
-			if err := t.deliver(buf[:n], 0); err != nil {
+			a.recordProgress()
+			if err := a.deliver(buf[:n], 0); err != nil {
 				return err
 			}
 		}
@@ -260,8 +258,8 @@
 	}
 }
 
-// retryAfter reads a wait in seconds. A wait that a duration can't hold is
-// none.
+// retryAfter returns the delay of the header Retry-After, or zero if it is missing, invalid or too
+// long for a duration.
 func retryAfter(h http.Header) time.Duration {
 	n, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || n < 0 || n > math.MaxInt32 {
@@ -270,14 +268,14 @@
 	return time.Duration(n) * time.Second
 }
 
-// forwardedHeaders are the headers of an answer that go on to the caller.
+// forwardedHeaders are the headers of an answer that are forwarded to the caller.
 var forwardedHeaders = []string{
 	"Cache-Control", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Type",
 	"Etag", "Last-Modified", "Link", "Location", "Retry-After", "Vary",
 }
 
-func (t *attempt) filterHeader(h http.Header) http.Header {
-	if t.call.Routed {
+func (a *attempt) filterHeader(h http.Header) http.Header {
+	if a.call.Routed {
 		return h
 	}
 	out := make(http.Header, len(forwardedHeaders))
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,15 +1,14 @@
-// Package serve runs one request from its arrival to its final answer: it posts
-// what happens to the reducer and carries out what the reducer decides.
-// Requests of callers and those that other entry hosts pass on are run alike.
+// Package serve runs one request from its arrival to its final answer: it posts events to the
+// reducer and carries out the decisions of the reducer. Requests of callers and requests forwarded
+// by other entry hosts are run alike.
 //
 // # Usage
 //
 //	rn := &serve.Runner{Loop: lp, Clock: svc, Targets: cl, Forward: peers.Forward}
 //	rn.Run(ctx, call, req, sink)
 //
-// Run returns when the sink has had its one final call, Finish or Refuse, or
-// when the caller has gone.
-// Bytes never pass through the control thread.
+// Run returns after the sink has had its one final call, Finish or Refuse, or after the caller has
+// disconnected. Bodies and answers never pass through the control thread.
 package serve
 
 import (
@@ -37,50 +36,47 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// ReadBody, where set, reads the body before the first attempt, once the
-	// reducer has let the request in. A body that may not enter this host is
-	// thus never read.
+	// ReadBody, if set, reads the body before the first attempt, after the reducer has admitted the
+	// request. A body that may not enter this host is thus never read.
 	ReadBody func() ([]byte, error)
-	// AnswerID is the request id that the answer names, where another entry
-	// host gave it out; empty stands for the id of the request.
+	// AnswerID is the request id that the answer contains, if another entry host assigned it; empty
+	// means the id of the request.
 	AnswerID ident.RequestID
-	// Resume is the number of tokens that the caller has been given before.
+	// Resume is the number of tokens that the caller has already received.
 	Resume ident.Tokens
-	// Stream says that the answer is a stream of server-sent events.
+	// Stream is set if the caller accepts a stream of server-sent events.
 	Stream bool
-	// Engine says that the answer is an engine's, which must name its request
-	// and be whole JSON or a stream with its end mark.
+	// Engine is set if an engine answers. Its answer must contain the request id, and be complete
+	// JSON or a stream with its end marker.
 	Engine bool
-	// Routed says that the request came by a route: the answer of its target
-	// is passed on byte for byte with all of its headers, and a stream of
-	// events ends with its message.
+	// Routed is set if the request came in on a route: the answer of its target is relayed byte for
+	// byte with all of its headers, and a stream of events ends with its message.
 	Routed bool
-	// Resumable says that a stream of a route may go on at another target.
+	// Resumable is set if another target may continue a stream of a route.
 	Resumable bool
-	// Ending returns which side ended the connection that the request came on, once it has
-	// ended; nil where that is not known.
+	// Ending returns which side ended the connection of the request, once it has ended; nil if that
+	// is not known.
 	Ending func() event.Ending
 }
 
-// Sink takes the answer. Its functions are called by one goroutine at a time:
-// Begin at most once and before Data, and at last either Finish or Refuse, or
-// neither where the caller has gone.
+// Sink receives the answer. Its functions are called by one goroutine at a time: Begin at most once
+// and before Data, and finally either Finish or Refuse, or neither if the caller has disconnected.
 type Sink struct {
 	Begin func(status int, h http.Header)
-	// Data takes a piece of the answer and the number of tokens up to its
-	// end. An error says that the caller has gone.
-	Data   func(b []byte, upto ident.Tokens) error
+	// Data receives a piece of the answer and the number of tokens up to its end. An error means
+	// that the caller has disconnected.
+	Data   func(b []byte, tokens ident.Tokens) error
 	Finish func(outcome event.Outcome)
 	Refuse func(r event.Refuse)
 }
 
-// Relay takes the answer of one attempt. Begin comes before Data.
+// Relay receives the answer of one attempt. Begin is called before Data.
 type Relay struct {
 	Begin func(status int, h http.Header)
-	Data  func(b []byte, upto ident.Tokens) error
+	Data  func(b []byte, tokens ident.Tokens) error
 }
 
-// ForwardedRequest is a request that is passed on to another entry host.
+// ForwardedRequest is a request to forward to another entry host.
 type ForwardedRequest struct {
 	Forward event.Forward
 	Request event.Request
@@ -93,30 +89,29 @@
 	Clock   *clock.Service
 	Log     logr.Logger
 	Targets *target.Client
-	// Send, where set, sends attempts in place of Targets.
+	// Send, if set, sends attempts in place of Targets.
 	Send func(ctx context.Context, o target.Order, sent func()) (*http.Response, error)
-	// Forward runs an attempt at another entry host. It calls sent before the
-	// first byte can reach it.
+	// Forward runs an attempt at another entry host. It calls sent before the first byte can reach
+	// that host.
 	Forward func(ctx context.Context, p ForwardedRequest, sent func(), out Relay) event.AttemptEnded
-	// Answers keeps the answers that repeats are given again.
+	// Answers stores the answers that are replayed to repeats of a request.
 	Answers *AnswerCache
-	// MaxAnswer bounds an answer that is held until it is whole.
+	// MaxAnswer bounds an answer that is buffered until it is complete.
 	MaxAnswer ident.Bytes
-	// Budget bounds all held answers together; nil is no bound.
+	// Budget bounds the memory of all buffered answers together; nil means no limit.
 	Budget *Budget
-	// Trace makes a span for each hop; nil makes none.
+	// Trace records a span for each hop; nil records none.
 	Trace *trace.Tracer
 
 	running atomic.Int64
 }
 
-// Running returns the number of requests that have not had their final
-// answer.
+// Running returns the number of requests that have not had their final answer.
 func (rn *Runner) Running() int { return int(rn.running.Load()) }
 
-// Run runs a request. A caller that leaves ends ctx.
+// Run runs a request until its final answer. ctx must be cancelled when the caller disconnects.
 func (rn *Runner) Run(ctx context.Context, call Call, req event.Request, sink Sink) {
-	box, ok := rn.Loop.Open(req.ID)
+	effects, ok := rn.Loop.Open(req.ID)
 	if !ok {
 		sink.Refuse(event.Refuse{Request: req.ID, Code: codes.InProgress.ID, Outcome: event.NotRun})
 		return
@@ -130,38 +125,38 @@
 	}
 	defer r.discardBuffer()
 	rn.Loop.Post(event.RequestArrived{Request: req})
-	r.process(ctx, box)
+	r.process(ctx, effects)
 }
 
-// run is one request that runs.
+// run is the state of one running request.
 type run struct {
 	*Runner
 	call Call
 	req  event.Request
 	sink Sink
-	// current is the attempt that runs, nil for none.
+	// current is the running attempt, or nil.
 	current *attempt
-	// onceStarted says that an attempt that may not be repeated has begun.
+	// onceStarted is set once an attempt that may not be repeated has started.
 	onceStarted bool
-	// sinkFailed says that the caller takes no more.
+	// sinkFailed is set once the caller no longer accepts data.
 	sinkFailed bool
-	// sinkBegun says that the sink has sinkBegun, streaming that what
-	// comes is passed on as it comes.
+	// sinkBegun is set once the sink has been given the status, streaming if the answer is relayed
+	// as it arrives.
 	sinkBegun, streaming bool
-	// keepCopy says that a stream is held for repeats beside being passed on.
+	// keepCopy is set if a stream is also buffered for repeats while it is relayed.
 	keepCopy bool
-	// delivered counts the tokens that the sink has been given.
+	// delivered is the number of tokens that the sink has been given.
 	delivered ident.Tokens
-	// buffered is the answer that waits until it is whole.
+	// buffered is the answer that is kept until it is complete; reserved is its share of the budget.
 	buffered BufferedAnswer
 	reserved int
 }
 
-// process carries out what the reducer decides until the request is over.
-func (r *run) process(ctx context.Context, box <-chan event.Effect) {
+// process carries out the decisions of the reducer until the request is over.
+func (r *run) process(ctx context.Context, effects <-chan event.Effect) {
 	for {
 		select {
-		case eff := <-box:
+		case eff := <-effects:
 			if r.apply(ctx, eff) {
 				return
 			}
@@ -170,7 +165,7 @@
 				return
 			}
 		case <-r.callerDone(ctx):
-			r.abandon(box)
+			r.abandon(effects)
 			return
 		case <-r.Loop.Done():
 			r.stopAttempt()
@@ -180,7 +175,8 @@
 	}
 }
 
-// attemptDone is closed when the live attempt has attemptDone. It never is without one.
+// attemptDone returns a channel that is closed when the current attempt has ended; nil without an
+// attempt.
 func (r *run) attemptDone() <-chan struct{} {
 	if r.current == nil {
 		return nil
@@ -188,10 +184,10 @@
 	return r.current.t.Dead()
 }
 
-// callerDone is closed when the caller has left and the request may be broken
-// off. A call that may not be repeated goes on once it has begun: to break it
-// off would leave nobody knowing whether it ran, while its outcome can still
-// be given to the caller's repeat.
+// callerDone returns a channel that is closed when the caller has disconnected, or nil if the
+// request must continue then. A call that may not be repeated continues once an attempt has
+// started: if it were aborted, nobody would know whether it ran, whereas its outcome can still be
+// given to a repeat of the caller.
 func (r *run) callerDone(ctx context.Context) <-chan struct{} {
 	if r.onceStarted {
 		return nil
@@ -199,13 +195,13 @@
 	return ctx.Done()
 }
 
-// abandon breaks the request off because its caller has gone.
-func (r *run) abandon(box <-chan event.Effect) {
+// abandon aborts the request because its caller has disconnected.
+func (r *run) abandon(effects <-chan event.Effect) {
 	r.Loop.Post(r.callerLeftEvent())
 	r.stopAttempt()
 	for {
 		select {
-		case eff := <-box:
+		case eff := <-effects:
 			r.reportNotRun(eff)
 		default:
 			return
@@ -221,8 +217,8 @@
 	return e
 }
 
-// reportNotRun says that an attempt that was decided before the caller left has
-// not been run, so that nothing waits for its end.
+// reportNotRun reports as not run an attempt that the reducer started before it knew that the caller
+// had disconnected, so that the reducer does not wait for its end.
 func (r *run) reportNotRun(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Dispatch:
@@ -232,10 +228,10 @@
 	}
 }
 
-// stopAttempt breaks off the live attempt and reports its end.
+// stopAttempt aborts the current attempt and reports its end.
 func (r *run) stopAttempt() { r.abortAttempt(false) }
 
-// abortAttempt is stop with the reason, which may be a silence.
+// abortAttempt is stopAttempt with the cause: silent is set if the attempt was silent for too long.
 func (r *run) abortAttempt(silent bool) {
 	if r.current == nil {
 		return
@@ -247,15 +243,15 @@
 	r.current = nil
 }
 
-// finishAttempt reports the end of the live attempt. It reports true when that showed
-// that the caller has gone.
+// finishAttempt reports the end of the current attempt. It returns true if the attempt found that
+// the caller has disconnected.
 func (r *run) finishAttempt() bool {
-	t := r.current
+	a := r.current
 	r.current = nil
-	if t.atMostOnce && t.keepAnswer && t.end.Result == event.ResultDone {
-		t.end.Kept = r.Answers.Put(r.req.ID, r.buffered)
+	if a.atMostOnce && a.keepAnswer && a.end.Result == event.ResultDone {
+		a.end.Kept = r.Answers.Put(r.req.ID, r.buffered)
 	}
-	r.Loop.Post(t.end)
+	r.Loop.Post(a.end)
 	if r.sinkFailed && !r.onceStarted {
 		r.Loop.Post(r.callerLeftEvent())
 		return true
@@ -267,13 +263,13 @@
 func (r *run) apply(ctx context.Context, eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.Dispatch:
-		t := &attempt{run: r, id: e.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
-		t.do = func(ctx context.Context) event.AttemptEnded { return t.send(ctx, e) }
-		return r.startAttempt(ctx, t)
+		a := &attempt{run: r, id: e.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
+		a.do = func(ctx context.Context) event.AttemptEnded { return a.send(ctx, e) }
+		return r.startAttempt(ctx, a)
 	case event.Forward:
-		t := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
-		t.do = func(ctx context.Context) event.AttemptEnded { return t.forward(ctx, e) }
-		return r.startAttempt(ctx, t)
+		a := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
+		a.do = func(ctx context.Context) event.AttemptEnded { return a.forward(ctx, e) }
+		return r.startAttempt(ctx, a)
 	case event.BreakOff:
 		if r.current != nil && r.current.id == e.Attempt && !r.current.progressedSince(e.Silence) {
 			r.abortAttempt(e.Silence.Since > 0)
@@ -294,10 +290,9 @@
 	return false
 }
 
-// startAttempt starts an attempt. One that still runs is broken off first, since two
-// would write to one caller. It reports true when the request is over because
-// its body did not come.
-func (r *run) startAttempt(ctx context.Context, t *attempt) bool {
+// startAttempt starts an attempt. It first aborts one that still runs, since both would write to
+// the same caller. It returns true if the request is over because its body could not be read.
+func (r *run) startAttempt(ctx context.Context, a *attempt) bool {
 	r.stopAttempt()
 	if !r.readBody() {
 		return true
@@ -305,30 +300,29 @@
 	if !r.sinkBegun {
 		r.discardBuffer()
 	}
-	r.onceStarted = r.onceStarted || t.atMostOnce
-	r.keepCopy = t.keepAnswer
-	r.delivered = max(r.delivered, t.resume)
-	if t.atMostOnce {
+	r.onceStarted = r.onceStarted || a.atMostOnce
+	r.keepCopy = a.keepAnswer
+	r.delivered = max(r.delivered, a.resume)
+	if a.atMostOnce {
 		ctx = context.WithoutCancel(ctx)
 	}
-	t.ctx = ctx
-	t.end = event.AttemptEnded{Attempt: t.id, Result: event.ResultBroken}
-	r.current = t
-	t.lastByteAt.Store(int64(r.Clock.Now()))
-	t.t.Go(t.loop)
+	a.ctx = ctx
+	a.end = event.AttemptEnded{Attempt: a.id, Result: event.ResultBroken}
+	r.current = a
+	a.lastByteAt.Store(int64(r.Clock.Now()))
+	a.t.Go(a.loop)
 	return false
 }
 
-// discardBuffer gives up a held answer and its share of the budget.
+// discardBuffer drops the buffered answer and releases its share of the budget.
 func (r *run) discardBuffer() {
 	r.Budget.Release(r.reserved)
 	r.reserved = 0
 	r.buffered = BufferedAnswer{}
 }
 
-// readBody reads a body that was left unread until now and reports whether
-// the request can go on. Without its body the request has not run: no attempt
-// has been made.
+// readBody reads a body whose reading was deferred and reports whether the request can continue. If
+// the body can't be read, the request has not run: no attempt has been made.
 func (r *run) readBody() bool {
 	if r.call.ReadBody == nil {
 		return true
@@ -354,22 +348,21 @@
 	r.streaming = r.call.Stream && status == http.StatusOK && isEventStream(h)
 }
 
-// buffer adds to the held answer within the budget.
+// buffer appends to the buffered answer within the budget.
 func (r *run) buffer(b []byte) error {
 	if !r.Budget.Reserve(len(b)) {
 		return errAnswerTooLarge
 	}
 	r.reserved += len(b)
-	return r.buffered.append(b, r.MaxAnswer)
+	return r.buffered.appendBody(b, r.MaxAnswer)
 }
 
-func (r *run) deliver(b []byte, upto ident.Tokens) error {
+func (r *run) deliver(b []byte, tokens ident.Tokens) error {
 	if !r.streaming {
 		return r.buffer(b)
 	}
 	if r.keepCopy && len(r.buffered.Body) <= maxKeptAnswer {
-		// A body that grows past what may be kept stays too large, and
-		// Outcomes refuses it.
+		// A body that exceeds the limit of the cache stays too large, and the cache rejects it.
 		_ = r.buffer(b)
 	}
 	if r.sinkFailed {
@@ -379,8 +372,8 @@
 		r.sinkBegun = true
 		r.sink.Begin(r.buffered.Status, r.buffered.Header)
 	}
-	r.delivered = max(r.delivered, upto)
-	if err := r.sink.Data(b, upto); err != nil {
+	r.delivered = max(r.delivered, tokens)
+	if err := r.sink.Data(b, tokens); err != nil {
 		r.sinkFailed = true
 		if !r.onceStarted {
 			return errors.Wrap(errCallerGone, err.Error())
@@ -389,7 +382,7 @@
 	return nil
 }
 
-// flushBuffered gives the sink an answer that was held until it was whole.
+// flushBuffered gives the buffered answer to the sink unless the sink has begun.
 func (r *run) flushBuffered() {
 	if r.sinkBegun {
 		return
@@ -402,12 +395,12 @@
 }
 
 func (r *run) replay(e event.Replay) {
-	held, ok := r.Answers.Get(e.Of)
+	answer, ok := r.Answers.Get(e.Of)
 	if !ok {
 		r.sink.Refuse(event.Refuse{Request: r.req.ID, Code: codes.NoOutcome.ID, Outcome: event.Done})
 		return
 	}
-	r.buffered = held
+	r.buffered = answer
 	r.flushBuffered()
 	r.sink.Finish(event.Done)
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -23,17 +23,17 @@
 	}
 }
 
-// A resumed stream repeats or loses tokens.
+// Guards against a resumed stream that repeats or loses tokens.
 func TestResume(t *testing.T) {
-	b := newFixture(t, streamAnswer(tokens(1, 3)), func(w http.ResponseWriter, r *http.Request) {
-		check(t, "resume asked for", "3", r.Header.Get(target.HeaderResume))
+	f := newFixture(t, streamAnswer(tokens(1, 3)), func(w http.ResponseWriter, r *http.Request) {
+		check(t, "requested resume", "3", r.Header.Get(target.HeaderResume))
 		streamAnswer(tokens(4, 5)+doneEvent)(w, r)
 	})
-	check(t, "caller", callerResult{Status: 200, Body: tokens(1, 5), Outcome: event.Done}, b.run(t.Context(), streamCall))
-	check(t, "results", []event.Result{event.ResultBroken, event.ResultDone}, b.results())
+	check(t, "caller", callerResult{Status: 200, Body: tokens(1, 5), Outcome: event.Done}, f.run(t.Context(), streamCall))
+	check(t, "results", []event.Result{event.ResultBroken, event.ResultDone}, f.results())
 }
 
-// An engine that ignores the resume point repeats or skips text.
+// Guards against relaying repeated or skipped text from an engine that ignores the resume point.
 func TestResumeIgnored(t *testing.T) {
 	for name, second := range map[string]string{
 		"starts again": tokens(1, 5) + doneEvent,
@@ -41,23 +41,23 @@
 		"repeats":      tokens(3, 5) + doneEvent,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t, streamAnswer(tokens(1, 3)), streamAnswer(second))
+			f := newFixture(t, streamAnswer(tokens(1, 3)), streamAnswer(second))
 			want := callerResult{Status: 200, Body: tokens(1, 3), Outcome: event.Unknown, Code: codes.TargetFailed.ID}
-			check(t, "caller", want, b.run(t.Context(), streamCall))
+			check(t, "caller", want, f.run(t.Context(), streamCall))
 		})
 	}
 }
 
-// Events without tokens are repeated after a resume.
+// Guards against repeating events without a token after a resume.
 func TestEventsWithoutToken(t *testing.T) {
 	role := fmt.Sprintf("data: {\"id\":\"%s\",\"role\":\"assistant\"}\n\n", testID)
 	counts := fmt.Sprintf("data: {\"id\":\"%s\",\"usage\":{}}\n\n", testID)
-	b := newFixture(t, streamAnswer(role+tokens(1, 2)+counts), streamAnswer(role+tokens(3, 3)+counts+doneEvent))
+	f := newFixture(t, streamAnswer(role+tokens(1, 2)+counts), streamAnswer(role+tokens(3, 3)+counts+doneEvent))
 	want := callerResult{Status: 200, Body: role + tokens(1, 3) + counts, Outcome: event.Done}
-	check(t, "caller", want, b.run(t.Context(), streamCall))
+	check(t, "caller", want, f.run(t.Context(), streamCall))
 }
 
-// A valid form of a stream is rejected.
+// Guards against rejecting a valid form of a stream.
 func TestStreamForms(t *testing.T) {
 	long := fmt.Sprintf("id: 1\ndata: {\"id\":\"%s\",\"t\":\"%s\"}\n\n", testID, strings.Repeat("x", 3*streamBufferSize))
 	for name, c := range map[string]struct{ text, want string }{
@@ -68,13 +68,13 @@
 		"empty":     {doneEvent, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t, streamAnswer(c.text))
-			check(t, "caller", callerResult{Status: 200, Body: c.want, Outcome: event.Done}, b.run(t.Context(), streamCall))
+			f := newFixture(t, streamAnswer(c.text))
+			check(t, "caller", callerResult{Status: 200, Body: c.want, Outcome: event.Done}, f.run(t.Context(), streamCall))
 		})
 	}
 }
 
-// A crossed, incomplete or unbounded answer reaches the caller.
+// Guards against giving the caller an answer to another request, or an incomplete or unbounded one.
 func TestBadAnswers(t *testing.T) {
 	good := fmt.Sprintf(`{"id":"%s","usage":{"completion_tokens":7}}`, testID)
 	other := strings.ReplaceAll(token(1), string(testID), "req-0002")
@@ -98,127 +98,128 @@
 			if strings.Contains(name, "stream") || strings.Contains(name, "line") {
 				call, answer, want.Body = streamCall, streamAnswer(tokens(1, 2)+doneEvent), tokens(1, 2)
 			}
-			b := newFixture(t, bad, answer)
-			check(t, "caller", want, b.run(t.Context(), call))
-			check(t, "attempts", 2, len(b.results()))
+			f := newFixture(t, bad, answer)
+			check(t, "caller", want, f.run(t.Context(), call))
+			check(t, "attempts", 2, len(f.results()))
 		})
 	}
 }
 
-// The refusal of a draining target is not reported.
+// Guards against not reporting that a target refused because it is draining.
 func TestDrainingTarget(t *testing.T) {
-	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(target.HeaderNotRun, target.NotRunDraining)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	b.run(t.Context(), serviceCall)
-	check(t, "result", event.ResultNotRun, b.ends[0].Result)
-	check(t, "draining", true, b.ends[0].Draining)
+	f.run(t.Context(), serviceCall)
+	check(t, "result", event.ResultNotRun, f.ends[0].Result)
+	check(t, "draining", true, f.ends[0].Draining)
 }
 
-// A request that was never sent is reported as unknown.
+// Guards against reporting the outcome of a request as unknown although it was never sent.
 func TestUnreachable(t *testing.T) {
-	b := newFixture(t)
-	b.targets = []event.Target{{ID: "gone", URL: "http://127.0.0.1:1"}}
-	check(t, "caller", callerResult{Code: codes.NoTarget.ID, Outcome: event.NotRun}, b.run(t.Context(), plainCall))
-	check(t, "results", []event.Result{event.ResultNotRun}, b.results())
+	f := newFixture(t)
+	f.targets = []event.Target{{ID: "gone", URL: "http://127.0.0.1:1"}}
+	check(t, "caller", callerResult{Code: codes.NoTarget.ID, Outcome: event.NotRun}, f.run(t.Context(), plainCall))
+	check(t, "results", []event.Result{event.ResultNotRun}, f.results())
 }
 
-// An attempt outlasts its deadline, or a late answer reaches the caller.
+// Guards against an attempt that outlasts its deadline and against a late answer that reaches the
+// caller.
 func TestLateAnswer(t *testing.T) {
 	ended := make(chan struct{})
-	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		<-ended
 		jsonAnswer(200, fmt.Sprintf(`{"id":"%s"}`, testID))(w, r)
 	})
-	b.once = true
-	b.deadline = 50 * time.Millisecond
-	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, b.run(t.Context(), plainCall))
+	f.once = true
+	f.deadline = 50 * time.Millisecond
+	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, f.run(t.Context(), plainCall))
 	close(ended)
-	check(t, "results", []event.Result{event.ResultBroken}, b.results())
+	check(t, "results", []event.Result{event.ResultBroken}, f.results())
 }
 
-func (b *fixture) callerLeft() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.callerHasLeft
+func (f *fixture) callerLeft() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.callerHasLeft
 }
 
-// An engine works on after its caller has left.
+// Guards against an engine that keeps generating after its caller has disconnected.
 func TestCallerLeaves(t *testing.T) {
-	freed := make(chan struct{})
+	cancelled := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		streamAnswer(tokens(1, 2))(w, r)
 		_ = http.NewResponseController(w).Flush()
 		cancel()
 		<-r.Context().Done()
-		close(freed)
+		close(cancelled)
 	})
-	b.run(ctx, streamCall)
+	f.run(ctx, streamCall)
 	select {
-	case <-freed:
+	case <-cancelled:
 	case <-time.After(testTimeout):
-		t.Fatal("the engine still generates")
+		t.Fatal("the request at the engine was not cancelled")
 	}
-	// The reducer learns of it on the control thread, maybe after the request's
-	// goroutine has ended.
+	// The reducer receives the event on the control thread, possibly after the goroutine of the
+	// request has ended.
 	deadline := time.Now().Add(testTimeout)
-	for !b.callerLeft() {
+	for !f.callerLeft() {
 		if time.Now().After(deadline) {
-			t.Fatal("the reducer does not learn that the caller left")
+			t.Fatal("the reducer was not notified that the caller left")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A call that is not idempotent is broken off with its caller, and its outcome is lost.
+// Guards against losing the outcome of a non-idempotent call because its caller has disconnected.
 func TestAtMostOnceOutlivesCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		cancel()
 		w.Header().Set("Location", "/jobs/7")
 		w.WriteHeader(http.StatusCreated)
 		fmt.Fprint(w, "booked")
 	})
-	b.once = true
-	check(t, "caller", callerResult{Status: 201, Body: "booked", Outcome: event.Done}, b.run(ctx, serviceCall))
-	kept, ok := b.rn.Answers.Get(testID)
-	check(t, "kept", true, ok && b.ends[0].Kept)
+	f.once = true
+	check(t, "caller", callerResult{Status: 201, Body: "booked", Outcome: event.Done}, f.run(ctx, serviceCall))
+	kept, ok := f.rn.Answers.Get(testID)
+	check(t, "kept", true, ok && f.ends[0].Kept)
 	check(t, "kept body", "booked", string(kept.Body))
 	check(t, "kept status", http.StatusCreated, kept.Status)
 	check(t, "kept header", "/jobs/7", kept.Header.Get("Location"))
 }
 
-// The repeat of a stream that ran once gets no answer.
+// Guards against having no answer for the repeat of a stream that ran once.
 func TestAtMostOnceStreamKept(t *testing.T) {
-	b := newFixture(t, streamAnswer(tokens(1, 3)+doneEvent))
-	b.once = true
-	b.run(t.Context(), streamCall)
-	kept, _ := b.rn.Answers.Get(testID)
+	f := newFixture(t, streamAnswer(tokens(1, 3)+doneEvent))
+	f.once = true
+	f.run(t.Context(), streamCall)
+	kept, _ := f.rn.Answers.Get(testID)
 	check(t, "kept body", tokens(1, 3), string(kept.Body))
-	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Used())
+	check(t, "memory released", ident.Bytes(0), f.rn.Budget.Used())
 }
 
-// Buffered answers exceed the memory of the host.
+// Guards against buffered answers that together exceed the memory of the host.
 func TestAnswersShareBudget(t *testing.T) {
-	b := newFixture(t, jsonAnswer(200, strings.Repeat(" ", 8<<10)+fmt.Sprintf(`{"id":"%s"}`, testID)))
-	b.rn.Budget = NewBudget(4 << 10)
-	b.once = true
-	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, b.run(t.Context(), plainCall))
-	check(t, "memory given back", ident.Bytes(0), b.rn.Budget.Used())
+	f := newFixture(t, jsonAnswer(200, strings.Repeat(" ", 8<<10)+fmt.Sprintf(`{"id":"%s"}`, testID)))
+	f.rn.Budget = NewBudget(4 << 10)
+	f.once = true
+	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, f.run(t.Context(), plainCall))
+	check(t, "memory released", ident.Bytes(0), f.rn.Budget.Used())
 }
 
-// A stream of a plain service is buffered, or ends early.
+// Guards against buffering a stream of a plain service, or ending it early.
 func TestServiceStream(t *testing.T) {
 	call := serviceCall
 	call.Stream = true
 	text := "event: row\ndata: 1\n\n: note\n\ndata: 2\n\n"
-	b := newFixture(t, streamAnswer(text))
-	check(t, "caller", callerResult{Status: 200, Body: text, Outcome: event.Done}, b.run(t.Context(), call))
+	f := newFixture(t, streamAnswer(text))
+	check(t, "caller", callerResult{Status: 200, Body: text, Outcome: event.Done}, f.run(t.Context(), call))
 }
 
-// The stored answers of repeats are bounded in number and size.
+// Checks that the stored answers for repeats are bounded in number and size.
 func TestAnswerCacheBounded(t *testing.T) {
 	var o AnswerCache
 	check(t, "too large", false, o.Put("big", BufferedAnswer{Body: make([]byte, maxKeptAnswer+1)}))
--- a/internal/serve/stream.go
+++ b/internal/serve/stream.go
@@ -11,38 +11,38 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Faults of a stream.
+// Faults in a stream.
 var (
-	errEventTooLong  = errors.New("serve: an event of the stream is too long")
-	errOutOfSequence = errors.New("serve: the stream does not go on where it stopped")
+	errEventTooLong  = errors.New("serve: stream event is too long")
+	errOutOfSequence = errors.New("serve: stream event is out of sequence")
 )
 
-// Sizes and marks of server-sent events.
+// Sizes and markers of server-sent events.
 const (
 	streamBufferSize = 1 << 10
 	maxEventBytes    = 256 << 10
 	doneMarker       = "[DONE]"
 )
 
-// engineStream reads one stream of server-sent events of an engine. Every event that
-// adds a token carries, as its id, the number of tokens up to its end.
+// engineStream reads one stream of server-sent events of an engine. Every event that adds a token
+// carries as its id the number of tokens up to its end.
 type engineStream struct {
 	br *bufio.Reader
-	// quotedID must stand in the data of each event.
+	// quotedID is the quoted request id, which the data of each event must contain.
 	quotedID []byte
-	// lastID is the id of the last event, at first that of the resume.
+	// lastID is the id of the last event; at first, the number of tokens from which the stream is
+	// resumed.
 	lastID ident.Tokens
-	// skipOpening says that the caller has had the events up to upto from an
-	// earlier attempt, and none of this one has come yet.
+	// skipOpening is set if the caller has the events up to lastID from an earlier attempt and this
+	// one has not produced a token yet.
 	skipOpening bool
-	// ev is the event that is being read, pending those read that add no
-	// token. They wait for the next token or the end mark: given on at once,
-	// they would reach the caller twice when the stream breaks off after
-	// them and is resumed.
+	// ev is the event being read, pending the events read before it that add no token. They are
+	// held until the next token or the end marker: relayed at once, they would reach the caller
+	// twice if the stream broke after them and were resumed.
 	ev, pending []byte
 }
 
-// eventInfo is what one event says.
+// eventInfo is the parsed content of one event.
 type eventInfo struct {
 	id    ident.Tokens
 	hasID bool
@@ -50,8 +50,8 @@
 	end   bool
 }
 
-// next returns the bytes to give on, up to and with the next token. It
-// returns io.EOF after the end mark, with what stood before it.
+// next returns the bytes to relay, up to and including the next token. After the end marker it
+// returns io.EOF with the events that preceded the marker.
 func (s *engineStream) next() ([]byte, error) {
 	for {
 		f, err := s.readEvent()
@@ -76,8 +76,8 @@
 	}
 }
 
-// takeToken returns the event of a takeToken with those that waited before it. Of a
-// resumed stream the opening ones are dropped, which the caller has had.
+// takeToken returns the event of a token together with the pending events before it. The opening
+// events of a resumed stream are dropped, since the caller already has them.
 func (s *engineStream) takeToken(f eventInfo) []byte {
 	s.lastID = f.id
 	out := s.ev
@@ -90,8 +90,8 @@
 	return out
 }
 
-// readEvent reads one event into s.ev, in the form that goes to callers: lines end
-// with LF, and comments are left out.
+// readEvent reads one event into s.ev in the form that callers receive: lines end with LF, and
+// comments are left out.
 func (s *engineStream) readEvent() (eventInfo, error) {
 	var f eventInfo
 	s.ev = s.ev[:0]
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// readLine returns the next readLine without its end, valid until the next call. A
-// readLine longer than the buffer is put together up to maxEvent.
+// readLine returns the next line without its line ending, valid until the following call. A line
+// longer than the buffer is assembled up to maxEventBytes.
 func (s *engineStream) readLine() ([]byte, error) {
 	part, err := s.br.ReadSlice('\n')
 	if err == nil {
--- a/internal/serve/try.go
+++ b/internal/serve/try.go
@@ -12,9 +12,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// attempt is one attempt that runs beside the request's own goroutine, which can
-// therefore break it off when the reducer decides so. The request's answer
-// belongs to the attempt from start until t is dead.
+// attempt is one attempt at a request. It runs in a goroutine of its own, so that the goroutine of
+// the request can abort it when the reducer decides so. The attempt owns the answer of the request
+// from its start until t is dead.
 type attempt struct {
 	*run
 	t            tomb.Tomb
@@ -27,68 +27,66 @@
 	do           func(ctx context.Context) event.AttemptEnded
 	idleTimeouts event.IdleTimeouts
 	sent         bool
-	// lastByteAt is when the last piece of the answer came, at first when the
-	// attempt began.
+	// lastByteAt is when the last piece of the answer arrived; at first, when the attempt started.
 	lastByteAt atomic.Int64
 	hasBytes   atomic.Bool
-	// firstByteReported says that the first byte of the answer has been reported.
+	// firstByteReported is set once the first byte of the answer has been reported.
 	firstByteReported bool
 	reportedUsage     usage
 	end               event.AttemptEnded
-	// gapCount counts those since pacedAt.
+	// gapCount is the number of events since gapStart.
 	gapCount int
 	gapStart ident.Time
 }
 
-// gapEvents is the number of events over which the pace of a stream is averaged.
+// gapEvents is the number of events over which the gap between events is averaged.
 const gapEvents = 6
 
-// loop runs the attempt to its end, its deadline or until it is killed.
-func (t *attempt) loop() error {
-	ctx, cancel := context.WithTimeout(t.t.Context(t.ctx), t.remaining(t.deadline))
+// loop runs the attempt until it ends, reaches its deadline or is killed.
+func (a *attempt) loop() error {
+	ctx, cancel := context.WithTimeout(a.t.Context(a.ctx), a.remaining(a.deadline))
 	defer cancel()
-	if t.idleTimeouts != (event.IdleTimeouts{}) {
-		w := &silenceWatch{attempt: t, ctx: ctx}
-		t.t.Go(w.run)
+	if a.idleTimeouts != (event.IdleTimeouts{}) {
+		w := &silenceWatch{attempt: a, ctx: ctx}
+		a.t.Go(w.run)
 	}
-	end := t.do(ctx)
-	end.Attempt = t.id
-	t.end = end
+	end := a.do(ctx)
+	end.Attempt = a.id
+	a.end = end
 	return nil
 }
 
 // forward runs an attempt at another entry host.
-func (t *attempt) forward(ctx context.Context, f event.Forward) event.AttemptEnded {
-	if t.Forward == nil {
+func (a *attempt) forward(ctx context.Context, f event.Forward) event.AttemptEnded {
+	if a.Forward == nil {
 		return event.AttemptEnded{Result: event.ResultNotRun}
 	}
-	ctx, span := t.Trace.Hop(ctx, "entry")
+	ctx, span := a.Trace.Hop(ctx, "entry")
 	defer span.End()
 	span.Set("entry.to", string(f.To.ID))
-	call := t.call
-	call.Header = t.call.Header.Clone()
+	call := a.call
+	call.Header = a.call.Header.Clone()
 	trace.Inject(ctx, call.Header)
-	end := t.Forward(ctx, ForwardedRequest{Forward: f, Request: t.req, Call: call}, t.markSent, Relay{Begin: t.begin, Data: t.receiveRelayed})
+	end := a.Forward(ctx, ForwardedRequest{Forward: f, Request: a.req, Call: call}, a.markSent, Relay{Begin: a.begin, Data: a.receiveRelayed})
 	span.Set("result", string(end.Result))
 	return end
 }
 
-// receiveRelayed takes a piece of the answer that another entry host passes on. That
-// host has checked that it goes on where the last piece ended; one that goes
-// back would reach the caller twice.
-func (t *attempt) receiveRelayed(b []byte, upto ident.Tokens) error {
-	if upto < t.delivered {
+// receiveRelayed takes a piece of the answer that another entry host relays. That host has checked
+// that the pieces are contiguous; a piece that goes back would reach the caller twice.
+func (a *attempt) receiveRelayed(b []byte, tokens ident.Tokens) error {
+	if tokens < a.delivered {
 		return errOutOfSequence
 	}
-	t.recordProgress()
-	return t.deliver(b, upto)
+	a.recordProgress()
+	return a.deliver(b, tokens)
 }
 
 // silenceReportInterval is the time between two reports of an attempt that stays silent.
 const silenceReportInterval = 500 * time.Millisecond
 
-// silenceWatch reports an attempt that is silent for longer than its idle timeout. To break it off is
-// the reducer's decision, which knows whether another attempt can follow.
+// silenceWatch reports an attempt that is silent for longer than its idle timeout. Whether to abort
+// it is the decision of the reducer, which knows whether another attempt can follow.
 type silenceWatch struct {
 	*attempt
 	ctx context.Context
@@ -100,8 +98,8 @@
 	for {
 		select {
 		case now := <-sub.C():
-			if due := w.idleDeadline(); due > now {
-				sub.Reset(due)
+			if deadline := w.idleDeadline(); deadline > now {
+				sub.Reset(deadline)
 				continue
 			}
 			w.Loop.Post(event.AttemptSilent{Attempt: w.id, Since: ident.Time(w.lastByteAt.Load()), Begun: w.hasBytes.Load()})
@@ -112,45 +110,45 @@
 	}
 }
 
-// progressedSince reports whether a piece of the answer has come since a silence was reported.
-func (t *attempt) progressedSince(s event.Silence) bool {
-	return s.Since > 0 && ident.Time(t.lastByteAt.Load()) > s.Since
+// progressedSince reports whether a piece of the answer has arrived since the silence was reported.
+func (a *attempt) progressedSince(s event.Silence) bool {
+	return s.Since > 0 && ident.Time(a.lastByteAt.Load()) > s.Since
 }
 
-// idleDeadline is when the idle timeout ends.
+// idleDeadline returns when the idle timeout expires.
 func (w *silenceWatch) idleDeadline() ident.Time {
-	most := w.idleTimeouts.First
+	timeout := w.idleTimeouts.First
 	if w.hasBytes.Load() {
-		most = w.idleTimeouts.Gap
+		timeout = w.idleTimeouts.Gap
 	}
-	if most == 0 {
+	if timeout == 0 {
 		return w.deadline
 	}
-	return ident.Time(w.lastByteAt.Load()).Add(most)
+	return ident.Time(w.lastByteAt.Load()).Add(timeout)
 }
 
-// recordGap reports the pace of a stream at intervals.
-func (t *attempt) recordGap() {
-	now := t.Clock.Now()
-	if t.gapStart == 0 {
-		t.gapStart = now
+// recordGap reports the average gap between the events of a stream, once every gapEvents events.
+func (a *attempt) recordGap() {
+	now := a.Clock.Now()
+	if a.gapStart == 0 {
+		a.gapStart = now
 		return
 	}
-	t.gapCount++
-	if t.gapCount < gapEvents {
+	a.gapCount++
+	if a.gapCount < gapEvents {
 		return
 	}
-	t.Loop.Post(event.StreamPaced{Attempt: t.id, Gap: now.Sub(t.gapStart) / gapEvents})
-	t.gapCount, t.gapStart = 0, now
+	a.Loop.Post(event.StreamPaced{Attempt: a.id, Gap: now.Sub(a.gapStart) / gapEvents})
+	a.gapCount, a.gapStart = 0, now
 }
 
-// recordProgress reports once that the answer has begun.
-func (t *attempt) recordProgress() {
-	t.lastByteAt.Store(int64(t.Clock.Now()))
-	t.hasBytes.Store(true)
-	if t.firstByteReported {
+// recordProgress records the arrival of data and reports the first byte of the answer once.
+func (a *attempt) recordProgress() {
+	a.lastByteAt.Store(int64(a.Clock.Now()))
+	a.hasBytes.Store(true)
+	if a.firstByteReported {
 		return
 	}
-	t.firstByteReported = true
-	t.Loop.Post(event.FirstToken{Attempt: t.id})
+	a.firstByteReported = true
+	a.Loop.Post(event.FirstToken{Attempt: a.id})
 }
