--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,23 +1,23 @@
-// Package conns owns the connections of callers: it closes those that have waited too long for a
-// request, without dropping one that has begun to arrive, and records which side ended each.
+// Package conns tracks the connections of callers: it closes those that have been idle for too long,
+// without dropping a request that has begun to arrive, and records which side ended each.
 //
 // # Usage
 //
-//	k := conns.New(conns.Config{Clock: svc, Limit: func() time.Duration { return book().Limits().Idle() }})
-//	srv := &http.Server{ConnState: k.State, ConnContext: k.Context}
-//	go srv.Serve(k.Listener(ln))
+//	t := conns.New(conns.Config{Clock: svc, IdleTimeout: func() time.Duration { return book().Limits().Idle() }})
+//	srv := &http.Server{ConnState: t.ConnState, ConnContext: t.ConnContext}
+//	go srv.Serve(t.Listener(ln))
 //	...
 //	ending := conns.EndingOf(r.Context()) // in a handler whose context has ended
 //	...
-//	k.Retire()                            // idle connections end from now on
-//	defer k.Stop()
+//	t.Drain()                             // idle connections end from now on
+//	defer t.Stop()
 //
 // # Closing an idle connection
 //
 // net/http reports a connection as active only once it has read all headers, so that its own
 // state doesn't show whether a request has begun to arrive; its Shutdown closes such connections.
-// A Keeper never closes an idle connection itself. It expires the read that waits for the next
-// request, and the connection's goroutine closes it if that read has brought nothing. A byte
+// A Tracker never closes an idle connection itself. It expires the read that waits for the next
+// request, and the goroutine of the connection closes it if that read returns no data. A byte
 // that was read before is always served.
 package conns
 
@@ -37,73 +37,76 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sweepEvery is the time between two looks for idle connections, and so how late one is closed.
-const sweepEvery = time.Second
+// sweepInterval is the time between two checks for idle connections, and so the longest delay in
+// closing one.
+const sweepInterval = time.Second
 
-// Config is what a Keeper needs.
+// Config holds the dependencies and settings of a Tracker.
 type Config struct {
 	Clock *clock.Service
-	// Limit returns how long a connection may wait for a request; zero or less is no limit. It
-	// is asked for each time, since operators change it while connections stand.
-	Limit func() time.Duration
-	// Metrics takes the counters; nil is a registry of the keeper's own.
+	// IdleTimeout returns how long a connection may wait for a request; zero or less means no
+	// limit. It is called at each check, since operators change the limit while connections are
+	// open.
+	IdleTimeout func() time.Duration
+	// Metrics registers the counters; nil means a registry of the tracker's own.
 	Metrics metrics.Registry
 }
 
-// Keeper knows the open connections of the servers of one host.
-type Keeper struct {
-	t    tomb.Tomb
-	cfg  Config
-	idle metrics.Counter
+// Tracker tracks the open connections of the servers of one host.
+type Tracker struct {
+	t          tomb.Tomb
+	cfg        Config
+	idleClosed metrics.Counter
 
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	retired bool
+	mu       sync.Mutex
+	conns    map[*conn]struct{}
+	draining bool
 }
 
-// New returns a running keeper.
-func New(cfg Config) *Keeper {
-	k := newKeeper(cfg)
-	k.t.Go(k.run)
-	return k
+// New returns a running tracker.
+func New(cfg Config) *Tracker {
+	t := newTracker(cfg)
+	t.t.Go(t.run)
+	return t
 }
 
-func newKeeper(cfg Config) *Keeper {
+func newTracker(cfg Config) *Tracker {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
-	return &Keeper{
+	return &Tracker{
 		cfg: cfg, conns: make(map[*conn]struct{}),
-		idle: metrics.GetOrRegisterCounter("callers.idleClosed", cfg.Metrics),
+		idleClosed: metrics.GetOrRegisterCounter("callers.idleClosed", cfg.Metrics),
 	}
 }
 
-// Stop ends the keeper and leaves the connections open.
-func (k *Keeper) Stop() {
-	k.t.Kill(nil)
-	_ = k.t.Wait()
+// Stop stops the tracker and leaves the connections open.
+func (t *Tracker) Stop() {
+	t.t.Kill(nil)
+	_ = t.t.Wait()
 }
 
-// Open returns the number of open connections.
-func (k *Keeper) Open() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.conns)
+// Len returns the number of open connections.
+func (t *Tracker) Len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns)
 }
 
-// Retire ends the connections that wait for a request, and from now on each as soon as it does.
-func (k *Keeper) Retire() {
-	k.mu.Lock()
-	k.retired = true
-	k.mu.Unlock()
-	for _, c := range k.all() {
+// Drain ends idle connections, and from then on each connection as soon as it becomes idle.
+func (t *Tracker) Drain() {
+	t.mu.Lock()
+	t.draining = true
+	t.mu.Unlock()
+	for _, c := range t.snapshot() {
 		c.expire()
 	}
 }
 
-// plain returns the keeper's connection below one with TLS, nil for none and for one of HTTP/2,
-// which serves several requests at a time and is ended by the server.
-func plain(nc net.Conn) *conn {
+// unwrap returns the tracked connection below a TLS connection. It returns nil for a connection
+// that is not tracked, and for HTTP/2, which serves several requests at a time and is shut down by
+// the server.
+func unwrap(nc net.Conn) *conn {
 	if t, ok := nc.(*tls.Conn); ok {
 		if t.ConnectionState().NegotiatedProtocol == "h2" {
 			return nil
@@ -114,114 +117,116 @@
 	return c
 }
 
-// Cut closes the connections that are still open and returns their number.
-func (k *Keeper) Cut(why event.Reason) int {
-	cs := k.all()
+// CloseAll closes the connections that are still open, records the reason, and returns their
+// number.
+func (t *Tracker) CloseAll(reason event.Reason) int {
+	cs := t.snapshot()
 	for _, c := range cs {
-		c.cut(why)
+		c.closeWith(reason)
 	}
 	return len(cs)
 }
 
-func (k *Keeper) isRetired() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.retired
+func (t *Tracker) isDraining() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.draining
 }
 
-func (k *Keeper) all() []*conn {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	cs := make([]*conn, 0, len(k.conns))
-	for c := range k.conns {
+func (t *Tracker) snapshot() []*conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	cs := make([]*conn, 0, len(t.conns))
+	for c := range t.conns {
 		cs = append(cs, c)
 	}
 	return cs
 }
 
-// State records a connection's state. It fits http.Server.ConnState.
-func (k *Keeper) State(nc net.Conn, st http.ConnState) {
-	c := plain(nc)
+// ConnState records the state of a connection. Use it as http.Server.ConnState.
+func (t *Tracker) ConnState(nc net.Conn, st http.ConnState) {
+	c := unwrap(nc)
 	if c == nil {
 		return
 	}
 	switch st {
 	case http.StateActive:
-		c.serve()
+		c.markServing()
 	case http.StateIdle:
-		c.waitForNext(k.cfg.Clock.Now())
-		if k.isRetired() {
+		c.markIdle(t.cfg.Clock.Now())
+		if t.isDraining() {
 			c.expire()
 		}
 	}
 }
 
-func (k *Keeper) run() error {
-	tick := k.cfg.Clock.Every(sweepEvery)
+func (t *Tracker) run() error {
+	tick := t.cfg.Clock.Every(sweepInterval)
 	defer tick.Close()
 	for {
 		select {
 		case now := <-tick.C():
-			k.sweep(now)
-		case <-k.t.Dying():
+			t.sweep(now)
+		case <-t.t.Dying():
 			return nil
 		}
 	}
 }
 
-func (k *Keeper) sweep(now ident.Time) {
-	limit := k.cfg.Limit()
+func (t *Tracker) sweep(now ident.Time) {
+	limit := t.cfg.IdleTimeout()
 	if limit <= 0 {
 		return
 	}
-	for _, c := range k.all() {
+	for _, c := range t.snapshot() {
 		if c.idleFor(now) >= limit && c.expire() {
-			k.idle.Inc(1)
+			t.idleClosed.Inc(1)
 		}
 	}
 }
 
-// listener hands out connections that the keeper knows.
+// listener returns tracked connections.
 type listener struct {
 	net.Listener
-	k *Keeper
+	tracker *Tracker
 }
 
-// Listener returns a listener whose connections the keeper knows.
-func (k *Keeper) Listener(l net.Listener) net.Listener { return listener{l, k} }
+// Listener returns a listener whose connections are tracked.
+func (t *Tracker) Listener(l net.Listener) net.Listener { return listener{l, t} }
 
-// Accept passes errors on as they are: the server tries again after some of them.
+// Accept returns errors unchanged: the server retries after some of them.
 func (l listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, k: l.k, use: waits, since: l.k.cfg.Clock.Now()}
-	l.k.mu.Lock()
-	l.k.conns[c] = struct{}{}
-	retired := l.k.retired
-	l.k.mu.Unlock()
+	c := &conn{Conn: nc, tracker: l.tracker, state: stateIdle, idleSince: l.tracker.cfg.Clock.Now()}
+	l.tracker.mu.Lock()
+	l.tracker.conns[c] = struct{}{}
+	retired := l.tracker.draining
+	l.tracker.mu.Unlock()
 	if retired {
 		c.expire()
 	}
 	return c, nil
 }
 
-func (k *Keeper) forget(c *conn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.conns, c)
+func (t *Tracker) remove(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.conns, c)
 }
 
 type contextKey struct{}
 
-// Context returns the context of the requests of a connection. It fits http.Server.ConnContext.
-func (k *Keeper) Context(ctx context.Context, nc net.Conn) context.Context {
+// ConnContext returns the context for the requests of a connection. Use it as
+// http.Server.ConnContext.
+func (t *Tracker) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, nc)
 }
 
-// EndingOf returns which side ended the connection of a request, by the request's context. It is
-// zero for a connection that no keeper knows.
+// EndingOf returns which side ended the connection of a request, given the context of the request.
+// It is zero for a connection that is not tracked.
 func EndingOf(ctx context.Context) event.Ending {
 	nc, _ := ctx.Value(contextKey{}).(net.Conn)
 	if t, ok := nc.(*tls.Conn); ok {
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -12,8 +12,8 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// Whatever a caller writes into its headers, a header of this system that only
-// hosts send is refused, and none of the values falls the host over.
+// Checks that, whatever headers a caller sends, a header that only hosts may send is refused, and
+// that no value causes a panic.
 func FuzzHead(f *testing.F) {
 	f.Add("Verbenadale-Ticket", "tk-1", "1.1 verbenadale", "100")
 	f.Add("Verbenadale-Envelope", "{}", "", "-1")
@@ -27,14 +27,14 @@
 		x := &exchange{Front: fr, r: r}
 		ref := x.checkHead()
 		name := http.CanonicalHeaderKey(key)
-		if strings.HasPrefix(name, ownPrefix) && name != HeaderTicket && name != HeaderProfile && name != HeaderDeadline {
+		if strings.HasPrefix(name, headerPrefix) && name != HeaderTicket && name != HeaderProfile && name != HeaderDeadline {
 			if ref == nil || ref.Code != codes.ForgedEnvelope.ID {
-				t.Errorf("header %q was taken", name)
+				t.Errorf("header %q was accepted", name)
 			}
 		}
-		at, bad := x.deadline()
+		at, bad := x.parseDeadline()
 		if bad == nil && deadline != "" && (at <= 0 || at.Sub(0).Milliseconds() > maxDeadlineMs) {
-			t.Errorf("deadline %q was taken as %d", deadline, at)
+			t.Errorf("deadline %q was parsed as %d", deadline, at)
 		}
 		if bad != nil && bad.Outcome != event.NotRun {
 			t.Errorf("refusal with outcome %s", bad.Outcome)
@@ -42,41 +42,40 @@
 	})
 }
 
-// A path at a plain service never climbs out of it, however it is escaped.
+// Checks that a path at a plain service can't leave that service, however it is escaped.
 func FuzzServicePath(f *testing.F) {
 	for _, p := range []string{"vans/jobs", "vans/%2e%2e/x", "a%2Fb/c", "vans", "%zz/x", "vans/..%5c"} {
 		f.Add(p)
 	}
 	f.Fuzz(func(t *testing.T, tail string) {
-		profile, path, ok := splitService(servicePrefix + tail)
+		profile, path, ok := splitServicePath(servicePrefix + tail)
 		if !ok {
 			return
 		}
 		u, err := url.Parse("http://vans" + path)
 		if err != nil || profile == "" {
-			t.Fatalf("path %q was taken as %q of %q: %v", tail, path, profile, err)
+			t.Fatalf("path %q was parsed as %q of %q: %v", tail, path, profile, err)
 		}
 		for seg := range strings.SplitSeq(strings.ReplaceAll(u.Path, "\\", "/"), "/") {
 			if seg == ".." || seg == "." {
-				t.Errorf("path %q climbs as %q", tail, path)
+				t.Errorf("path %q leaves the service as %q", tail, path)
 			}
 		}
 	})
 }
 
-// What is taken as a completion request is JSON of the expected shape, with
-// numbers in their range, and a fault shows no word of the body.
+// Checks that an accepted completion request is valid JSON with numbers in their range.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{goodChat, streamChat, `{"messages":[1],"max_tokens":1e3}`, `{"MESSAGES":[1],"n":null}`, "{", "[]"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a, err := parse(text, chatShape)
+		a, err := parseCompletion(text, chatShape)
 		if err != nil {
 			return
 		}
-		if !json.Valid(text) || a.tokens() < 0 || a.tokens() > maxAskTokens {
-			t.Errorf("taken: %q", text)
+		if !json.Valid(text) || a.answerTokens() < 0 || a.answerTokens() > maxAnswerTokens {
+			t.Errorf("invalid request accepted: %q", text)
 		}
 	})
 }
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -17,7 +17,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The headers between callers and entry hosts.
+// Headers exchanged between callers and entry hosts.
 const (
 	HeaderProfile  = "Verbenadale-Profile"
 	HeaderTicket   = "Verbenadale-Ticket"
@@ -27,20 +27,20 @@
 	HeaderKey      = "Idempotency-Key"
 )
 
-// ownPrefix starts the headers of this system.
-const ownPrefix = "Verbenadale-"
+// headerPrefix is the prefix of the headers of this system.
+const headerPrefix = "Verbenadale-"
 
-// pseudonym stands for all entry hosts of the system in the header Via, which
-// gives no address away to targets.
-const pseudonym = "verbenadale"
+// viaPseudonym names every entry host of the system in the header Via, so that targets learn no
+// address.
+const viaPseudonym = "verbenadale"
 
-// Bounds of the values in headers. The longest deadline is that of profiles.
+// Limits of header values. The longest deadline is the longest that profiles allow.
 const (
-	maxToken      = 255
-	maxDeadlineMs = 3_600_000
+	maxHeaderValue = 255
+	maxDeadlineMs  = 3_600_000
 )
 
-// newRequestID returns an id that no other host gives out.
+// newRequestID returns a globally unique request id.
 func newRequestID() ident.RequestID { return ident.RequestID("req-" + newSecret()) }
 
 // secretBytes is the length of a secret that can't be guessed.
@@ -52,47 +52,47 @@
 	return hex.EncodeToString(b[:])
 }
 
-func newSpread() uint64 {
+func newSpreadSeed() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// checkHead judges the shape of the headers.
+// checkHead checks the form of the headers.
 func (x *exchange) checkHead() *event.Refuse {
 	for k, vs := range x.r.Header {
-		if forged(k) {
-			return x.not(codes.ForgedEnvelope, "leave out the header "+k)
+		if isInternalHeader(k) {
+			return x.notRun(codes.ForgedEnvelope, "leave out the header "+k)
 		}
-		if single(k) && len(vs) > 1 {
-			return x.not(codes.BadRequest, "send the header "+k+" once")
+		if isSingleValued(k) && len(vs) > 1 {
+			return x.notRun(codes.BadRequest, "send the header "+k+" once")
 		}
 	}
 	for _, k := range []string{HeaderTicket, HeaderKey, HeaderProfile} {
-		if v := x.r.Header.Get(k); !plain(v) {
-			return x.not(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d visible ASCII characters", k, maxToken))
+		if v := x.r.Header.Get(k); !isVisibleASCII(v) {
+			return x.notRun(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d visible ASCII characters", k, maxHeaderValue))
 		}
 	}
 	if x.r.Header.Get(HeaderTicket) != "" && x.r.Header.Get(HeaderKey) != "" {
-		return x.not(codes.BadRequest, "send either "+HeaderTicket+" or "+HeaderKey)
+		return x.notRun(codes.BadRequest, "send either "+HeaderTicket+" or "+HeaderKey)
 	}
 	return nil
 }
 
-// forged reports whether a header is one that only entry hosts and targets
-// send. A caller that could set the hops or the attempt would lift the bound
-// on crossings or take the outcome of somebody else's request.
-func forged(key string) bool {
+// isInternalHeader reports whether only entry hosts and targets may send a header. A caller that
+// could set the hops or the attempt could evade the limit on crossings or obtain the outcome of
+// another caller's request.
+func isInternalHeader(key string) bool {
 	switch key {
 	case HeaderProfile, HeaderTicket, HeaderDeadline:
 		return false
 	}
-	return strings.HasPrefix(key, ownPrefix)
+	return strings.HasPrefix(key, headerPrefix)
 }
 
-// single reports whether a header means something only once. Of two values
-// this host might judge by one and a proxy before it by the other.
-func single(key string) bool {
+// isSingleValued reports whether a header may occur only once. With two values, this host could use
+// one and a proxy in front of it the other.
+func isSingleValued(key string) bool {
 	switch key {
 	case HeaderProfile, HeaderTicket, HeaderDeadline, HeaderKey, "Authorization", "Content-Type":
 		return true
@@ -100,9 +100,10 @@
 	return false
 }
 
-// plain reports whether a value that is present is short and visible ASCII.
-func plain(v string) bool {
-	if len(v) > maxToken {
+// isVisibleASCII reports whether a value is short enough and consists of visible ASCII; an empty
+// one does.
+func isVisibleASCII(v string) bool {
+	if len(v) > maxHeaderValue {
 		return false
 	}
 	for i := range len(v) {
@@ -113,110 +114,110 @@
 	return true
 }
 
-// account finds the account by the API key.
-func (x *exchange) account() *event.Refuse {
+// authenticate finds the account by its API key.
+func (x *exchange) authenticate() *event.Refuse {
 	book := x.cfg.Book()
 	if book.Rev() == 0 {
-		return x.not(codes.NotReady, "")
+		return x.notRun(codes.NotReady, "")
 	}
-	kind, key, _ := strings.Cut(x.r.Header.Get("Authorization"), " ")
-	if !strings.EqualFold(kind, "Bearer") || key == "" {
-		return x.not(codes.UnknownKey, "send the header Authorization: Bearer KEY")
+	scheme, key, _ := strings.Cut(x.r.Header.Get("Authorization"), " ")
+	if !strings.EqualFold(scheme, "Bearer") || key == "" {
+		return x.notRun(codes.UnknownKey, "send the header Authorization: Bearer KEY")
 	}
 	c, ok := book.ClientByDigest(rules.Digest(strings.TrimSpace(key)))
 	if !ok {
-		return x.not(codes.UnknownKey, "")
+		return x.notRun(codes.UnknownKey, "")
 	}
 	x.client = c
 	return nil
 }
 
-// allow judges whether the account may use the profile at this host.
-func (x *exchange) allow(name ident.Profile) *event.Refuse {
+// checkProfile checks whether the account may use the profile at this host.
+func (x *exchange) checkProfile(name ident.Profile) *event.Refuse {
 	p, ok := x.cfg.Book().Profile(name)
 	if !ok {
-		return x.not(codes.UnknownProfile, fmt.Sprintf("%q", clip(string(name))))
+		return x.notRun(codes.UnknownProfile, fmt.Sprintf("%q", truncate(string(name))))
 	}
 	x.profile = p
 	if !x.client.May(p.Name) {
-		return x.not(codes.ProfileForbidden, "")
+		return x.notRun(codes.ProfileForbidden, "")
 	}
 	if !p.Allows(x.client, x.cfg.Self.Place.Region) {
-		ref := x.not(codes.OutsideResidency, "")
+		ref := x.notRun(codes.OutsideResidency, "")
 		ref.Entries = x.allowedEntries()
 		return ref
 	}
 	return x.checkVia()
 }
 
-// clip keeps a caller's own words in a message short.
-func clip(s string) string {
-	const most = 64
-	if len(s) > most {
-		return s[:most] + "..."
+// truncate limits the text of a caller that is quoted in a message.
+func truncate(s string) string {
+	const maxLen = 64
+	if len(s) > maxLen {
+		return s[:maxLen] + "..."
 	}
 	return s
 }
 
-// checkVia guards against a proxy outside of the system that sends a request
-// back to an entry host. The envelope does not survive such a proxy, so the
-// request would go round until its deadline and take up a slot on each round.
-// Via, which proxies keep, counts the rounds.
+// checkVia detects a proxy outside the system that sends a request back to an entry host. The
+// envelope does not pass through such a proxy, so the request would circulate until its deadline
+// and occupy a slot on each round. The header Via, which proxies keep, counts the rounds.
 func (x *exchange) checkVia() *event.Refuse {
 	rounds := 0
 	for _, v := range x.r.Header.Values("Via") {
-		rounds += strings.Count(v, pseudonym)
+		rounds += strings.Count(v, viaPseudonym)
 	}
 	if rounds > int(x.profile.MaxCrossings) {
-		return x.not(codes.TooManyHops, "a proxy has sent the request round")
+		return x.notRun(codes.TooManyHops, "a proxy has sent the request round")
 	}
 	return nil
 }
 
-// via returns the header Via towards targets.
+// via returns the header Via for targets.
 func (x *exchange) via() string {
-	vs := append(x.r.Header.Values("Via"), fmt.Sprintf("%d.%d %s", x.r.ProtoMajor, x.r.ProtoMinor, pseudonym))
+	vs := append(x.r.Header.Values("Via"), fmt.Sprintf("%d.%d %s", x.r.ProtoMajor, x.r.ProtoMinor, viaPseudonym))
 	return strings.Join(vs, ", ")
 }
 
-// deadline reads the caller's deadline, zero for none.
-func (x *exchange) deadline() (ident.Time, *event.Refuse) {
+// parseDeadline returns the deadline set by the caller, or zero for none.
+func (x *exchange) parseDeadline() (ident.Time, *event.Refuse) {
 	text := x.r.Header.Get(HeaderDeadline)
 	if text == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms > maxDeadlineMs {
-		return 0, x.not(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d", HeaderDeadline, maxDeadlineMs))
+		return 0, x.notRun(codes.BadRequest, fmt.Sprintf("the header %s takes 1 to %d", HeaderDeadline, maxDeadlineMs))
 	}
 	if ms <= 0 {
-		return 0, x.not(codes.DeadlinePast, "")
+		return 0, x.notRun(codes.DeadlinePast, "")
 	}
-	return x.began.Add(time.Duration(ms) * time.Millisecond), nil
+	return x.startedAt.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
-// head judges all that the headers allow, with the profile where they name it.
-func (x *exchange) head(profile ident.Profile) (event.Request, *event.Refuse) {
-	if ref := x.account(); ref != nil {
+// newRequest checks everything that the headers determine and returns the request; it checks the
+// profile if the caller gives it before the body.
+func (x *exchange) newRequest(profile ident.Profile) (event.Request, *event.Refuse) {
+	if ref := x.authenticate(); ref != nil {
 		return event.Request{}, ref
 	}
-	at, ref := x.deadline()
+	at, ref := x.parseDeadline()
 	if ref != nil {
 		return event.Request{}, ref
 	}
 	if profile != "" {
-		if ref := x.allow(profile); ref != nil {
+		if ref := x.checkProfile(profile); ref != nil {
 			return event.Request{}, ref
 		}
 	}
-	if ref := x.checkLength(); ref != nil {
+	if ref := x.checkBodyHeaders(); ref != nil {
 		return event.Request{}, ref
 	}
 	return event.Request{ID: x.id, Account: x.client.Name, Deadline: at, Ticket: x.r.Header.Get(HeaderTicket)}, nil
 }
 
-// mark sets the digests that identify repeats of a request.
-func (x *exchange) mark(req *event.Request) {
+// setDigests sets the digests that identify repeats of a request.
+func (x *exchange) setDigests(req *event.Request) {
 	key := x.r.Header.Get(HeaderKey)
 	if key == "" && req.Ticket == "" {
 		return
@@ -227,8 +228,8 @@
 	}
 }
 
-// digest returns the SHA-256 digest of parts, each with its length, so that
-// no two lists of parts run together to the same text.
+// digest returns the SHA-256 digest of parts, each preceded by its length, so that different lists
+// of parts never yield the same input.
 func digest(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -238,13 +239,13 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func (x *exchange) unknownPath() *event.Refuse { return x.not(codes.UnknownPath, "") }
+func (x *exchange) unknownPath() *event.Refuse { return x.notRun(codes.UnknownPath, "") }
 
 func (x *exchange) wrongMethod() *event.Refuse {
-	return x.not(codes.WrongMethod, "")
+	return x.notRun(codes.WrongMethod, "")
 }
 
-// statusOf returns the status of a code that the front gives.
+// statusOf returns the HTTP status of a code.
 func statusOf(c codes.Code) int {
 	if c.Status == 0 {
 		return http.StatusInternalServerError
--- a/internal/front/refuse.go
+++ b/internal/front/refuse.go
@@ -11,8 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// errorAnswer is the body of a refusal, in the shape that clients of the
-// chat-completions API expect.
+// errorAnswer is the body of a refusal, in the format that clients of the chat-completions API
+// expect.
 type errorAnswer struct {
 	Error errorDetail `json:"error"`
 }
@@ -22,19 +22,19 @@
 	Type    string        `json:"type"`
 	Code    codes.ID      `json:"code"`
 	Outcome event.Outcome `json:"outcome"`
-	// RetryAfterMs is when to come back.
+	// RetryAfterMs is the delay after which the caller may retry.
 	RetryAfterMs int64    `json:"retryAfterMs,omitempty"`
 	Entries      []string `json:"entries,omitempty"`
 }
 
-// defaultWait is when to come back after a refusal of the front itself.
-const defaultWait = time.Second
+// defaultRetryDelay is the retry delay of refusals that the front itself decides.
+const defaultRetryDelay = time.Second
 
-// not returns the refusal of a request that has not been run.
-func (x *exchange) not(c codes.Code, reason string) *event.Refuse {
+// notRun returns the refusal of a request that has not been run.
+func (x *exchange) notRun(c codes.Code, reason string) *event.Refuse {
 	ref := &event.Refuse{Request: x.id, Code: c.ID, Outcome: event.NotRun, Reason: reason}
 	if c.Wait {
-		ref.RetryAfter = defaultWait
+		ref.RetryAfter = defaultRetryDelay
 	}
 	return ref
 }
@@ -47,31 +47,31 @@
 	}
 	return errorAnswer{Error: errorDetail{
 		Message: msg, Type: "verbenadale_refusal", Code: r.Code, Outcome: r.Outcome,
-		RetryAfterMs: r.RetryAfter.Milliseconds(), Entries: urls(r.Entries),
+		RetryAfterMs: r.RetryAfter.Milliseconds(), Entries: callerURLs(r.Entries),
 	}}
 }
 
-// refuse answers with a refusal.
+// refuse writes a refusal as the answer.
 func (x *exchange) refuse(r *event.Refuse) {
 	c, _ := codes.Find(r.Code)
 	x.code = r.Code
 	x.cfg.Meter.Refused(r.Code)
 	if c.Wait {
-		x.w.Header().Set("Retry-After", strconv.Itoa(seconds(r.RetryAfter)))
+		x.w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
 	if c.Status == http.StatusUnauthorized {
 		x.w.Header().Set("Www-Authenticate", "Bearer")
 	}
-	x.hangUp()
-	x.answer(statusOf(c), r.Outcome, errorBody(r))
+	x.closeIfBodyUnread()
+	x.writeJSON(statusOf(c), r.Outcome, errorBody(r))
 }
 
-// seconds rounds up, since Retry-After has no fractions and coming back too
-// early would meet the same refusal.
-func seconds(d time.Duration) int { return max(int(math.Ceil(d.Seconds())), 1) }
+// ceilSeconds rounds up, since Retry-After has no fractions and a caller that retried too early
+// would be refused again.
+func ceilSeconds(d time.Duration) int { return max(int(math.Ceil(d.Seconds())), 1) }
 
-// answer answers with JSON.
-func (x *exchange) answer(status int, outcome event.Outcome, v any) {
+// writeJSON answers with JSON.
+func (x *exchange) writeJSON(status int, outcome event.Outcome, v any) {
 	x.status = status
 	x.outcome = outcome
 	x.w.Header().Set("Content-Type", "application/json")
--- a/internal/front/refuse_test.go
+++ b/internal/front/refuse_test.go
@@ -22,7 +22,7 @@
 	goodChat = `{"model":"draft","messages":[{"role":"user","content":"hi"}]}`
 )
 
-// badCalls are requests that no target may see.
+// badCalls are requests that must not reach a target.
 var badCalls = []struct {
 	name string
 	call call
@@ -63,7 +63,7 @@
 	{"deadline of words", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: soon"}}},
 	{"ticket and key", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: t", "Idempotency-Key: k"}}},
 	{"two tickets", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: t", "Verbenadale-Ticket: u"}}},
-	{"long ticket", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: " + strings.Repeat("t", maxToken+1)}}},
+	{"long ticket", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: " + strings.Repeat("t", maxHeaderValue+1)}}},
 	{"key with a space", call{"POST", chatPath, goodChat, []string{"Idempotency-Key: a b"}}},
 	{"unknown path", call{"GET", "/v2/models", "", nil}},
 	{"wrong method", call{"DELETE", chatPath, "", nil}},
@@ -74,9 +74,9 @@
 	{"ticket outside", call{"POST", "/v1/tickets?profile=far", "", nil}},
 }
 
-// A malformed or forged request reaches a target.
+// Guards against a malformed or forged request that reaches a target.
 func TestBadInput(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	var out strings.Builder
 	for _, c := range badCalls {
 		rep := b.send(t, c.call)
@@ -95,13 +95,13 @@
 		fmt.Fprintf(&out, "%s: %d %s %s %s\n", c.name, rep.status, ans.Error.Code, ans.Error.Message, ans.Error.Entries)
 	}
 	goldie.New(t).Assert(t, "bad", []byte(out.String()))
-	check(t, "calls at the target", int32(0), b.hits.Load())
+	check(t, "calls at the target", int32(0), b.targetCalls.Load())
 	check(t, "requests that reached the reducer", 0, len(b.reqs))
 }
 
-// A body is read at a host where its profile forbids it.
+// Guards against reading a body at a host where its profile forbids it.
 func TestBodyNeverSent(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	_, br := b.raw(t, "POST "+chatPath+" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\n"+
 		"Verbenadale-Profile: far\r\nExpect: 100-continue\r\nContent-Length: 100\r\n\r\n")
 	res, err := http.ReadResponse(br, nil)
@@ -111,12 +111,12 @@
 	defer res.Body.Close()
 	text, _ := io.ReadAll(res.Body)
 	check(t, "status", http.StatusMisdirectedRequest, res.StatusCode)
-	check(t, "names the entry to use", true, strings.Contains(string(text), "http://192.0.2.1:8080"))
+	check(t, "contains the entry to use", true, strings.Contains(string(text), "http://192.0.2.1:8080"))
 }
 
-// Slow bodies hold requests open without bound.
+// Guards against slow bodies that keep requests open without limit.
 func TestSlowBody(t *testing.T) {
-	b := newBench(t, plainAnswer, func(cfg *Config) { cfg.BodyTime = 50 * time.Millisecond })
+	b := newFixture(t, plainAnswer, func(cfg *Config) { cfg.BodyTimeout = 50 * time.Millisecond })
 	_, br := b.raw(t, "POST "+chatPath+" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\nContent-Length: 100\r\n\r\n{")
 	res, err := http.ReadResponse(br, nil)
 	if err != nil {
@@ -128,69 +128,69 @@
 	check(t, "code", true, strings.Contains(string(text), string(codes.SlowBody.ID)))
 }
 
-// The limit for bodies cuts a long answer.
+// Guards against a read deadline for the body that cuts a long answer.
 func TestLongAnswerAfterBody(t *testing.T) {
 	const limit = 50 * time.Millisecond
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(4 * limit)
 		plainAnswer(w, r)
-	}, func(cfg *Config) { cfg.BodyTime = limit })
+	}, func(cfg *Config) { cfg.BodyTimeout = limit })
 	check(t, "status", http.StatusOK, b.send(t, call{"POST", chatPath, goodChat, nil}).status)
 }
 
-// Bodies together exceed the memory of the host.
+// Guards against bodies that together exceed the memory of the host.
 func TestFloodOfBodies(t *testing.T) {
-	const room = 16 << 10
-	b := newBench(t, plainAnswer, func(cfg *Config) {
-		cfg.Budget = serve.NewBudget(room)
+	const budget = 16 << 10
+	b := newFixture(t, plainAnswer, func(cfg *Config) {
+		cfg.Budget = serve.NewBudget(budget)
 		cfg.Runner.Budget = cfg.Budget
 	})
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n", chatPath, maxTestBody)
 	refused := make(chan int, 64)
-	f := &flood{b: b, head: head + strings.Repeat(" ", maxTestBody-1), refused: refused}
+	f := &bodyFlood{b: b, head: head + strings.Repeat(" ", maxTestBody-1), refused: refused}
 	const senders = 40
 	for range senders {
 		f.start(t)
 	}
-	over := senders - room/(maxTestBody+1)
+	over := senders - budget/(maxTestBody+1)
 	for range over {
 		check(t, "status", http.StatusServiceUnavailable, <-refused)
 	}
-	check(t, "memory within the budget", true, b.fr.cfg.Budget.Taken() <= room)
+	check(t, "memory within the budget", true, b.fr.cfg.Budget.Used() <= budget)
 	f.stop()
-	eventually(t, func() bool { return b.fr.cfg.Budget.Taken() == 0 && b.fr.Open() == 0 })
+	eventually(t, func() bool { return b.fr.cfg.Budget.Used() == 0 && b.fr.InFlight() == 0 })
 	check(t, "serves again", http.StatusOK, b.send(t, call{"POST", chatPath, goodChat, nil}).status)
-	check(t, "calls at the target", int32(1), b.hits.Load())
+	check(t, "calls at the target", int32(1), b.targetCalls.Load())
 }
 
-// A request beyond the limit is held instead of refused.
+// Guards against queueing a request beyond the limit instead of refusing it.
 func TestTooManyRequests(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	arrived := make(chan struct{}, 1)
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-goOn
+		<-proceed
 		plainAnswer(w, r)
 	}, func(cfg *Config) { cfg.MaxRequests = 1 })
 	s := &sender{b: b, t: t, c: call{"POST", chatPath, goodChat, nil}, done: make(chan reply, 1)}
 	go s.run()
 	<-arrived
 	rep := b.send(t, s.c)
-	close(goOn)
+	close(proceed)
 	check(t, "status", http.StatusServiceUnavailable, rep.status)
 	check(t, "wait", "1", rep.header.Get("Retry-After"))
 	check(t, "the first", http.StatusOK, (<-s.done).status)
 }
 
-// Retry-After is rounded down.
+// Guards against a Retry-After that is rounded down, with which callers would retry too early.
 func TestRetryAfter(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	b.refuse = &event.Refuse{
 		Code: codes.Draining.ID, Outcome: event.NotRun, RetryAfter: 1200 * time.Millisecond,
 		Entries: []event.Host{{CallerURL: "http://192.0.2.9:1"}},
 	}
 	rep := b.send(t, call{"POST", chatPath, goodChat, nil})
-	check(t, "no wait on a code that waiting does not help", "", rep.header.Get("Retry-After"))
+	check(t, "no Retry-After on a code that waiting does not resolve", "", rep.header.Get("Retry-After"))
 	b.refuse.Code = codes.Overloaded.ID
 	rep = b.send(t, call{"POST", chatPath, goodChat, nil})
 	check(t, "wait", "2", rep.header.Get("Retry-After"))
@@ -202,9 +202,9 @@
 	check(t, "entries", []string{"http://192.0.2.9:1"}, ans.Error.Entries)
 }
 
-// A repeat is confused with another request under the same key.
+// Guards against confusing a repeat with another request under the same key.
 func TestKeyDigests(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	ask := func(path, key, body string) event.Request {
 		b.send(t, call{"POST", path, body, []string{"Idempotency-Key: " + key}})
 		b.mu.Lock()
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -12,43 +12,43 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// servicePrefix starts the paths of plain services.
+// servicePrefix is the prefix of the paths of plain services.
 const servicePrefix = "/v1/services/"
 
-// serviceMethods are the methods that go on to plain services.
+// serviceMethods are the methods that plain services receive.
 var serviceMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// serviceHeaders are the headers that go on to plain services. Keys, cookies
-// and addresses of callers stay here.
+// serviceHeaders are the headers that are forwarded to plain services. Keys, cookies and addresses
+// of callers are not.
 var serviceHeaders = []string{
 	"Accept", "Accept-Language", "Content-Language", "Content-Type",
 	"If-Match", "If-Modified-Since", "If-None-Match", "If-Unmodified-Since",
 }
 
 func (x *exchange) service() *event.Refuse {
-	profile, path, ok := splitService(x.r.URL.EscapedPath())
+	profile, path, ok := splitServicePath(x.r.URL.EscapedPath())
 	if !ok {
-		return x.not(codes.BadRequest, "write the path as "+servicePrefix+"PROFILE/PATH")
+		return x.notRun(codes.BadRequest, "write the path as "+servicePrefix+"PROFILE/PATH")
 	}
-	if named := x.r.Header.Get(HeaderProfile); named != "" && ident.Profile(named) != profile {
-		return x.not(codes.BadRequest, "the path and "+HeaderProfile+" name different profiles")
+	if headerProfile := x.r.Header.Get(HeaderProfile); headerProfile != "" && ident.Profile(headerProfile) != profile {
+		return x.notRun(codes.BadRequest, "the path and "+HeaderProfile+" name different profiles")
 	}
-	req, ref := x.head(profile)
+	req, ref := x.newRequest(profile)
 	if ref != nil {
 		return ref
 	}
 	if x.profile.Service == "" {
-		return x.not(codes.BadRequest, "the profile is of a model; use /v1/chat/completions")
+		return x.notRun(codes.BadRequest, "the profile is of a model; use /v1/chat/completions")
 	}
-	if ref := x.read(); ref != nil {
+	if ref := x.readBody(); ref != nil {
 		return ref
 	}
 	req.Profile = profile
 	req.Stream = strings.Contains(x.r.Header.Get("Accept"), "text/event-stream")
-	x.mark(&req)
+	x.setDigests(&req)
 	if x.r.URL.RawQuery != "" {
 		path += "?" + x.r.URL.RawQuery
 	}
@@ -67,10 +67,10 @@
 	return h
 }
 
-// splitService splits the escaped path of a service call into the profile and
-// the path at the service. The path goes on as it was written; one with dot
-// segments is refused, since whoever resolves them next may come out elsewhere.
-func splitService(path string) (ident.Profile, string, bool) {
+// splitServicePath splits the escaped path of a service call into the profile and the path at the
+// service. The path is forwarded as written; a path with dot segments is refused, since the next
+// reader could resolve it to a place outside the service.
+func splitServicePath(path string) (ident.Profile, string, bool) {
 	rest, ok := strings.CutPrefix(path, servicePrefix)
 	if !ok {
 		return "", "", false
@@ -81,16 +81,16 @@
 		return "", "", false
 	}
 	for seg := range strings.SplitSeq(tail, "/") {
-		if !plainSegment(seg) {
+		if !isUnambiguous(seg) {
 			return "", "", false
 		}
 	}
 	return ident.Profile(profile), "/" + tail, true
 }
 
-// plainSegment reports whether a segment of an escaped path means the same to
-// whoever reads it next.
-func plainSegment(seg string) bool {
+// isUnambiguous reports whether every reader understands a segment of an escaped path in the same
+// way.
+func isUnambiguous(seg string) bool {
 	text, err := url.PathUnescape(seg)
 	if err != nil || text == "." || text == ".." || strings.ContainsAny(seg, "?#") {
 		return false
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -20,131 +20,130 @@
 )
 
 const (
-	testID    = ident.RequestID("req-0001")
-	waitLimit = 20 * time.Second
+	testID      = ident.RequestID("req-0001")
+	testTimeout = 20 * time.Second
 )
 
-// bench runs one request before targets that the test makes up. Its step
-// function stands in for the reducer: it sends to each target in turn until an
-// answer is whole.
-type bench struct {
-	rn       *Runner
-	targets  []event.Target
-	once     bool
-	deadline time.Duration
-	silence  event.IdleTimeouts
-	// keeps says that silent attempts are not broken off, silences counts their reports.
-	keeps    bool
-	silences int
-
-	mu   sync.Mutex
-	ends []event.AttemptEnded
-	left bool
-	num  uint64
-	got  got
+// fixture runs one request against the target handlers of a test. Its step function replaces the
+// reducer: it sends the request to each target in turn until an answer is complete.
+type fixture struct {
+	rn           *Runner
+	targets      []event.Target
+	once         bool
+	deadline     time.Duration
+	idleTimeouts event.IdleTimeouts
+	// ignoreSilence is set if silent attempts are not aborted; silences counts their reports.
+	ignoreSilence bool
+	silences      int
+
+	mu            sync.Mutex
+	ends          []event.AttemptEnded
+	callerHasLeft bool
+	attempts      uint64
+	result        callerResult
 }
 
-// got is what the caller was given.
-type got struct {
+// callerResult is what the caller received.
+type callerResult struct {
 	Status  int
 	Body    string
 	Outcome event.Outcome
 	Code    codes.ID
 }
 
-func newBench(t *testing.T, hs ...http.HandlerFunc) *bench {
+func newFixture(t *testing.T, hs ...http.HandlerFunc) *fixture {
 	t.Helper()
-	b := &bench{deadline: waitLimit}
+	f := &fixture{deadline: testTimeout}
 	for i, h := range hs {
 		srv := httptest.NewServer(h)
 		t.Cleanup(srv.Close)
-		b.targets = append(b.targets, event.Target{ID: ident.TargetID(fmt.Sprint(i)), URL: srv.URL})
+		f.targets = append(f.targets, event.Target{ID: ident.TargetID(fmt.Sprint(i)), URL: srv.URL})
 	}
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: b.step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: f.step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
-	b.rn = &Runner{
+	f.rn = &Runner{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Targets: target.New(),
-		Outcomes: &Outcomes{}, MaxAnswer: 1 << 20, Budget: NewBudget(4 << 20),
+		Answers: &AnswerCache{}, MaxAnswer: 1 << 20, Budget: NewBudget(4 << 20),
 	}
-	return b
+	return f
 }
 
-func (b *bench) step(now ident.Time, ev event.Event) []event.Effect {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fixture) step(now ident.Time, ev event.Event) []event.Effect {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	switch e := ev.(type) {
 	case event.RequestArrived:
-		return b.next(now, 0)
+		return f.dispatchNext(now, 0)
 	case event.CallerLeft:
-		b.left = true
+		f.callerHasLeft = true
 	case event.AttemptSilent:
-		b.silences++
-		if b.keeps {
+		f.silences++
+		if f.ignoreSilence {
 			return nil
 		}
 		return []event.Effect{event.BreakOff{
 			Request: testID, Attempt: e.Attempt, Silence: event.Silence{Since: e.Since, Begun: e.Begun},
 		}}
 	case event.AttemptEnded:
-		b.ends = append(b.ends, e)
+		f.ends = append(f.ends, e)
 		switch {
 		case e.Result == event.ResultDone:
 			return []event.Effect{event.Finish{Request: testID, Outcome: event.Done}}
-		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !b.once:
-			return b.next(now, e.Delivered)
+		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !f.once:
+			return f.dispatchNext(now, e.Delivered)
 		}
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.TargetFailed.ID, Outcome: event.Unknown}}
 	}
 	return nil
 }
 
-func (b *bench) next(now ident.Time, resume ident.Tokens) []event.Effect {
-	if int(b.num) >= len(b.targets) {
+func (f *fixture) dispatchNext(now ident.Time, resume ident.Tokens) []event.Effect {
+	if int(f.attempts) >= len(f.targets) {
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.NoTarget.ID, Outcome: event.NotRun}}
 	}
-	b.num++
+	f.attempts++
 	return []event.Effect{event.Dispatch{
-		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: b.num}, Target: b.targets[b.num-1],
-		Deadline: now.Add(b.deadline), Resume: resume, Once: b.once, Keep: b.once, IdleTimeouts: b.silence,
+		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: f.attempts}, Target: f.targets[f.attempts-1],
+		Deadline: now.Add(f.deadline), Resume: resume, Once: f.once, Keep: f.once, IdleTimeouts: f.idleTimeouts,
 	}}
 }
 
-// results lists how the attempts ended.
-func (b *bench) results() []event.Result {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// results returns the results of the attempts.
+func (f *fixture) results() []event.Result {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var rs []event.Result
-	for _, e := range b.ends {
+	for _, e := range f.ends {
 		rs = append(rs, e.Result)
 	}
 	return rs
 }
 
-func (b *bench) sink() Sink {
+func (f *fixture) sink() Sink {
 	return Sink{
-		Begin:  func(status int, _ http.Header) { b.got.Status = status },
-		Data:   func(p []byte, _ ident.Tokens) error { b.got.Body += string(p); return nil },
-		Finish: func(o event.Outcome) { b.got.Outcome = o },
-		Refuse: func(r event.Refuse) { b.got.Code, b.got.Outcome = r.Code, r.Outcome },
+		Begin:  func(status int, _ http.Header) { f.result.Status = status },
+		Data:   func(p []byte, _ ident.Tokens) error { f.result.Body += string(p); return nil },
+		Finish: func(o event.Outcome) { f.result.Outcome = o },
+		Refuse: func(r event.Refuse) { f.result.Code, f.result.Outcome = r.Code, r.Outcome },
 	}
 }
 
-func (b *bench) run(ctx context.Context, call Call) got {
-	b.rn.Run(ctx, call, event.Request{ID: testID}, b.sink())
-	return b.got
+func (f *fixture) run(ctx context.Context, call Call) callerResult {
+	f.rn.Run(ctx, call, event.Request{ID: testID}, f.sink())
+	return f.result
 }
 
-// The calls of the tests.
+// Calls used by the tests.
 var (
 	streamCall  = Call{Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte("{}"), Stream: true, Engine: true}
 	plainCall   = Call{Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte("{}"), Engine: true}
 	serviceCall = Call{Method: http.MethodGet, Path: "/jobs"}
 )
 
-// open starts the stream of an engine.
-func open(w http.ResponseWriter, r *http.Request) {
+// openStream writes the headers of an engine stream.
+func openStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
 	w.Header().Set("Content-Type", "text/event-stream")
 }
@@ -154,7 +153,7 @@
 	return fmt.Sprintf("id: %d\ndata: {\"id\":\"%s\",\"t\":%d}\n\n", n, testID, n)
 }
 
-// tokens returns the events of tokens from and to, both included.
+// tokens returns the events of the tokens from through to.
 func tokens(from, to int) string {
 	text := ""
 	for n := from; n <= to; n++ {
@@ -163,18 +162,18 @@
 	return text
 }
 
-const endEvent = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
-// says answers with a stream of the given text.
-func says(text string) http.HandlerFunc {
+// streamAnswer returns a handler that answers with a stream of the given text.
+func streamAnswer(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		open(w, r)
+		openStream(w, r)
 		_, _ = w.Write([]byte(text))
 	}
 }
 
-// whole answers with JSON.
-func whole(status int, body string) http.HandlerFunc {
+// jsonAnswer returns a handler that answers with JSON.
+func jsonAnswer(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(target.HeaderAttempt, r.Header.Get(target.HeaderAttempt))
 		w.Header().Set("Content-Type", "application/json")
@@ -183,11 +182,11 @@
 	}
 }
 
-// short answers with less than the length that it announces.
-func short(body string) http.HandlerFunc {
+// truncatedAnswer returns a handler whose answer is shorter than its Content-Length.
+func truncatedAnswer(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "99")
-		whole(200, body)(w, r)
+		jsonAnswer(200, body)(w, r)
 	}
 }
 
