--- a/internal/daemon/carry.go
+++ b/internal/daemon/carry.go
@@ -20,7 +20,7 @@
 	case event.ForgetOutcome:
 		d.outs.Forget(e.Request)
 	case event.Note:
-		trail.Note(d.cfg.Log, e)
+		trail.LogNote(d.cfg.Log, e)
 	case event.DropLinks:
 		// The library of the engines' client finds out by itself.
 	case event.Drained:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -210,7 +210,7 @@
 // Drain starts a graceful stop.
 func (d *Daemon) Drain() {
 	d.platform.reg.drain()
-	d.mesh.Leave()
+	d.mesh.SetDraining()
 	d.loop.Post(event.DrainAsked{})
 	d.t.Go(d.runHalt)
 }
--- a/internal/daemon/mesh.go
+++ b/internal/daemon/mesh.go
@@ -21,14 +21,14 @@
 		keys = &peer.Keys{
 			CertFile: set.Peers.CertFile, KeyFile: set.Peers.KeyFile, CAFile: set.Peers.CAFile, Log: cfg.Log,
 		}
-		if err := keys.Open(); err != nil {
+		if err := keys.Load(); err != nil {
 			return nil, errors.Wrap(err, "daemon: peers")
 		}
 	}
 	return peer.New(peer.Config{
 		Self: self, Clock: svc, Log: cfg.Log, Keys: keys, Confined: confined,
 		Listen: set.Peers.Listen, Seeds: set.Peers.Seeds,
-		Bounds: peer.Bounds{Body: set.Limits.MaxBodyBytes},
+		Bounds: peer.Bounds{MaxBodyBytes: set.Limits.MaxBodyBytes},
 	}), nil
 }
 
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -87,7 +87,7 @@
 	// off in the middle of a long answer.
 	_ = x.rc.SetReadDeadline(time.Time{})
 	x.whole = true
-	x.cfg.Meter.In(len(x.body))
+	x.cfg.Meter.AddBytesIn(len(x.body))
 	return nil
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -126,7 +126,7 @@
 		}
 		w.Header().Set(HeaderRequest, string(x.id))
 		n := f.open.Add(1)
-		f.cfg.Meter.Open(1)
+		f.cfg.Meter.AddInFlight(1)
 		defer f.done(x)
 		var ctx context.Context
 		ctx, x.span = f.cfg.Trace.Serve(r.Context(), r.Header, name)
@@ -151,15 +151,15 @@
 // is cut by a panic, which is how net/http cuts one.
 func (f *Front) done(x *exchange) {
 	f.open.Add(-1)
-	f.cfg.Meter.Open(-1)
+	f.cfg.Meter.AddInFlight(-1)
 	f.cfg.Budget.Give(x.taken)
 	if x.stream {
-		f.cfg.Meter.Streams(-1)
+		f.cfg.Meter.AddOpenStreams(-1)
 	}
 	took := f.cfg.Clock.Now().Sub(x.began)
-	f.cfg.Meter.Took(took)
+	f.cfg.Meter.ObserveDuration(took)
 	if x.profile.Name != "" && x.outcome != "" {
-		f.cfg.Meter.Ended(x.profile.Name, x.outcome)
+		f.cfg.Meter.RequestEnded(x.profile.Name, x.outcome)
 	}
 	x.span.Set("request", string(x.id))
 	x.span.Set("profile", string(x.profile.Name))
--- a/internal/front/refuse.go
+++ b/internal/front/refuse.go
@@ -55,7 +55,7 @@
 func (x *exchange) refuse(r *event.Refuse) {
 	c, _ := codes.Find(r.Code)
 	x.code = r.Code
-	x.cfg.Meter.Refused(r.Code)
+	x.cfg.Meter.RequestRefused(r.Code)
 	if c.Wait {
 		x.w.Header().Set("Retry-After", strconv.Itoa(seconds(r.RetryAfter)))
 	}
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -33,13 +33,13 @@
 	s.stream = status == http.StatusOK && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 	if s.stream {
 		s.w.Header().Set("Trailer", HeaderOutcome)
-		s.cfg.Meter.Streams(1)
+		s.cfg.Meter.AddOpenStreams(1)
 	} else {
 		s.w.Header().Set(HeaderOutcome, string(event.Done))
 	}
 	s.begun = true
 	s.status = status
-	s.cfg.Meter.First(s.cfg.Clock.Now().Sub(s.began))
+	s.cfg.Meter.ObserveFirstByte(s.cfg.Clock.Now().Sub(s.began))
 	s.w.WriteHeader(status)
 }
 
@@ -48,7 +48,7 @@
 	if _, err := s.w.Write(b); err != nil {
 		return err
 	}
-	s.cfg.Meter.Out(len(b))
+	s.cfg.Meter.AddBytesOut(len(b))
 	if !s.stream {
 		return nil
 	}
@@ -85,7 +85,7 @@
 	}
 	s.outcome = r.Outcome
 	s.code = r.Code
-	s.cfg.Meter.Refused(r.Code)
+	s.cfg.Meter.RequestRefused(r.Code)
 	if s.stream {
 		s.extendWriteDeadline()
 		b, _ := json.Marshal(errorBody(&r))
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -27,13 +27,13 @@
 
 // Traffic counts requests. A nil Traffic counts nothing.
 type Traffic struct {
-	reg      metrics.Registry
-	first    metrics.Histogram
-	took     metrics.Histogram
-	streams  metrics.Counter
-	open     metrics.Counter
-	bytesIn  metrics.Counter
-	bytesOut metrics.Counter
+	reg         metrics.Registry
+	firstByte   metrics.Histogram
+	duration    metrics.Histogram
+	openStreams metrics.Counter
+	inFlight    metrics.Counter
+	bytesIn     metrics.Counter
+	bytesOut    metrics.Counter
 }
 
 // Histogram returns the histogram of a registry with the given name.
@@ -44,70 +44,70 @@
 // New returns the counters of a registry.
 func New(reg metrics.Registry) *Traffic {
 	return &Traffic{
-		reg:      reg,
-		first:    Histogram(reg, "callers.firstTokenMicros"),
-		took:     Histogram(reg, "callers.requestMicros"),
-		streams:  metrics.GetOrRegisterCounter("callers.streamsOpen", reg),
-		open:     metrics.GetOrRegisterCounter("callers.requestsOpen", reg),
-		bytesIn:  metrics.GetOrRegisterCounter("callers.bytesIn", reg),
-		bytesOut: metrics.GetOrRegisterCounter("callers.bytesOut", reg),
+		reg:         reg,
+		firstByte:   Histogram(reg, "callers.firstTokenMicros"),
+		duration:    Histogram(reg, "callers.requestMicros"),
+		openStreams: metrics.GetOrRegisterCounter("callers.streamsOpen", reg),
+		inFlight:    metrics.GetOrRegisterCounter("callers.requestsOpen", reg),
+		bytesIn:     metrics.GetOrRegisterCounter("callers.bytesIn", reg),
+		bytesOut:    metrics.GetOrRegisterCounter("callers.bytesOut", reg),
 	}
 }
 
-// Ended counts a request of a profile that is in force by its outcome.
-func (m *Traffic) Ended(p ident.Profile, outcome event.Outcome) {
+// RequestEnded counts a request of a profile that is in force by its outcome.
+func (m *Traffic) RequestEnded(p ident.Profile, outcome event.Outcome) {
 	if m == nil {
 		return
 	}
 	metrics.GetOrRegisterCounter("callers.requests."+string(p)+"."+string(outcome), m.reg).Inc(1)
 }
 
-// Refused counts a refusal.
-func (m *Traffic) Refused(c codes.ID) {
+// RequestRefused counts a refusal.
+func (m *Traffic) RequestRefused(c codes.ID) {
 	if m == nil {
 		return
 	}
 	metrics.GetOrRegisterCounter("callers.refusals."+string(c), m.reg).Inc(1)
 }
 
-// First takes the time from the arrival of a request to the first byte of its
+// ObserveFirstByte takes the time from the arrival of a request to the first byte of its
 // answer.
-func (m *Traffic) First(d time.Duration) {
+func (m *Traffic) ObserveFirstByte(d time.Duration) {
 	if m != nil {
-		m.first.Update(d.Microseconds())
+		m.firstByte.Update(d.Microseconds())
 	}
 }
 
-// Took takes the time from the arrival of a request to its end.
-func (m *Traffic) Took(d time.Duration) {
+// ObserveDuration takes the time from the arrival of a request to its end.
+func (m *Traffic) ObserveDuration(d time.Duration) {
 	if m != nil {
-		m.took.Update(d.Microseconds())
+		m.duration.Update(d.Microseconds())
 	}
 }
 
-// Open counts requests in flight up or down.
-func (m *Traffic) Open(n int64) {
+// AddInFlight counts requests in flight up or down.
+func (m *Traffic) AddInFlight(n int64) {
 	if m != nil {
-		m.open.Inc(n)
+		m.inFlight.Inc(n)
 	}
 }
 
-// Streams counts open streams up or down.
-func (m *Traffic) Streams(n int64) {
+// AddOpenStreams counts open streams up or down.
+func (m *Traffic) AddOpenStreams(n int64) {
 	if m != nil {
-		m.streams.Inc(n)
+		m.openStreams.Inc(n)
 	}
 }
 
-// In counts bytes of bodies from callers.
-func (m *Traffic) In(n int) {
+// AddBytesIn counts bytes of bodies from callers.
+func (m *Traffic) AddBytesIn(n int) {
 	if m != nil {
 		m.bytesIn.Inc(int64(n))
 	}
 }
 
-// Out counts bytes of answers to callers.
-func (m *Traffic) Out(n int) {
+// AddBytesOut counts bytes of answers to callers.
+func (m *Traffic) AddBytesOut(n int) {
 	if m != nil {
 		m.bytesOut.Inc(int64(n))
 	}
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -14,9 +14,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// gap is the time between two tokens of a stream, short beside that of an
+// tokenInterval is the time between two tokens of a stream, short beside that of an
 // engine.
-const gap = 2 * time.Millisecond
+const tokenInterval = 2 * time.Millisecond
 
 // BenchmarkForwardedToken measures the time from the moment that the serving
 // host has a token of a stream to the moment that the caller's host has it,
@@ -24,17 +24,17 @@
 func BenchmarkForwardedToken(b *testing.B) {
 	given := make([]time.Time, b.N)
 	text := []byte(fmt.Sprintf("id: 1\ndata: %0160d\n\n", 0))
-	x, y := benchPair(b, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+	x, y := startBenchPair(b, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
 		sink.Begin(200, nil)
 		for n := range given {
-			time.Sleep(gap)
+			time.Sleep(tokenInterval)
 			given[n] = time.Now()
 			_ = sink.Data(text, ident.Tokens(n+1))
 		}
 		sink.Finish(event.Done)
 	})
-	p := someCall(y.cfg.Self, "body")
+	p := newForwarded(y.cfg.Self, "body")
 	p.Forward.Envelope.Attempt.Incarnation = x.cfg.Self.Incarnation
 	late := make([]time.Duration, 0, b.N)
 	before := x.count("bytesIn")
@@ -58,7 +58,7 @@
 // BenchmarkDigest measures a digest from the effect to the event and its bytes
 // on the wire, with those that the session and TLS add.
 func BenchmarkDigest(b *testing.B) {
-	x, y := benchPair(b, nil)
+	x, y := startBenchPair(b, nil)
 	dig := event.Digest{Host: x.cfg.Self, Revision: 8400}
 	for n := range 5 {
 		id := ident.TargetID(fmt.Sprintf("uvs-e%d", n))
@@ -70,33 +70,33 @@
 	for n := range b.N {
 		dig.Seq = uint64(n + 1)
 		x.Send(event.SendDigest{To: []event.Host{y.cfg.Self}, Digest: dig})
-		for !y.digest(dig.Seq) {
+		for !y.takeDigest(dig.Seq) {
 			time.Sleep(20 * time.Microsecond)
 		}
 	}
 	b.ReportMetric(float64(x.count("bytesOut")-before)/float64(b.N), "wireB/digest")
 }
 
-// digest reports whether the newest event is the digest with a number, and
+// takeDigest reports whether the newest event is the takeDigest with a number, and
 // forgets the events.
-func (n *node) digest(seq uint64) bool {
+func (n *testNode) takeDigest(seq uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.evs) == 0 {
+	if len(n.events) == 0 {
 		return false
 	}
-	d, ok := n.evs[len(n.evs)-1].(event.DigestReceived)
-	n.evs = n.evs[:0]
+	d, ok := n.events[len(n.events)-1].(event.DigestReceived)
+	n.events = n.events[:0]
 	return ok && d.Digest.Seq == seq
 }
 
-func benchPair(b *testing.B, run ServeFunc) (*node, *node) {
+func startBenchPair(b *testing.B, run ServeFunc) (*testNode, *testNode) {
 	b.Helper()
 	ca := newCA(b)
 	keyed := func(id ident.EntryID) Config {
-		return Config{Self: hostAt(id, "uvs", ports.Next()), Keys: keysFor(b, ca, id)}
+		return Config{Self: newHost(id, "uvs", ports.Next()), Keys: issueKeys(b, ca, id)}
 	}
-	x, y := pair(b, keyed("uvs-1"), keyed("uvs-2"), run)
-	linked(b, x, y)
+	x, y := startPair(b, keyed("uvs-1"), keyed("uvs-2"), run)
+	awaitLinked(b, x, y)
 	return x, y
 }
--- a/internal/peer/bounds.go
+++ b/internal/peer/bounds.go
@@ -9,99 +9,99 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times are the waits of the links. The zero value of each stands for its
+// Timing are the waits of the links. The zero value of each stands for its
 // default.
-type Times struct {
-	// Tick is how often the sessions are looked after, Keys how often the key
+type Timing struct {
+	// TickInterval is how often the sessions are looked after, KeyCheckInterval how often the key
 	// files are read.
-	Tick, Keys time.Duration
-	// Ping is the longest time without a write on a session of the own data
-	// centre; after Silence without a read it is ended.
-	Ping, Silence time.Duration
-	// FarPing and FarSilence are the same towards other data centres.
-	FarPing, FarSilence time.Duration
-	// Idle is how long a link to another data centre stays unused.
-	Idle time.Duration
-	// Hello bounds the time until a new connection has proved who it is.
-	Hello time.Duration
-	// Body bounds the time to receive a body, Part the time to pass on one
+	TickInterval, KeyCheckInterval time.Duration
+	// PingInterval is the longest time without a write on a session of the own data
+	// centre; after SilenceTimeout without a read it is ended.
+	PingInterval, SilenceTimeout time.Duration
+	// RemotePingInterval and RemoteSilenceTimeout are the same towards other data centres.
+	RemotePingInterval, RemoteSilenceTimeout time.Duration
+	// IdleTimeout is how long a link to another data centre stays unused.
+	IdleTimeout time.Duration
+	// HelloTimeout bounds the time until a new connection has proved who it is.
+	HelloTimeout time.Duration
+	// BodyTimeout bounds the time to receive a body, WriteTimeout the time to pass on one
 	// piece of an answer.
-	Body, Part time.Duration
-	// Link is how long a request waits for a link.
-	Link time.Duration
-	// Stale is the age at which a waiting digest or summary is dropped.
-	Stale time.Duration
-	// Backoff is the first wait after a failed dial, MaxBackoff the longest.
-	Backoff, MaxBackoff time.Duration
+	BodyTimeout, WriteTimeout time.Duration
+	// LinkTimeout is how long a request waits for a link.
+	LinkTimeout time.Duration
+	// MaxMessageAge is the age at which a waiting digest or summary is dropped.
+	MaxMessageAge time.Duration
+	// MinBackoff is the first wait after a failed dial, MaxBackoff the longest.
+	MinBackoff, MaxBackoff time.Duration
 }
 
 // Defaults of the waits. Between data centres a representative has dozens of links, so that
 // pings are rarer there.
 const (
-	defaultTick       = 250 * time.Millisecond
-	defaultKeys       = 2 * time.Second
-	defaultPing       = time.Second
-	defaultSilence    = 4 * time.Second
-	defaultFarPing    = 5 * time.Second
-	defaultFarSilence = 15 * time.Second
-	defaultIdle       = time.Minute
-	defaultHello      = 5 * time.Second
-	defaultBody       = 30 * time.Second
-	defaultPart       = 30 * time.Second
-	defaultLink       = time.Second
-	defaultStale      = 2 * time.Second
-	defaultBackoff    = 100 * time.Millisecond
-	defaultMaxBackoff = 5 * time.Second
+	defaultTickInterval         = 250 * time.Millisecond
+	defaultKeyCheckInterval     = 2 * time.Second
+	defaultPingInterval         = time.Second
+	defaultSilenceTimeout       = 4 * time.Second
+	defaultRemotePingInterval   = 5 * time.Second
+	defaultRemoteSilenceTimeout = 15 * time.Second
+	defaultIdleTimeout          = time.Minute
+	defaultHelloTimeout         = 5 * time.Second
+	defaultBodyTimeout          = 30 * time.Second
+	defaultWriteTimeout         = 30 * time.Second
+	defaultLinkTimeout          = time.Second
+	defaultMaxMessageAge        = 2 * time.Second
+	defaultMinBackoff           = 100 * time.Millisecond
+	defaultMaxBackoff           = 5 * time.Second
 )
 
-func (ts *Times) fill() {
-	ts.Tick = cmp.Or(ts.Tick, defaultTick)
-	ts.Keys = cmp.Or(ts.Keys, defaultKeys)
-	ts.Ping = cmp.Or(ts.Ping, defaultPing)
-	ts.Silence = cmp.Or(ts.Silence, defaultSilence)
-	ts.FarPing = cmp.Or(ts.FarPing, defaultFarPing)
-	ts.FarSilence = cmp.Or(ts.FarSilence, defaultFarSilence)
-	ts.Idle = cmp.Or(ts.Idle, defaultIdle)
-	ts.Hello = cmp.Or(ts.Hello, defaultHello)
-	ts.Body = cmp.Or(ts.Body, defaultBody)
-	ts.Part = cmp.Or(ts.Part, defaultPart)
-	ts.Link = cmp.Or(ts.Link, defaultLink)
-	ts.Stale = cmp.Or(ts.Stale, defaultStale)
-	ts.Backoff = cmp.Or(ts.Backoff, defaultBackoff)
+func (ts *Timing) setDefaults() {
+	ts.TickInterval = cmp.Or(ts.TickInterval, defaultTickInterval)
+	ts.KeyCheckInterval = cmp.Or(ts.KeyCheckInterval, defaultKeyCheckInterval)
+	ts.PingInterval = cmp.Or(ts.PingInterval, defaultPingInterval)
+	ts.SilenceTimeout = cmp.Or(ts.SilenceTimeout, defaultSilenceTimeout)
+	ts.RemotePingInterval = cmp.Or(ts.RemotePingInterval, defaultRemotePingInterval)
+	ts.RemoteSilenceTimeout = cmp.Or(ts.RemoteSilenceTimeout, defaultRemoteSilenceTimeout)
+	ts.IdleTimeout = cmp.Or(ts.IdleTimeout, defaultIdleTimeout)
+	ts.HelloTimeout = cmp.Or(ts.HelloTimeout, defaultHelloTimeout)
+	ts.BodyTimeout = cmp.Or(ts.BodyTimeout, defaultBodyTimeout)
+	ts.WriteTimeout = cmp.Or(ts.WriteTimeout, defaultWriteTimeout)
+	ts.LinkTimeout = cmp.Or(ts.LinkTimeout, defaultLinkTimeout)
+	ts.MaxMessageAge = cmp.Or(ts.MaxMessageAge, defaultMaxMessageAge)
+	ts.MinBackoff = cmp.Or(ts.MinBackoff, defaultMinBackoff)
 	ts.MaxBackoff = cmp.Or(ts.MaxBackoff, defaultMaxBackoff)
 }
 
 // Bounds limit what the peers can take up. The zero value of each stands for
 // its default.
 type Bounds struct {
-	// Links bounds the known hosts, Sessions those with a session.
-	Links, Sessions int
-	// Handshakes bounds the connections that have not proved who they are.
-	Handshakes int
-	// Streams bounds the requests of one session in one direction.
-	Streams int
-	// Queue bounds the control messages that wait for one peer.
-	Queue int
-	// Body bounds the body of a request.
-	Body ident.Bytes
+	// MaxLinks bounds the known hosts, MaxSessions those with a session.
+	MaxLinks, MaxSessions int
+	// MaxHandshakes bounds the connections that have not proved who they are.
+	MaxHandshakes int
+	// MaxStreams bounds the requests of one session in one direction.
+	MaxStreams int
+	// MaxQueued bounds the control messages that wait for one peer.
+	MaxQueued int
+	// MaxBodyBytes bounds the body of a request.
+	MaxBodyBytes ident.Bytes
 }
 
 const (
-	defaultLinks      = 4096
-	defaultSessions   = 1024
-	defaultHandshakes = 64
-	defaultStreams    = 256
-	defaultQueue      = 32
-	defaultBodyBytes  = 8 << 20
+	defaultMaxLinks      = 4096
+	defaultMaxSessions   = 1024
+	defaultMaxHandshakes = 64
+	defaultMaxStreams    = 256
+	defaultMaxQueued     = 32
+	defaultMaxBodyBytes  = 8 << 20
 )
 
-func (bs *Bounds) fill() {
-	bs.Links = cmp.Or(bs.Links, defaultLinks)
-	bs.Sessions = cmp.Or(bs.Sessions, defaultSessions)
-	bs.Handshakes = cmp.Or(bs.Handshakes, defaultHandshakes)
-	bs.Streams = cmp.Or(bs.Streams, defaultStreams)
-	bs.Queue = cmp.Or(bs.Queue, defaultQueue)
-	bs.Body = cmp.Or(bs.Body, defaultBodyBytes)
+func (bs *Bounds) setDefaults() {
+	bs.MaxLinks = cmp.Or(bs.MaxLinks, defaultMaxLinks)
+	bs.MaxSessions = cmp.Or(bs.MaxSessions, defaultMaxSessions)
+	bs.MaxHandshakes = cmp.Or(bs.MaxHandshakes, defaultMaxHandshakes)
+	bs.MaxStreams = cmp.Or(bs.MaxStreams, defaultMaxStreams)
+	bs.MaxQueued = cmp.Or(bs.MaxQueued, defaultMaxQueued)
+	bs.MaxBodyBytes = cmp.Or(bs.MaxBodyBytes, defaultMaxBodyBytes)
 }
 
 // counters count what an operator should see when links misbehave.
--- a/internal/peer/carry.go
+++ b/internal/peer/carry.go
@@ -11,16 +11,16 @@
 func (m *Mesh) Send(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.SendDigest:
-		m.cast(e.To, &wire.Frame{Body: &wire.Frame_Digest{Digest: wire.FromDigest(e.Digest)}}, true)
+		m.broadcast(e.To, &wire.Frame{Body: &wire.Frame_Digest{Digest: wire.FromDigest(e.Digest)}}, true)
 	case event.SendSummary:
-		m.cast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_Summary{Summary: wire.FromSummary(e.Summary)}}, true)
+		m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_Summary{Summary: wire.FromSummary(e.Summary)}}, true)
 	case event.SendChanges:
-		m.cast(e.To, &wire.Frame{Body: &wire.Frame_Changes{Changes: wire.FromChanges(e.Changes)}}, false)
+		m.broadcast(e.To, &wire.Frame{Body: &wire.Frame_Changes{Changes: wire.FromChanges(e.Changes)}}, false)
 	case event.SendSnapshot:
-		m.queue(e.To, item{book: e.Book})
+		m.enqueue(e.To, item{book: e.Book})
 	case event.AskChanges:
 		ask := &wire.ChangesWanted{After: uint64(e.After)}
-		m.cast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_ChangesWanted{ChangesWanted: ask}}, false)
+		m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_ChangesWanted{ChangesWanted: ask}}, false)
 	case event.AskBar:
 		m.askBar(e)
 	case event.AnswerBar:
@@ -35,18 +35,18 @@
 func (m *Mesh) askBar(e event.AskBar) {
 	l := m.link(e.To.ID)
 	if l == nil || e.Attempt.Entry != m.cfg.Self.ID {
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 		return
 	}
-	l.ask(e.Attempt)
-	m.cast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_BarAsk{BarAsk: wire.FromBarAsk(e)}}, false)
+	l.addBarQuery(e.Attempt)
+	m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_BarAsk{BarAsk: wire.FromBarAsk(e)}}, false)
 }
 
 // answerBar answers on the link that the question came by. The name is all
 // that the reducer knows of the asker.
 func (m *Mesh) answerBar(e event.AnswerBar) {
 	if e.Attempt.Entry != e.To {
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 		return
 	}
 	frame, ok := m.encode(&wire.Frame{Body: &wire.Frame_BarAnswer{BarAnswer: wire.FromBarAnswer(e)}})
@@ -58,31 +58,31 @@
 	}
 }
 
-// cast encodes a message once and queues it for each host.
-func (m *Mesh) cast(to []event.Host, f *wire.Frame, ages bool) {
+// broadcast encodes a message once and queues it for each host.
+func (m *Mesh) broadcast(to []event.Host, f *wire.Frame, ages bool) {
 	frame, ok := m.encode(f)
 	if !ok {
 		return
 	}
 	for _, h := range to {
-		m.queue(h, item{frame: frame, ages: ages})
+		m.enqueue(h, item{frame: frame, expires: ages})
 	}
 }
 
-func (m *Mesh) queue(h event.Host, it item) {
+func (m *Mesh) enqueue(h event.Host, it item) {
 	l := m.link(h.ID)
 	if l == nil {
 		return
 	}
 	l.push(it)
-	l.want(h, false)
+	l.ensureSession(h, false)
 }
 
 func (m *Mesh) encode(f *wire.Frame) ([]byte, bool) {
 	b, err := wire.Encode(f)
 	if err != nil || len(b) > wire.MaxFrame {
 		m.cfg.Log.Info("message not sent", "bytes", len(b), "reason", "it is malformed or too large")
-		m.cnt.messagesDropped.Inc(1)
+		m.counters.messagesDropped.Inc(1)
 		return nil, false
 	}
 	return b, true
@@ -113,7 +113,7 @@
 		return m.receiveBarAnswer(from.ID, b.BarAnswer)
 	default:
 		// A newer version may say what this one does not know.
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 	}
 	return nil
 }
@@ -121,8 +121,8 @@
 // receiveDigest accepts a digest of the own data centre only: the reducer counts
 // who sends one among the hosts that share its targets.
 func (m *Mesh) receiveDigest(from event.Host, d *wire.Digest) {
-	if !m.near(from) {
-		m.cnt.rejected.Inc(1)
+	if !m.isLocal(from) {
+		m.counters.rejected.Inc(1)
 		return
 	}
 	m.post(event.DigestReceived{Digest: d.ToEvent(from)})
@@ -130,7 +130,7 @@
 
 func (m *Mesh) receiveSummary(from ident.EntryID, s event.Summary) error {
 	if s.From != from {
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 		return nil
 	}
 	m.post(event.SummaryReceived{Summary: s})
@@ -146,8 +146,8 @@
 		return err
 	}
 	l := m.link(from)
-	if l == nil || !l.answered(ans) {
-		m.cnt.rejected.Inc(1)
+	if l == nil || !l.takeBarAnswer(ans) {
+		m.counters.rejected.Inc(1)
 		return nil
 	}
 	m.post(ans)
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -16,50 +16,50 @@
 
 // dialler dials one host until a session stands or it is no longer wanted.
 type dialler struct {
-	m *Mesh
-	l *link
+	m    *Mesh
+	link *link
 }
 
 func (d *dialler) run() error {
-	ctx := d.m.t.Context(context.Background())
+	ctx := d.m.tasks.Context(context.Background())
 	for {
-		addr, wait, ok := d.next()
+		addr, wait, ok := d.nextDial()
 		if !ok {
 			return nil
 		}
-		if !d.pause(wait) {
+		if !d.sleep(wait) {
 			return nil
 		}
 		err := d.dial(ctx, addr)
-		if d.done(err) {
+		if d.recordResult(err) {
 			return nil
 		}
-		d.m.cfg.Log.V(1).Info("peer not reached", "entry", d.l.id, "addr", addr, "reason", err.Error())
+		d.m.cfg.Log.V(1).Info("peer not reached", "entry", d.link.id, "addr", addr, "reason", err.Error())
 	}
 }
 
-// next returns where to dial and how long to wait before.
-func (d *dialler) next() (string, time.Duration, bool) {
-	l := d.l
+// nextDial returns where to dial and how long to wait before.
+func (d *dialler) nextDial() (string, time.Duration, bool) {
+	l := d.link
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.sessions) > 0 || !l.needed(d.m.cfg.Clock.Now()) {
+	if len(l.sessions) > 0 || !l.isNeeded(d.m.cfg.Clock.Now()) {
 		l.dialling = false
 		return "", 0, false
 	}
-	return l.host.PeerAddr, backoff(d.m.cfg.Times, l.fails), true
+	return l.host.PeerAddr, backoff(d.m.cfg.Timing, l.failures), true
 }
 
 // backoff grows with the failures. It is spread over its whole length: hosts
 // that lose each other at one moment, as when a partition heals, would else
 // dial each other at one moment, again and again.
-func backoff(ts Times, fails int) time.Duration {
+func backoff(ts Timing, fails int) time.Duration {
 	if fails == 0 {
 		return 0
 	}
 	most := ts.MaxBackoff
 	if fails < maxDoublings {
-		most = min(most, ts.Backoff<<(fails-1))
+		most = min(most, ts.MinBackoff<<(fails-1))
 	}
 	return time.Duration(rand.Int64N(int64(most))) + 1
 }
@@ -67,42 +67,42 @@
 // maxDoublings keeps the shift from overflowing.
 const maxDoublings = 16
 
-func (d *dialler) pause(wait time.Duration) bool {
+func (d *dialler) sleep(wait time.Duration) bool {
 	sub := d.m.cfg.Clock.At(d.m.cfg.Clock.Now().Add(wait))
 	defer sub.Close()
 	select {
 	case <-sub.C():
 		return true
-	case <-d.m.t.Dying():
+	case <-d.m.tasks.Dying():
 		return false
 	}
 }
 
-// done notes how a dial ended and reports whether it was the last. A session
+// recordResult notes how a dial ended and reports whether it was the last. A session
 // that ends at once counts as a failure too, until it has lasted a while.
-func (d *dialler) done(err error) bool {
-	l := d.l
+func (d *dialler) recordResult(err error) bool {
+	l := d.link
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fails++
+	l.failures++
 	if err != nil {
 		return false
 	}
 	l.dialling = false
-	if len(l.sessions) == 0 && l.needed(d.m.cfg.Clock.Now()) {
-		l.dial()
+	if len(l.sessions) == 0 && l.isNeeded(d.m.cfg.Clock.Now()) {
+		l.startDialling()
 	}
 	return true
 }
 
 func (d *dialler) dial(ctx context.Context, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, d.m.cfg.Times.Hello)
+	ctx, cancel := context.WithTimeout(ctx, d.m.cfg.Timing.HelloTimeout)
 	defer cancel()
 	raw, err := d.m.dialer().DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return errors.Wrap(ErrLink, err.Error())
 	}
-	c := &connector{m: d.m, raw: newPulse(d.m, raw), dialled: true, expect: d.l.id}
+	c := &connector{m: d.m, raw: newActivityConn(d.m, raw), dialled: true, expectedID: d.link.id}
 	if err := c.connect(ctx); err != nil {
 		_ = c.raw.Close()
 		return err
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// run accepts connections.
-func (m *Mesh) run() error {
+// acceptLoop accepts connections.
+func (m *Mesh) acceptLoop() error {
 	for {
 		raw, err := m.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -124,12 +124,12 @@
 		select {
 		case m.handshakes <- struct{}{}:
 		default:
-			m.cnt.full.Inc(1)
+			m.counters.full.Inc(1)
 			_ = raw.Close()
 			continue
 		}
-		c := &connector{m: m, raw: newPulse(m, raw)}
-		if !m.start(c.run) {
+		c := &connector{m: m, raw: newActivityConn(m, raw)}
+		if !m.spawn(c.run) {
 			_ = raw.Close()
 		}
 	}
@@ -141,11 +141,11 @@
 // for good.
 func (m *Mesh) acceptFailed(err error) {
 	m.cfg.Log.Error(err, "a peer could not connect")
-	sub := m.cfg.Clock.At(m.cfg.Clock.Now().Add(m.cfg.Times.Backoff))
+	sub := m.cfg.Clock.At(m.cfg.Clock.Now().Add(m.cfg.Timing.MinBackoff))
 	defer sub.Close()
 	select {
 	case <-sub.C():
-	case <-m.t.Dying():
+	case <-m.tasks.Dying():
 	}
 }
 
@@ -153,22 +153,22 @@
 // who they are.
 type connector struct {
 	m       *Mesh
-	raw     *pulse
+	raw     *activityConn
 	conn    net.Conn
 	dialled bool
-	// expect is whom this host has dialled.
-	expect ident.EntryID
+	// expectedID is whom this host has dialled.
+	expectedID ident.EntryID
 
-	s session
+	session session
 }
 
 // run takes in one incoming connection.
 func (c *connector) run() error {
 	defer func() { <-c.m.handshakes }()
-	ctx, cancel := context.WithTimeout(c.m.t.Context(context.Background()), c.m.cfg.Times.Hello)
+	ctx, cancel := context.WithTimeout(c.m.tasks.Context(context.Background()), c.m.cfg.Timing.HelloTimeout)
 	defer cancel()
 	if err := c.connect(ctx); err != nil {
-		c.m.cnt.refused.Inc(1)
+		c.m.counters.refused.Inc(1)
 		c.m.cfg.Log.Info("peer refused", "addr", c.raw.RemoteAddr(), "reason", err.Error())
 		_ = c.raw.Close()
 	}
@@ -180,146 +180,146 @@
 func (c *connector) connect(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.raw.Close() })
 	defer stop()
-	if err := c.secure(ctx); err != nil {
+	if err := c.handshakeTLS(ctx); err != nil {
 		return err
 	}
-	if err := c.hello(ctx); err != nil {
+	if err := c.exchangeHello(ctx); err != nil {
 		return err
 	}
 	if !stop() {
 		return ErrLink
 	}
-	return c.begin()
+	return c.startSession()
 }
 
-// secure proves the certificates of both sides.
-func (c *connector) secure(ctx context.Context) error {
+// handshakeTLS proves the certificates of both sides.
+func (c *connector) handshakeTLS(ctx context.Context) error {
 	c.conn = c.raw
 	if c.m.cfg.Keys == nil {
 		return nil
 	}
-	ks := c.m.cfg.Keys.read()
-	conn := ks.wrap(c.raw, c.expect, c.dialled)
+	ks := c.m.cfg.Keys.refresh()
+	conn := ks.tlsConn(c.raw, c.expectedID, c.dialled)
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return errors.Wrap(ErrRefused, err.Error())
 	}
-	c.s.state = conn.ConnectionState()
-	c.conn = &closer{Conn: conn, raw: c.raw}
+	c.session.tlsState = conn.ConnectionState()
+	c.conn = &tlsConn{Conn: conn, raw: c.raw}
 	return nil
 }
 
-// hello opens the control stream and says on it who is at each end.
-func (c *connector) hello(ctx context.Context) error {
-	if err := c.open(ctx); err != nil {
+// exchangeHello opens the control stream and says on it who is at each end.
+func (c *connector) exchangeHello(ctx context.Context) error {
+	if err := c.openControl(ctx); err != nil {
 		return errors.Wrap(ErrLink, err.Error())
 	}
-	c.s.in = bufio.NewReader(c.s.ctl)
+	c.session.reader = bufio.NewReader(c.session.control)
 	mine := &wire.Frame{Body: &wire.Frame_Hello{Hello: &wire.Hello{
-		Version: wire.Version, Host: wire.FromHost(c.m.host()),
+		Version: wire.Version, Host: wire.FromHost(c.m.selfHost()),
 	}}}
 	if c.dialled {
-		if err := wire.Write(c.s.ctl, mine); err != nil {
+		if err := wire.Write(c.session.control, mine); err != nil {
 			return err
 		}
 	}
 	f := &wire.Frame{}
-	if err := wire.Read(c.s.in, f, wire.MaxHello); err != nil {
+	if err := wire.Read(c.session.reader, f, wire.MaxHello); err != nil {
 		return errors.Wrap(ErrRefused, err.Error())
 	}
-	if err := c.judge(f.GetHello()); err != nil {
+	if err := c.verifyHello(f.GetHello()); err != nil {
 		return err
 	}
 	if c.dialled {
 		return nil
 	}
-	return wire.Write(c.s.ctl, mine)
+	return wire.Write(c.session.control, mine)
 }
 
-func (c *connector) open(ctx context.Context) error {
+func (c *connector) openControl(ctx context.Context) error {
 	var err error
 	if c.dialled {
-		if c.s.mux, err = yamux.Client(&joiner{Conn: c.conn}, c.muxConfig()); err != nil {
+		if c.session.mux, err = yamux.Client(&frameJoiner{Conn: c.conn}, c.yamuxConfig()); err != nil {
 			return err
 		}
-		c.s.ctl, err = c.s.mux.OpenStream()
+		c.session.control, err = c.session.mux.OpenStream()
 		return err
 	}
-	if c.s.mux, err = yamux.Server(&joiner{Conn: c.conn}, c.muxConfig()); err != nil {
+	if c.session.mux, err = yamux.Server(&frameJoiner{Conn: c.conn}, c.yamuxConfig()); err != nil {
 		return err
 	}
-	c.s.ctl, err = c.s.mux.AcceptStreamWithContext(ctx)
+	c.session.control, err = c.session.mux.AcceptStreamWithContext(ctx)
 	return err
 }
 
-// judge believes a hello only as far as the certificate bears it out. The
+// verifyHello believes a hello only as far as the certificate bears it out. The
 // name decides whose attempts a peer may ask about and whose digests it may
 // send, so that a host must not be able to take another's.
-func (c *connector) judge(h *wire.Hello) error {
+func (c *connector) verifyHello(h *wire.Hello) error {
 	host := h.GetHost().ToEvent()
 	if h.GetVersion() != wire.Version {
 		return errors.Wrapf(ErrRefused, "protocol version %d", h.GetVersion())
 	}
-	if host.ID == "" || host.ID == c.m.cfg.Self.ID || (c.dialled && host.ID != c.expect) {
+	if host.ID == "" || host.ID == c.m.cfg.Self.ID || (c.dialled && host.ID != c.expectedID) {
 		return errors.Wrapf(ErrRefused, "the host says that it is %q", host.ID)
 	}
 	if c.m.cfg.Keys != nil {
-		if err := nameFits(c.s.state, host.ID); err != nil {
+		if err := verifyName(c.session.tlsState, host.ID); err != nil {
 			return err
 		}
 	}
-	c.s.host = host
+	c.session.host = host
 	return nil
 }
 
-// begin hands the session to its goroutines.
-func (c *connector) begin() error {
-	s := &c.s
+// startSession hands the session to its goroutines.
+func (c *connector) startSession() error {
+	s := &c.session
 	l := c.m.link(s.host.ID)
-	if l == nil || int(c.m.sessions.Add(1)) > c.m.cfg.Bounds.Sessions {
+	if l == nil || int(c.m.sessions.Add(1)) > c.m.cfg.Bounds.MaxSessions {
 		c.m.sessions.Add(-1)
-		c.m.cnt.full.Inc(1)
+		c.m.counters.full.Inc(1)
 		return ErrFull
 	}
 	now := c.m.cfg.Clock.Now()
-	s.m, s.l, s.raw, s.dialled, s.since = c.m, l, c.raw, c.dialled, now
-	s.poke = make(chan struct{}, 1)
-	s.used.Store(int64(now))
+	s.m, s.link, s.conn, s.dialled, s.startedAt = c.m, l, c.raw, c.dialled, now
+	s.wakeup = make(chan struct{}, 1)
+	s.lastUsed.Store(int64(now))
 	if err := l.add(s); err != nil {
 		c.m.sessions.Add(-1)
 		return err
 	}
-	w, a := &sender{s: s}, &accepter{s: s}
-	if !c.m.start(s.run) || !c.m.start(w.run) || !c.m.start(a.run) {
+	w, a := &sender{session: s}, &acceptor{session: s}
+	if !c.m.spawn(s.run) || !c.m.spawn(w.run) || !c.m.spawn(a.run) {
 		return ErrLink
 	}
 	return nil
 }
 
-// muxConfig turns the library's own keep-alive off: tend does better, as it
+// yamuxConfig turns the library's own keep-alive off: tend does better, as it
 // pings only where nothing else is said.
-func (c *connector) muxConfig() *yamux.Config {
+func (c *connector) yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false
-	cfg.ConnectionWriteTimeout = c.m.cfg.Times.FarSilence
-	cfg.StreamCloseTimeout = c.m.cfg.Times.Part
+	cfg.ConnectionWriteTimeout = c.m.cfg.Timing.RemoteSilenceTimeout
+	cfg.StreamCloseTimeout = c.m.cfg.Timing.WriteTimeout
 	cfg.LogOutput = nil
-	cfg.Logger = muxLog{m: c.m}
+	cfg.Logger = yamuxLogger{m: c.m}
 	return cfg
 }
 
-// muxLog takes the lines of the session library.
-type muxLog struct{ m *Mesh }
+// yamuxLogger takes the lines of the session library.
+type yamuxLogger struct{ m *Mesh }
 
 // Print logs one line.
-func (g muxLog) Print(v ...any) { g.line("%v", v...) }
+func (g yamuxLogger) Print(v ...any) { g.log("%v", v...) }
 
 // Println logs one line.
-func (g muxLog) Println(v ...any) { g.line("%v", v...) }
+func (g yamuxLogger) Println(v ...any) { g.log("%v", v...) }
 
 // Printf logs one line.
-func (g muxLog) Printf(format string, v ...any) { g.line(format, v...) }
+func (g yamuxLogger) Printf(format string, v ...any) { g.log(format, v...) }
 
-func (g muxLog) line(format string, v ...any) {
+func (g yamuxLogger) log(format string, v ...any) {
 	g.m.cfg.Log.V(1).Info("peer session library", "text", errors.Errorf(format, v...).Error())
 }
 
--- a/internal/peer/forward_test.go
+++ b/internal/peer/forward_test.go
@@ -35,7 +35,7 @@
 	var mu sync.Mutex
 	var got event.Request
 	var call serve.Call
-	x, y := pair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
+	x, y := startPair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
 		mu.Lock()
 		got, call = r, c
 		mu.Unlock()
@@ -48,8 +48,8 @@
 		if diff := cmp.Diff(want, end); diff != "" {
 			t.Errorf("end with %d bytes (-want +got):\n%s", n, diff)
 		}
-		if a.body.String() != body || a.sent != 1 || a.status != 200 {
-			t.Errorf("%d bytes: got %d, sent %d times, status %d", n, a.body.Len(), a.sent, a.status)
+		if a.body.String() != body || a.sentCalls != 1 || a.status != 200 {
+			t.Errorf("%d bytes: got %d, sent %d times, status %d", n, a.body.Len(), a.sentCalls, a.status)
 		}
 	}
 	mu.Lock()
@@ -69,10 +69,10 @@
 // The body of a request is sent to a host that refuses it.
 func TestRefusedBodyIsNotSent(t *testing.T) {
 	const secret = "a long memory that may not leave its home"
-	x, y := pair(t, Config{}, Config{}, func(_ context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
+	x, y := startPair(t, Config{}, Config{}, func(_ context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
 		sink.Refuse(event.Refuse{Code: codes.OutsideResidency.ID, Outcome: event.NotRun, RetryAfter: 2 * time.Second})
 	})
-	linked(t, x, y)
+	awaitLinked(t, x, y)
 	before := x.count("bytesOut")
 	body := strings.Repeat(secret, 1000)
 	_, end := forward(t.Context(), x, y, body, nil)
@@ -88,13 +88,13 @@
 }
 
 // An answer that breaks off is delivered as whole.
-func TestHalfAnswerIsNeverWhole(t *testing.T) {
+func TestTruncatedAnswerIsBroken(t *testing.T) {
 	half := func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
 		sink.Begin(200, nil)
 		_ = sink.Data([]byte("half"), 1)
 	}
-	x, y := pair(t, Config{}, Config{}, half)
+	x, y := startPair(t, Config{}, Config{}, half)
 	a, end := forward(t.Context(), x, y, "body", nil)
 	want := event.AttemptEnded{Result: event.ResultBroken, Resumable: true, Delivered: 1, Generated: 1}
 	if diff := cmp.Diff(want, end); diff != "" {
@@ -103,17 +103,17 @@
 }
 
 // An answer that lacks a part is delivered as whole.
-func TestDoneOfMoreBytesIsBroken(t *testing.T) {
-	c := &pass{begun: true, bodySent: true, bytes: 3}
-	end := c.judge(wire.FromEnd(event.AttemptEnded{Result: event.ResultDone}, 4))
+func TestByteCountMismatchIsBroken(t *testing.T) {
+	c := &outboundRequest{answerBegun: true, bodySent: true, receivedBytes: 3}
+	end := c.checkEnd(wire.FromEnd(event.AttemptEnded{Result: event.ResultDone}, 4))
 	if diff := cmp.Diff(event.ResultBroken, end.Result); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
 	}
 }
 
 // A request is run again after a part of its answer has come.
-func TestNotRunAfterDataIsNotBelieved(t *testing.T) {
-	x, y := pair(t, Config{}, Config{}, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+func TestNotRunAfterBeginIsBroken(t *testing.T) {
+	x, y := startPair(t, Config{}, Config{}, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
 		sink.Begin(200, nil)
 		sink.Refuse(event.Refuse{Code: codes.Draining.ID, Outcome: event.NotRun})
@@ -127,22 +127,22 @@
 // A request without a link is not reported as not run.
 func TestNoLinkIsNotRun(t *testing.T) {
 	x := startNode(t, Config{
-		Self: hostAt("uvs-1", "uvs", ports.Next()), Times: Times{Link: 50 * time.Millisecond},
+		Self: newHost("uvs-1", "uvs", ports.Next()), Timing: Timing{LinkTimeout: 50 * time.Millisecond},
 	}, nil)
-	y := &node{Mesh: New(Config{Self: hostAt("uvs-2", "uvs", ports.Next())})}
+	y := &testNode{Mesh: New(Config{Self: newHost("uvs-2", "uvs", ports.Next())})}
 	a, end := forward(t.Context(), x, y, "body", nil)
 	want := event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	if diff := cmp.Diff(want, end); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
-	if a.sent != 0 {
+	if a.sentCalls != 0 {
 		t.Error("sent was called")
 	}
 }
 
 // A host bars an attempt of another host.
 func TestForeignAttemptIsRefused(t *testing.T) {
-	x, y := pair(t, Config{}, Config{}, echo)
+	x, y := startPair(t, Config{}, Config{}, echo)
 	a, end := forward(t.Context(), x, y, "body", func(p *serve.Passed) { p.Forward.Envelope.Attempt.Entry = "uvs-3" })
 	want := event.AttemptEnded{Result: event.ResultNotRun, Code: codes.ForgedEnvelope.ID}
 	if diff := cmp.Diff(want, end); diff != "" {
@@ -158,7 +158,7 @@
 	for _, once := range []bool{false, true} {
 		began, left := make(chan struct{}), make(chan bool, 1)
 		gate := make(chan struct{})
-		x, y := pair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+		x, y := startPair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 			_, _ = c.ReadBody()
 			close(began)
 			if !once {
@@ -172,7 +172,7 @@
 			sink.Finish(event.Done)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		l := &leaver{began: began, cancel: cancel}
+		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
 		_, end := forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = once })
 		if diff := cmp.Diff(event.ResultBroken, end.Result); diff != "" {
@@ -186,17 +186,17 @@
 }
 
 // A queued request runs after its caller has left.
-func TestCallerLeavesWhileItsRequestWaits(t *testing.T) {
+func TestCallerLeavesWhileQueued(t *testing.T) {
 	for _, confined := range []bool{false, true} {
 		began, left := make(chan struct{}), make(chan struct{})
-		x, y := pair(t, Config{Confined: func(ident.Profile) bool { return confined }}, Config{}, func(ctx context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
+		x, y := startPair(t, Config{Confined: func(ident.Profile) bool { return confined }}, Config{}, func(ctx context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
 			close(began)
 			<-ctx.Done()
 			close(left)
 			sink.Refuse(event.Refuse{Code: codes.Overloaded.ID, Outcome: event.NotRun})
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		l := &leaver{began: began, cancel: cancel}
+		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
 		forward(ctx, x, y, "body", nil)
 		select {
@@ -208,10 +208,10 @@
 }
 
 // A queued call runs after its caller got a failure.
-func TestCallerLeavesWhileItsBookingWaits(t *testing.T) {
+func TestCallerLeavesWhileOnceCallQueued(t *testing.T) {
 	for range 10 {
 		began, read := make(chan struct{}), make(chan error, 1)
-		x, y := pair(t, Config{Confined: func(ident.Profile) bool { return false }}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+		x, y := startPair(t, Config{Confined: func(ident.Profile) bool { return false }}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 			close(began)
 			select {
 			case <-ctx.Done():
@@ -223,7 +223,7 @@
 			sink.Refuse(event.Refuse{Code: codes.BadRequest.ID, Outcome: event.NotRun})
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		l := &leaver{began: began, cancel: cancel}
+		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
 		forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = true })
 		if err := <-read; err == nil {
@@ -232,20 +232,20 @@
 	}
 }
 
-// leaver is a caller that leaves once its request runs.
-type leaver struct {
-	began  <-chan struct{}
-	cancel func()
+// leavingCaller is a caller that leaves once its request runs.
+type leavingCaller struct {
+	began <-chan struct{}
+	leave func()
 }
 
-func (l *leaver) run() {
+func (l *leavingCaller) run() {
 	<-l.began
-	l.cancel()
+	l.leave()
 }
 
 // A body beyond the limit fills the memory.
 func TestHugeBodyIsRefused(t *testing.T) {
-	x, y := pair(t, Config{}, Config{Bounds: Bounds{Body: ident.Bytes(100_000)}}, echo)
+	x, y := startPair(t, Config{}, Config{Bounds: Bounds{MaxBodyBytes: ident.Bytes(100_000)}}, echo)
 	_, end := forward(t.Context(), x, y, strings.Repeat("x", 200_000), nil)
 	if diff := cmp.Diff(event.ResultNotRun, end.Result); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
@@ -255,12 +255,12 @@
 // Requests beyond the bound of a session wait without end.
 func TestStreamsAreBounded(t *testing.T) {
 	gate, began := make(chan struct{}), make(chan struct{}, 1)
-	x, y := pair(t, Config{}, Config{Bounds: Bounds{Streams: 1}}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
+	x, y := startPair(t, Config{}, Config{Bounds: Bounds{MaxStreams: 1}}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
 		began <- struct{}{}
 		<-gate
 		echo(ctx, c, r, s)
 	})
-	first := &job{x: x, y: y, end: make(chan event.AttemptEnded, 1)}
+	first := &forwardJob{x: x, y: y, end: make(chan event.AttemptEnded, 1)}
 	go first.run()
 	<-began
 	_, end := forward(t.Context(), x, y, "body", nil)
@@ -273,13 +273,13 @@
 	}
 }
 
-// job is a request that is passed on beside others.
-type job struct {
-	x, y *node
+// forwardJob is a request that is passed on beside others.
+type forwardJob struct {
+	x, y *testNode
 	end  chan event.AttemptEnded
 }
 
-func (j *job) run() {
+func (j *forwardJob) run() {
 	_, end := forward(context.Background(), j.x, j.y, "body", nil)
 	j.end <- end
 }
--- a/internal/peer/join.go
+++ b/internal/peer/join.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// joiner writes the header and the body of a session frame as one. The session
+// frameJoiner writes the header and the body of a session frame as one. The session
 // library writes them apart, and without this each would be a record of TLS
 // and a packet of its own: for a token of a stream, twice the packets.
 //
@@ -13,38 +13,38 @@
 // the second is the type and the last four are the length. Only a data frame
 // has a body, and one with a length is always followed by it. One goroutine
 // of the library does all the writing.
-type joiner struct {
+type frameJoiner struct {
 	net.Conn
-	held []byte
+	pending []byte
 }
 
 // The form of a frame's header.
 const (
-	headerSize = 12
-	typeAt     = 1
-	lengthAt   = 8
-	typeData   = 0
+	headerSize   = 12
+	typeOffset   = 1
+	lengthOffset = 8
+	dataFrame    = 0
 )
 
 // Write holds the header of a data frame back until its body comes.
-func (j *joiner) Write(b []byte) (int, error) {
-	if len(j.held) == 0 && hasBody(b) {
-		j.held = append(j.held, b...)
+func (j *frameJoiner) Write(b []byte) (int, error) {
+	if len(j.pending) == 0 && precedesBody(b) {
+		j.pending = append(j.pending, b...)
 		return len(b), nil
 	}
-	if len(j.held) == 0 {
+	if len(j.pending) == 0 {
 		return j.Conn.Write(b)
 	}
-	j.held = append(j.held, b...)
-	_, err := j.Conn.Write(j.held)
-	j.held = j.held[:0]
+	j.pending = append(j.pending, b...)
+	_, err := j.Conn.Write(j.pending)
+	j.pending = j.pending[:0]
 	if err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
 
-func hasBody(header []byte) bool {
-	return len(header) == headerSize && header[typeAt] == typeData &&
-		binary.BigEndian.Uint32(header[lengthAt:]) > 0
+func precedesBody(header []byte) bool {
+	return len(header) == headerSize && header[typeOffset] == dataFrame &&
+		binary.BigEndian.Uint32(header[lengthOffset:]) > 0
 }
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -21,23 +21,23 @@
 	CertFile, KeyFile, CAFile string
 	Log                       logr.Logger
 
-	mu  sync.Mutex
-	now keySet
+	mu      sync.Mutex
+	current keySet
 }
 
 // keySet is what the files held when they were last read and fitted together.
 type keySet struct {
-	texts [3][]byte
-	// failed holds the texts that did not fit together, so that each is
+	files [3][]byte
+	// rejected holds the texts that did not fit together, so that each is
 	// logged once.
-	failed [3][]byte
-	cert   tls.Certificate
-	pool   *x509.CertPool
+	rejected [3][]byte
+	cert     tls.Certificate
+	pool     *x509.CertPool
 }
 
-// Open reads the files for the first time and fails where they are not whole.
-func (k *Keys) Open() error {
-	texts, err := k.texts()
+// Load reads the files for the first time and fails where they are not whole.
+func (k *Keys) Load() error {
+	texts, err := k.readFiles()
 	if err != nil {
 		return err
 	}
@@ -47,34 +47,34 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.now = now
+	k.current = now
 	return nil
 }
 
-// read returns the newest keys that fit together. The files are compared by
+// refresh returns the newest keys that fit together. The files are compared by
 // what they hold: a copy that is put in place may have any time stamp. Files
 // that are half written, or a key that is in place before its certificate,
 // leave the old ones in force; otherwise the host could reach nobody between
 // two steps of whoever replaces them.
-func (k *Keys) read() keySet {
-	texts, err := k.texts()
+func (k *Keys) refresh() keySet {
+	texts, err := k.readFiles()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err != nil || equalTexts(texts, k.now.texts) || equalTexts(texts, k.now.failed) {
-		return k.now
+	if err != nil || equalFiles(texts, k.current.files) || equalFiles(texts, k.current.rejected) {
+		return k.current
 	}
 	next, err := parseKeys(texts)
 	if err != nil {
-		k.now.failed = texts
+		k.current.rejected = texts
 		k.Log.Info("peer keys not taken over", "reason", err.Error())
-		return k.now
+		return k.current
 	}
-	k.now = next
+	k.current = next
 	k.Log.Info("peer keys taken over", "certFile", k.CertFile)
-	return k.now
+	return k.current
 }
 
-func (k *Keys) texts() ([3][]byte, error) {
+func (k *Keys) readFiles() ([3][]byte, error) {
 	var ts [3][]byte
 	for n, name := range []string{k.CertFile, k.KeyFile, k.CAFile} {
 		b, err := os.ReadFile(name)
@@ -86,7 +86,7 @@
 	return ts, nil
 }
 
-func equalTexts(x, y [3][]byte) bool {
+func equalFiles(x, y [3][]byte) bool {
 	for n := range x {
 		if !bytes.Equal(x[n], y[n]) {
 			return false
@@ -104,14 +104,14 @@
 	if !pool.AppendCertsFromPEM(ts[2]) {
 		return keySet{}, errors.Wrap(ErrKeys, "no certificate of an authority")
 	}
-	return keySet{texts: ts, cert: cert, pool: pool}, nil
+	return keySet{files: ts, cert: cert, pool: pool}, nil
 }
 
-// wrap returns a TLS connection that asks for the certificate of the other
+// tlsConn returns a TLS connection that asks for the certificate of the other
 // side, and in a connection that this host dialled, for the name in it.
 // Sessions are never resumed: a resumed one would carry on a proof that the
 // newest authority might no longer give.
-func (ks keySet) wrap(raw net.Conn, expect ident.EntryID, dialled bool) *tls.Conn {
+func (ks keySet) tlsConn(raw net.Conn, expect ident.EntryID, dialled bool) *tls.Conn {
 	cfg := &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{ks.cert}, SessionTicketsDisabled: true,
 	}
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// nameFits reports whether a certificate is that of an entry host.
-func nameFits(state tls.ConnectionState, id ident.EntryID) error {
+// verifyName reports whether a certificate is that of an entry host.
+func verifyName(state tls.ConnectionState, id ident.EntryID) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.Wrap(ErrRefused, "no certificate")
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -11,9 +11,9 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// maxAsked bounds the open questions to one host. Beyond it the oldest are
+// maxBarQueries bounds the open questions to one host. Beyond it the oldest are
 // forgotten all at once; the reducer asks again.
-const maxAsked = 4096
+const maxBarQueries = 4096
 
 // link is all that leads to one entry host: the sessions with it, mostly one,
 // and the control messages that wait.
@@ -23,44 +23,44 @@
 
 	// upMu orders PeerUp and PeerDown; ups counts the sessions reported as up.
 	// It is held while an event is posted, so that Send must never take it.
-	upMu sync.Mutex
-	ups  int
+	upMu       sync.Mutex
+	sessionsUp int
 
 	mu   sync.Mutex
 	host event.Host
 	// pinned links are dialled again for ever: those to seeds, in another
 	// data centre until they have stood once.
 	pinned bool
-	// wanted is when the link was last asked for.
-	wanted   ident.Time
+	// wantedAt is when the link was last asked for.
+	wantedAt ident.Time
 	dialling bool
-	fails    int
+	failures int
 	// sessions are in the order of their coming; the newest is used.
 	sessions []*session
 	queue    queue
-	// asked holds the attempts that "run or bar" was asked about.
-	asked value.Set[string]
-	// came is closed when a session comes.
-	came chan struct{}
+	// barQueries holds the attempts that "run or bar" was barQueries about.
+	barQueries value.Set[string]
+	// sessionAdded is closed when a session comes.
+	sessionAdded chan struct{}
 }
 
 func newLink(m *Mesh, id ident.EntryID) *link {
-	return &link{m: m, id: id, came: make(chan struct{}), queue: queue{most: m.cfg.Bounds.Queue}}
+	return &link{m: m, id: id, sessionAdded: make(chan struct{}), queue: queue{maxItems: m.cfg.Bounds.MaxQueued}}
 }
 
-// want asks for a session with a host and dials where there is none. It does
+// ensureSession asks for a session with a host and dials where there is none. It does
 // not block.
-func (l *link) want(h event.Host, pinned bool) {
+func (l *link) ensureSession(h event.Host, pinned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.learn(h)
+	l.updateHost(h)
 	l.pinned = l.pinned || pinned
-	l.wanted = l.m.cfg.Clock.Now()
-	l.dial()
+	l.wantedAt = l.m.cfg.Clock.Now()
+	l.startDialling()
 }
 
-// learn takes over what is newer about the host.
-func (l *link) learn(h event.Host) {
+// updateHost takes over what is newer about the host.
+func (l *link) updateHost(h event.Host) {
 	if h.Incarnation < l.host.Incarnation {
 		return
 	}
@@ -70,22 +70,22 @@
 	l.host = h
 }
 
-// dial starts dialling unless there is a session or it has been started.
-func (l *link) dial() {
+// startDialling starts dialling unless there is a session or it has been started.
+func (l *link) startDialling() {
 	if l.dialling || len(l.sessions) > 0 || l.host.PeerAddr == "" {
 		return
 	}
-	d := &dialler{m: l.m, l: l}
-	l.dialling = l.m.start(d.run)
+	d := &dialler{m: l.m, link: l}
+	l.dialling = l.m.spawn(d.run)
 }
 
-// needed reports whether a session should stand.
-func (l *link) needed(now ident.Time) bool {
-	return l.pinned || now.Sub(l.wanted) < l.m.cfg.Times.Idle
+// isNeeded reports whether a session should stand.
+func (l *link) isNeeded(now ident.Time) bool {
+	return l.pinned || now.Sub(l.wantedAt) < l.m.cfg.Timing.IdleTimeout
 }
 
-// active is the session in use, nil for none.
-func (l *link) active() *session {
+// activeSession is the session in use, nil for none.
+func (l *link) activeSession() *session {
 	if len(l.sessions) == 0 {
 		return nil
 	}
@@ -95,10 +95,10 @@
 func (l *link) current() (*session, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.active(), l.came
+	return l.activeSession(), l.sessionAdded
 }
 
-func (l *link) list() []*session {
+func (l *link) allSessions() []*session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.sessions)
@@ -115,7 +115,7 @@
 	}
 	// The new session is reported before the end of the old one, so that the host is not
 	// down in between.
-	s.up()
+	s.reportUp()
 	for _, old := range olds {
 		if old.host.Incarnation < s.host.Incarnation || old.dialled == s.dialled {
 			old.end("replaced")
@@ -134,35 +134,35 @@
 		}
 	}
 	olds := slices.Clone(l.sessions)
-	l.learn(s.host)
-	l.pinned = l.pinned && l.m.near(s.host)
+	l.updateHost(s.host)
+	l.pinned = l.pinned && l.m.isLocal(s.host)
 	l.sessions = append(l.sessions, s)
-	close(l.came)
-	l.came = make(chan struct{})
+	close(l.sessionAdded)
+	l.sessionAdded = make(chan struct{})
 	s.wake()
 	return olds, nil
 }
 
-// drop forgets a session that has ended and dials again if need be.
-func (l *link) drop(s *session) {
+// remove forgets a session that has ended and dials again if need be.
+func (l *link) remove(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sessions = slices.DeleteFunc(l.sessions, func(x *session) bool { return x == s })
 	now := l.m.cfg.Clock.Now()
-	if now.Sub(s.since) > l.m.cfg.Times.MaxBackoff {
-		l.fails = 0
+	if now.Sub(s.startedAt) > l.m.cfg.Timing.MaxBackoff {
+		l.failures = 0
 	}
-	if a := l.active(); a != nil {
+	if a := l.activeSession(); a != nil {
 		a.wake()
 		return
 	}
-	if l.needed(now) {
-		l.dial()
+	if l.isNeeded(now) {
+		l.startDialling()
 	}
 }
 
 func (l *link) closeAll() {
-	for _, s := range l.list() {
+	for _, s := range l.allSessions() {
 		s.end("stopping")
 	}
 }
@@ -171,11 +171,11 @@
 func (l *link) push(it item) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	it.at = l.m.cfg.Clock.Now()
+	it.queuedAt = l.m.cfg.Clock.Now()
 	if lost, ok := l.queue.push(it); ok {
-		l.m.lost(lost)
+		l.m.countDropped(lost)
 	}
-	if a := l.active(); a != nil {
+	if a := l.activeSession(); a != nil {
 		a.wake()
 	}
 }
@@ -184,7 +184,7 @@
 func (l *link) pop(s *session) (item, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.active() != s {
+	if l.activeSession() != s {
 		return item{}, false
 	}
 	for {
@@ -192,27 +192,27 @@
 		if !ok {
 			return item{}, false
 		}
-		if !it.ages || l.m.cfg.Clock.Now().Sub(it.at) < l.m.cfg.Times.Stale {
+		if !it.expires || l.m.cfg.Clock.Now().Sub(it.queuedAt) < l.m.cfg.Timing.MaxMessageAge {
 			return it, true
 		}
-		l.m.lost(it)
+		l.m.countDropped(it)
 	}
 }
 
-// tend looks after the sessions of the link.
-func (l *link) tend(now ident.Time) {
-	ss := l.list()
+// maintain looks after the sessions of the link.
+func (l *link) maintain(now ident.Time) {
+	ss := l.allSessions()
 	for _, s := range ss {
-		s.tend(now)
+		s.maintain(now)
 	}
 	if len(ss) > 1 && l.m.cfg.Self.ID > l.id {
-		endSpare(ss)
+		endDuplicate(ss)
 	}
 }
 
-// endSpare ends the session that the host with the higher name has dialled.
+// endDuplicate ends the session that the host with the higher name has dialled.
 // Both hosts know which one that is, so that they don't end both.
-func endSpare(ss []*session) {
+func endDuplicate(ss []*session) {
 	for _, s := range ss {
 		if s.dialled && s.streams.Load() == 0 {
 			s.end("spare")
@@ -220,26 +220,26 @@
 	}
 }
 
-// ask notes that "run or bar" is asked about an attempt.
-func (l *link) ask(a ident.Attempt) {
+// addBarQuery notes that "run or bar" is asked about an attempt.
+func (l *link) addBarQuery(a ident.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.asked == nil || len(l.asked) >= maxAsked {
-		l.asked = value.SetOf[string]()
+	if l.barQueries == nil || len(l.barQueries) >= maxBarQueries {
+		l.barQueries = value.SetOf[string]()
 	}
-	l.asked.Add(a.String())
+	l.barQueries.Add(a.String())
 }
 
-// answered reports whether the host was asked, and notes the answer.
-func (l *link) answered(ans event.BarAnswered) bool {
+// takeBarAnswer reports whether the host was asked, and notes the answer.
+func (l *link) takeBarAnswer(ans event.BarAnswered) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := ans.Attempt.String()
-	if !l.asked.Has(key) {
+	if !l.barQueries.Has(key) {
 		return false
 	}
 	if ans.Answer != event.Running {
-		delete(l.asked, key)
+		delete(l.barQueries, key)
 	}
 	return true
 }
--- a/internal/peer/part.go
+++ b/internal/peer/part.go
@@ -11,52 +11,52 @@
 	"verbenadale.example/verbenadale/internal/wire"
 )
 
-// part is the stream of one forwarded request.
-type part struct {
-	m  *Mesh
-	st *yamux.Stream
-	in *bufio.Reader
-	// expired says that no read or write may wait any longer.
-	expired atomic.Bool
+// requestStream is the stream of one forwarded request.
+type requestStream struct {
+	m      *Mesh
+	raw    *yamux.Stream
+	reader *bufio.Reader
+	// cancelled says that no read or write may wait any longer.
+	cancelled atomic.Bool
 }
 
-func newPart(m *Mesh, st *yamux.Stream) *part {
-	return &part{m: m, st: st, in: bufio.NewReader(st)}
+func newRequestStream(m *Mesh, st *yamux.Stream) *requestStream {
+	return &requestStream{m: m, raw: st, reader: bufio.NewReader(st)}
 }
 
 // write writes a message. A peer that does not read for long breaks the
 // stream, since it would hold this side's goroutine and answer for ever.
-func (p *part) write(msg proto.Message) error {
-	_ = p.st.SetWriteDeadline(time.Now().Add(p.m.cfg.Times.Part))
-	if p.expired.Load() {
-		p.expire()
+func (p *requestStream) write(msg proto.Message) error {
+	_ = p.raw.SetWriteDeadline(time.Now().Add(p.m.cfg.Timing.WriteTimeout))
+	if p.cancelled.Load() {
+		p.cancelIO()
 	}
-	return wire.Write(p.st, msg)
+	return wire.Write(p.raw, msg)
 }
 
-func (p *part) read() (*wire.Part, error) {
+func (p *requestStream) read() (*wire.Part, error) {
 	msg := &wire.Part{}
-	if err := wire.Read(p.in, msg, wire.MaxPart); err != nil {
+	if err := wire.Read(p.reader, msg, wire.MaxPart); err != nil {
 		return nil, err
 	}
 	return msg, nil
 }
 
-func (p *part) readWithin(d time.Duration) {
-	_ = p.st.SetReadDeadline(time.Now().Add(d))
-	if p.expired.Load() {
-		p.expire()
+func (p *requestStream) setReadTimeout(d time.Duration) {
+	_ = p.raw.SetReadDeadline(time.Now().Add(d))
+	if p.cancelled.Load() {
+		p.cancelIO()
 	}
 }
 
-// expire breaks off a read or write that waits, and all later ones.
-func (p *part) expire() {
-	p.expired.Store(true)
-	_ = p.st.SetDeadline(time.Now())
+// cancelIO breaks off a read or write that waits, and all later ones.
+func (p *requestStream) cancelIO() {
+	p.cancelled.Store(true)
+	_ = p.raw.SetDeadline(time.Now())
 }
 
-// pieces cuts a long text into what goes into one message.
-func pieces(b []byte) [][]byte {
+// splitPieces cuts a long text into what goes into one message.
+func splitPieces(b []byte) [][]byte {
 	var ps [][]byte
 	for len(b) > wire.PieceSize {
 		ps = append(ps, b[:wire.PieceSize])
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -74,8 +74,8 @@
 	Listen string
 	// Seeds are dialled before the reducer names any host.
 	Seeds []config.Seed
-	// Times and Bounds default where they are zero.
-	Times  Times
+	// Timing and Bounds default where they are zero.
+	Timing Timing
 	Bounds Bounds
 }
 
@@ -87,19 +87,19 @@
 
 // Mesh is the set of links of one entry host.
 type Mesh struct {
-	t     group.Group
-	cfg   Config
-	cnt   counters
-	ln    net.Listener
-	post  PostFunc
-	serve ServeFunc
+	tasks    group.Group
+	cfg      Config
+	counters counters
+	ln       net.Listener
+	post     PostFunc
+	serve    ServeFunc
 
 	// handshakes holds a token for each connection that has not yet proved
 	// who it is.
 	handshakes chan struct{}
 	sessions   atomic.Int32
-	// taken counts the requests of peers that run here.
-	taken atomic.Int32
+	// inboundRequests counts the requests of peers that run here.
+	inboundRequests atomic.Int32
 
 	mu     sync.Mutex
 	self   event.Host
@@ -109,12 +109,12 @@
 
 // New returns a mesh that does nothing before Start.
 func New(cfg Config) *Mesh {
-	cfg.Times.fill()
-	cfg.Bounds.fill()
+	cfg.Timing.setDefaults()
+	cfg.Bounds.setDefaults()
 	return &Mesh{
-		cfg: cfg, cnt: newCounters(cfg.Metrics), self: cfg.Self,
+		cfg: cfg, counters: newCounters(cfg.Metrics), self: cfg.Self,
 		links:      make(map[ident.EntryID]*link),
-		handshakes: make(chan struct{}, cfg.Bounds.Handshakes),
+		handshakes: make(chan struct{}, cfg.Bounds.MaxHandshakes),
 	}
 }
 
@@ -132,45 +132,45 @@
 	if err != nil {
 		return errors.Wrap(ErrLink, err.Error())
 	}
-	m.begin(ln, post, run)
+	m.startServing(ln, post, run)
 	for _, s := range m.cfg.Seeds {
-		m.seed(s)
+		m.connectSeed(s)
 	}
 	return nil
 }
 
-func (m *Mesh) begin(ln net.Listener, post PostFunc, run ServeFunc) {
+func (m *Mesh) startServing(ln net.Listener, post PostFunc, run ServeFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ln, m.post, m.serve = ln, post, run
-	m.t.Go(m.run)
-	m.t.Go(m.loop)
+	m.tasks.Go(m.acceptLoop)
+	m.tasks.Go(m.maintenanceLoop)
 }
 
 // Addr is where the mesh listens.
 func (m *Mesh) Addr() string { return m.ln.Addr().String() }
 
-// Leave marks this host as draining in the hellos of new sessions.
-func (m *Mesh) Leave() {
+// SetDraining marks this host as draining in the hellos of new sessions.
+func (m *Mesh) SetDraining() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Draining = true
 }
 
-func (m *Mesh) host() event.Host {
+func (m *Mesh) selfHost() event.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// stopPoll is how often Stop looks whether the last request has gone.
-const stopPoll = 10 * time.Millisecond
+// stopPollInterval is how often Stop looks whether the last request has gone.
+const stopPollInterval = 10 * time.Millisecond
 
 // Stop ends the links, once the last answers to peers have been taken by them
 // or ctx ends. To end them at once would cut an answer whose end frame is
 // still in a socket, and the peer would have to call it broken.
 func (m *Mesh) Stop(ctx context.Context) {
-	m.awaitTaken(ctx)
+	m.awaitInbound(ctx)
 	m.mu.Lock()
 	started := m.ln != nil
 	m.closed = true
@@ -178,18 +178,18 @@
 	if !started {
 		return
 	}
-	m.t.Kill(nil)
+	m.tasks.Kill(nil)
 	_ = m.ln.Close()
-	for _, l := range m.all() {
+	for _, l := range m.allLinks() {
 		l.closeAll()
 	}
-	_ = m.t.Wait()
+	_ = m.tasks.Wait()
 }
 
-func (m *Mesh) awaitTaken(ctx context.Context) {
-	sub := m.cfg.Clock.Every(stopPoll)
+func (m *Mesh) awaitInbound(ctx context.Context) {
+	sub := m.cfg.Clock.Every(stopPollInterval)
 	defer sub.Close()
-	for m.taken.Load() > 0 {
+	for m.inboundRequests.Load() > 0 {
 		select {
 		case <-sub.C():
 		case <-ctx.Done():
@@ -198,14 +198,14 @@
 	}
 }
 
-// start starts a goroutine, and reports false for a mesh that has stopped.
-func (m *Mesh) start(run func() error) bool {
+// spawn starts a goroutine, and reports false for a mesh that has stopped.
+func (m *Mesh) spawn(run func() error) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ln == nil || m.closed {
 		return false
 	}
-	return m.t.Go(run)
+	return m.tasks.Go(run)
 }
 
 // link returns the link to a host and makes it where there is none, nil where
@@ -218,7 +218,7 @@
 	if ok {
 		return l
 	}
-	if id == "" || id == m.self.ID || len(m.links) >= m.cfg.Bounds.Links {
+	if id == "" || id == m.self.ID || len(m.links) >= m.cfg.Bounds.MaxLinks {
 		return nil
 	}
 	l = newLink(m, id)
@@ -226,7 +226,7 @@
 	return l
 }
 
-func (m *Mesh) all() []*link {
+func (m *Mesh) allLinks() []*link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ls := make([]*link, 0, len(m.links))
@@ -236,50 +236,50 @@
 	return ls
 }
 
-func (m *Mesh) seed(s config.Seed) {
+func (m *Mesh) connectSeed(s config.Seed) {
 	l := m.link(s.Entry)
 	if l == nil {
 		return
 	}
 	place := event.Place{DataCentre: s.DataCentre, Region: s.Region}
-	l.want(event.Host{ID: s.Entry, PeerAddr: s.Addr, Place: place}, true)
+	l.ensureSession(event.Host{ID: s.Entry, PeerAddr: s.Addr, Place: place}, true)
 }
 
-// near reports whether a host stands in the data centre of this one.
-func (m *Mesh) near(h event.Host) bool { return h.Place.Group() == m.cfg.Self.Place.Group() }
+// isLocal reports whether a host stands in the data centre of this one.
+func (m *Mesh) isLocal(h event.Host) bool { return h.Place.Group() == m.cfg.Self.Place.Group() }
 
-// loop looks after the sessions.
-func (m *Mesh) loop() error {
-	tick := m.cfg.Clock.Every(m.cfg.Times.Tick)
+// maintenanceLoop looks after the sessions.
+func (m *Mesh) maintenanceLoop() error {
+	tick := m.cfg.Clock.Every(m.cfg.Timing.TickInterval)
 	defer tick.Close()
-	keys := m.cfg.Clock.Every(m.cfg.Times.Keys)
+	keys := m.cfg.Clock.Every(m.cfg.Timing.KeyCheckInterval)
 	defer keys.Close()
 	for {
 		select {
 		case now := <-tick.C():
-			for _, l := range m.all() {
-				l.tend(now)
+			for _, l := range m.allLinks() {
+				l.maintain(now)
 			}
 		case <-keys.C():
-			m.recheck()
-		case <-m.t.Dying():
+			m.recheckCertificates()
+		case <-m.tasks.Dying():
 			return nil
 		}
 	}
 }
 
-// recheck ends the sessions whose certificate no longer holds. A session may
+// recheckCertificates ends the sessions whose certificate no longer holds. A session may
 // last for weeks; a host whose certificate has been withdrawn by a change of
 // the authority would otherwise stay in for as long.
-func (m *Mesh) recheck() {
+func (m *Mesh) recheckCertificates() {
 	if m.cfg.Keys == nil {
 		return
 	}
-	now := m.cfg.Keys.read()
-	for _, l := range m.all() {
-		for _, s := range l.list() {
-			if err := now.verify(s.state); err != nil {
-				m.cnt.refused.Inc(1)
+	now := m.cfg.Keys.refresh()
+	for _, l := range m.allLinks() {
+		for _, s := range l.allSessions() {
+			if err := now.verify(s.tlsState); err != nil {
+				m.counters.refused.Inc(1)
 				s.end("the certificate no longer holds")
 			}
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,48 +23,48 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// waitLimit bounds every wait, long enough that no verdict hangs on a tight
+// testTimeout bounds every wait, long enough that no verdict hangs on a tight
 // timing.
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// node is one entry host with a mesh and no reducer.
-type node struct {
+// testNode is one entry host with a mesh and no reducer.
+type testNode struct {
 	*Mesh
 	reg metrics.Registry
-	out *lines
+	log *logBuffer
 
-	mu  sync.Mutex
-	evs []event.Event
+	mu     sync.Mutex
+	events []event.Event
 }
 
-type lines struct {
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-func (n *node) post(ev event.Event) {
+func (n *testNode) post(ev event.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.evs = append(n.evs, ev)
+	n.events = append(n.events, ev)
 }
 
-// has reports whether an event has come that ok holds for.
-func (n *node) has(ok func(ev event.Event) bool) bool {
+// hasEvent reports whether an event hasEvent come that ok holds for.
+func (n *testNode) hasEvent(ok func(ev event.Event) bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, ev := range n.evs {
+	for _, ev := range n.events {
 		if ok(ev) {
 			return true
 		}
@@ -72,11 +72,11 @@
 	return false
 }
 
-func (n *node) count(name string) int64 {
+func (n *testNode) count(name string) int64 {
 	return metrics.GetOrRegisterCounter("peer."+name, n.reg).Count()
 }
 
-func hostAt(id ident.EntryID, dc ident.DataCentre, addr string) event.Host {
+func newHost(id ident.EntryID, dc ident.DataCentre, addr string) event.Host {
 	return event.Host{
 		ID: id, Incarnation: ident.Incarnation(time.Now().UnixNano()), PeerAddr: addr,
 		Place: event.Place{DataCentre: dc, Region: ident.Region(dc)}, CallerURL: "http://" + addr,
@@ -84,12 +84,12 @@
 }
 
 // startNode starts a host that answers requests of peers with run.
-func startNode(t testing.TB, cfg Config, run ServeFunc) *node {
+func startNode(t testing.TB, cfg Config, run ServeFunc) *testNode {
 	t.Helper()
-	n := &node{reg: metrics.NewRegistry(), out: &lines{}}
+	n := &testNode{reg: metrics.NewRegistry(), log: &logBuffer{}}
 	svc := clock.New()
 	cfg.Clock, cfg.Metrics, cfg.Listen = svc, n.reg, cfg.Self.PeerAddr
-	cfg.Log = logs.New(n.out, logs.NewLevel(1))
+	cfg.Log = logs.New(n.log, logs.NewLevel(1))
 	n.Mesh = New(cfg)
 	if err := n.Start(n.post, run); err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 		n.Stop(ctx)
 		svc.Stop()
 		if t.Failed() {
-			t.Logf("%s:\n%s", cfg.Self.ID, n.out.buf.String())
+			t.Logf("%s:\n%s", cfg.Self.ID, n.log.buf.String())
 		}
 	})
 	return n
@@ -108,10 +108,10 @@
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -135,14 +135,14 @@
 	return config.Seed{Entry: h.ID, Addr: h.PeerAddr, DataCentre: h.Place.DataCentre, Region: h.Place.Region}
 }
 
-// pair starts two hosts, the first of which dials the second.
-func pair(t testing.TB, a, b Config, run ServeFunc) (*node, *node) {
+// startPair starts two hosts, the first of which dials the second.
+func startPair(t testing.TB, a, b Config, run ServeFunc) (*testNode, *testNode) {
 	t.Helper()
 	if b.Self.ID == "" {
-		b.Self = hostAt("uvs-2", "uvs", ports.Next())
+		b.Self = newHost("uvs-2", "uvs", ports.Next())
 	}
 	if a.Self.ID == "" {
-		a.Self = hostAt("uvs-1", "uvs", ports.Next())
+		a.Self = newHost("uvs-1", "uvs", ports.Next())
 	}
 	a.Seeds = []config.Seed{seedOf(b.Self)}
 	y := startNode(t, b, run)
@@ -150,17 +150,17 @@
 	return x, y
 }
 
-func linked(t testing.TB, x, y *node) {
+func awaitLinked(t testing.TB, x, y *testNode) {
 	t.Helper()
 	eventually(t, "both see the link", func() bool {
-		return x.has(isUp(y.cfg.Self.ID)) && y.has(isUp(x.cfg.Self.ID))
+		return x.hasEvent(isUp(y.cfg.Self.ID)) && y.hasEvent(isUp(x.cfg.Self.ID))
 	})
 }
 
 // A control message is lost, or attributed to another host.
 func TestControl(t *testing.T) {
-	x, y := pair(t, Config{}, Config{}, nil)
-	linked(t, x, y)
+	x, y := startPair(t, Config{}, Config{}, nil)
+	awaitLinked(t, x, y)
 	to := y.cfg.Self
 	dig := event.Digest{Host: x.cfg.Self, Seq: 7, Revision: 3}
 	sum := event.Summary{From: "uvs-1", Place: x.cfg.Self.Place, Seq: 2}
@@ -179,11 +179,11 @@
 		event.BarAsked{From: "uvs-1", Attempt: a, To: to.Incarnation},
 	} {
 		eventually(t, event.TypeName(want), func() bool {
-			return y.has(func(ev event.Event) bool { return cmp.Equal(want, ev) })
+			return y.hasEvent(func(ev event.Event) bool { return cmp.Equal(want, ev) })
 		})
 	}
 	eventually(t, "the snapshot", func() bool {
-		return y.has(func(ev event.Event) bool {
+		return y.hasEvent(func(ev event.Event) bool {
 			s, ok := ev.(event.SnapshotReceived)
 			return ok && s.From == "uvs-1" && s.Book.Revision == 6
 		})
@@ -191,30 +191,30 @@
 	y.Send(event.AnswerBar{To: "uvs-1", Attempt: a, Answer: event.Barred})
 	want := event.BarAnswered{Attempt: a, Answer: event.Barred}
 	eventually(t, "the answer", func() bool {
-		return x.has(func(ev event.Event) bool { return cmp.Equal(event.Event(want), ev) })
+		return x.hasEvent(func(ev event.Event) bool { return cmp.Equal(event.Event(want), ev) })
 	})
 }
 
 // An unrequested "barred" makes a request run twice.
 func TestUnaskedBarAnswerIsDropped(t *testing.T) {
-	x, y := pair(t, Config{}, Config{}, nil)
-	linked(t, x, y)
+	x, y := startPair(t, Config{}, Config{}, nil)
+	awaitLinked(t, x, y)
 	a := ident.Attempt{Entry: "uvs-1", Incarnation: x.cfg.Self.Incarnation, Number: 4}
 	y.Send(event.AnswerBar{To: "uvs-1", Attempt: a, Answer: event.Barred})
 	eventually(t, "the answer is counted as rejected", func() bool { return x.count("rejected") == 1 })
-	if x.has(func(ev event.Event) bool { _, ok := ev.(event.BarAnswered); return ok }) {
+	if x.hasEvent(func(ev event.Event) bool { _, ok := ev.(event.BarAnswered); return ok }) {
 		t.Error("the reducer was notified")
 	}
 }
 
-func keysFor(t testing.TB, ca *certs.Authority, id ident.EntryID) *Keys {
+func issueKeys(t testing.TB, ca *certs.Authority, id ident.EntryID) *Keys {
 	t.Helper()
 	fs, err := ca.Issue(t.TempDir(), string(id))
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := &Keys{CertFile: fs.Cert, KeyFile: fs.Key, CAFile: fs.CA, Log: logr.Discard()}
-	if err := k.Open(); err != nil {
+	if err := k.Load(); err != nil {
 		t.Fatal(err)
 	}
 	return k
@@ -229,8 +229,8 @@
 	return ca
 }
 
-// someCall is a request of a caller that is to be passed on.
-func someCall(to event.Host, body string) serve.Passed {
+// newForwarded is a request of a caller that is to be passed on.
+func newForwarded(to event.Host, body string) serve.Passed {
 	return serve.Passed{
 		Forward: event.Forward{
 			Request: "req-1", To: to, Deadline: ident.Time(time.Hour),
@@ -247,19 +247,19 @@
 	}
 }
 
-// answer is what a caller's side has received.
-type answer struct {
-	status int
-	body   bytes.Buffer
-	upto   ident.Tokens
-	sent   int
+// receivedAnswer is what a caller's side has received.
+type receivedAnswer struct {
+	status    int
+	body      bytes.Buffer
+	delivered ident.Tokens
+	sentCalls int
 }
 
-func (a *answer) relay() serve.Relay {
+func (a *receivedAnswer) relay() serve.Relay {
 	return serve.Relay{
 		Begin: func(status int, _ http.Header) { a.status = status },
 		Data: func(b []byte, upto ident.Tokens) error {
-			a.upto = upto
+			a.delivered = upto
 			a.body.Write(b)
 			return nil
 		},
@@ -267,13 +267,13 @@
 }
 
 // forward passes a request from x on to y.
-func forward(ctx context.Context, x, y *node, body string, change func(p *serve.Passed)) (*answer, event.AttemptEnded) {
-	p := someCall(y.cfg.Self, body)
+func forward(ctx context.Context, x, y *testNode, body string, change func(p *serve.Passed)) (*receivedAnswer, event.AttemptEnded) {
+	p := newForwarded(y.cfg.Self, body)
 	p.Forward.Envelope.Attempt.Incarnation = x.cfg.Self.Incarnation
 	if change != nil {
 		change(&p)
 	}
-	a := &answer{}
-	end := x.Forward(ctx, p, func() { a.sent++ }, a.relay())
+	a := &receivedAnswer{}
+	end := x.Forward(ctx, p, func() { a.sentCalls++ }, a.relay())
 	return a, end
 }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -14,10 +14,10 @@
 	// book stands for the frame of a snapshot. Its encoding takes long and
 	// much memory, so that it is left to the sender and its turn.
 	book *rules.Book
-	// ages marks a message that is of no use when it is late: the next one
-	// replaces it, and the ages in it would be wrong.
-	ages bool
-	at   ident.Time
+	// expires marks a message that is of no use when it is late: the next one
+	// replaces it, and the expires in it would be wrong.
+	expires  bool
+	queuedAt ident.Time
 }
 
 // queue is a bounded queue of control messages. A peer that reads slowly, or
@@ -25,17 +25,17 @@
 // is too much is dropped: the oldest digest first, which the next one
 // replaces anyway.
 type queue struct {
-	most  int
-	items []item
+	maxItems int
+	items    []item
 }
 
 // push adds an item and returns the one that is lost for it.
 func (q *queue) push(it item) (item, bool) {
-	if len(q.items) < q.most {
+	if len(q.items) < q.maxItems {
 		q.items = append(q.items, it)
 		return item{}, false
 	}
-	n := slices.IndexFunc(q.items, func(x item) bool { return x.ages })
+	n := slices.IndexFunc(q.items, func(x item) bool { return x.expires })
 	if n < 0 {
 		return it, true
 	}
@@ -53,25 +53,25 @@
 	return it, true
 }
 
-// encodeItem returns the bytes of an item.
-func (m *Mesh) encodeItem(it item) ([]byte, bool) {
+// itemFrame returns the bytes of an item.
+func (m *Mesh) itemFrame(it item) ([]byte, bool) {
 	if it.book == nil {
 		return it.frame, true
 	}
 	snap, err := wire.FromBook(it.book)
 	if err != nil {
 		m.cfg.Log.Error(err, "snapshot not sent", "revision", it.book.Revision)
-		m.cnt.messagesDropped.Inc(1)
+		m.counters.messagesDropped.Inc(1)
 		return nil, false
 	}
 	return m.encode(&wire.Frame{Body: &wire.Frame_Snapshot{Snapshot: snap}})
 }
 
-// lost counts a message that was not sent.
-func (m *Mesh) lost(it item) {
-	if it.ages {
-		m.cnt.digestsDropped.Inc(1)
+// countDropped counts a message that was not sent.
+func (m *Mesh) countDropped(it item) {
+	if it.expires {
+		m.counters.digestsDropped.Inc(1)
 		return
 	}
-	m.cnt.messagesDropped.Inc(1)
+	m.counters.messagesDropped.Inc(1)
 }
--- a/internal/peer/raw_test.go
+++ b/internal/peer/raw_test.go
@@ -14,9 +14,9 @@
 
 // rawPeer is the other end of a session in a test's own hands.
 type rawPeer struct {
-	mux *yamux.Session
-	ctl net.Conn
-	in  *bufio.Reader
+	mux     *yamux.Session
+	control net.Conn
+	reader  *bufio.Reader
 }
 
 // connect opens a session with a node over a connection and says hello.
@@ -34,15 +34,15 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &rawPeer{mux: mux, ctl: ctl, in: bufio.NewReader(ctl)}
+	p := &rawPeer{mux: mux, control: ctl, reader: bufio.NewReader(ctl)}
 	hello := &wire.Hello{Version: wire.Version, Host: wire.FromHost(h)}
 	if err := wire.Write(ctl, &wire.Frame{Body: &wire.Frame_Hello{Hello: hello}}); err != nil {
 		return nil, err
 	}
-	return p, wire.Read(p.in, &wire.Frame{}, wire.MaxFrame)
+	return p, wire.Read(p.reader, &wire.Frame{}, wire.MaxFrame)
 }
 
-func dialNode(t *testing.T, n *node) net.Conn {
+func dialNode(t *testing.T, n *testNode) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", n.Addr())
 	if err != nil {
@@ -51,7 +51,7 @@
 	return conn
 }
 
-func mustConnect(t *testing.T, n *node, h event.Host) *rawPeer {
+func mustConnect(t *testing.T, n *testNode, h event.Host) *rawPeer {
 	t.Helper()
 	p, err := connect(t, dialNode(t, n), h)
 	if err != nil {
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -27,12 +27,12 @@
 
 // Bounds of the lines.
 const (
-	// plainPerSecond bounds the lines of requests that end as they should.
-	plainPerSecond = 300
-	// allPerSecond bounds all lines.
-	allPerSecond = 900
-	// maxAttempts bounds the attempts whose request is remembered.
-	maxAttempts = 1 << 14
+	// maxRoutineLines bounds the lines of requests that end as they should.
+	maxRoutineLines = 300
+	// maxLines bounds all lines.
+	maxLines = 900
+	// maxTracked bounds the attempts whose request is remembered.
+	maxTracked = 1 << 14
 )
 
 // Trail writes the lines. Its methods are called by the control thread.
@@ -40,46 +40,46 @@
 	log logr.Logger
 	reg metrics.Registry
 
-	second  int64
-	written int
-	left    int
+	currentSecond int64
+	written       int
+	omitted       int
 
-	attempts map[ident.Attempt]*attempt
-	wait     metrics.Histogram
-	first    metrics.Histogram
+	attempts    map[ident.Attempt]*attempt
+	placedAfter metrics.Histogram
+	firstByte   metrics.Histogram
 }
 
 // attempt is what is remembered of one until its end.
 type attempt struct {
 	request ident.RequestID
 	target  ident.TargetID
-	sent    ident.Time
-	// first is when the first byte of its answer came, zero before.
-	first ident.Time
+	sentAt  ident.Time
+	// firstByteAt is when the firstByteAt byte of its answer came, zero before.
+	firstByteAt ident.Time
 }
 
 // New returns a trail.
 func New(log logr.Logger, reg metrics.Registry) *Trail {
 	return &Trail{
 		log: log, reg: reg, attempts: make(map[ident.Attempt]*attempt),
-		wait:  meter.Histogram(reg, "requests.placedAfterMicros"),
-		first: meter.Histogram(reg, "attempts.firstByteMicros"),
+		placedAfter: meter.Histogram(reg, "requests.placedAfterMicros"),
+		firstByte:   meter.Histogram(reg, "attempts.firstByteMicros"),
 	}
 }
 
 // Record takes an event and its effects.
 func (tr *Trail) Record(now ident.Time, ev event.Event, effs []event.Effect) {
-	tr.turn(now)
+	tr.startSecond(now)
 	switch e := ev.(type) {
 	case event.FirstToken:
-		tr.began(now, e)
+		tr.firstToken(now, e)
 	case event.AttemptEnded:
-		tr.ended(now, e)
+		tr.attemptEnded(now, e)
 	case event.CallerLeft:
-		tr.count("answers.unfinished." + side(e.Ending))
-		tr.plain("caller left", "request", e.Request, "endedBy", side(e.Ending), "reason", e.Ending.Reason)
+		tr.count("answers.unfinished." + sideName(e.Ending))
+		tr.logRoutine("caller left", "request", e.Request, "endedBy", sideName(e.Ending), "reason", e.Ending.Reason)
 	case event.LoadFailed:
-		tr.line("target did not answer a probe", "target", e.Target)
+		tr.logImportant("target did not answer a probe", "target", e.Target)
 	}
 	for _, eff := range effs {
 		tr.effect(now, eff)
@@ -89,22 +89,22 @@
 func (tr *Trail) effect(now ident.Time, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Dispatch:
-		tr.remember(e.Attempt, attempt{request: e.Request, target: e.Target.ID, sent: now})
-		tr.wait.Update(e.Basis.Waited.Microseconds())
+		tr.track(e.Attempt, attempt{request: e.Request, target: e.Target.ID, sentAt: now})
+		tr.placedAfter.Update(e.Basis.Waited.Microseconds())
 		tr.count("requests.sent." + e.Target.Service)
-		tr.plain("sent to a target", "request", e.Request, "attempt", e.Attempt.Number, "target", e.Target.ID,
+		tr.logRoutine("sent to a target", "request", e.Request, "attempt", e.Attempt.Number, "target", e.Target.ID,
 			"service", e.Target.Service, "profile", e.Basis.Profile, "try", e.Basis.Try, "revision", e.Basis.Revision, "waitedMs", millis(e.Basis.Waited),
 			"leftMs", millis(e.Basis.Left), "predictedMs", millis(e.Basis.Wait), "busy", e.Basis.Busy, "loadAgeMs", millis(e.Basis.LoadAge),
 			"expectEvents", int(e.Basis.Expect), "paceMs", millis(e.Basis.Pace), "resume", e.Resume,
 			"unread", e.Basis.Unread, "level", e.Priority, "copyFrom", e.CopyFrom.Target)
 	case event.Forward:
-		tr.remember(e.Envelope.Attempt, attempt{request: e.Request, target: ident.TargetID(e.To.ID), sent: now})
+		tr.track(e.Envelope.Attempt, attempt{request: e.Request, target: ident.TargetID(e.To.ID), sentAt: now})
 		tr.count("requests.passedOn")
-		tr.plain("passed on", "request", e.Request, "attempt", e.Envelope.Attempt.Number, "to", e.To.ID,
+		tr.logRoutine("passed on", "request", e.Request, "attempt", e.Envelope.Attempt.Number, "to", e.To.ID,
 			"region", e.To.Place.Region, "service", e.Service, "profile", e.Basis.Profile, "try", e.Basis.Try, "revision", e.Basis.Revision,
 			"waitedMs", millis(e.Basis.Waited), "predictedMs", millis(e.Basis.Wait),
 			"expectEvents", int(e.Basis.Expect), "paceMs", millis(e.Basis.Pace), "paceThereMs", millis(e.Basis.PaceThere), "resume", e.Resume,
-			"part", percent(e.Basis.Part), "roomThere", int(e.Basis.Room))
+			"part", roundHundredths(e.Basis.Part), "roomThere", int(e.Basis.Room))
 	case event.Refuse:
 		c, _ := codes.Find(e.Code)
 		tr.count("requests.refused." + string(e.Code))
@@ -114,79 +114,79 @@
 			"predictedMs", millis(e.Basis.Wait), "queued", e.Basis.Queued, "full", e.Basis.Full, "paceMs", millis(e.Basis.Pace),
 			"retryAfterMs", millis(e.RetryAfter),
 		}
-		kv = append(kv, denial(e.Denial)...)
+		kv = append(kv, denialFields(e.Denial)...)
 		if e.Ending.Side != "" {
-			tr.count("answers.unfinished." + side(e.Ending))
+			tr.count("answers.unfinished." + sideName(e.Ending))
 			kv = append(kv, "endedBy", e.Ending.Side, "reason", e.Ending.Reason)
 		}
-		tr.line("refused", kv...)
+		tr.logImportant("refused", kv...)
 	case event.BreakOff:
-		tr.brokenOff(e)
+		tr.attemptAborted(e)
 	case event.KeepAttempt:
 		tr.count("attempts.silentKept." + string(e.Denial.Reason))
-		kv := append(silence(e.Request, e.Attempt, e.Silence), denial(e.Denial)...)
-		tr.line("attempt is silent and is kept", kv...)
+		kv := append(silenceFields(e.Request, e.Attempt, e.Silence), denialFields(e.Denial)...)
+		tr.logImportant("attempt is silent and is kept", kv...)
 	case event.Finish:
 		tr.count("requests.finished")
-		tr.plain("answered", "request", e.Request, "outcome", e.Outcome)
+		tr.logRoutine("answered", "request", e.Request, "outcome", e.Outcome)
 	case event.InForceNow:
-		tr.line("configuration in force", "revision", e.Book.Revision, "routes", len(e.Book.Profiles()))
+		tr.logImportant("configuration in force", "revision", e.Book.Revision, "routes", len(e.Book.Profiles()))
 	}
 }
 
-// denial returns the fields of a denial, none where nothing was denied.
-func denial(d event.Denial) []any {
+// denialFields returns the fields of a denialFields, none where nothing was denied.
+func denialFields(d event.Denial) []any {
 	if d.Reason == "" {
 		return nil
 	}
-	kv := []any{"denied", d.Reason, "tries", d.Tries, "maxTries", d.MaxTries, "retriesSpent", d.Spent, "retriesAllowed", percent(d.Allowed)}
+	kv := []any{"denied", d.Reason, "tries", d.Tries, "maxTries", d.MaxTries, "retriesSpent", d.Spent, "retriesAllowed", roundHundredths(d.Allowed)}
 	if d.Reason == event.DeniedTime {
 		kv = append(kv, "nextMs", millis(d.Wait), "deadlineMs", millis(d.Left))
 	}
 	return kv
 }
 
-func (tr *Trail) brokenOff(e event.BreakOff) {
+func (tr *Trail) attemptAborted(e event.BreakOff) {
 	if e.Silence.Since == 0 {
 		tr.count("attempts.targetRestarted")
-		tr.line("attempt is broken off, its target has started anew", "request", e.Request, "attempt", e.Attempt.Number)
+		tr.logImportant("attempt is broken off, its target has started anew", "request", e.Request, "attempt", e.Attempt.Number)
 		return
 	}
 	tr.count("attempts.silentBrokenOff")
-	tr.line("attempt is silent and is broken off", silence(e.Request, e.Attempt, e.Silence)...)
+	tr.logImportant("attempt is silent and is broken off", silenceFields(e.Request, e.Attempt, e.Silence)...)
 }
 
-func silence(req ident.RequestID, a ident.Attempt, s event.Silence) []any {
+func silenceFields(req ident.RequestID, a ident.Attempt, s event.Silence) []any {
 	return []any{"request", req, "attempt", a.Number, "silentMs", millis(s.Lasted), "begun", s.Begun}
 }
 
-func (tr *Trail) began(now ident.Time, e event.FirstToken) {
+func (tr *Trail) firstToken(now ident.Time, e event.FirstToken) {
 	if a, ok := tr.attempts[e.Attempt]; ok {
-		a.first = now
-		tr.first.Update(now.Sub(a.sent).Microseconds())
+		a.firstByteAt = now
+		tr.firstByte.Update(now.Sub(a.sentAt).Microseconds())
 	}
 }
 
-func (tr *Trail) ended(now ident.Time, e event.AttemptEnded) {
+func (tr *Trail) attemptEnded(now ident.Time, e event.AttemptEnded) {
 	a, ok := tr.attempts[e.Attempt]
 	if !ok {
-		a = &attempt{sent: now}
+		a = &attempt{sentAt: now}
 	}
 	delete(tr.attempts, e.Attempt)
 	kv := []any{
 		"request", a.request, "attempt", e.Attempt.Number, "target", a.target, "result", e.Result, "status", e.Status,
-		"code", e.Code, "events", e.Delivered, "firstMs", firstMillis(a), "tookMs", millis(now.Sub(a.sent)),
+		"code", e.Code, "events", e.Delivered, "firstMs", firstMillis(a), "tookMs", millis(now.Sub(a.sentAt)),
 	}
 	if e.Result == event.ResultDone {
-		tr.plain("attempt ended", kv...)
+		tr.logRoutine("attempt ended", kv...)
 		return
 	}
 	tr.count("attempts." + string(e.Result))
-	tr.line("attempt ended", append(kv, "draining", e.Draining, "resumable", e.Resumable)...)
+	tr.logImportant("attempt ended", append(kv, "draining", e.Draining, "resumable", e.Resumable)...)
 }
 
-// side names the side of an ending.
-func side(e event.Ending) string {
+// sideName names the sideName of an ending.
+func sideName(e event.Ending) string {
 	if e.Side == "" {
 		return "unknown"
 	}
@@ -195,14 +195,14 @@
 
 // firstMillis is the time to the first byte, -1 where none came.
 func firstMillis(a *attempt) int64 {
-	if a.first == 0 {
+	if a.firstByteAt == 0 {
 		return -1
 	}
-	return millis(a.first.Sub(a.sent))
+	return millis(a.firstByteAt.Sub(a.sentAt))
 }
 
-func (tr *Trail) remember(id ident.Attempt, a attempt) {
-	if len(tr.attempts) >= maxAttempts {
+func (tr *Trail) track(id ident.Attempt, a attempt) {
+	if len(tr.attempts) >= maxTracked {
 		clear(tr.attempts)
 	}
 	tr.attempts[id] = &a
@@ -210,35 +210,35 @@
 
 func (tr *Trail) count(name string) { metrics.GetOrRegisterCounter(name, tr.reg).Inc(1) }
 
-// turn begins a new second, with a line on what the last one left out.
-func (tr *Trail) turn(now ident.Time) {
+// startSecond begins a new second, with a line on what the last one left out.
+func (tr *Trail) startSecond(now ident.Time) {
 	second := int64(now) / int64(time.Second)
-	if second == tr.second {
+	if second == tr.currentSecond {
 		return
 	}
-	if tr.left > 0 {
-		tr.log.Info("decision lines left out", "lines", tr.left)
-		metrics.GetOrRegisterCounter("logs.linesLeftOut", tr.reg).Inc(int64(tr.left))
+	if tr.omitted > 0 {
+		tr.log.Info("decision lines left out", "lines", tr.omitted)
+		metrics.GetOrRegisterCounter("logs.linesLeftOut", tr.reg).Inc(int64(tr.omitted))
 	}
-	tr.second, tr.written, tr.left = second, 0, 0
+	tr.currentSecond, tr.written, tr.omitted = second, 0, 0
 }
 
-// plain writes a line that goes first when there are too many.
-func (tr *Trail) plain(msg string, kv ...any) { tr.write(plainPerSecond, msg, kv) }
+// logRoutine writes a line that goes first when there are too many.
+func (tr *Trail) logRoutine(msg string, kv ...any) { tr.logLimited(maxRoutineLines, msg, kv) }
 
-func (tr *Trail) line(msg string, kv ...any) { tr.write(allPerSecond, msg, kv) }
+func (tr *Trail) logImportant(msg string, kv ...any) { tr.logLimited(maxLines, msg, kv) }
 
-func (tr *Trail) write(most int, msg string, kv []any) {
+func (tr *Trail) logLimited(most int, msg string, kv []any) {
 	if tr.written >= most {
-		tr.left++
+		tr.omitted++
 		return
 	}
 	tr.written++
 	tr.log.Info(msg, kv...)
 }
 
-// Note writes a note of the reducer as one line.
-func Note(log logr.Logger, e event.Note) {
+// LogNote writes a note of the reducer as one line.
+func LogNote(log logr.Logger, e event.Note) {
 	kv := make([]any, 0, 2*len(e.Fields))
 	for _, p := range e.Fields {
 		kv = append(kv, p.Key, p.Value)
@@ -246,7 +246,7 @@
 	log.Info(e.Text, kv...)
 }
 
-// percent rounds a part to hundredths, which is as fine as it is known.
-func percent(part float64) float64 { return math.Round(part*100) / 100 }
+// roundHundredths rounds a part to hundredths, which is as fine as it is known.
+func roundHundredths(part float64) float64 { return math.Round(part*100) / 100 }
 
 func millis(d time.Duration) int64 { return d.Milliseconds() }
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -16,9 +16,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-var stamp = regexp.MustCompile(`time=\S+ `)
+var timestamp = regexp.MustCompile(`time=\S+ `)
 
-func attemptOf(n uint64) ident.Attempt { return ident.Attempt{Entry: "e", Incarnation: 1, Number: n} }
+func newAttempt(n uint64) ident.Attempt { return ident.Attempt{Entry: "e", Incarnation: 1, Number: n} }
 
 // A log line differs from what docs/OPERATIONS.md explains.
 func TestLines(t *testing.T) {
@@ -28,22 +28,22 @@
 	basis := event.Basis{Profile: "draft", Revision: 7, Try: 1, Waited: 3 * time.Millisecond, Wait: 40 * time.Millisecond, Busy: 2, LoadAge: 9 * time.Millisecond, Expect: 48, Pace: 120 * time.Millisecond, PaceThere: 30 * time.Millisecond, Part: 0.254, Room: 64000}
 	tr.Record(at, event.Tick{}, []event.Effect{
 		event.InForceNow{Book: rules.FromSheet(7, rules.Sheet{})},
-		event.Dispatch{Request: "a.1", Attempt: attemptOf(1), Target: event.Target{ID: "t", Service: "writers"}, CopyFrom: event.Holder{Target: "u"}, Basis: basis},
-		event.Forward{Request: "b.2", To: event.Host{ID: "h", Place: event.Place{Region: "east"}}, Envelope: event.Envelope{Attempt: attemptOf(2)}, Service: "writers", Basis: basis},
+		event.Dispatch{Request: "a.1", Attempt: newAttempt(1), Target: event.Target{ID: "t", Service: "writers"}, CopyFrom: event.Holder{Target: "u"}, Basis: basis},
+		event.Forward{Request: "b.2", To: event.Host{ID: "h", Place: event.Place{Region: "east"}}, Envelope: event.Envelope{Attempt: newAttempt(2)}, Service: "writers", Basis: basis},
 		event.Refuse{Request: "c.3", Code: codes.NoTarget.ID, Outcome: event.NotRun, RetryAfter: time.Second, Basis: basis},
 		event.Refuse{Request: "d.4", Code: codes.TargetFailed.ID, Outcome: event.Unknown, Basis: basis, Denial: event.Denial{Reason: event.DeniedBudget, Tries: 1, MaxTries: 2, Spent: 3, Allowed: 3.25}, Ending: event.Ending{Side: event.SideTarget, Reason: event.ReasonClosed}},
 	})
 	quiet := event.Silence{Since: 1, Lasted: 2 * time.Second, Begun: true}
 	tr.Record(at, event.Tick{}, []event.Effect{
-		event.BreakOff{Request: "e.5", Attempt: attemptOf(5)},
-		event.BreakOff{Request: "e.5", Attempt: attemptOf(6), Silence: quiet},
-		event.KeepAttempt{Request: "e.6", Attempt: attemptOf(7), Silence: quiet, Denial: event.Denial{Reason: event.DeniedTime, Tries: 1, Wait: 854 * time.Millisecond, Left: 677 * time.Millisecond}},
+		event.BreakOff{Request: "e.5", Attempt: newAttempt(5)},
+		event.BreakOff{Request: "e.5", Attempt: newAttempt(6), Silence: quiet},
+		event.KeepAttempt{Request: "e.6", Attempt: newAttempt(7), Silence: quiet, Denial: event.Denial{Reason: event.DeniedTime, Tries: 1, Wait: 854 * time.Millisecond, Left: 677 * time.Millisecond}},
 	})
-	tr.Record(at.Add(50*time.Millisecond), event.FirstToken{Attempt: attemptOf(1)}, nil)
-	tr.Record(at.Add(90*time.Millisecond), event.AttemptEnded{Attempt: attemptOf(1), Result: event.ResultDone, Status: 200, Delivered: 5}, []event.Effect{event.Finish{Request: "a.1", Outcome: event.Done}})
-	tr.Record(at.Add(95*time.Millisecond), event.AttemptEnded{Attempt: attemptOf(2), Result: event.ResultBroken}, nil)
+	tr.Record(at.Add(50*time.Millisecond), event.FirstToken{Attempt: newAttempt(1)}, nil)
+	tr.Record(at.Add(90*time.Millisecond), event.AttemptEnded{Attempt: newAttempt(1), Result: event.ResultDone, Status: 200, Delivered: 5}, []event.Effect{event.Finish{Request: "a.1", Outcome: event.Done}})
+	tr.Record(at.Add(95*time.Millisecond), event.AttemptEnded{Attempt: newAttempt(2), Result: event.ResultBroken}, nil)
 	tr.Record(at.Add(99*time.Millisecond), event.CallerLeft{Request: "b.2", Ending: event.Ending{Side: event.SideHost, Reason: event.ReasonStopped}}, nil)
-	goldie.New(t).Assert(t, "lines", stamp.ReplaceAll(out.Bytes(), nil))
+	goldie.New(t).Assert(t, "lines", timestamp.ReplaceAll(out.Bytes(), nil))
 }
 
 // A flood of requests writes lines without bound, or drops them uncounted or refusals first.
@@ -52,10 +52,10 @@
 	tr := New(logs.New(&out, logs.NewLevel(0)), metrics.NewRegistry())
 	at := ident.Time(time.Second)
 	for n := range 5000 {
-		tr.Record(at, event.Tick{}, []event.Effect{event.Dispatch{Request: "a", Attempt: attemptOf(uint64(n))}})
+		tr.Record(at, event.Tick{}, []event.Effect{event.Dispatch{Request: "a", Attempt: newAttempt(uint64(n))}})
 	}
 	tr.Record(at, event.Tick{}, []event.Effect{event.Refuse{Request: "r", Code: codes.NoTarget.ID}})
-	if n := bytes.Count(out.Bytes(), []byte("\n")); n != plainPerSecond+1 {
+	if n := bytes.Count(out.Bytes(), []byte("\n")); n != maxRoutineLines+1 {
 		t.Errorf("%d lines in a second", n)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("request=r")) {
