--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,15 +1,15 @@
-// Package meter counts what the traffic of an entry host does, in a registry
-// of go-metrics that the operators' address gives out.
+// Package meter counts the traffic of an entry host in a go-metrics registry, which is served
+// at the operators' address.
 //
 // # Usage
 //
 //	mt := meter.New(metrics.DefaultRegistry)
-//	mt.Ended("draft", event.Done)
-//	mt.Refused(codes.TooLarge.ID)
+//	mt.RequestEnded("draft", event.Done)
+//	mt.RequestRefused(codes.TooLarge.ID)
 //
-// Names hold profiles only of the configuration in force, and codes only that
-// are declared. A name that a caller makes up would otherwise become a metric
-// of its own, and a flood of them would fill the memory.
+// Metric names contain only profiles of the configuration in force and declared codes. A name
+// made up by a caller would otherwise become a metric of its own, and a flood of them would
+// exhaust the memory.
 package meter
 
 import (
@@ -22,7 +22,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sampleSize is the number of values that a histogram keeps.
+// sampleSize is the number of values that a histogram samples.
 const sampleSize = 1028
 
 // Traffic counts requests. A nil Traffic counts nothing.
@@ -36,12 +36,12 @@
 	bytesOut    metrics.Counter
 }
 
-// Histogram returns the histogram of a registry with the given name.
+// Histogram returns the histogram with the given name and creates it if needed.
 func Histogram(reg metrics.Registry, name string) metrics.Histogram {
 	return metrics.GetOrRegisterHistogram(name, reg, metrics.NewUniformSample(sampleSize))
 }
 
-// New returns the counters of a registry.
+// New returns a Traffic that registers its metrics in reg.
 func New(reg metrics.Registry) *Traffic {
 	return &Traffic{
 		reg:         reg,
@@ -54,7 +54,7 @@
 	}
 }
 
-// RequestEnded counts a request of a profile that is in force by its outcome.
+// RequestEnded counts a finished request by profile and outcome. The profile must be in force.
 func (m *Traffic) RequestEnded(p ident.Profile, outcome event.Outcome) {
 	if m == nil {
 		return
@@ -62,7 +62,7 @@
 	metrics.GetOrRegisterCounter("callers.requests."+string(p)+"."+string(outcome), m.reg).Inc(1)
 }
 
-// RequestRefused counts a refusal.
+// RequestRefused counts a refusal by code.
 func (m *Traffic) RequestRefused(c codes.ID) {
 	if m == nil {
 		return
@@ -70,7 +70,7 @@
 	metrics.GetOrRegisterCounter("callers.refusals."+string(c), m.reg).Inc(1)
 }
 
-// ObserveFirstByte takes the time from the arrival of a request to the first byte of its
+// ObserveFirstByte records the time from the arrival of a request to the first byte of its
 // answer.
 func (m *Traffic) ObserveFirstByte(d time.Duration) {
 	if m != nil {
@@ -78,28 +78,28 @@
 	}
 }
 
-// ObserveDuration takes the time from the arrival of a request to its end.
+// ObserveDuration records the time from the arrival of a request to its end.
 func (m *Traffic) ObserveDuration(d time.Duration) {
 	if m != nil {
 		m.duration.Update(d.Microseconds())
 	}
 }
 
-// AddInFlight counts requests in flight up or down.
+// AddInFlight adds n, which may be negative, to the requests in flight.
 func (m *Traffic) AddInFlight(n int64) {
 	if m != nil {
 		m.inFlight.Inc(n)
 	}
 }
 
-// AddOpenStreams counts open streams up or down.
+// AddOpenStreams adds n, which may be negative, to the open streams.
 func (m *Traffic) AddOpenStreams(n int64) {
 	if m != nil {
 		m.openStreams.Inc(n)
 	}
 }
 
-// AddBytesIn counts bytes of bodies from callers.
+// AddBytesIn counts bytes of request bodies from callers.
 func (m *Traffic) AddBytesIn(n int) {
 	if m != nil {
 		m.bytesIn.Inc(int64(n))
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -14,49 +14,47 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// tokenInterval is the time between two tokens of a stream, short beside that of an
-// engine.
+// tokenInterval is the time between two tokens of a stream, shorter than with a real engine.
 const tokenInterval = 2 * time.Millisecond
 
-// BenchmarkForwardedToken measures the time from the moment that the serving
-// host has a token of a stream to the moment that the caller's host has it,
-// over TLS on the loopback interface.
+// BenchmarkForwardedToken measures the time that a token of a stream takes from the serving
+// host to the caller's host, over TLS on the loopback interface.
 func BenchmarkForwardedToken(b *testing.B) {
-	given := make([]time.Time, b.N)
+	produced := make([]time.Time, b.N)
 	text := []byte(fmt.Sprintf("id: 1\ndata: %0160d\n\n", 0))
 	x, y := startBenchPair(b, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
 		sink.Begin(200, nil)
-		for n := range given {
+		for n := range produced {
 			time.Sleep(tokenInterval)
-			given[n] = time.Now()
+			produced[n] = time.Now()
 			_ = sink.Data(text, ident.Tokens(n+1))
 		}
 		sink.Finish(event.Done)
 	})
 	p := newForwarded(y.cfg.Self, "body")
 	p.Forward.Envelope.Attempt.Incarnation = x.cfg.Self.Incarnation
-	late := make([]time.Duration, 0, b.N)
+	delays := make([]time.Duration, 0, b.N)
 	before := x.count("bytesIn")
 	b.ResetTimer()
 	end := x.Forward(b.Context(), p, func() {}, serve.Relay{
 		Begin: func(int, http.Header) {},
 		Data: func(_ []byte, upto ident.Tokens) error {
-			late = append(late, time.Since(given[upto-1]))
+			delays = append(delays, time.Since(produced[upto-1]))
 			return nil
 		},
 	})
-	if end.Result != event.ResultDone || len(late) != b.N {
-		b.Fatalf("%+v after %d tokens", end, len(late))
+	if end.Result != event.ResultDone || len(delays) != b.N {
+		b.Fatalf("%+v after %d tokens", end, len(delays))
 	}
-	slices.Sort(late)
-	b.ReportMetric(float64(late[len(late)/2].Microseconds()), "p50-µs")
-	b.ReportMetric(float64(late[len(late)*99/100].Microseconds()), "p99-µs")
+	slices.Sort(delays)
+	b.ReportMetric(float64(delays[len(delays)/2].Microseconds()), "p50-µs")
+	b.ReportMetric(float64(delays[len(delays)*99/100].Microseconds()), "p99-µs")
 	b.ReportMetric(float64(x.count("bytesIn")-before)/float64(b.N), "wireB/token")
 }
 
-// BenchmarkDigest measures a digest from the effect to the event and its bytes
-// on the wire, with those that the session and TLS add.
+// BenchmarkDigest measures a digest from the effect to the event, and its bytes on the wire
+// including the overhead of yamux and TLS.
 func BenchmarkDigest(b *testing.B) {
 	x, y := startBenchPair(b, nil)
 	dig := event.Digest{Host: x.cfg.Self, Revision: 8400}
@@ -77,8 +75,8 @@
 	b.ReportMetric(float64(x.count("bytesOut")-before)/float64(b.N), "wireB/digest")
 }
 
-// takeDigest reports whether the newest event is the takeDigest with a number, and
-// forgets the events.
+// takeDigest reports whether the latest event is the digest with the given sequence number, and
+// discards all events.
 func (n *testNode) takeDigest(seq uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/peer/bounds.go
+++ b/internal/peer/bounds.go
@@ -9,34 +9,34 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Timing are the waits of the links. The zero value of each stands for its
-// default.
+// Timing holds the intervals and timeouts of the links. Zero fields take their defaults.
 type Timing struct {
-	// TickInterval is how often the sessions are looked after, KeyCheckInterval how often the key
-	// files are read.
+	// TickInterval is the interval at which the sessions are checked, KeyCheckInterval that at
+	// which the key files are read again.
 	TickInterval, KeyCheckInterval time.Duration
-	// PingInterval is the longest time without a write on a session of the own data
-	// centre; after SilenceTimeout without a read it is ended.
+	// A session within this data centre sends a ping after PingInterval without a write, and is
+	// closed after SilenceTimeout without a read.
 	PingInterval, SilenceTimeout time.Duration
-	// RemotePingInterval and RemoteSilenceTimeout are the same towards other data centres.
+	// RemotePingInterval and RemoteSilenceTimeout apply to sessions with other data centres.
 	RemotePingInterval, RemoteSilenceTimeout time.Duration
-	// IdleTimeout is how long a link to another data centre stays unused.
+	// IdleTimeout is the time after which an unused link to another data centre is closed.
 	IdleTimeout time.Duration
-	// HelloTimeout bounds the time until a new connection has proved who it is.
+	// HelloTimeout limits the time to authenticate a new connection.
 	HelloTimeout time.Duration
-	// BodyTimeout bounds the time to receive a body, WriteTimeout the time to pass on one
-	// piece of an answer.
+	// BodyTimeout limits the time to receive a body, WriteTimeout the time to write one message
+	// of a forwarded request.
 	BodyTimeout, WriteTimeout time.Duration
-	// LinkTimeout is how long a request waits for a link.
+	// LinkTimeout limits the time that a request waits for a session.
 	LinkTimeout time.Duration
-	// MaxMessageAge is the age at which a waiting digest or summary is dropped.
+	// MaxMessageAge is the age at which a queued digest or summary is dropped.
 	MaxMessageAge time.Duration
-	// MinBackoff is the first wait after a failed dial, MaxBackoff the longest.
+	// MinBackoff bounds the random delay after the first failed dial. The bound doubles with
+	// each further failure up to MaxBackoff.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Defaults of the waits. Between data centres a representative has dozens of links, so that
-// pings are rarer there.
+// Defaults of Timing. Between data centres pings are less frequent, since a representative has
+// dozens of links there.
 const (
 	defaultTickInterval         = 250 * time.Millisecond
 	defaultKeyCheckInterval     = 2 * time.Second
@@ -71,18 +71,18 @@
 	ts.MaxBackoff = cmp.Or(ts.MaxBackoff, defaultMaxBackoff)
 }
 
-// Bounds limit what the peers can take up. The zero value of each stands for
-// its default.
+// Bounds limits the resources that peers can use. Zero fields take their defaults.
 type Bounds struct {
-	// MaxLinks bounds the known hosts, MaxSessions those with a session.
+	// MaxLinks limits the known hosts, MaxSessions the open sessions.
 	MaxLinks, MaxSessions int
-	// MaxHandshakes bounds the connections that have not proved who they are.
+	// MaxHandshakes limits the incoming connections that are not yet authenticated.
 	MaxHandshakes int
-	// MaxStreams bounds the requests of one session in one direction.
+	// MaxStreams limits the concurrent forwarded requests of one session: those accepted from
+	// the peer, and for a new one to the peer those of both directions.
 	MaxStreams int
-	// MaxQueued bounds the control messages that wait for one peer.
+	// MaxQueued limits the control messages that are queued for one peer.
 	MaxQueued int
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes limits the body of a request.
 	MaxBodyBytes ident.Bytes
 }
 
@@ -104,19 +104,19 @@
 	bs.MaxBodyBytes = cmp.Or(bs.MaxBodyBytes, defaultMaxBodyBytes)
 }
 
-// counters count what an operator should see when links misbehave.
+// counters holds the metrics that show faults and traffic of the links.
 type counters struct {
-	// bytesIn and bytesOut count what the sessions read and wrote, with what
-	// TLS adds.
+	// bytesIn and bytesOut count the bytes that the sessions read and wrote, including the
+	// overhead of TLS.
 	bytesIn, bytesOut metrics.Counter
-	// digestsDropped counts digests and summaries that were not sent since
-	// the peer was slow or away, messagesDropped the other messages.
+	// digestsDropped counts digests and summaries that were not sent because the peer was slow
+	// or unreachable, messagesDropped counts other control messages that were not sent.
 	digestsDropped, messagesDropped metrics.Counter
-	// refused counts connections that did not prove who they are, rejected
-	// the messages of a peer that spoke for another.
+	// refused counts connections that failed authentication, rejected counts messages that are
+	// unknown or that the peer may not send.
 	refused, rejected metrics.Counter
-	// full counts sessions and streams beyond the bounds, silent the sessions
-	// that were ended since nothing was read.
+	// full counts sessions and streams beyond the bounds, silent counts sessions that were
+	// closed because nothing was read.
 	full, silent metrics.Counter
 }
 
--- a/internal/peer/carry.go
+++ b/internal/peer/carry.go
@@ -6,8 +6,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Send carries out an effect towards peers and reports whether it was one. It
-// does not block: the reducer's thread calls it.
+// Send executes an effect that is addressed to peers, and returns false for any other effect.
+// It never blocks, since the reducer's goroutine calls it.
 func (m *Mesh) Send(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.SendDigest:
@@ -31,7 +31,7 @@
 	return true
 }
 
-// askBar asks about an attempt and notes whom.
+// askBar sends a "run or bar" query about an attempt and records which host was queried.
 func (m *Mesh) askBar(e event.AskBar) {
 	l := m.link(e.To.ID)
 	if l == nil || e.Attempt.Entry != m.cfg.Self.ID {
@@ -42,8 +42,8 @@
 	m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_BarAsk{BarAsk: wire.FromBarAsk(e)}}, false)
 }
 
-// answerBar answers on the link that the question came by. The name is all
-// that the reducer knows of the asker.
+// answerBar sends the answer to a "run or bar" query. The reducer knows the querying host only
+// by name, so the answer is queued for its link without dialling.
 func (m *Mesh) answerBar(e event.AnswerBar) {
 	if e.Attempt.Entry != e.To {
 		m.counters.rejected.Inc(1)
@@ -59,13 +59,13 @@
 }
 
 // broadcast encodes a message once and queues it for each host.
-func (m *Mesh) broadcast(to []event.Host, f *wire.Frame, ages bool) {
+func (m *Mesh) broadcast(to []event.Host, f *wire.Frame, expires bool) {
 	frame, ok := m.encode(f)
 	if !ok {
 		return
 	}
 	for _, h := range to {
-		m.enqueue(h, item{frame: frame, expires: ages})
+		m.enqueue(h, item{frame: frame, expires: expires})
 	}
 }
 
@@ -81,15 +81,15 @@
 func (m *Mesh) encode(f *wire.Frame) ([]byte, bool) {
 	b, err := wire.Encode(f)
 	if err != nil || len(b) > wire.MaxFrame {
-		m.cfg.Log.Info("message not sent", "bytes", len(b), "reason", "it is malformed or too large")
+		m.cfg.Log.Info("message not sent", "bytes", len(b), "reason", "encoding failed or message too large")
 		m.counters.messagesDropped.Inc(1)
 		return nil, false
 	}
 	return b, true
 }
 
-// receive hands a message of a peer to the reducer. Its sender is that of the session, whatever
-// the message says.
+// receive passes a message of a peer to the reducer. The sender is the authenticated host of
+// the session, whatever the message says.
 func (m *Mesh) receive(from event.Host, f *wire.Frame) error {
 	switch b := f.GetBody().(type) {
 	case *wire.Frame_Ping:
@@ -112,14 +112,14 @@
 	case *wire.Frame_BarAnswer:
 		return m.receiveBarAnswer(from.ID, b.BarAnswer)
 	default:
-		// A newer version may say what this one does not know.
+		// A newer version may send messages that this one does not know.
 		m.counters.rejected.Inc(1)
 	}
 	return nil
 }
 
-// receiveDigest accepts a digest of the own data centre only: the reducer counts
-// who sends one among the hosts that share its targets.
+// receiveDigest accepts digests only from this data centre: the reducer counts each sender of a
+// digest among the hosts that share its targets.
 func (m *Mesh) receiveDigest(from event.Host, d *wire.Digest) {
 	if !m.isLocal(from) {
 		m.counters.rejected.Inc(1)
@@ -137,9 +137,9 @@
 	return nil
 }
 
-// receiveBarAnswer accepts the answer only of the host that was asked. "Barred"
-// lets a request run elsewhere; said by a host that never had the request it
-// would let it run twice.
+// receiveBarAnswer accepts an answer only from the host that was queried. "Barred" allows a
+// request to run elsewhere; from a host that never had the request it would let the request run
+// twice.
 func (m *Mesh) receiveBarAnswer(from ident.EntryID, p *wire.BarAnswer) error {
 	ans, err := p.ToEvent(m.cfg.Self.ID)
 	if err != nil {
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -14,7 +14,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// dialler dials one host until a session stands or it is no longer wanted.
+// dialler dials one host until there is a session or none is needed any longer.
 type dialler struct {
 	m    *Mesh
 	link *link
@@ -34,11 +34,12 @@
 		if d.recordResult(err) {
 			return nil
 		}
-		d.m.cfg.Log.V(1).Info("peer not reached", "entry", d.link.id, "addr", addr, "reason", err.Error())
+		d.m.cfg.Log.V(1).Info("dialling peer failed", "entry", d.link.id, "addr", addr, "reason", err.Error())
 	}
 }
 
-// nextDial returns where to dial and how long to wait before.
+// nextDial returns the address to dial and the delay before the dial, or false if no dial is
+// needed.
 func (d *dialler) nextDial() (string, time.Duration, bool) {
 	l := d.link
 	l.mu.Lock()
@@ -50,21 +51,22 @@
 	return l.host.PeerAddr, backoff(d.m.cfg.Timing, l.failures), true
 }
 
-// backoff grows with the failures. It is spread over its whole length: hosts
-// that lose each other at one moment, as when a partition heals, would else
-// dial each other at one moment, again and again.
-func backoff(ts Timing, fails int) time.Duration {
-	if fails == 0 {
+// backoff returns the delay before a dial: none before the first failure, then a random one up
+// to a bound that doubles with each failure. The jitter covers the whole range: hosts that lose
+// each other at the same moment, as when a partition heals, would otherwise dial each other at
+// the same moments again and again.
+func backoff(ts Timing, failures int) time.Duration {
+	if failures == 0 {
 		return 0
 	}
-	most := ts.MaxBackoff
-	if fails < maxDoublings {
-		most = min(most, ts.MinBackoff<<(fails-1))
+	limit := ts.MaxBackoff
+	if failures < maxDoublings {
+		limit = min(limit, ts.MinBackoff<<(failures-1))
 	}
-	return time.Duration(rand.Int64N(int64(most))) + 1
+	return time.Duration(rand.Int64N(int64(limit))) + 1
 }
 
-// maxDoublings keeps the shift from overflowing.
+// maxDoublings keeps the shift in backoff from overflowing.
 const maxDoublings = 16
 
 func (d *dialler) sleep(wait time.Duration) bool {
@@ -78,8 +80,9 @@
 	}
 }
 
-// recordResult notes how a dial ended and reports whether it was the last. A session
-// that ends at once counts as a failure too, until it has lasted a while.
+// recordResult records the result of a dial and reports whether dialling is finished. A
+// successful dial counts as a failure too, until the session has lasted longer than MaxBackoff;
+// this delays the next dial if sessions end at once.
 func (d *dialler) recordResult(err error) bool {
 	l := d.link
 	l.mu.Lock()
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// acceptLoop accepts connections.
+// acceptLoop accepts connections until the listener is closed.
 func (m *Mesh) acceptLoop() error {
 	for {
 		raw, err := m.ln.Accept()
@@ -135,12 +138,11 @@
 	}
 }
 
-// acceptFailed waits before the next try. A process that has run out of file
-// descriptors gets an error at once, each time; without the wait it would spin
-// until some are free, and ending the listener instead would cut this host off
-// for good.
+// acceptFailed waits before the next accept. A process that has run out of file descriptors
+// gets an error from each accept at once. Without the delay the loop would spin until
+// descriptors are free, and closing the listener would disconnect this host permanently.
 func (m *Mesh) acceptFailed(err error) {
-	m.cfg.Log.Error(err, "a peer could not connect")
+	m.cfg.Log.Error(err, "accepting a peer connection failed")
 	sub := m.cfg.Clock.At(m.cfg.Clock.Now().Add(m.cfg.Timing.MinBackoff))
 	defer sub.Close()
 	select {
@@ -149,20 +151,19 @@
 	}
 }
 
-// connector brings a new connection to the point where both sides have proved
-// who they are.
+// connector authenticates both sides of a new connection and opens the session.
 type connector struct {
 	m       *Mesh
 	raw     *activityConn
 	conn    net.Conn
 	dialled bool
-	// expectedID is whom this host has dialled.
+	// expectedID is the name of the dialled host, empty for incoming connections.
 	expectedID ident.EntryID
 
 	session session
 }
 
-// run takes in one incoming connection.
+// run authenticates one incoming connection and logs a refusal.
 func (c *connector) run() error {
 	defer func() { <-c.m.handshakes }()
 	ctx, cancel := context.WithTimeout(c.m.tasks.Context(context.Background()), c.m.cfg.Timing.HelloTimeout)
@@ -175,8 +176,8 @@
 	return nil
 }
 
-// connect runs under the one deadline of ctx, so that a connection that says
-// nothing holds its place no longer.
+// connect authenticates the connection and starts its session. The deadline of ctx applies to
+// all steps together, so that a silent connection frees its handshake token in time.
 func (c *connector) connect(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.raw.Close() })
 	defer stop()
@@ -192,7 +193,7 @@
 	return c.startSession()
 }
 
-// handshakeTLS proves the certificates of both sides.
+// handshakeTLS performs the mutual TLS handshake.
 func (c *connector) handshakeTLS(ctx context.Context) error {
 	c.conn = c.raw
 	if c.m.cfg.Keys == nil {
@@ -208,17 +209,17 @@
 	return nil
 }
 
-// exchangeHello opens the control stream and says on it who is at each end.
+// exchangeHello opens the control stream and exchanges the names of both hosts on it.
 func (c *connector) exchangeHello(ctx context.Context) error {
 	if err := c.openControl(ctx); err != nil {
 		return errors.Wrap(ErrLink, err.Error())
 	}
 	c.session.reader = bufio.NewReader(c.session.control)
-	mine := &wire.Frame{Body: &wire.Frame_Hello{Hello: &wire.Hello{
+	own := &wire.Frame{Body: &wire.Frame_Hello{Hello: &wire.Hello{
 		Version: wire.Version, Host: wire.FromHost(c.m.selfHost()),
 	}}}
 	if c.dialled {
-		if err := wire.Write(c.session.control, mine); err != nil {
+		if err := wire.Write(c.session.control, own); err != nil {
 			return err
 		}
 	}
@@ -232,7 +233,7 @@
 	if c.dialled {
 		return nil
 	}
-	return wire.Write(c.session.control, mine)
+	return wire.Write(c.session.control, own)
 }
 
 func (c *connector) openControl(ctx context.Context) error {
@@ -251,16 +252,16 @@
 	return err
 }
 
-// verifyHello believes a hello only as far as the certificate bears it out. The
-// name decides whose attempts a peer may ask about and whose digests it may
-// send, so that a host must not be able to take another's.
+// verifyHello checks the version and the host name of a hello, the latter against the
+// certificate. The name decides which attempts a peer may query and whose digests it may send,
+// so a host must not be able to use the name of another.
 func (c *connector) verifyHello(h *wire.Hello) error {
 	host := h.GetHost().ToEvent()
 	if h.GetVersion() != wire.Version {
-		return errors.Wrapf(ErrRefused, "protocol version %d", h.GetVersion())
+		return errors.Wrapf(ErrRefused, "unsupported protocol version %d", h.GetVersion())
 	}
 	if host.ID == "" || host.ID == c.m.cfg.Self.ID || (c.dialled && host.ID != c.expectedID) {
-		return errors.Wrapf(ErrRefused, "the host says that it is %q", host.ID)
+		return errors.Wrapf(ErrRefused, "hello with host name %q", host.ID)
 	}
 	if c.m.cfg.Keys != nil {
 		if err := verifyName(c.session.tlsState, host.ID); err != nil {
@@ -271,7 +272,7 @@
 	return nil
 }
 
-// startSession hands the session to its goroutines.
+// startSession registers the session and starts its goroutines.
 func (c *connector) startSession() error {
 	s := &c.session
 	l := c.m.link(s.host.ID)
@@ -295,8 +296,8 @@
 	return nil
 }
 
-// yamuxConfig turns the library's own keep-alive off: tend does better, as it
-// pings only where nothing else is said.
+// yamuxConfig disables the keep-alive of the library. session.maintain needs fewer pings, since
+// it requests one only if nothing else was written.
 func (c *connector) yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false
@@ -307,24 +308,24 @@
 	return cfg
 }
 
-// yamuxLogger takes the lines of the session library.
+// yamuxLogger passes the log lines of the yamux library to the mesh's logger.
 type yamuxLogger struct{ m *Mesh }
 
-// Print logs one line.
+// Print implements yamux.Logger.
 func (g yamuxLogger) Print(v ...any) { g.log("%v", v...) }
 
-// Println logs one line.
+// Println implements yamux.Logger.
 func (g yamuxLogger) Println(v ...any) { g.log("%v", v...) }
 
-// Printf logs one line.
+// Printf implements yamux.Logger.
 func (g yamuxLogger) Printf(format string, v ...any) { g.log(format, v...) }
 
 func (g yamuxLogger) log(format string, v ...any) {
-	g.m.cfg.Log.V(1).Info("peer session library", "text", errors.Errorf(format, v...).Error())
+	g.m.cfg.Log.V(1).Info("yamux message", "text", errors.Errorf(format, v...).Error())
 }
 
-// dialer dials from the IP number that the host listens on, for networks whose rules identify
-// hosts by their addresses.
+// dialer returns a dialer that uses the listen address as source address, for networks whose
+// rules identify hosts by address.
 func (m *Mesh) dialer() *net.Dialer {
 	host, _, err := net.SplitHostPort(m.cfg.Listen)
 	if err != nil {
--- a/internal/peer/fault_test.go
+++ b/internal/peer/fault_test.go
@@ -20,7 +20,8 @@
 	return Config{Self: newHost(id, dc, ports.Next()), Timing: ts}
 }
 
-// A forwarded request waits for a frozen host until its deadline.
+// The link to a frozen host must be closed as silent; otherwise a forwarded request waits for
+// the host until its deadline.
 func TestFrozenPeerIsDisconnected(t *testing.T) {
 	x := startNode(t, newConfig(t, "uvs-1", "uvs", Timing{
 		TickInterval: 20 * time.Millisecond, PingInterval: 50 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond,
@@ -31,7 +32,7 @@
 	y := &testNode{Mesh: New(Config{Self: frozen})}
 	a, end := forward(t.Context(), x, y, "body", nil)
 	if diff := cmp.Diff(event.ResultNotRun, end.Result); diff != "" {
-		t.Errorf("result of a request whose body was not asked for (-want +got):\n%s", diff)
+		t.Errorf("result of a request whose body was not requested (-want +got):\n%s", diff)
 	}
 	if a.sentCalls != 1 {
 		t.Errorf("sent was called %d times", a.sentCalls)
@@ -42,19 +43,20 @@
 	}
 }
 
-// A link without traffic is closed as silent.
+// A link without traffic must not be closed as silent: pings keep it up.
 func TestPingsKeepIdleLinkUp(t *testing.T) {
 	ts := Timing{TickInterval: 20 * time.Millisecond, PingInterval: 100 * time.Millisecond, SilenceTimeout: 2 * time.Second}
 	x, y := startPair(t, newConfig(t, "uvs-1", "uvs", ts), newConfig(t, "uvs-2", "uvs", ts), nil)
 	awaitLinked(t, x, y)
 	before := y.count("bytesIn")
-	eventually(t, "several silence times of pings", func() bool { return y.count("bytesIn") >= before+30*15 })
+	eventually(t, "pings for several silence timeouts", func() bool { return y.count("bytesIn") >= before+30*15 })
 	if x.hasEvent(isDown("uvs-2")) || y.hasEvent(isDown("uvs-1")) {
 		t.Error("the link broke")
 	}
 }
 
-// A peer that reads nothing blocks the control thread.
+// A peer that reads nothing must not block Send, and with it the reducer. The queue drops old
+// digests instead.
 func TestSlowPeerDoesNotBlockSend(t *testing.T) {
 	x := startNode(t, newConfig(t, "uvs-1", "uvs", Timing{}), nil)
 	slow := newHost("uvs-2", "uvs", "127.0.0.1:1")
@@ -82,10 +84,10 @@
 	}
 }
 
-// A full queue drops a change of the configuration.
+// A full queue must drop the oldest digest before a configuration change.
 func TestQueueDropsTheOldestDigest(t *testing.T) {
 	q := queue{maxItems: 3}
-	name := func(s string, ages bool) item { return item{frame: []byte(s), expires: ages} }
+	name := func(s string, expires bool) item { return item{frame: []byte(s), expires: expires} }
 	var lost []string
 	for _, it := range []item{
 		name("change 1", false), name("digest 1", true), name("digest 2", true),
@@ -96,15 +98,16 @@
 		}
 	}
 	if diff := cmp.Diff([]string{"digest 1", "digest 2", "digest 3", "change 4"}, lost); diff != "" {
-		t.Errorf("lost (-want +got):\n%s", diff)
+		t.Errorf("dropped items (-want +got):\n%s", diff)
 	}
 	first, _ := q.pop()
 	if diff := cmp.Diff("change 1", string(first.frame)); diff != "" {
-		t.Errorf("first (-want +got):\n%s", diff)
+		t.Errorf("first queued item (-want +got):\n%s", diff)
 	}
 }
 
-// An idle link to another data centre stays open, or loses the message that reopens it.
+// An idle link to another data centre must be closed, and the message that reopens it must not
+// be lost.
 func TestIdleRemoteLinkIsClosed(t *testing.T) {
 	ts := Timing{TickInterval: 20 * time.Millisecond, IdleTimeout: 200 * time.Millisecond}
 	x, y := startPair(t, newConfig(t, "uvs-1", "uvs", ts), newConfig(t, "khovd-1", "khovd", ts), nil)
@@ -118,7 +121,9 @@
 	})
 }
 
-// Messages for a restarted host go to its former start.
+// A host that restarts while its old connection still seems open must receive messages on the
+// new session. The old incarnation must not reconnect, and the host must not be reported as
+// down.
 func TestNewerIncarnationReplacesOlder(t *testing.T) {
 	x := startNode(t, newConfig(t, "uvs-1", "uvs", Timing{}), nil)
 	old := newHost("uvs-2", "uvs", "127.0.0.1:1")
@@ -127,7 +132,7 @@
 	next.Incarnation++
 	q := mustConnect(t, x, next)
 	if err := wire.Read(p.reader, &wire.Frame{}, wire.MaxFrame); err == nil {
-		t.Error("the session of the older run goes on")
+		t.Error("the session of the older incarnation continues")
 	}
 	x.Send(event.AskChanges{To: next, After: 3})
 	f := &wire.Frame{}
@@ -142,14 +147,14 @@
 		err = wire.Read(stale.reader, &wire.Frame{}, wire.MaxFrame)
 	}
 	if err == nil {
-		t.Error("the older run came back")
+		t.Error("the older incarnation reconnected")
 	}
 	if x.hasEvent(isDown("uvs-2")) {
-		t.Error("the host was reported as down while one of its runs is linked")
+		t.Error("the host was reported as down while one of its incarnations is connected")
 	}
 }
 
-// Silent connections use up all places.
+// Connections that never send a hello must not hold the handshake tokens that other hosts need.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	cfg := newConfig(t, "uvs-1", "uvs", Timing{HelloTimeout: 300 * time.Millisecond})
 	cfg.Bounds.MaxHandshakes = 1
@@ -158,14 +163,15 @@
 		conn := dialNode(t, x)
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	eventually(t, "those beyond the bound are closed", func() bool { return x.count("full") > 0 })
+	eventually(t, "connections beyond the bound are closed", func() bool { return x.count("full") > 0 })
 	b := newConfig(t, "uvs-2", "uvs", Timing{})
 	b.Seeds = append(b.Seeds, seedOf(x.cfg.Self))
 	startNode(t, b, nil)
-	eventually(t, "a host links", func() bool { return x.hasEvent(isUp("uvs-2")) })
+	eventually(t, "a host connects", func() bool { return x.hasEvent(isUp("uvs-2")) })
 }
 
-// The announced length of a message is allocated.
+// A message length announced by a peer must not be allocated beyond the limit; it must end the
+// session.
 func TestHugeMessageEndsTheSession(t *testing.T) {
 	x := startNode(t, newConfig(t, "uvs-1", "uvs", Timing{}), nil)
 	p := mustConnect(t, x, newHost("uvs-2", "uvs", "127.0.0.1:1"))
@@ -174,14 +180,15 @@
 	}
 	eventually(t, "the link is down", func() bool { return x.hasEvent(isDown("uvs-2")) })
 	if out := x.log.String(); !strings.Contains(out, "message size 4294967295 exceeded") {
-		t.Errorf("the session has not ended by the size of the message:\n%s", out)
+		t.Errorf("the session was not ended because of the message size:\n%s", out)
 	}
 	b := newConfig(t, "uvs-3", "uvs", Timing{})
 	b.Seeds = append(b.Seeds, seedOf(x.cfg.Self))
 	awaitLinked(t, x, startNode(t, b, nil))
 }
 
-// The digest of a host of another data centre is merged.
+// A digest from another data centre must not reach the reducer, which would count its sender
+// among the hosts that share its targets.
 func TestRemoteDigestIsDropped(t *testing.T) {
 	x, y := startPair(t, newConfig(t, "uvs-1", "uvs", Timing{}), newConfig(t, "khovd-1", "khovd", Timing{}), nil)
 	awaitLinked(t, x, y)
@@ -192,23 +199,23 @@
 	}
 }
 
-// All hosts dial at the same moments after a partition.
+// Without jitter all hosts would dial each other at the same moments after a partition.
 func TestBackoffIsSpreadAndBounded(t *testing.T) {
 	ts := Timing{MinBackoff: 100 * time.Millisecond, MaxBackoff: 5 * time.Second}
 	if diff := cmp.Diff(time.Duration(0), backoff(ts, 0)); diff != "" {
-		t.Errorf("first dial (-want +got):\n%s", diff)
+		t.Errorf("delay of the first dial (-want +got):\n%s", diff)
 	}
 	for fails := 1; fails < 100; fails++ {
 		seen := make(map[time.Duration]bool)
 		for range 20 {
 			d := backoff(ts, fails)
 			if d <= 0 || d > ts.MaxBackoff {
-				t.Fatalf("wait %v after %d failures", d, fails)
+				t.Fatalf("delay %v after %d failures", d, fails)
 			}
 			seen[d] = true
 		}
 		if len(seen) < 2 {
-			t.Errorf("no spread after %d failures", fails)
+			t.Errorf("no jitter after %d failures", fails)
 		}
 	}
 }
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -10,18 +10,18 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// maxEagerBody is the longest body that is sent without being asked for. It fits
-// into the window of a new stream, so that writing it can't wait for a
-// receiver that refuses.
+// maxEagerBody is the longest body in bytes that is sent before the peer requests it. It fits
+// into the window of a new stream, so that writing it can't block on a peer that refuses the
+// request.
 const maxEagerBody = 64 << 10
 
-// Forward passes a request on to another entry host and returns how that
-// ended. It calls sent before the first byte can reach the host.
+// Forward forwards a request to another entry host and returns the result. It calls sent before
+// the first byte can reach the host.
 //
-// The host runs nothing before it has the whole body. A link that breaks
-// before the first piece of the body was written therefore proves that the
-// request was not run; one that breaks later proves nothing.
-func (m *Mesh) Forward(ctx context.Context, p serve.Passed, sent func(), out serve.Relay) event.AttemptEnded {
+// The host does not run the request before it has the whole body. A link that breaks before the
+// first piece of the body is written therefore proves that the request was not run; a link that
+// breaks later proves nothing.
+func (m *Mesh) Forward(ctx context.Context, p serve.Passed, sent func(), relay serve.Relay) event.AttemptEnded {
 	s, ok := m.awaitSession(ctx, p.Forward.To)
 	if !ok {
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
@@ -36,9 +36,9 @@
 		s.unacknowledged.Add(-1)
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
-	c := &outboundRequest{Passed: p, m: m, session: s, stream: newRequestStream(m, st), relay: out, delivered: p.Call.Resume}
+	c := &outboundRequest{Passed: p, m: m, session: s, stream: newRequestStream(m, st), relay: relay, delivered: p.Call.Resume}
 	c.delivered = max(c.delivered, p.Forward.Resume)
-	// Closing the stream before its end frame means that the caller has gone.
+	// Closing the stream before its end frame signals that the caller has gone.
 	defer st.Close()
 	stop := context.AfterFunc(ctx, c.stream.cancelIO)
 	defer stop()
@@ -46,13 +46,13 @@
 	return c.exchange()
 }
 
-// reserveStream takes a place for one more request to the peer. Opening a stream
-// blocks once the peer has left a whole backlog of them without notice, so
-// only a part of the places may be in that state.
+// reserveStream reserves a slot for one more request to the peer. OpenStream blocks when the
+// peer has not accepted a whole backlog of streams, so at most half of the slots may be
+// unacknowledged.
 func (s *session) reserveStream() bool {
-	most := int32(s.m.cfg.Bounds.MaxStreams)
-	total, opening := s.streams.Add(1), s.unacknowledged.Add(1)
-	if total <= most && opening <= max(most/2, 1) {
+	limit := int32(s.m.cfg.Bounds.MaxStreams)
+	total, unacknowledged := s.streams.Add(1), s.unacknowledged.Add(1)
+	if total <= limit && unacknowledged <= max(limit/2, 1) {
 		return true
 	}
 	s.streams.Add(-1)
@@ -60,8 +60,8 @@
 	return false
 }
 
-// awaitSession returns a session with the meant run of a host. It waits a short time
-// for one to stand.
+// awaitSession returns a session with the given incarnation of a host, and false if another
+// incarnation is connected. If there is no session, it waits for one up to LinkTimeout.
 func (m *Mesh) awaitSession(ctx context.Context, to event.Host) (*session, bool) {
 	l := m.link(to.ID)
 	if l == nil {
@@ -71,12 +71,12 @@
 	sub := m.cfg.Clock.At(m.cfg.Clock.Now().Add(m.cfg.Timing.LinkTimeout))
 	defer sub.Close()
 	for {
-		s, came := l.current()
+		s, added := l.current()
 		if s != nil {
 			return s, to.Incarnation == 0 || s.host.Incarnation == to.Incarnation
 		}
 		select {
-		case <-came:
+		case <-added:
 		case <-sub.C():
 			return nil, false
 		case <-ctx.Done():
@@ -85,7 +85,7 @@
 	}
 }
 
-// outboundRequest is one request on its way to a peer.
+// outboundRequest is one request that is forwarded to a peer.
 type outboundRequest struct {
 	serve.Passed
 	m       *Mesh
@@ -93,10 +93,11 @@
 	stream  *requestStream
 	relay   serve.Relay
 
-	// acknowledged says that the peer has taken notice, bodySent that a piece of
-	// the body may have reached it, answerBegun that the answer has answerBegun.
+	// acknowledged is set once the peer has sent a message or the exchange has ended, bodySent
+	// once a piece of the body may have reached the peer, answerBegun once the answer has
+	// begun.
 	acknowledged, bodySent, answerBegun bool
-	// receivedBytes counts the receivedBytes of the answer, upto the tokens.
+	// receivedBytes counts the bytes of the answer, delivered the tokens.
 	receivedBytes uint64
 	delivered     ident.Tokens
 }
@@ -126,7 +127,7 @@
 	}
 }
 
-// acknowledge counts the stream as taken acknowledge of.
+// acknowledge stops counting the stream as unacknowledged.
 func (c *outboundRequest) acknowledge() {
 	if !c.acknowledged {
 		c.acknowledged = true
@@ -135,8 +136,8 @@
 }
 
 func (c *outboundRequest) openMessage() *wire.Open {
-	left := c.Forward.Deadline.Sub(c.m.cfg.Clock.Now())
-	o := wire.FromRequest(c.Request, c.Forward.Envelope, left)
+	remaining := c.Forward.Deadline.Sub(c.m.cfg.Clock.Now())
+	o := wire.FromRequest(c.Request, c.Forward.Envelope, remaining)
 	if c.Call.Answer != "" {
 		o.Request = string(c.Call.Answer)
 	}
@@ -148,9 +149,9 @@
 	return o
 }
 
-// sendsBodyEagerly reports whether the body goes out unasked, which saves a round trip.
-// Data that is bound to some places waits until the receiver has agreed: its
-// configuration may be newer and forbid what this host's still allows.
+// sendsBodyEagerly reports whether the body is sent before the peer requests it, which saves a
+// round trip. The body of a confined profile waits until the peer has accepted the request: the
+// peer's configuration may be newer and forbid what this host's still allows.
 func (c *outboundRequest) sendsBodyEagerly() bool {
 	if c.m.cfg.Confined == nil || c.m.cfg.Confined(c.Request.Profile) {
 		return false
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// brokenResult ends a stream that ended before its end frame.
+// brokenResult returns the result for a stream that ended before its end frame.
 func (c *outboundRequest) brokenResult() event.AttemptEnded {
 	end := event.AttemptEnded{Result: event.ResultBroken, Resumable: c.Call.Stream}
 	if !c.bodySent {
@@ -212,9 +213,9 @@
 	return c.addProgress(end)
 }
 
-// checkEnd believes an end frame as far as it fits what was received. An answer
-// that lacks a piece must not pass for whole, and one that has begun can't be
-// of a request that was not run.
+// checkEnd accepts an end frame only if it agrees with what was received. A truncated answer
+// must not count as complete, and an answer that has begun contradicts a request that was not
+// run.
 func (c *outboundRequest) checkEnd(e *wire.End) event.AttemptEnded {
 	end, err := e.ToEvent()
 	if err != nil {
--- a/internal/peer/forward_test.go
+++ b/internal/peer/forward_test.go
@@ -17,7 +17,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// echo answers with the body in two pieces.
+// echo answers with the request body in two pieces.
 func echo(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 	b, err := c.ReadBody()
 	if err != nil {
@@ -30,7 +30,8 @@
 	sink.Finish(event.Done)
 }
 
-// A forwarded request loses a part of its body or answer.
+// A forwarded request must not lose a part of its body or answer, whatever its size. It runs
+// under a new ID, and the digests of its prompt stay on the sending host.
 func TestForward(t *testing.T) {
 	var mu sync.Mutex
 	var got event.Request
@@ -58,7 +59,7 @@
 		t.Errorf("runs as %q, answers as %q", got.ID, call.Answer)
 	}
 	if diff := cmp.Diff([]uint64(nil), got.Prefix); diff != "" {
-		t.Errorf("digests of the prompt have left their host (-want +got):\n%s", diff)
+		t.Errorf("digests of the prompt were sent (-want +got):\n%s", diff)
 	}
 	env, _ := got.Envelope.Get()
 	if diff := cmp.Diff(x.cfg.Self.Place, env.FromPlace); diff != "" {
@@ -66,7 +67,7 @@
 	}
 }
 
-// The body of a request is sent to a host that refuses it.
+// The body of a request must not be sent to a host that refuses the request.
 func TestRefusedBodyIsNotSent(t *testing.T) {
 	const secret = "a long memory that may not leave its home"
 	x, y := startPair(t, Config{}, Config{}, func(_ context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
@@ -83,11 +84,11 @@
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
 	if n := x.count("bytesOut") - before; n >= int64(len(body)) {
-		t.Errorf("%d bytes went out for a body of %d", n, len(body))
+		t.Errorf("%d bytes were sent for a body of %d", n, len(body))
 	}
 }
 
-// An answer that breaks off is delivered as whole.
+// An answer that ends without an end frame must not be delivered as complete.
 func TestTruncatedAnswerIsBroken(t *testing.T) {
 	half := func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
@@ -102,7 +103,7 @@
 	}
 }
 
-// An answer that lacks a part is delivered as whole.
+// An answer with fewer bytes than its end frame states must not be delivered as complete.
 func TestByteCountMismatchIsBroken(t *testing.T) {
 	c := &outboundRequest{answerBegun: true, bodySent: true, receivedBytes: 3}
 	end := c.checkEnd(wire.FromEnd(event.AttemptEnded{Result: event.ResultDone}, 4))
@@ -111,7 +112,8 @@
 	}
 }
 
-// A request is run again after a part of its answer has come.
+// A "not run" end frame after the answer has begun must count as broken; otherwise the request
+// would be run again.
 func TestNotRunAfterBeginIsBroken(t *testing.T) {
 	x, y := startPair(t, Config{}, Config{}, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
@@ -124,7 +126,7 @@
 	}
 }
 
-// A request without a link is not reported as not run.
+// A request that finds no link must be reported as not run, and sent must not be called.
 func TestNoLinkIsNotRun(t *testing.T) {
 	x := startNode(t, Config{
 		Self: newHost("uvs-1", "uvs", ports.Next()), Timing: Timing{LinkTimeout: 50 * time.Millisecond},
@@ -140,7 +142,8 @@
 	}
 }
 
-// A host bars an attempt of another host.
+// A request under an attempt of another host must be refused; otherwise a host could bar
+// attempts of others.
 func TestForeignAttemptIsRefused(t *testing.T) {
 	x, y := startPair(t, Config{}, Config{}, echo)
 	a, end := forward(t.Context(), x, y, "body", func(p *serve.Passed) { p.Forward.Envelope.Attempt.Entry = "uvs-3" })
@@ -153,22 +156,23 @@
 	}
 }
 
-// A forwarded request outlasts its caller, or a call that is not idempotent is broken off.
+// A forwarded request must stop when its caller leaves. An at-most-once call must not be
+// aborted then.
 func TestCallerLeaves(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		began, left := make(chan struct{}), make(chan bool, 1)
+		began, aborted := make(chan struct{}), make(chan bool, 1)
 		gate := make(chan struct{})
 		x, y := startPair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 			_, _ = c.ReadBody()
 			close(began)
 			if !once {
 				<-ctx.Done()
-				left <- true
+				aborted <- true
 				return
 			}
 			<-gate
 			sink.Begin(200, nil)
-			left <- ctx.Err() != nil || sink.Data([]byte("booked"), 1) != nil
+			aborted <- ctx.Err() != nil || sink.Data([]byte("booked"), 1) != nil
 			sink.Finish(event.Done)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -179,20 +183,21 @@
 			t.Errorf("once %v: result (-want +got):\n%s", once, diff)
 		}
 		close(gate)
-		if diff := cmp.Diff(!once, <-left); diff != "" {
-			t.Errorf("once %v: broken off (-want +got):\n%s", once, diff)
+		if diff := cmp.Diff(!once, <-aborted); diff != "" {
+			t.Errorf("once %v: aborted (-want +got):\n%s", once, diff)
 		}
 	}
 }
 
-// A queued request runs after its caller has left.
+// A request that is queued on the other host must not run after its caller has left, whether
+// its body was sent or not.
 func TestCallerLeavesWhileQueued(t *testing.T) {
 	for _, confined := range []bool{false, true} {
-		began, left := make(chan struct{}), make(chan struct{})
+		began, cancelled := make(chan struct{}), make(chan struct{})
 		x, y := startPair(t, Config{Confined: func(ident.Profile) bool { return confined }}, Config{}, func(ctx context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
 			close(began)
 			<-ctx.Done()
-			close(left)
+			close(cancelled)
 			sink.Refuse(event.Refuse{Code: codes.Overloaded.ID, Outcome: event.NotRun})
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -200,14 +205,15 @@
 		go l.run()
 		forward(ctx, x, y, "body", nil)
 		select {
-		case <-left:
+		case <-cancelled:
 		case <-time.After(5 * time.Second):
-			t.Errorf("confined %v: the other host does not notice", confined)
+			t.Errorf("confined %v: the other host did not notice that the caller left", confined)
 		}
 	}
 }
 
-// A queued call runs after its caller got a failure.
+// An at-most-once call that is queued on the other host must not run after its caller has
+// received a failure.
 func TestCallerLeavesWhileOnceCallQueued(t *testing.T) {
 	for range 10 {
 		began, read := make(chan struct{}), make(chan error, 1)
@@ -216,7 +222,7 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Second):
-				t.Error("the other host does not notice that nobody wants the booking")
+				t.Error("the other host did not notice that the caller left")
 			}
 			_, err := c.ReadBody()
 			read <- err
@@ -227,12 +233,12 @@
 		go l.run()
 		forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = true })
 		if err := <-read; err == nil {
-			t.Fatal("a booking that nobody wants any more is sent")
+			t.Fatal("the body was read after the caller left")
 		}
 	}
 }
 
-// leavingCaller is a caller that leaves once its request runs.
+// leavingCaller cancels its request once the request runs.
 type leavingCaller struct {
 	began <-chan struct{}
 	leave func()
@@ -243,7 +249,7 @@
 	l.leave()
 }
 
-// A body beyond the limit fills the memory.
+// A body beyond the limit must be refused; otherwise it would exhaust the memory.
 func TestHugeBodyIsRefused(t *testing.T) {
 	x, y := startPair(t, Config{}, Config{Bounds: Bounds{MaxBodyBytes: ident.Bytes(100_000)}}, echo)
 	_, end := forward(t.Context(), x, y, strings.Repeat("x", 200_000), nil)
@@ -252,7 +258,8 @@
 	}
 }
 
-// Requests beyond the bound of a session wait without end.
+// A request beyond the stream limit of a session must be reported as not run, not wait
+// indefinitely.
 func TestStreamsAreBounded(t *testing.T) {
 	gate, began := make(chan struct{}), make(chan struct{}, 1)
 	x, y := startPair(t, Config{}, Config{Bounds: Bounds{MaxStreams: 1}}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
@@ -265,15 +272,15 @@
 	<-began
 	_, end := forward(t.Context(), x, y, "body", nil)
 	if diff := cmp.Diff(event.ResultNotRun, end.Result); diff != "" {
-		t.Errorf("the second (-want +got):\n%s", diff)
+		t.Errorf("result of the second request (-want +got):\n%s", diff)
 	}
 	close(gate)
 	if diff := cmp.Diff(event.ResultDone, (<-first.end).Result); diff != "" {
-		t.Errorf("the first (-want +got):\n%s", diff)
+		t.Errorf("result of the first request (-want +got):\n%s", diff)
 	}
 }
 
-// forwardJob is a request that is passed on beside others.
+// forwardJob forwards a request concurrently with others.
 type forwardJob struct {
 	x, y *testNode
 	end  chan event.AttemptEnded
--- a/internal/peer/join.go
+++ b/internal/peer/join.go
@@ -5,20 +5,20 @@
 	"net"
 )
 
-// frameJoiner writes the header and the body of a session frame as one. The session
-// library writes them apart, and without this each would be a record of TLS
-// and a packet of its own: for a token of a stream, twice the packets.
+// frameJoiner combines the header and the body of a yamux frame into one write. The yamux
+// library writes them separately, so that each would become a TLS record and a packet of its
+// own: twice the packets for each token of a stream.
 //
-// It goes by the documented form of the frames: 12 bytes of header, of which
-// the second is the type and the last four are the length. Only a data frame
-// has a body, and one with a length is always followed by it. One goroutine
-// of the library does all the writing.
+// It relies on the documented frame format: the header has 12 bytes, its second byte is the
+// type and its last four bytes are the length. Only data frames have a body, and one with a
+// nonzero length is always followed by its body. A single goroutine of the library does all
+// writes.
 type frameJoiner struct {
 	net.Conn
 	pending []byte
 }
 
-// The form of a frame's header.
+// Size and offsets of a yamux frame header in bytes, and the type of data frames.
 const (
 	headerSize   = 12
 	typeOffset   = 1
@@ -26,7 +26,7 @@
 	dataFrame    = 0
 )
 
-// Write holds the header of a data frame back until its body comes.
+// Write buffers the header of a data frame until its body follows.
 func (j *frameJoiner) Write(b []byte) (int, error) {
 	if len(j.pending) == 0 && precedesBody(b) {
 		j.pending = append(j.pending, b...)
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -15,7 +15,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Keys reads the certificate, key and authority of this host from files, and
+// Keys holds the certificate, key and authority of this host. It reads them from files, and
 // again when the files change.
 type Keys struct {
 	CertFile, KeyFile, CAFile string
@@ -25,47 +25,47 @@
 	current keySet
 }
 
-// keySet is what the files held when they were last read and fitted together.
+// keySet is the content of the files when they were last read and consistent.
 type keySet struct {
 	files [3][]byte
-	// rejected holds the texts that did not fit together, so that each is
-	// logged once.
+	// rejected holds the latest contents that were inconsistent, so that they are logged only
+	// once.
 	rejected [3][]byte
 	cert     tls.Certificate
 	pool     *x509.CertPool
 }
 
-// Load reads the files for the first time and fails where they are not whole.
+// Load reads the files for the first time. It returns an error if they are incomplete or
+// inconsistent.
 func (k *Keys) Load() error {
-	texts, err := k.readFiles()
+	files, err := k.readFiles()
 	if err != nil {
 		return err
 	}
-	now, err := parseKeys(texts)
+	keys, err := parseKeys(files)
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.current = now
+	k.current = keys
 	return nil
 }
 
-// refresh returns the newest keys that fit together. The files are compared by
-// what they hold: a copy that is put in place may have any time stamp. Files
-// that are half written, or a key that is in place before its certificate,
-// leave the old ones in force; otherwise the host could reach nobody between
-// two steps of whoever replaces them.
+// refresh returns the latest consistent keys. It compares the contents of the files, since a
+// copied file may have any time stamp. Partly written files, or a key that is replaced before
+// its certificate, leave the previous keys in use; otherwise the host could reach no peer
+// between two steps of a replacement.
 func (k *Keys) refresh() keySet {
-	texts, err := k.readFiles()
+	files, err := k.readFiles()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err != nil || equalFiles(texts, k.current.files) || equalFiles(texts, k.current.rejected) {
+	if err != nil || equalFiles(files, k.current.files) || equalFiles(files, k.current.rejected) {
 		return k.current
 	}
-	next, err := parseKeys(texts)
+	next, err := parseKeys(files)
 	if err != nil {
-		k.current.rejected = texts
+		k.current.rejected = files
 		k.Log.Info("peer keys not taken over", "reason", err.Error())
 		return k.current
 	}
@@ -75,15 +75,15 @@
 }
 
 func (k *Keys) readFiles() ([3][]byte, error) {
-	var ts [3][]byte
+	var files [3][]byte
 	for n, name := range []string{k.CertFile, k.KeyFile, k.CAFile} {
 		b, err := os.ReadFile(name)
 		if err != nil {
-			return ts, errors.Wrap(ErrKeys, err.Error())
+			return files, errors.Wrap(ErrKeys, err.Error())
 		}
-		ts[n] = b
+		files[n] = b
 	}
-	return ts, nil
+	return files, nil
 }
 
 func equalFiles(x, y [3][]byte) bool {
@@ -95,22 +95,21 @@
 	return true
 }
 
-func parseKeys(ts [3][]byte) (keySet, error) {
-	cert, err := tls.X509KeyPair(ts[0], ts[1])
+func parseKeys(files [3][]byte) (keySet, error) {
+	cert, err := tls.X509KeyPair(files[0], files[1])
 	if err != nil {
 		return keySet{}, errors.Wrap(ErrKeys, err.Error())
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(ts[2]) {
-		return keySet{}, errors.Wrap(ErrKeys, "no certificate of an authority")
+	if !pool.AppendCertsFromPEM(files[2]) {
+		return keySet{}, errors.Wrap(ErrKeys, "authority file contains no certificate")
 	}
-	return keySet{files: ts, cert: cert, pool: pool}, nil
+	return keySet{files: files, cert: cert, pool: pool}, nil
 }
 
-// tlsConn returns a TLS connection that asks for the certificate of the other
-// side, and in a connection that this host dialled, for the name in it.
-// Sessions are never resumed: a resumed one would carry on a proof that the
-// newest authority might no longer give.
+// tlsConn returns a TLS connection that verifies the certificate of the other side, and for a
+// dialled connection also the host name in it. Sessions are never resumed: a resumed session
+// would rely on an earlier verification that the current authority might no longer allow.
 func (ks keySet) tlsConn(raw net.Conn, expect ident.EntryID, dialled bool) *tls.Conn {
 	cfg := &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{ks.cert}, SessionTicketsDisabled: true,
@@ -123,17 +122,17 @@
 	return tls.Server(raw, cfg)
 }
 
-// verify reports whether the certificate of a session would be taken now.
+// verify checks the certificate of a session against the current authority.
 func (ks keySet) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.Wrap(ErrRefused, "no certificate")
 	}
-	mid := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		mid.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: ks.pool, Intermediates: mid, CurrentTime: time.Now(),
+		Roots: ks.pool, Intermediates: intermediates, CurrentTime: time.Now(),
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	})
 	if err != nil {
@@ -142,7 +141,7 @@
 	return nil
 }
 
-// verifyName reports whether a certificate is that of an entry host.
+// verifyName checks that the certificate of a connection was issued to an entry host.
 func verifyName(state tls.ConnectionState, id ident.EntryID) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.Wrap(ErrRefused, "no certificate")
--- a/internal/peer/keys_test.go
+++ b/internal/peer/keys_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A foreign process links as an entry host.
+// A process without the certificate of an entry host must not be able to connect as that host.
 func TestPeerWithoutItsCertificateIsRefused(t *testing.T) {
 	ca := newCA(t)
 	foreign, other := issueKeys(t, newCA(t), "uvs-2"), issueKeys(t, ca, "uvs-3")
@@ -48,22 +48,22 @@
 			x := startNode(t, newKeyedConfig(t, "uvs-1", issueKeys(t, ca, "uvs-1")), nil)
 			conn := dialNode(t, x)
 			if c.cfg != nil {
-				// What the stranger thinks of the host does not matter here.
+				// Only the check of the client by the host is under test.
 				c.cfg.InsecureSkipVerify = true
 				conn = tls.Client(conn, c.cfg)
 			}
 			if _, err := connect(t, conn, newHost("uvs-2", "uvs", "127.0.0.1:1")); err == nil {
-				t.Error("it was given a hello")
+				t.Error("the host answered with a hello")
 			}
-			eventually(t, "it is counted as refused", func() bool { return x.count("refused") == 1 })
+			eventually(t, "the connection is counted as refused", func() bool { return x.count("refused") == 1 })
 			if x.hasEvent(isUp("uvs-2")) {
-				t.Error("the reducer was notified of it")
+				t.Error("the reducer was notified")
 			}
 		})
 	}
 }
 
-// Another host answers at the address of the dialled one.
+// A dialled host must present its own name; another host may answer at its address.
 func TestDialledHostNameIsVerified(t *testing.T) {
 	ca := newCA(t)
 	b := newKeyedConfig(t, "uvs-3", issueKeys(t, ca, "uvs-3"))
@@ -73,9 +73,9 @@
 	seed.Entry = "uvs-2"
 	a.Seeds = append(a.Seeds, seed)
 	x := startNode(t, a, nil)
-	eventually(t, "the dialled host sees the link given up", func() bool { return y.count("refused") > 0 })
+	eventually(t, "the dialled host counts the connection as refused", func() bool { return y.count("refused") > 0 })
 	if x.hasEvent(isUp("uvs-2")) || x.hasEvent(isUp("uvs-3")) || y.hasEvent(isUp("uvs-1")) {
-		t.Error("a link stands")
+		t.Error("a link was established")
 	}
 }
 
@@ -92,24 +92,25 @@
 	}
 }
 
-// Replaced keys need a restart.
+// Replaced key files must take effect without a restart, and end sessions under the old
+// authority.
 func TestKeysAreReloaded(t *testing.T) {
 	ca, next := newCA(t), newCA(t)
 	kx, ky := issueKeys(t, ca, "uvs-1"), issueKeys(t, ca, "uvs-2")
 	x, y := startPair(t, newKeyedConfig(t, "uvs-1", kx), newKeyedConfig(t, "uvs-2", ky), nil)
 	awaitLinked(t, x, y)
 	replaceKeys(t, ky, issueKeys(t, next, "uvs-2"))
-	eventually(t, "the link by the old keys ends", func() bool { return x.hasEvent(isDown("uvs-2")) && y.hasEvent(isDown("uvs-1")) })
+	eventually(t, "the link under the old keys ends", func() bool { return x.hasEvent(isDown("uvs-2")) && y.hasEvent(isDown("uvs-1")) })
 	refused := y.count("refused")
 	eventually(t, "the old keys are refused", func() bool { return y.count("refused") > refused })
 	replaceKeys(t, kx, issueKeys(t, next, "uvs-1"))
-	eventually(t, "the link stands by the new keys", func() bool {
+	eventually(t, "there is a link under the new keys", func() bool {
 		s, _ := x.link("uvs-2").current()
 		return s != nil && next.Signed(s.tlsState.PeerCertificates[0])
 	})
 }
 
-// A certificate without its key replaces the pair in use.
+// A certificate that is replaced before its key must not replace the pair in use.
 func TestMismatchedKeysAreRejected(t *testing.T) {
 	ca := newCA(t)
 	k, next := issueKeys(t, ca, "uvs-1"), issueKeys(t, ca, "uvs-1")
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -11,36 +11,36 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// maxBarQueries bounds the open questions to one host. Beyond it the oldest are
-// forgotten all at once; the reducer asks again.
+// maxBarQueries limits the "run or bar" queries to one host that are not yet answered. Beyond
+// it all recorded ones are discarded; the reducer repeats its queries.
 const maxBarQueries = 4096
 
-// link is all that leads to one entry host: the sessions with it, mostly one,
-// and the control messages that wait.
+// link holds the state towards one entry host: its sessions, usually one, and the queued
+// control messages.
 type link struct {
 	m  *Mesh
 	id ident.EntryID
 
-	// upMu orders PeerUp and PeerDown; ups counts the sessions reported as up.
-	// It is held while an event is posted, so that Send must never take it.
+	// upMu orders the PeerUp and PeerDown events; sessionsUp counts the sessions that were
+	// reported as up. upMu is held while an event is posted, so Send must never lock it.
 	upMu       sync.Mutex
 	sessionsUp int
 
 	mu   sync.Mutex
 	host event.Host
-	// pinned links are dialled again for ever: those to seeds, in another
-	// data centre until they have stood once.
+	// pinned marks the links to seeds, which are redialled without limit. A link to a seed in
+	// another data centre is pinned only until its first session.
 	pinned bool
-	// wantedAt is when the link was last asked for.
+	// wantedAt is when the link was last used for a message or request to the host.
 	wantedAt ident.Time
 	dialling bool
 	failures int
-	// sessions are in the order of their coming; the newest is used.
+	// sessions are in order of arrival; the last one is in use.
 	sessions []*session
 	queue    queue
-	// barQueries holds the attempts that "run or bar" was barQueries about.
+	// barQueries holds the attempts that this host has sent a "run or bar" query about.
 	barQueries value.Set[string]
-	// sessionAdded is closed when a session comes.
+	// sessionAdded is closed, and replaced, when a session is added.
 	sessionAdded chan struct{}
 }
 
@@ -48,7 +48,7 @@
 	return &link{m: m, id: id, sessionAdded: make(chan struct{}), queue: queue{maxItems: m.cfg.Bounds.MaxQueued}}
 }
 
-// ensureSession asks for a session with a host and dials where there is none. It does
+// ensureSession requests a session with a host and starts dialling if there is none. It does
 // not block.
 func (l *link) ensureSession(h event.Host, pinned bool) {
 	l.mu.Lock()
@@ -59,7 +59,7 @@
 	l.startDialling()
 }
 
-// updateHost takes over what is newer about the host.
+// updateHost stores the description of the host unless it is of an older incarnation.
 func (l *link) updateHost(h event.Host) {
 	if h.Incarnation < l.host.Incarnation {
 		return
@@ -70,7 +70,8 @@
 	l.host = h
 }
 
-// startDialling starts dialling unless there is a session or it has been started.
+// startDialling starts a dialler if there is neither a session nor a dialler, and the address
+// is known.
 func (l *link) startDialling() {
 	if l.dialling || len(l.sessions) > 0 || l.host.PeerAddr == "" {
 		return
@@ -79,12 +80,12 @@
 	l.dialling = l.m.spawn(d.run)
 }
 
-// isNeeded reports whether a session should stand.
+// isNeeded reports whether the link should have a session.
 func (l *link) isNeeded(now ident.Time) bool {
 	return l.pinned || now.Sub(l.wantedAt) < l.m.cfg.Timing.IdleTimeout
 }
 
-// activeSession is the session in use, nil for none.
+// activeSession returns the session in use, nil if there is none. The caller holds mu.
 func (l *link) activeSession() *session {
 	if len(l.sessions) == 0 {
 		return nil
@@ -104,19 +105,19 @@
 	return slices.Clone(l.sessions)
 }
 
-// add adds an authenticated session. A restarted host comes back under its name with a higher
-// incarnation while its old connection may still seem to stand: the newer one wins. Two hosts
-// may dial each other at once, so that one session in each direction is allowed; tend ends the
-// spare one.
+// add adds an authenticated session. A restarted host reconnects under its name with a higher
+// incarnation while its old connection may still seem to be open; the higher incarnation wins.
+// Two hosts may dial each other at the same time, so one session in each direction is allowed;
+// maintain ends the duplicate.
 func (l *link) add(s *session) error {
-	olds, err := l.insert(s)
+	previous, err := l.insert(s)
 	if err != nil {
 		return err
 	}
-	// The new session is reported before the end of the old one, so that the host is not
+	// The new session is reported before the old one ends, so that the host is not reported as
 	// down in between.
 	s.reportUp()
-	for _, old := range olds {
+	for _, old := range previous {
 		if old.host.Incarnation < s.host.Incarnation || old.dialled == s.dialled {
 			old.end("replaced")
 		}
@@ -124,26 +125,26 @@
 	return nil
 }
 
-// insert adds a session and returns those that were there before.
+// insert adds a session and returns the previous ones.
 func (l *link) insert(s *session) ([]*session, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, old := range l.sessions {
 		if old.host.Incarnation > s.host.Incarnation {
-			return nil, errors.Wrap(ErrRefused, "a newer run of the host is linked")
+			return nil, errors.Wrap(ErrRefused, "a newer incarnation of the host is connected")
 		}
 	}
-	olds := slices.Clone(l.sessions)
+	previous := slices.Clone(l.sessions)
 	l.updateHost(s.host)
 	l.pinned = l.pinned && l.m.isLocal(s.host)
 	l.sessions = append(l.sessions, s)
 	close(l.sessionAdded)
 	l.sessionAdded = make(chan struct{})
 	s.wake()
-	return olds, nil
+	return previous, nil
 }
 
-// remove forgets a session that has ended and dials again if need be.
+// remove removes a session that has ended and dials again if needed.
 func (l *link) remove(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,20 +168,21 @@
 	}
 }
 
-// push queues a control message and never blocks.
+// push queues a control message. It never blocks.
 func (l *link) push(it item) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	it.queuedAt = l.m.cfg.Clock.Now()
-	if lost, ok := l.queue.push(it); ok {
-		l.m.countDropped(lost)
+	if dropped, ok := l.queue.push(it); ok {
+		l.m.countDropped(dropped)
 	}
 	if a := l.activeSession(); a != nil {
 		a.wake()
 	}
 }
 
-// pop takes the next control message for a session, if it is the one in use.
+// pop returns the next control message for a session, or false if the session is not the one in
+// use. It drops messages that have become too old.
 func (l *link) pop(s *session) (item, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,7 +201,7 @@
 	}
 }
 
-// maintain looks after the sessions of the link.
+// maintain checks the sessions of the link and ends a duplicate one.
 func (l *link) maintain(now ident.Time) {
 	ss := l.allSessions()
 	for _, s := range ss {
@@ -210,8 +212,9 @@
 	}
 }
 
-// endDuplicate ends the session that the host with the higher name has dialled.
-// Both hosts know which one that is, so that they don't end both.
+// endDuplicate ends the session that the host with the higher name has dialled, once it carries
+// no requests. The rule gives the same result on both hosts, so that they don't end both
+// sessions.
 func endDuplicate(ss []*session) {
 	for _, s := range ss {
 		if s.dialled && s.streams.Load() == 0 {
@@ -220,7 +223,7 @@
 	}
 }
 
-// addBarQuery notes that "run or bar" is asked about an attempt.
+// addBarQuery records a "run or bar" query about an attempt.
 func (l *link) addBarQuery(a ident.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,7 +233,8 @@
 	l.barQueries.Add(a.String())
 }
 
-// takeBarAnswer reports whether the host was asked, and notes the answer.
+// takeBarAnswer reports whether the host was queried about the attempt. It removes the query
+// unless the attempt still runs.
 func (l *link) takeBarAnswer(ans event.BarAnswered) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peer/part.go
+++ b/internal/peer/part.go
@@ -16,7 +16,7 @@
 	m      *Mesh
 	raw    *yamux.Stream
 	reader *bufio.Reader
-	// cancelled says that no read or write may wait any longer.
+	// cancelled is set when no read or write may block any longer.
 	cancelled atomic.Bool
 }
 
@@ -24,8 +24,8 @@
 	return &requestStream{m: m, raw: st, reader: bufio.NewReader(st)}
 }
 
-// write writes a message. A peer that does not read for long breaks the
-// stream, since it would hold this side's goroutine and answer for ever.
+// write writes a message. The write deadline breaks the stream if the peer stops reading, which
+// would otherwise block the goroutine and keep the answer in memory forever.
 func (p *requestStream) write(msg proto.Message) error {
 	_ = p.raw.SetWriteDeadline(time.Now().Add(p.m.cfg.Timing.WriteTimeout))
 	if p.cancelled.Load() {
@@ -49,13 +49,13 @@
 	}
 }
 
-// cancelIO breaks off a read or write that waits, and all later ones.
+// cancelIO interrupts a blocked read or write and makes all later ones fail.
 func (p *requestStream) cancelIO() {
 	p.cancelled.Store(true)
 	_ = p.raw.SetDeadline(time.Now())
 }
 
-// splitPieces cuts a long text into what goes into one message.
+// splitPieces splits bytes into pieces that each fit into one message.
 func splitPieces(b []byte) [][]byte {
 	var ps [][]byte
 	for len(b) > wire.PieceSize {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer links the entry hosts: it dials and accepts sessions, proves
-// who is at the other end, carries digests, summaries and configuration
-// between the reducers, and passes requests on.
+// Package peer connects the entry hosts. It dials and accepts sessions, authenticates both
+// sides, carries digests, summaries and configuration between the reducers, and forwards
+// requests.
 //
 // # Usage
 //
@@ -13,16 +13,15 @@
 //	m.Send(event.SendDigest{...})  // never blocks
 //	rn.Forward = m.Forward
 //
-// A session is a yamux session over TCP with TLS on both sides. Its first
-// stream carries the control messages of package wire, every further one a
-// forwarded request, so that a long answer holds up no digest.
+// A session is a yamux session over TCP with mutual TLS. Its first stream carries the control
+// messages of package wire. Each further stream carries one forwarded request, so that a long
+// answer does not delay digests.
 //
-// Links within the data centre stay; one to another data centre is dialled
-// when it is needed and closed when it has been idle, since every host with a
-// link to every other would not scale.
+// Links within a data centre are permanent. A link to another data centre is dialled on demand
+// and closed when idle, since a permanent link between every two hosts would not scale.
 //
-// A link says nothing about a host but that its process answers. PeerDown is
-// a hint: the host may serve on behind a network partition.
+// A link shows only that the process of the other host responds. PeerDown is a hint: the host
+// may still serve on the other side of a network partition.
 package peer
 
 import (
@@ -46,46 +45,46 @@
 
 // The errors of this package.
 var (
-	// ErrLink says that no link stands or that it broke.
-	ErrLink = errors.New("peer: no link")
-	// ErrRefused says that the other side is not who it must be.
+	// ErrLink reports that there is no link or that it broke.
+	ErrLink = errors.New("peer: link unavailable")
+	// ErrRefused reports that the other side could not be authenticated or broke the protocol.
 	ErrRefused = errors.New("peer: refused")
-	// ErrKeys says that the certificate, key or authority can't be read.
-	ErrKeys = errors.New("peer: keys")
-	// ErrFull says that a bound on sessions or streams is reached.
-	ErrFull = errors.New("peer: too many")
+	// ErrKeys reports that the certificate, key or authority can't be read or parsed.
+	ErrKeys = errors.New("peer: invalid keys")
+	// ErrFull reports that a bound on sessions, streams or bytes is reached.
+	ErrFull = errors.New("peer: limit reached")
 )
 
-// Config is what a mesh needs.
+// Config configures a Mesh.
 type Config struct {
 	Self  event.Host
 	Clock *clock.Service
 	Log   logr.Logger
-	// Metrics takes the counters; nil stands for the default registry.
+	// Metrics receives the counters; nil means the default registry.
 	Metrics metrics.Registry
-	// Confined reports whether a profile's data is bound to some places, so
-	// that a body is sent only after the receiver has agreed to take it. Nil
-	// stands for always.
+	// Confined reports whether the data of a profile is restricted to some places. The body of
+	// such a request is sent only after the receiver has accepted the request. Nil means that
+	// every profile is confined.
 	Confined func(p ident.Profile) bool
-	// Keys authenticates both sides; nil leaves the links in plain text, for
-	// development.
+	// Keys authenticates both sides. If it is nil, the links are unencrypted and
+	// unauthenticated, for development only.
 	Keys *Keys
-	// Listen is the address for peers.
+	// Listen is the address on which peers connect.
 	Listen string
-	// Seeds are dialled before the reducer names any host.
+	// Seeds are dialled at the start, before the reducer names any host.
 	Seeds []config.Seed
-	// Timing and Bounds default where they are zero.
+	// Zero fields of Timing and Bounds take their defaults.
 	Timing Timing
 	Bounds Bounds
 }
 
-// PostFunc hands an event to the reducer. It may wait.
+// PostFunc passes an event to the reducer. It may block.
 type PostFunc func(ev event.Event)
 
-// ServeFunc runs a request that a peer has passed on.
+// ServeFunc runs a request that a peer has forwarded.
 type ServeFunc func(ctx context.Context, call serve.Call, req event.Request, sink serve.Sink)
 
-// Mesh is the set of links of one entry host.
+// Mesh manages the links of one entry host.
 type Mesh struct {
 	tasks    group.Group
 	cfg      Config
@@ -94,11 +93,10 @@
 	post     PostFunc
 	serve    ServeFunc
 
-	// handshakes holds a token for each connection that has not yet proved
-	// who it is.
+	// handshakes holds a token for each incoming connection that is not yet authenticated.
 	handshakes chan struct{}
 	sessions   atomic.Int32
-	// inboundRequests counts the requests of peers that run here.
+	// inboundRequests counts the forwarded requests that run on this host.
 	inboundRequests atomic.Int32
 
 	mu     sync.Mutex
@@ -107,7 +105,7 @@
 	closed bool
 }
 
-// New returns a mesh that does nothing before Start.
+// New returns a mesh that is inactive until Start.
 func New(cfg Config) *Mesh {
 	cfg.Timing.setDefaults()
 	cfg.Bounds.setDefaults()
@@ -118,15 +116,15 @@
 	}
 }
 
-// Start listens and dials the seeds. Send and Forward may be called before it
-// and find no link.
+// Start listens and dials the seeds. Send and Forward may be called before it; they find no
+// link then.
 func (m *Mesh) Start(post PostFunc, run ServeFunc) error {
 	if m.cfg.Keys == nil {
-		m.cfg.Log.Info("peer links are in plain text and trust any name, for development only")
+		m.cfg.Log.Info("peer links are unencrypted and accept any host name; for development only")
 	}
 	if m.cfg.Listen == "" {
-		// The library would take any port on every address of the host.
-		return errors.Wrap(ErrLink, "no address to listen on")
+		// net.Listen would take any free port on every address of the host.
+		return errors.Wrap(ErrLink, "no listen address is set")
 	}
 	ln, err := net.Listen("tcp", m.cfg.Listen)
 	if err != nil {
@@ -147,7 +145,7 @@
 	m.tasks.Go(m.maintenanceLoop)
 }
 
-// Addr is where the mesh listens.
+// Addr returns the address that the mesh listens on. It must not be called before Start.
 func (m *Mesh) Addr() string { return m.ln.Addr().String() }
 
 // SetDraining marks this host as draining in the hellos of new sessions.
@@ -163,12 +161,12 @@
 	return m.self
 }
 
-// stopPollInterval is how often Stop looks whether the last request has gone.
+// stopPollInterval is the interval at which Stop checks whether forwarded requests still run.
 const stopPollInterval = 10 * time.Millisecond
 
-// Stop ends the links, once the last answers to peers have been taken by them
-// or ctx ends. To end them at once would cut an answer whose end frame is
-// still in a socket, and the peer would have to call it broken.
+// Stop closes the links once the peers have received the last answers, or when ctx ends.
+// Closing at once would cut off an answer whose end frame is still in a socket buffer, and the
+// peer would have to report the attempt as broken.
 func (m *Mesh) Stop(ctx context.Context) {
 	m.awaitInbound(ctx)
 	m.mu.Lock()
@@ -198,7 +196,8 @@
 	}
 }
 
-// spawn starts a goroutine, and reports false for a mesh that has stopped.
+// spawn runs a function in a goroutine of the mesh. It returns false if the mesh is not started
+// or is stopped.
 func (m *Mesh) spawn(run func() error) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,9 +207,9 @@
 	return m.tasks.Go(run)
 }
 
-// link returns the link to a host and makes it where there is none, nil where
-// there are too many. Links are never dropped: there are as many as names of
-// hosts, and one without a session is small.
+// link returns the link to a host and creates it if needed. It returns nil for this host
+// itself, for an empty name and beyond MaxLinks. Links are never removed: their number is
+// bounded by the number of host names, and a link without a session is small.
 func (m *Mesh) link(id ident.EntryID) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,10 +244,10 @@
 	l.ensureSession(event.Host{ID: s.Entry, PeerAddr: s.Addr, Place: place}, true)
 }
 
-// isLocal reports whether a host stands in the data centre of this one.
+// isLocal reports whether a host is in this data centre.
 func (m *Mesh) isLocal(h event.Host) bool { return h.Place.Group() == m.cfg.Self.Place.Group() }
 
-// maintenanceLoop looks after the sessions.
+// maintenanceLoop checks the sessions and the keys at their intervals.
 func (m *Mesh) maintenanceLoop() error {
 	tick := m.cfg.Clock.Every(m.cfg.Timing.TickInterval)
 	defer tick.Close()
@@ -268,19 +267,19 @@
 	}
 }
 
-// recheckCertificates ends the sessions whose certificate no longer holds. A session may
-// last for weeks; a host whose certificate has been withdrawn by a change of
-// the authority would otherwise stay in for as long.
+// recheckCertificates ends the sessions whose certificate is no longer valid. A session may
+// last for weeks; without this check a host whose certificate was revoked by a change of the
+// authority would stay connected for as long.
 func (m *Mesh) recheckCertificates() {
 	if m.cfg.Keys == nil {
 		return
 	}
-	now := m.cfg.Keys.refresh()
+	current := m.cfg.Keys.refresh()
 	for _, l := range m.allLinks() {
 		for _, s := range l.allSessions() {
-			if err := now.verify(s.tlsState); err != nil {
+			if err := current.verify(s.tlsState); err != nil {
 				m.counters.refused.Inc(1)
-				s.end("the certificate no longer holds")
+				s.end("certificate no longer valid")
 			}
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,11 +23,10 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// testTimeout bounds every wait, long enough that no verdict hangs on a tight
-// timing.
+// testTimeout limits each wait. It is long, so that no test fails on a slow machine.
 const testTimeout = 20 * time.Second
 
-// testNode is one entry host with a mesh and no reducer.
+// testNode is an entry host with a mesh and no reducer.
 type testNode struct {
 	*Mesh
 	reg metrics.Registry
@@ -60,7 +59,7 @@
 	n.events = append(n.events, ev)
 }
 
-// hasEvent reports whether an event hasEvent come that ok holds for.
+// hasEvent reports whether an event for which ok returns true was posted.
 func (n *testNode) hasEvent(ok func(ev event.Event) bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +82,7 @@
 	}
 }
 
-// startNode starts a host that answers requests of peers with run.
+// startNode starts a host that serves forwarded requests with run.
 func startNode(t testing.TB, cfg Config, run ServeFunc) *testNode {
 	t.Helper()
 	n := &testNode{reg: metrics.NewRegistry(), log: &logBuffer{}}
@@ -157,7 +156,7 @@
 	})
 }
 
-// A control message is lost, or attributed to another host.
+// A control message must not be lost or attributed to another host.
 func TestControl(t *testing.T) {
 	x, y := startPair(t, Config{}, Config{}, nil)
 	awaitLinked(t, x, y)
@@ -195,7 +194,7 @@
 	})
 }
 
-// An unrequested "barred" makes a request run twice.
+// An unrequested "barred" answer must be dropped; it would let a request run twice.
 func TestUnaskedBarAnswerIsDropped(t *testing.T) {
 	x, y := startPair(t, Config{}, Config{}, nil)
 	awaitLinked(t, x, y)
@@ -229,7 +228,7 @@
 	return ca
 }
 
-// newForwarded is a request of a caller that is to be passed on.
+// newForwarded returns a caller's request to be forwarded to a host.
 func newForwarded(to event.Host, body string) serve.Passed {
 	return serve.Passed{
 		Forward: event.Forward{
@@ -247,7 +246,7 @@
 	}
 }
 
-// receivedAnswer is what a caller's side has received.
+// receivedAnswer records what the caller's host has received.
 type receivedAnswer struct {
 	status    int
 	body      bytes.Buffer
@@ -266,7 +265,7 @@
 	}
 }
 
-// forward passes a request from x on to y.
+// forward forwards a request from x to y.
 func forward(ctx context.Context, x, y *testNode, body string, change func(p *serve.Passed)) (*receivedAnswer, event.AttemptEnded) {
 	p := newForwarded(y.cfg.Self, body)
 	p.Forward.Envelope.Attempt.Incarnation = x.cfg.Self.Incarnation
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -8,28 +8,28 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// item is one control message that waits to be sent.
+// item is a queued control message.
 type item struct {
 	frame []byte
-	// book stands for the frame of a snapshot. Its encoding takes long and
-	// much memory, so that it is left to the sender and its turn.
+	// book is set instead of frame for a snapshot. Encoding it takes much time and memory, so
+	// the sender does it when the item is next.
 	book *rules.Book
-	// expires marks a message that is of no use when it is late: the next one
-	// replaces it, and the expires in it would be wrong.
+	// expires marks a message that is useless when late: the next one replaces it, and the ages
+	// that it states would be wrong.
 	expires  bool
 	queuedAt ident.Time
 }
 
-// queue is a bounded queue of control messages. A peer that reads slowly, or
-// not at all, must neither hold up the reducer nor fill the memory, so what
-// is too much is dropped: the oldest digest first, which the next one
-// replaces anyway.
+// queue is a bounded queue of control messages. A peer that reads slowly or not at all must
+// neither block the reducer nor exhaust the memory. When the queue is full, the oldest expiring
+// message is dropped, since the next one replaces it anyway.
 type queue struct {
 	maxItems int
 	items    []item
 }
 
-// push adds an item and returns the one that is lost for it.
+// push adds an item. If the queue is full, it returns the item that was dropped: the oldest
+// expiring one, or else the new item itself.
 func (q *queue) push(it item) (item, bool) {
 	if len(q.items) < q.maxItems {
 		q.items = append(q.items, it)
@@ -39,9 +39,9 @@
 	if n < 0 {
 		return it, true
 	}
-	lost := q.items[n]
+	dropped := q.items[n]
 	q.items = append(slices.Delete(q.items, n, n+1), it)
-	return lost, true
+	return dropped, true
 }
 
 func (q *queue) pop() (item, bool) {
@@ -53,7 +53,7 @@
 	return it, true
 }
 
-// itemFrame returns the bytes of an item.
+// itemFrame returns the encoded frame of an item.
 func (m *Mesh) itemFrame(it item) ([]byte, bool) {
 	if it.book == nil {
 		return it.frame, true
--- a/internal/peer/raw_test.go
+++ b/internal/peer/raw_test.go
@@ -12,14 +12,14 @@
 	"verbenadale.example/verbenadale/internal/wire"
 )
 
-// rawPeer is the other end of a session in a test's own hands.
+// rawPeer is the remote end of a session, controlled by the test.
 type rawPeer struct {
 	mux     *yamux.Session
 	control net.Conn
 	reader  *bufio.Reader
 }
 
-// connect opens a session with a node over a connection and says hello.
+// connect opens a session with a node over a connection and exchanges hellos.
 func connect(t *testing.T, conn net.Conn, h event.Host) (*rawPeer, error) {
 	t.Helper()
 	t.Cleanup(func() { _ = conn.Close() })
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -16,12 +16,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// session is one connection with a host that has proved who it is.
+// session is one authenticated connection with a host.
 type session struct {
 	m    *Mesh
 	link *link
 	host event.Host
-	// dialled says that this host opened the connection.
+	// dialled is set if this host opened the connection.
 	dialled   bool
 	startedAt ident.Time
 	tlsState  tls.ConnectionState
@@ -32,17 +32,17 @@
 	reader  *bufio.Reader
 	wakeup  chan struct{}
 	endOnce sync.Once
-	// endReason is why it has ended.
+	// endReason is why the session has ended.
 	endReason string
 
-	// pingDue asks the sender for a ping.
+	// pingDue requests a ping from the sender.
 	pingDue atomic.Bool
 	// lastUsed is when the session last carried anything but pings.
 	lastUsed atomic.Int64
-	// streams counts the requests in both directions, unacknowledged those of this
-	// host that the peer has not yet taken notice of.
+	// streams counts the forwarded requests in both directions, unacknowledged those of this
+	// host for which the peer has not sent any message.
 	streams, unacknowledged atomic.Int32
-	// inboundStreams counts those of the peer.
+	// inboundStreams counts the requests that the peer has forwarded.
 	inboundStreams atomic.Int32
 }
 
@@ -60,7 +60,7 @@
 	return p
 }
 
-// Read reads and records the time.
+// Read records the time of a read that returns data.
 func (p *activityConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
 	if n > 0 {
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// Write writes and records the time.
+// Write records the time of a write that sends data.
 func (p *activityConn) Write(b []byte) (int, error) {
 	n, err := p.Conn.Write(b)
 	if n > 0 {
@@ -80,15 +80,15 @@
 	return n, err
 }
 
-// tlsConn is a TLS connection that closes the TCP connection first. The end of
-// a TLS session is a message, and to write it to a frozen peer would block
-// whoever closes for seconds.
+// tlsConn is a TLS connection that closes its TCP connection first. TLS sends a message at the
+// end of a connection, and writing it to a frozen peer would block the caller of Close for
+// seconds.
 type tlsConn struct {
 	net.Conn
 	raw *activityConn
 }
 
-// Close closes both.
+// Close closes the TCP connection, then the TLS connection.
 func (c *tlsConn) Close() error {
 	err := c.raw.Close()
 	_ = c.Conn.Close()
@@ -102,7 +102,7 @@
 	}
 }
 
-// end ends the session; its run does the rest.
+// end closes the connection; run then cleans up.
 func (s *session) end(reason string) {
 	s.endOnce.Do(func() {
 		s.endReason = reason
@@ -111,7 +111,7 @@
 	})
 }
 
-// run reads the control messages until the session ends.
+// run reads control messages until the session ends, then removes the session from its link.
 func (s *session) run() error {
 	err := s.read()
 	s.end(err.Error())
@@ -139,7 +139,8 @@
 
 func (s *session) markUsed() { s.lastUsed.Store(int64(s.m.cfg.Clock.Now())) }
 
-// reportUp notifies the reducer of the link before any message of the peer.
+// reportUp notifies the reducer of the link. It is called before any message of the peer is
+// received.
 func (s *session) reportUp() {
 	s.link.upMu.Lock()
 	defer s.link.upMu.Unlock()
@@ -148,7 +149,7 @@
 	s.m.post(event.PeerUp{Host: s.host})
 }
 
-// reportDown notifies the reducer when the last session with the host has ended.
+// reportDown notifies the reducer if this was the last session with the host.
 func (s *session) reportDown() {
 	s.link.upMu.Lock()
 	defer s.link.upMu.Unlock()
@@ -160,13 +161,13 @@
 	s.m.post(event.PeerDown{Entry: s.host.ID})
 }
 
-// maintain ends a session that has been silent or idle for too long, and requests a ping on one
-// without writes. The sockets of a frozen process stay open and its kernel confirms what it is
-// sent, so that only silence shows it.
+// maintain ends a session that has been silent or idle for too long, and requests a ping if
+// nothing was written for a while. The sockets of a frozen process stay open and its kernel
+// still acknowledges data, so only silence reveals it.
 func (s *session) maintain(now ident.Time) {
 	ping, silence := s.m.cfg.Timing.PingInterval, s.m.cfg.Timing.SilenceTimeout
-	near := s.m.isLocal(s.host)
-	if !near {
+	local := s.m.isLocal(s.host)
+	if !local {
 		ping, silence = s.m.cfg.Timing.RemotePingInterval, s.m.cfg.Timing.RemoteSilenceTimeout
 	}
 	if now.Sub(ident.Time(s.conn.lastRead.Load())) > silence {
@@ -177,7 +178,7 @@
 	if s.streams.Load() > 0 {
 		s.markUsed()
 	}
-	if !near && now.Sub(ident.Time(s.lastUsed.Load())) > s.m.cfg.Timing.IdleTimeout {
+	if !local && now.Sub(ident.Time(s.lastUsed.Load())) > s.m.cfg.Timing.IdleTimeout {
 		s.end("idle")
 		return
 	}
@@ -205,7 +206,7 @@
 	}
 }
 
-// flush writes all that waits.
+// flush writes all queued messages and a ping if one is due.
 func (w *sender) flush() error {
 	s := w.session
 	for {
@@ -233,8 +234,8 @@
 	return w.write(frame)
 }
 
-// write bounds each write, since a peer that reads nothing would hold the
-// sender for ever.
+// write sets a deadline for each write, since a peer that does not read would block the sender
+// forever.
 func (w *sender) write(frame []byte) error {
 	s := w.session
 	_ = s.control.SetWriteDeadline(time.Now().Add(s.m.cfg.Timing.RemoteSilenceTimeout))
@@ -244,7 +245,7 @@
 	return nil
 }
 
-// acceptor takes the requests that the peer passes on.
+// acceptor accepts the requests that the peer forwards.
 type acceptor struct{ session *session }
 
 func (a *acceptor) run() error {
@@ -255,8 +256,8 @@
 			return nil
 		}
 		if int(s.inboundStreams.Add(1)) > s.m.cfg.Bounds.MaxStreams {
-			// The body has not been asked for, so that the peer knows by the
-			// closed stream that the request was not run.
+			// The body has not been requested, so the peer knows from the closed stream that
+			// the request was not run.
 			s.m.counters.full.Inc(1)
 			s.inboundStreams.Add(-1)
 			_ = st.Close()
--- a/internal/peer/take.go
+++ b/internal/peer/take.go
@@ -18,7 +18,7 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// inboundRequest is one request that a peer passes on to this host.
+// inboundRequest is one request that a peer has forwarded to this host.
 type inboundRequest struct {
 	m       *Mesh
 	session *session
@@ -26,19 +26,20 @@
 	open    *wire.Open
 
 	cancel context.CancelFunc
-	// reader reads the stream, nil before it does. gone says that the peer no
-	// longer wants the answer.
+	// reader reads the stream after the head of the request, nil before. peerGone is set when
+	// the peer no longer wants the answer.
 	reader   *streamReader
 	peerGone atomic.Bool
-	// bodyRequested says that the body was bodyRequested for: the request may be at a target from then on.
+	// bodyRequested is set once the body was requested: from then on the request may be at a
+	// target.
 	bodyRequested atomic.Bool
 
 	endSent   bool
 	sentBytes uint64
 }
 
-// run reads the head of the request and has it run. The body stays unread
-// until the reducer has let the request in.
+// run reads the head of the request and serves it. The body is not requested until the reducer
+// has admitted the request.
 func (k *inboundRequest) run() error {
 	defer k.m.inboundRequests.Add(-1)
 	defer k.session.streams.Add(-1)
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// ownsAttempt reports whether the attempt is the peer's own. "Run or bar" goes by
-// the attempt, so that one under another host's name could bar that one's.
+// ownsAttempt reports whether the attempt is the peer's own. "Run or bar" identifies requests
+// by attempt, so an attempt under another host's name could bar that host's request.
 func (k *inboundRequest) ownsAttempt() bool {
 	a := k.open.GetEnvelope().ToEvent(k.session.host).Attempt
 	return a.Entry == k.session.host.ID && a.Incarnation == k.session.host.Incarnation && a.Number > 0
@@ -83,9 +84,8 @@
 	stop()
 }
 
-// awaitClose waits until the peer has closed the stream. It does so once it has
-// the end frame, which is thus known to have arrived before a host that
-// drains goes on to stop.
+// awaitClose waits until the peer closes the stream. The peer closes it after it has received
+// the end frame, so a draining host knows that the frame has arrived before it stops.
 func (k *inboundRequest) awaitClose() {
 	if !k.endSent {
 		return
@@ -107,8 +107,8 @@
 	}
 }
 
-// newRequestID returns an id for the request at this host. It differs from that of the sender, since a
-// request may come back to a host that has it already.
+// newRequestID returns an ID for the request on this host. It differs from the sender's ID,
+// since a request may return to a host that already has it.
 func newRequestID() ident.RequestID {
 	var b [16]byte
 	_, _ = rand.Read(b[:])
@@ -147,28 +147,28 @@
 	}
 }
 
-// readBody asks for the body and waits for it, within bounds of time and length. It fails if
-// the peer has gone, also after the whole body has come: nothing has reached a target yet.
+// readBody requests the body and waits for it, bounded in time and length. It fails if the peer
+// has gone, even after the whole body was received: nothing has reached a target yet.
 func (k *inboundRequest) readBody() ([]byte, error) {
 	k.bodyRequested.Store(true)
 	if err := k.stream.write(&wire.Part{Body: &wire.Part_GoOn{GoOn: &wire.GoOn{}}}); err != nil {
 		return nil, errors.Wrap(ErrLink, err.Error())
 	}
-	late := k.m.cfg.Clock.At(k.m.cfg.Clock.Now().Add(k.m.cfg.Timing.BodyTimeout))
-	defer late.Close()
+	timeout := k.m.cfg.Clock.At(k.m.cfg.Clock.Now().Add(k.m.cfg.Timing.BodyTimeout))
+	defer timeout.Close()
 	select {
 	case <-k.reader.bodyComplete:
 	case <-k.reader.done:
-	case <-late.C():
-		return nil, errors.Wrap(ErrLink, "the body does not come")
+	case <-timeout.C():
+		return nil, errors.Wrap(ErrLink, "request body not received in time")
 	}
 	if k.peerGone.Load() {
-		return nil, errors.Wrap(ErrLink, "the peer has left")
+		return nil, errors.Wrap(ErrLink, "peer closed the stream")
 	}
 	return k.reader.body, nil
 }
 
-// startReader has the stream read from now on.
+// startReader starts the reader of the stream.
 func (k *inboundRequest) startReader() bool {
 	k.stream.setReadTimeout(maxStreamTime)
 	k.reader = &streamReader{request: k, bodyComplete: make(chan struct{}), done: make(chan struct{})}
@@ -182,15 +182,15 @@
 // maxStreamTime is longer than any request may run.
 const maxStreamTime = 24 * time.Hour
 
-// streamReader reads what the peer sends: the body, and then the end of the stream,
-// which says that the answer is no longer wanted.
+// streamReader reads what the peer sends after the head: the body, then the end of the stream,
+// which signals that the answer is no longer wanted.
 //
-// It reads from the first moment on. A request may wait here for a place with
-// its body unasked, and its caller leave meanwhile: were the end of the stream
-// seen only after the body, the request would go to a target for nobody.
+// It runs from the start, not only after readBody. The request may be queued here before its
+// body is requested, and its caller may leave meanwhile. If the end of the stream were noticed
+// only after the body, the request would be sent to a target although nobody wants the answer.
 type streamReader struct {
 	request *inboundRequest
-	// bodyComplete is closed when the body has come, done when the stream has ended.
+	// bodyComplete is closed when the whole body was received, done when the stream has ended.
 	bodyComplete, done chan struct{}
 	body               []byte
 	err                error
@@ -220,10 +220,10 @@
 		}
 		p := msg.GetPiece()
 		if p == nil {
-			return errors.Wrap(ErrRefused, "no piece of a body")
+			return errors.Wrap(ErrRefused, "expected a piece of the request body")
 		}
 		if ident.Bytes(len(w.body)+len(p.GetBody())) > w.request.m.cfg.Bounds.MaxBodyBytes {
-			return errors.Wrap(ErrFull, "bytes of a body")
+			return errors.Wrap(ErrFull, "request body too large")
 		}
 		w.body = append(w.body, p.GetBody()...)
 		if p.GetLast() {
@@ -249,9 +249,8 @@
 	return nil
 }
 
-// send sends a part of the answer. A call that may not be repeated goes on
-// when nobody takes its answer any longer: breaking it off would leave
-// unknown whether it ran.
+// send sends a part of the answer. An at-most-once call continues after its answer is no longer
+// wanted, since aborting it would leave unknown whether it ran.
 func (k *inboundRequest) send(msg *wire.Part) error {
 	if k.peerGone.Load() && k.open.GetOnce() {
 		return nil
@@ -272,8 +271,8 @@
 	k.sendEnd(end)
 }
 
-// sendRefusal passes a refusal on. One that says that the request ran, though its
-// answer is gone, ends the attempt as a failure and never as an answer.
+// sendRefusal sends a refusal as the end of the request. If the refusal states that the request
+// ran and its answer is lost, the attempt ends as failed, never as answered.
 func (k *inboundRequest) sendRefusal(r event.Refuse) {
 	c, _ := codes.Find(r.Code)
 	end := event.AttemptEnded{Code: r.Code, Status: c.Status, RetryAfter: r.RetryAfter}
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -1,15 +1,15 @@
-// Package trail writes a log line for each decision that touches a request or
-// changes what the host believes.
+// Package trail writes a log line for each decision that affects a request or changes the state
+// of the host.
 //
 // # Usage
 //
 //	tr := trail.New(log, registry)
 //	lp := loop.New(loop.Config{Record: tr.Record, ...})
 //
-// The lines are made from the events and effects of the reducer themselves, so
-// that what a line says is what decided. Every line about a request carries its
-// id under "request". Lines are bounded in number: past a rate the rest of a
-// second is counted and left out, refusals and failures last.
+// The lines are made from the events and effects of the reducer itself, so a line states
+// exactly what was decided. Each line about a request has the request's ID under "request". The
+// number of lines per second is limited: lines beyond the limit are counted and omitted,
+// routine lines before refusals and failures.
 package trail
 
 import (
@@ -25,17 +25,17 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Bounds of the lines.
+// Limits of the log.
 const (
-	// maxRoutineLines bounds the lines of requests that end as they should.
+	// maxRoutineLines limits the lines of one second for requests without a failure.
 	maxRoutineLines = 300
-	// maxLines bounds all lines.
+	// maxLines limits all lines of one second.
 	maxLines = 900
-	// maxTracked bounds the attempts whose request is remembered.
+	// maxTracked limits the attempts in flight whose request is remembered.
 	maxTracked = 1 << 14
 )
 
-// Trail writes the lines. Its methods are called by the control thread.
+// Trail writes the lines. Its methods must be called from the control goroutine.
 type Trail struct {
 	log logr.Logger
 	reg metrics.Registry
@@ -49,16 +49,16 @@
 	firstByte   metrics.Histogram
 }
 
-// attempt is what is remembered of one until its end.
+// attempt is the state of an attempt in flight.
 type attempt struct {
 	request ident.RequestID
 	target  ident.TargetID
 	sentAt  ident.Time
-	// firstByteAt is when the firstByteAt byte of its answer came, zero before.
+	// firstByteAt is when the first byte of the answer was received, zero before.
 	firstByteAt ident.Time
 }
 
-// New returns a trail.
+// New returns a Trail that logs to log and registers its metrics in reg.
 func New(log logr.Logger, reg metrics.Registry) *Trail {
 	return &Trail{
 		log: log, reg: reg, attempts: make(map[ident.Attempt]*attempt),
@@ -67,7 +67,7 @@
 	}
 }
 
-// Record takes an event and its effects.
+// Record logs an event and its effects.
 func (tr *Trail) Record(now ident.Time, ev event.Event, effs []event.Effect) {
 	tr.startSecond(now)
 	switch e := ev.(type) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// denialFields returns the fields of a denialFields, none where nothing was denied.
+// denialFields returns the log fields of a denial, none if nothing was denied.
 func denialFields(d event.Denial) []any {
 	if d.Reason == "" {
 		return nil
@@ -185,7 +185,7 @@
 	tr.logImportant("attempt ended", append(kv, "draining", e.Draining, "resumable", e.Resumable)...)
 }
 
-// sideName names the sideName of an ending.
+// sideName returns the side of an ending, "unknown" if there is none.
 func sideName(e event.Ending) string {
 	if e.Side == "" {
 		return "unknown"
@@ -193,7 +193,7 @@
 	return string(e.Side)
 }
 
-// firstMillis is the time to the first byte, -1 where none came.
+// firstMillis returns the time to the first byte in milliseconds, -1 if none was received.
 func firstMillis(a *attempt) int64 {
 	if a.firstByteAt == 0 {
 		return -1
@@ -210,7 +210,8 @@
 
 func (tr *Trail) count(name string) { metrics.GetOrRegisterCounter(name, tr.reg).Inc(1) }
 
-// startSecond begins a new second, with a line on what the last one left out.
+// startSecond starts a new second if the last one is over, and logs how many lines that one
+// omitted.
 func (tr *Trail) startSecond(now ident.Time) {
 	second := int64(now) / int64(time.Second)
 	if second == tr.currentSecond {
@@ -223,13 +224,13 @@
 	tr.currentSecond, tr.written, tr.omitted = second, 0, 0
 }
 
-// logRoutine writes a line that goes first when there are too many.
+// logRoutine writes a line that is among the first to be omitted when there are too many.
 func (tr *Trail) logRoutine(msg string, kv ...any) { tr.logLimited(maxRoutineLines, msg, kv) }
 
 func (tr *Trail) logImportant(msg string, kv ...any) { tr.logLimited(maxLines, msg, kv) }
 
-func (tr *Trail) logLimited(most int, msg string, kv []any) {
-	if tr.written >= most {
+func (tr *Trail) logLimited(limit int, msg string, kv []any) {
+	if tr.written >= limit {
 		tr.omitted++
 		return
 	}
@@ -246,7 +247,7 @@
 	log.Info(e.Text, kv...)
 }
 
-// roundHundredths rounds a part to hundredths, which is as fine as it is known.
-func roundHundredths(part float64) float64 { return math.Round(part*100) / 100 }
+// roundHundredths rounds to two decimals; the logged fractions are not known more precisely.
+func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
 func millis(d time.Duration) int64 { return d.Milliseconds() }
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -20,7 +20,7 @@
 
 func newAttempt(n uint64) ident.Attempt { return ident.Attempt{Entry: "e", Incarnation: 1, Number: n} }
 
-// A log line differs from what docs/OPERATIONS.md explains.
+// The log lines must match the ones that docs/OPERATIONS.md explains.
 func TestLines(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(logs.New(&out, logs.NewLevel(0)), metrics.NewRegistry())
@@ -33,11 +33,11 @@
 		event.Refuse{Request: "c.3", Code: codes.NoTarget.ID, Outcome: event.NotRun, RetryAfter: time.Second, Basis: basis},
 		event.Refuse{Request: "d.4", Code: codes.TargetFailed.ID, Outcome: event.Unknown, Basis: basis, Denial: event.Denial{Reason: event.DeniedBudget, Tries: 1, MaxTries: 2, Spent: 3, Allowed: 3.25}, Ending: event.Ending{Side: event.SideTarget, Reason: event.ReasonClosed}},
 	})
-	quiet := event.Silence{Since: 1, Lasted: 2 * time.Second, Begun: true}
+	silence := event.Silence{Since: 1, Lasted: 2 * time.Second, Begun: true}
 	tr.Record(at, event.Tick{}, []event.Effect{
 		event.BreakOff{Request: "e.5", Attempt: newAttempt(5)},
-		event.BreakOff{Request: "e.5", Attempt: newAttempt(6), Silence: quiet},
-		event.KeepAttempt{Request: "e.6", Attempt: newAttempt(7), Silence: quiet, Denial: event.Denial{Reason: event.DeniedTime, Tries: 1, Wait: 854 * time.Millisecond, Left: 677 * time.Millisecond}},
+		event.BreakOff{Request: "e.5", Attempt: newAttempt(6), Silence: silence},
+		event.KeepAttempt{Request: "e.6", Attempt: newAttempt(7), Silence: silence, Denial: event.Denial{Reason: event.DeniedTime, Tries: 1, Wait: 854 * time.Millisecond, Left: 677 * time.Millisecond}},
 	})
 	tr.Record(at.Add(50*time.Millisecond), event.FirstToken{Attempt: newAttempt(1)}, nil)
 	tr.Record(at.Add(90*time.Millisecond), event.AttemptEnded{Attempt: newAttempt(1), Result: event.ResultDone, Status: 200, Delivered: 5}, []event.Effect{event.Finish{Request: "a.1", Outcome: event.Done}})
@@ -46,7 +46,8 @@
 	goldie.New(t).Assert(t, "lines", timestamp.ReplaceAll(out.Bytes(), nil))
 }
 
-// A flood of requests writes lines without bound, or drops them uncounted or refusals first.
+// A flood of requests must not write lines without limit. Omitted lines must be counted, and
+// refusals must be omitted last.
 func TestLinesAreBounded(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(logs.New(&out, logs.NewLevel(0)), metrics.NewRegistry())
@@ -59,10 +60,10 @@
 		t.Errorf("%d lines in a second", n)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("request=r")) {
-		t.Error("the refusal is left out")
+		t.Error("the refusal was omitted")
 	}
 	tr.Record(at.Add(time.Second), event.Tick{}, nil)
 	if !bytes.Contains(out.Bytes(), []byte(`"decision lines left out" lines=4700`)) {
-		t.Error("nothing says how many lines were left out")
+		t.Error("the number of omitted lines is not logged")
 	}
 }
