--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -86,7 +86,7 @@
 	// answer.
 	_ = x.rc.SetReadDeadline(time.Time{})
 	x.bodyComplete = true
-	x.cfg.Meter.In(len(x.body))
+	x.cfg.Meter.AddBytesIn(len(x.body))
 	return nil
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -123,7 +123,7 @@
 		}
 		w.Header().Set(HeaderRequest, string(x.id))
 		n := f.inFlight.Add(1)
-		f.cfg.Meter.Open(1)
+		f.cfg.Meter.AddInFlight(1)
 		defer f.finish(x)
 		var ctx context.Context
 		ctx, x.span = f.cfg.Trace.Serve(r.Context(), r.Header, name)
@@ -148,15 +148,15 @@
 // a net/http handler cuts one.
 func (f *Front) finish(x *exchange) {
 	f.inFlight.Add(-1)
-	f.cfg.Meter.Open(-1)
+	f.cfg.Meter.AddInFlight(-1)
 	f.cfg.Budget.Release(x.reserved)
 	if x.streaming {
-		f.cfg.Meter.Streams(-1)
+		f.cfg.Meter.AddOpenStreams(-1)
 	}
 	took := f.cfg.Clock.Now().Sub(x.startedAt)
-	f.cfg.Meter.Took(took)
+	f.cfg.Meter.ObserveDuration(took)
 	if x.profile.Name != "" && x.outcome != "" {
-		f.cfg.Meter.Ended(x.profile.Name, x.outcome)
+		f.cfg.Meter.RequestEnded(x.profile.Name, x.outcome)
 	}
 	x.span.Set("request", string(x.id))
 	x.span.Set("profile", string(x.profile.Name))
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -33,13 +33,13 @@
 	s.streaming = status == http.StatusOK && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 	if s.streaming {
 		s.w.Header().Set("Trailer", HeaderOutcome)
-		s.cfg.Meter.Streams(1)
+		s.cfg.Meter.AddOpenStreams(1)
 	} else {
 		s.w.Header().Set(HeaderOutcome, string(event.Done))
 	}
 	s.headerSent = true
 	s.status = status
-	s.cfg.Meter.First(s.cfg.Clock.Now().Sub(s.startedAt))
+	s.cfg.Meter.ObserveFirstByte(s.cfg.Clock.Now().Sub(s.startedAt))
 	s.w.WriteHeader(status)
 }
 
@@ -48,7 +48,7 @@
 	if _, err := s.w.Write(b); err != nil {
 		return err
 	}
-	s.cfg.Meter.Out(len(b))
+	s.cfg.Meter.AddBytesOut(len(b))
 	if !s.streaming {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	}
 	s.outcome = r.Outcome
 	s.code = r.Code
-	s.cfg.Meter.Refused(r.Code)
+	s.cfg.Meter.RequestRefused(r.Code)
 	if s.streaming {
 		s.extendWriteDeadline()
 		b, _ := json.Marshal(errorBody(&r))
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -10,73 +10,73 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// eagerMost is the longest body that is sent without being asked for. It fits
-// into the window of a new stream, so that writing it can't wait for a
-// receiver that refuses.
-const eagerMost = 64 << 10
+// maxEagerBody is the longest body in bytes that is sent before the peer requests it. It fits
+// into the window of a new stream, so that writing it can't block on a peer that refuses the
+// request.
+const maxEagerBody = 64 << 10
 
-// Forward passes a request on to another entry host and returns how that
-// ended. It calls sent before the first byte can reach the host.
+// Forward forwards a request to another entry host and returns the result. It calls sent before
+// the first byte can reach the host.
 //
-// The host runs nothing before it has the whole body. A link that breaks
-// before the first piece of the body was written therefore proves that the
-// request was not run; one that breaks later proves nothing.
-func (m *Mesh) Forward(ctx context.Context, p serve.ForwardedRequest, sent func(), out serve.Relay) event.AttemptEnded {
-	s, ok := m.await(ctx, p.Forward.To)
+// The host does not run the request before it has the whole body. A link that breaks before the
+// first piece of the body is written therefore proves that the request was not run; a link that
+// breaks later proves nothing.
+func (m *Mesh) Forward(ctx context.Context, p serve.ForwardedRequest, sent func(), relay serve.Relay) event.AttemptEnded {
+	s, ok := m.awaitSession(ctx, p.Forward.To)
 	if !ok {
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
-	if !s.enter() {
-		m.cnt.full.Inc(1)
+	if !s.reserveStream() {
+		m.counters.full.Inc(1)
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.Overloaded.ID}
 	}
 	defer s.streams.Add(-1)
 	st, err := s.mux.OpenStream()
 	if err != nil {
-		s.opening.Add(-1)
+		s.unacknowledged.Add(-1)
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
-	c := &pass{ForwardedRequest: p, m: m, s: s, part: newPart(m, st), out: out, upto: p.Call.Resume}
-	c.upto = max(c.upto, p.Forward.Resume)
-	// Closing the stream before its end frame means that the caller has gone.
+	c := &outboundRequest{ForwardedRequest: p, m: m, session: s, stream: newRequestStream(m, st), relay: relay, delivered: p.Call.Resume}
+	c.delivered = max(c.delivered, p.Forward.Resume)
+	// Closing the stream before its end frame signals that the caller has gone.
 	defer st.Close()
-	stop := context.AfterFunc(ctx, c.part.expire)
+	stop := context.AfterFunc(ctx, c.stream.cancelIO)
 	defer stop()
 	sent()
-	return c.carry()
+	return c.exchange()
 }
 
-// enter takes a place for one more request to the peer. Opening a stream
-// blocks once the peer has left a whole backlog of them without notice, so
-// only a part of the places may be in that state.
-func (s *session) enter() bool {
-	most := int32(s.m.cfg.Bounds.Streams)
-	total, opening := s.streams.Add(1), s.opening.Add(1)
-	if total <= most && opening <= max(most/2, 1) {
+// reserveStream reserves a slot for one more request to the peer. OpenStream blocks when the
+// peer has not accepted a whole backlog of streams, so at most half of the slots may be
+// unacknowledged.
+func (s *session) reserveStream() bool {
+	limit := int32(s.m.cfg.Bounds.MaxStreams)
+	total, unacknowledged := s.streams.Add(1), s.unacknowledged.Add(1)
+	if total <= limit && unacknowledged <= max(limit/2, 1) {
 		return true
 	}
 	s.streams.Add(-1)
-	s.opening.Add(-1)
+	s.unacknowledged.Add(-1)
 	return false
 }
 
-// await returns a session with the meant run of a host. It waits a short time
-// for one to stand.
-func (m *Mesh) await(ctx context.Context, to event.Host) (*session, bool) {
+// awaitSession returns a session with the given incarnation of a host, and false if another
+// incarnation is connected. If there is no session, it waits for one up to LinkTimeout.
+func (m *Mesh) awaitSession(ctx context.Context, to event.Host) (*session, bool) {
 	l := m.link(to.ID)
 	if l == nil {
 		return nil, false
 	}
-	l.want(to, false)
-	sub := m.cfg.Clock.At(m.cfg.Clock.Now().Add(m.cfg.Times.Link))
+	l.ensureSession(to, false)
+	sub := m.cfg.Clock.At(m.cfg.Clock.Now().Add(m.cfg.Timing.LinkTimeout))
 	defer sub.Close()
 	for {
-		s, came := l.current()
+		s, added := l.current()
 		if s != nil {
 			return s, to.Incarnation == 0 || s.host.Incarnation == to.Incarnation
 		}
 		select {
-		case <-came:
+		case <-added:
 		case <-sub.C():
 			return nil, false
 		case <-ctx.Done():
@@ -85,62 +85,63 @@
 	}
 }
 
-// pass is one request on its way to a peer.
-type pass struct {
+// outboundRequest is one request that is forwarded to a peer.
+type outboundRequest struct {
 	serve.ForwardedRequest
-	m    *Mesh
-	s    *session
-	part *part
-	out  serve.Relay
-
-	// opened says that the peer has taken notice, bodySent that a piece of
-	// the body may have reached it, begun that the answer has begun.
-	opened, bodySent, begun bool
-	// bytes counts the bytes of the answer, upto the tokens.
-	bytes uint64
-	upto  ident.Tokens
+	m       *Mesh
+	session *session
+	stream  *requestStream
+	relay   serve.Relay
+
+	// acknowledged is set once the peer has sent a message or the exchange has ended, bodySent
+	// once a piece of the body may have reached the peer, answerBegun once the answer has
+	// begun.
+	acknowledged, bodySent, answerBegun bool
+	// receivedBytes counts the bytes of the answer, delivered the tokens.
+	receivedBytes uint64
+	delivered     ident.Tokens
 }
 
-func (c *pass) carry() event.AttemptEnded {
-	defer c.notice()
-	if err := c.part.write(&wire.Part{Body: &wire.Part_Open{Open: c.open()}}); err != nil {
-		return c.broken()
+func (c *outboundRequest) exchange() event.AttemptEnded {
+	defer c.acknowledge()
+	if err := c.stream.write(&wire.Part{Body: &wire.Part_Open{Open: c.openMessage()}}); err != nil {
+		return c.brokenResult()
 	}
-	if c.eager() {
+	if c.sendsBodyEagerly() {
 		if err := c.sendBody(); err != nil {
-			return c.broken()
+			return c.brokenResult()
 		}
 	}
 	for {
-		msg, err := c.part.read()
+		msg, err := c.stream.read()
 		if err != nil {
-			return c.broken()
+			return c.brokenResult()
 		}
-		c.notice()
+		c.acknowledge()
 		if e := msg.GetEnd(); e != nil {
-			return c.judge(e)
+			return c.checkEnd(e)
 		}
-		if err := c.take(msg); err != nil {
-			return c.broken()
+		if err := c.receive(msg); err != nil {
+			return c.brokenResult()
 		}
 	}
 }
 
-// notice counts the stream as taken notice of.
-func (c *pass) notice() {
-	if !c.opened {
-		c.opened = true
-		c.s.opening.Add(-1)
+// acknowledge stops counting the stream as unacknowledged.
+func (c *outboundRequest) acknowledge() {
+	if !c.acknowledged {
+		c.acknowledged = true
+		c.session.unacknowledged.Add(-1)
 	}
 }
 
-func (c *pass) open() *wire.Open {
-	left := c.Forward.Deadline.Sub(c.m.cfg.Clock.Now())
-	o := wire.FromRequest(c.Request, c.Forward.Envelope, left)
+func (c *outboundRequest) openMessage() *wire.Open {
+	remaining := c.Forward.Deadline.Sub(c.m.cfg.Clock.Now())
+	o := wire.FromRequest(c.Request, c.Forward.Envelope, remaining)
 	if c.Call.AnswerID != "" {
 		o.Request = string(c.Call.AnswerID)
 	}
-	o.Resume = int64(c.upto)
+	o.Resume = int64(c.delivered)
 	o.Once = c.Forward.Once
 	o.Method, o.Path, o.Header = c.Call.Method, c.Call.Path, wire.FromHeader(c.Call.Header)
 	o.Stream, o.Engine = c.Call.Stream, c.Call.Engine
@@ -148,97 +149,97 @@
 	return o
 }
 
-// eager reports whether the body goes out unasked, which saves a round trip.
-// Data that is bound to some places waits until the receiver has agreed: its
-// configuration may be newer and forbid what this host's still allows.
-func (c *pass) eager() bool {
+// sendsBodyEagerly reports whether the body is sent before the peer requests it, which saves a
+// round trip. The body of a confined profile waits until the peer has accepted the request: the
+// peer's configuration may be newer and forbid what this host's still allows.
+func (c *outboundRequest) sendsBodyEagerly() bool {
 	if c.m.cfg.Confined == nil || c.m.cfg.Confined(c.Request.Profile) {
 		return false
 	}
-	return len(c.Call.Body) <= eagerMost
+	return len(c.Call.Body) <= maxEagerBody
 }
 
-func (c *pass) sendBody() error {
+func (c *outboundRequest) sendBody() error {
 	if c.bodySent {
 		return nil
 	}
 	c.bodySent = true
-	ps := pieces(c.Call.Body)
+	ps := splitPieces(c.Call.Body)
 	for n, b := range ps {
 		msg := &wire.Part{Body: &wire.Part_Piece{Piece: &wire.Piece{Body: b, Last: n == len(ps)-1}}}
-		if err := c.part.write(msg); err != nil {
+		if err := c.stream.write(msg); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *pass) take(msg *wire.Part) error {
+func (c *outboundRequest) receive(msg *wire.Part) error {
 	switch b := msg.GetBody().(type) {
 	case *wire.Part_GoOn:
 		return c.sendBody()
 	case *wire.Part_Begin:
-		if c.begun || !c.bodySent {
+		if c.answerBegun || !c.bodySent {
 			return wire.ErrFormat
 		}
-		c.begun = true
-		c.out.Begin(int(b.Begin.GetStatus()), wire.ToHeader(b.Begin.GetHeader()))
+		c.answerBegun = true
+		c.relay.Begin(int(b.Begin.GetStatus()), wire.ToHeader(b.Begin.GetHeader()))
 		return nil
 	case *wire.Part_Data:
-		return c.data(b.Data)
+		return c.receiveData(b.Data)
 	}
 	return wire.ErrFormat
 }
 
-func (c *pass) data(d *wire.Data) error {
-	if !c.begun {
+func (c *outboundRequest) receiveData(d *wire.Data) error {
+	if !c.answerBegun {
 		return wire.ErrFormat
 	}
-	c.bytes += uint64(len(d.GetBody()))
+	c.receivedBytes += uint64(len(d.GetBody()))
 	upto := ident.Tokens(d.GetUpto())
-	if err := c.out.Data(d.GetBody(), upto); err != nil {
+	if err := c.relay.Data(d.GetBody(), upto); err != nil {
 		return err
 	}
-	c.upto = max(c.upto, upto)
+	c.delivered = max(c.delivered, upto)
 	return nil
 }
 
-// broken ends a stream that ended before its end frame.
-func (c *pass) broken() event.AttemptEnded {
+// brokenResult returns the result for a stream that ended before its end frame.
+func (c *outboundRequest) brokenResult() event.AttemptEnded {
 	end := event.AttemptEnded{Result: event.ResultBroken, Resumable: c.Call.Stream}
 	if !c.bodySent {
 		end = event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
-	return c.fill(end)
+	return c.addProgress(end)
 }
 
-// judge believes an end frame as far as it fits what was received. An answer
-// that lacks a piece must not pass for whole, and one that has begun can't be
-// of a request that was not run.
-func (c *pass) judge(e *wire.End) event.AttemptEnded {
+// checkEnd accepts an end frame only if it agrees with what was received. A truncated answer
+// must not count as complete, and an answer that has begun contradicts a request that was not
+// run.
+func (c *outboundRequest) checkEnd(e *wire.End) event.AttemptEnded {
 	end, err := e.ToEvent()
 	if err != nil {
-		return c.broken()
+		return c.brokenResult()
 	}
 	switch end.Result {
 	case event.ResultDone:
-		if !c.begun || e.GetBytes() != c.bytes {
-			return c.broken()
+		if !c.answerBegun || e.GetBytes() != c.receivedBytes {
+			return c.brokenResult()
 		}
 	case event.ResultNotRun:
-		if c.begun {
-			return c.broken()
+		if c.answerBegun {
+			return c.brokenResult()
 		}
 	}
-	return c.fill(end)
+	return c.addProgress(end)
 }
 
-func (c *pass) fill(end event.AttemptEnded) event.AttemptEnded {
+func (c *outboundRequest) addProgress(end event.AttemptEnded) event.AttemptEnded {
 	if !c.Call.Stream {
 		return end
 	}
 	from := max(c.Call.Resume, c.Forward.Resume)
-	end.Delivered = c.upto
-	end.Generated = max(end.Generated, c.upto-from)
+	end.Delivered = c.delivered
+	end.Generated = max(end.Generated, c.delivered-from)
 	return end
 }
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -15,78 +15,78 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Keys reads the certificate, key and authority of this host from files, and
+// Keys holds the certificate, key and authority of this host. It reads them from files, and
 // again when the files change.
 type Keys struct {
 	CertFile, KeyFile, CAFile string
 	Log                       logr.Logger
 
-	mu  sync.Mutex
-	now keySet
+	mu      sync.Mutex
+	current keySet
 }
 
-// keySet is what the files held when they were last read and fitted together.
+// keySet is the content of the files when they were last read and consistent.
 type keySet struct {
-	texts [3][]byte
-	// failed holds the texts that did not fit together, so that each is
-	// logged once.
-	failed [3][]byte
-	cert   tls.Certificate
-	pool   *x509.CertPool
+	files [3][]byte
+	// rejected holds the latest contents that were inconsistent, so that they are logged only
+	// once.
+	rejected [3][]byte
+	cert     tls.Certificate
+	pool     *x509.CertPool
 }
 
-// Open reads the files for the first time and fails where they are not whole.
-func (k *Keys) Open() error {
-	texts, err := k.texts()
+// Load reads the files for the first time. It returns an error if they are incomplete or
+// inconsistent.
+func (k *Keys) Load() error {
+	files, err := k.readFiles()
 	if err != nil {
 		return err
 	}
-	now, err := parseKeys(texts)
+	keys, err := parseKeys(files)
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.now = now
+	k.current = keys
 	return nil
 }
 
-// read returns the newest keys that fit together. The files are compared by
-// what they hold: a copy that is put in place may have any time stamp. Files
-// that are half written, or a key that is in place before its certificate,
-// leave the old ones in force; otherwise the host could reach nobody between
-// two steps of whoever replaces them.
-func (k *Keys) read() keySet {
-	texts, err := k.texts()
+// refresh returns the latest consistent keys. It compares the contents of the files, since a
+// copied file may have any time stamp. Partly written files, or a key that is replaced before
+// its certificate, leave the previous keys in use; otherwise the host could reach no peer
+// between two steps of a replacement.
+func (k *Keys) refresh() keySet {
+	files, err := k.readFiles()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err != nil || equalTexts(texts, k.now.texts) || equalTexts(texts, k.now.failed) {
-		return k.now
+	if err != nil || equalFiles(files, k.current.files) || equalFiles(files, k.current.rejected) {
+		return k.current
 	}
-	next, err := parseKeys(texts)
+	next, err := parseKeys(files)
 	if err != nil {
-		k.now.failed = texts
+		k.current.rejected = files
 		k.Log.Info("peer keys not taken over", "reason", err.Error())
-		return k.now
+		return k.current
 	}
-	k.now = next
+	k.current = next
 	k.Log.Info("peer keys taken over", "certFile", k.CertFile)
-	return k.now
+	return k.current
 }
 
-func (k *Keys) texts() ([3][]byte, error) {
-	var ts [3][]byte
+func (k *Keys) readFiles() ([3][]byte, error) {
+	var files [3][]byte
 	for n, name := range []string{k.CertFile, k.KeyFile, k.CAFile} {
 		b, err := os.ReadFile(name)
 		if err != nil {
-			return ts, errors.Wrap(ErrKeys, err.Error())
+			return files, errors.Wrap(ErrKeys, err.Error())
 		}
-		ts[n] = b
+		files[n] = b
 	}
-	return ts, nil
+	return files, nil
 }
 
-func equalTexts(x, y [3][]byte) bool {
+func equalFiles(x, y [3][]byte) bool {
 	for n := range x {
 		if !bytes.Equal(x[n], y[n]) {
 			return false
@@ -95,23 +95,22 @@
 	return true
 }
 
-func parseKeys(ts [3][]byte) (keySet, error) {
-	cert, err := tls.X509KeyPair(ts[0], ts[1])
+func parseKeys(files [3][]byte) (keySet, error) {
+	cert, err := tls.X509KeyPair(files[0], files[1])
 	if err != nil {
 		return keySet{}, errors.Wrap(ErrKeys, err.Error())
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(ts[2]) {
-		return keySet{}, errors.Wrap(ErrKeys, "no certificate of an authority")
+	if !pool.AppendCertsFromPEM(files[2]) {
+		return keySet{}, errors.Wrap(ErrKeys, "authority file contains no certificate")
 	}
-	return keySet{texts: ts, cert: cert, pool: pool}, nil
+	return keySet{files: files, cert: cert, pool: pool}, nil
 }
 
-// wrap returns a TLS connection that asks for the certificate of the other
-// side, and in a connection that this host dialled, for the name in it.
-// Sessions are never resumed: a resumed one would carry on a proof that the
-// newest authority might no longer give.
-func (ks keySet) wrap(raw net.Conn, expect ident.EntryID, dialled bool) *tls.Conn {
+// tlsConn returns a TLS connection that verifies the certificate of the other side, and for a
+// dialled connection also the host name in it. Sessions are never resumed: a resumed session
+// would rely on an earlier verification that the current authority might no longer allow.
+func (ks keySet) tlsConn(raw net.Conn, expect ident.EntryID, dialled bool) *tls.Conn {
 	cfg := &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{ks.cert}, SessionTicketsDisabled: true,
 	}
@@ -123,17 +122,17 @@
 	return tls.Server(raw, cfg)
 }
 
-// verify reports whether the certificate of a session would be taken now.
+// verify checks the certificate of a session against the current authority.
 func (ks keySet) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.Wrap(ErrRefused, "no certificate")
 	}
-	mid := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		mid.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: ks.pool, Intermediates: mid, CurrentTime: time.Now(),
+		Roots: ks.pool, Intermediates: intermediates, CurrentTime: time.Now(),
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	})
 	if err != nil {
@@ -142,8 +141,8 @@
 	return nil
 }
 
-// nameFits reports whether a certificate is that of an entry host.
-func nameFits(state tls.ConnectionState, id ident.EntryID) error {
+// verifyName checks that the certificate of a connection was issued to an entry host.
+func verifyName(state tls.ConnectionState, id ident.EntryID) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.Wrap(ErrRefused, "no certificate")
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer links the entry hosts: it dials and accepts sessions, proves
-// who is at the other end, carries digests, summaries and configuration
-// between the reducers, and passes requests on.
+// Package peer connects the entry hosts. It dials and accepts sessions, authenticates both
+// sides, carries digests, summaries and configuration between the reducers, and forwards
+// requests.
 //
 // # Usage
 //
@@ -13,16 +13,15 @@
 //	m.Send(event.SendDigest{...})  // never blocks
 //	rn.Forward = m.Forward
 //
-// A session is a yamux session over TCP with TLS on both sides. Its first
-// stream carries the control messages of package wire, every further one a
-// forwarded request, so that a long answer holds up no digest.
+// A session is a yamux session over TCP with mutual TLS. Its first stream carries the control
+// messages of package wire. Each further stream carries one forwarded request, so that a long
+// answer does not delay digests.
 //
-// Links within the data centre stay; one to another data centre is dialled
-// when it is needed and closed when it has been idle, since every host with a
-// link to every other would not scale.
+// Links within a data centre are permanent. A link to another data centre is dialled on demand
+// and closed when idle, since a permanent link between every two hosts would not scale.
 //
-// A link says nothing about a host but that its process answers. PeerDown is
-// a hint: the host may serve on behind a network partition.
+// A link shows only that the process of the other host responds. PeerDown is a hint: the host
+// may still serve on the other side of a network partition.
 package peer
 
 import (
@@ -46,60 +45,59 @@
 
 // The errors of this package.
 var (
-	// ErrLink says that no link stands or that it broke.
-	ErrLink = errors.New("peer: no link")
-	// ErrRefused says that the other side is not who it must be.
+	// ErrLink reports that there is no link or that it broke.
+	ErrLink = errors.New("peer: link unavailable")
+	// ErrRefused reports that the other side could not be authenticated or broke the protocol.
 	ErrRefused = errors.New("peer: refused")
-	// ErrKeys says that the certificate, key or authority can't be read.
-	ErrKeys = errors.New("peer: keys")
-	// ErrFull says that a bound on sessions or streams is reached.
-	ErrFull = errors.New("peer: too many")
+	// ErrKeys reports that the certificate, key or authority can't be read or parsed.
+	ErrKeys = errors.New("peer: invalid keys")
+	// ErrFull reports that a bound on sessions, streams or bytes is reached.
+	ErrFull = errors.New("peer: limit reached")
 )
 
-// Config is what a mesh needs.
+// Config configures a Mesh.
 type Config struct {
 	Self  event.Host
 	Clock *clock.Service
 	Log   logr.Logger
-	// Metrics takes the counters; nil stands for the default registry.
+	// Metrics receives the counters; nil means the default registry.
 	Metrics metrics.Registry
-	// Confined reports whether a profile's data is bound to some places, so
-	// that a body is sent only after the receiver has agreed to take it. Nil
-	// stands for always.
+	// Confined reports whether the data of a profile is restricted to some places. The body of
+	// such a request is sent only after the receiver has accepted the request. Nil means that
+	// every profile is confined.
 	Confined func(p ident.Profile) bool
-	// Keys authenticates both sides; nil leaves the links in plain text, for
-	// development.
+	// Keys authenticates both sides. If it is nil, the links are unencrypted and
+	// unauthenticated, for development only.
 	Keys *Keys
-	// Listen is the address for peers.
+	// Listen is the address on which peers connect.
 	Listen string
-	// Seeds are dialled before the reducer names any host.
+	// Seeds are dialled at the start, before the reducer names any host.
 	Seeds []config.Seed
-	// Times and Bounds default where they are zero.
-	Times  Times
+	// Zero fields of Timing and Bounds take their defaults.
+	Timing Timing
 	Bounds Bounds
 }
 
-// PostFunc hands an event to the reducer. It may wait.
+// PostFunc passes an event to the reducer. It may block.
 type PostFunc func(ev event.Event)
 
-// ServeFunc runs a request that a peer has passed on.
+// ServeFunc runs a request that a peer has forwarded.
 type ServeFunc func(ctx context.Context, call serve.Call, req event.Request, sink serve.Sink)
 
-// Mesh is the set of links of one entry host.
+// Mesh manages the links of one entry host.
 type Mesh struct {
-	t     group.Group
-	cfg   Config
-	cnt   counters
-	ln    net.Listener
-	post  PostFunc
-	serve ServeFunc
+	tasks    group.Group
+	cfg      Config
+	counters counters
+	ln       net.Listener
+	post     PostFunc
+	serve    ServeFunc
 
-	// handshakes holds a token for each connection that has not yet proved
-	// who it is.
+	// handshakes holds a token for each incoming connection that is not yet authenticated.
 	handshakes chan struct{}
 	sessions   atomic.Int32
-	// taken counts the requests of peers that run here.
-	taken atomic.Int32
+	// inboundRequests counts the forwarded requests that run on this host.
+	inboundRequests atomic.Int32
 
 	mu     sync.Mutex
 	self   event.Host
@@ -107,70 +105,70 @@
 	closed bool
 }
 
-// New returns a mesh that does nothing before Start.
+// New returns a mesh that is inactive until Start.
 func New(cfg Config) *Mesh {
-	cfg.Times.fill()
-	cfg.Bounds.fill()
+	cfg.Timing.setDefaults()
+	cfg.Bounds.setDefaults()
 	return &Mesh{
-		cfg: cfg, cnt: newCounters(cfg.Metrics), self: cfg.Self,
+		cfg: cfg, counters: newCounters(cfg.Metrics), self: cfg.Self,
 		links:      make(map[ident.EntryID]*link),
-		handshakes: make(chan struct{}, cfg.Bounds.Handshakes),
+		handshakes: make(chan struct{}, cfg.Bounds.MaxHandshakes),
 	}
 }
 
-// Start listens and dials the seeds. Send and Forward may be called before it
-// and find no link.
+// Start listens and dials the seeds. Send and Forward may be called before it; they find no
+// link then.
 func (m *Mesh) Start(post PostFunc, run ServeFunc) error {
 	if m.cfg.Keys == nil {
-		m.cfg.Log.Info("peer links are in plain text and trust any name, for development only")
+		m.cfg.Log.Info("peer links are unencrypted and accept any host name; for development only")
 	}
 	if m.cfg.Listen == "" {
-		// The library would take any port on every address of the host.
-		return errors.Wrap(ErrLink, "no address to listen on")
+		// net.Listen would take any free port on every address of the host.
+		return errors.Wrap(ErrLink, "no listen address is set")
 	}
 	ln, err := net.Listen("tcp", m.cfg.Listen)
 	if err != nil {
 		return errors.Wrap(ErrLink, err.Error())
 	}
-	m.begin(ln, post, run)
+	m.startServing(ln, post, run)
 	for _, s := range m.cfg.Seeds {
-		m.seed(s)
+		m.connectSeed(s)
 	}
 	return nil
 }
 
-func (m *Mesh) begin(ln net.Listener, post PostFunc, run ServeFunc) {
+func (m *Mesh) startServing(ln net.Listener, post PostFunc, run ServeFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ln, m.post, m.serve = ln, post, run
-	m.t.Go(m.run)
-	m.t.Go(m.loop)
+	m.tasks.Go(m.acceptLoop)
+	m.tasks.Go(m.maintenanceLoop)
 }
 
-// Addr is where the mesh listens.
+// Addr returns the address that the mesh listens on. It must not be called before Start.
 func (m *Mesh) Addr() string { return m.ln.Addr().String() }
 
-// Leave marks this host as draining in the hellos of new sessions.
-func (m *Mesh) Leave() {
+// SetDraining marks this host as draining in the hellos of new sessions.
+func (m *Mesh) SetDraining() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Draining = true
 }
 
-func (m *Mesh) host() event.Host {
+func (m *Mesh) selfHost() event.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// stopPoll is how often Stop looks whether the last request has gone.
-const stopPoll = 10 * time.Millisecond
+// stopPollInterval is the interval at which Stop checks whether forwarded requests still run.
+const stopPollInterval = 10 * time.Millisecond
 
-// Stop ends the links, once the last answers to peers have been taken by them
-// or ctx ends. To end them at once would cut an answer whose end frame is
-// still in a socket, and the peer would have to call it broken.
+// Stop closes the links once the peers have received the last answers, or when ctx ends.
+// Closing at once would cut off an answer whose end frame is still in a socket buffer, and the
+// peer would have to report the attempt as broken.
 func (m *Mesh) Stop(ctx context.Context) {
-	m.awaitTaken(ctx)
+	m.awaitInbound(ctx)
 	m.mu.Lock()
 	started := m.ln != nil
 	m.closed = true
@@ -178,18 +176,18 @@
 	if !started {
 		return
 	}
-	m.t.Kill(nil)
+	m.tasks.Kill(nil)
 	_ = m.ln.Close()
-	for _, l := range m.all() {
+	for _, l := range m.allLinks() {
 		l.closeAll()
 	}
-	_ = m.t.Wait()
+	_ = m.tasks.Wait()
 }
 
-func (m *Mesh) awaitTaken(ctx context.Context) {
-	sub := m.cfg.Clock.Every(stopPoll)
+func (m *Mesh) awaitInbound(ctx context.Context) {
+	sub := m.cfg.Clock.Every(stopPollInterval)
 	defer sub.Close()
-	for m.taken.Load() > 0 {
+	for m.inboundRequests.Load() > 0 {
 		select {
 		case <-sub.C():
 		case <-ctx.Done():
@@ -198,19 +196,20 @@
 	}
 }
 
-// start starts a goroutine, and reports false for a mesh that has stopped.
-func (m *Mesh) start(run func() error) bool {
+// spawn runs a function in a goroutine of the mesh. It returns false if the mesh is not started
+// or is stopped.
+func (m *Mesh) spawn(run func() error) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ln == nil || m.closed {
 		return false
 	}
-	return m.t.Go(run)
+	return m.tasks.Go(run)
 }
 
-// link returns the link to a host and makes it where there is none, nil where
-// there are too many. Links are never dropped: there are as many as names of
-// hosts, and one without a session is small.
+// link returns the link to a host and creates it if needed. It returns nil for this host
+// itself, for an empty name and beyond MaxLinks. Links are never removed: their number is
+// bounded by the number of host names, and a link without a session is small.
 func (m *Mesh) link(id ident.EntryID) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -218,7 +217,7 @@
 	if ok {
 		return l
 	}
-	if id == "" || id == m.self.ID || len(m.links) >= m.cfg.Bounds.Links {
+	if id == "" || id == m.self.ID || len(m.links) >= m.cfg.Bounds.MaxLinks {
 		return nil
 	}
 	l = newLink(m, id)
@@ -226,7 +225,7 @@
 	return l
 }
 
-func (m *Mesh) all() []*link {
+func (m *Mesh) allLinks() []*link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ls := make([]*link, 0, len(m.links))
@@ -236,51 +235,51 @@
 	return ls
 }
 
-func (m *Mesh) seed(s config.Seed) {
+func (m *Mesh) connectSeed(s config.Seed) {
 	l := m.link(s.Entry)
 	if l == nil {
 		return
 	}
 	place := event.Place{DataCentre: s.DataCentre, Region: s.Region}
-	l.want(event.Host{ID: s.Entry, PeerAddr: s.Addr, Place: place}, true)
+	l.ensureSession(event.Host{ID: s.Entry, PeerAddr: s.Addr, Place: place}, true)
 }
 
-// near reports whether a host stands in the data centre of this one.
-func (m *Mesh) near(h event.Host) bool { return h.Place.Group() == m.cfg.Self.Place.Group() }
+// isLocal reports whether a host is in this data centre.
+func (m *Mesh) isLocal(h event.Host) bool { return h.Place.Group() == m.cfg.Self.Place.Group() }
 
-// loop looks after the sessions.
-func (m *Mesh) loop() error {
-	tick := m.cfg.Clock.Every(m.cfg.Times.Tick)
+// maintenanceLoop checks the sessions and the keys at their intervals.
+func (m *Mesh) maintenanceLoop() error {
+	tick := m.cfg.Clock.Every(m.cfg.Timing.TickInterval)
 	defer tick.Close()
-	keys := m.cfg.Clock.Every(m.cfg.Times.Keys)
+	keys := m.cfg.Clock.Every(m.cfg.Timing.KeyCheckInterval)
 	defer keys.Close()
 	for {
 		select {
 		case now := <-tick.C():
-			for _, l := range m.all() {
-				l.tend(now)
+			for _, l := range m.allLinks() {
+				l.maintain(now)
 			}
 		case <-keys.C():
-			m.recheck()
-		case <-m.t.Dying():
+			m.recheckCertificates()
+		case <-m.tasks.Dying():
 			return nil
 		}
 	}
 }
 
-// recheck ends the sessions whose certificate no longer holds. A session may
-// last for weeks; a host whose certificate has been withdrawn by a change of
-// the authority would otherwise stay in for as long.
-func (m *Mesh) recheck() {
+// recheckCertificates ends the sessions whose certificate is no longer valid. A session may
+// last for weeks; without this check a host whose certificate was revoked by a change of the
+// authority would stay connected for as long.
+func (m *Mesh) recheckCertificates() {
 	if m.cfg.Keys == nil {
 		return
 	}
-	now := m.cfg.Keys.read()
-	for _, l := range m.all() {
-		for _, s := range l.list() {
-			if err := now.verify(s.state); err != nil {
-				m.cnt.refused.Inc(1)
-				s.end("the certificate no longer holds")
+	current := m.cfg.Keys.refresh()
+	for _, l := range m.allLinks() {
+		for _, s := range l.allSessions() {
+			if err := current.verify(s.tlsState); err != nil {
+				m.counters.refused.Inc(1)
+				s.end("certificate no longer valid")
 			}
 		}
 	}
