--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		t.Removed = false
-		tb.addNote(t, "target is listed again")
+		tb.addNote(t, "target is there again")
 	}
 }
 
