--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -38,7 +38,7 @@
 // receive the rest, and ending the request would truncate an answer that the caller has a part
 // of.
 func (rd *Reducer) retrySameTarget(now ident.Time, r *request, a *attempt, e event.AttemptEnded) bool {
-	begun := r.delivered > 0 || r.Begun
+	begun := r.delivered > 0 || r.AnswerBegan
 	if !begun || r.profile.Route == nil || e.Result != event.ResultNotRun || a.target == "" || !reachedTarget(a, e) || e.Draining {
 		return false
 	}
@@ -108,12 +108,12 @@
 		r.tries--
 		r.unsent++
 		if r.unsent > maxUnsentTries {
-			return event.Denial{Reason: event.DeniedUnsent, Tries: r.unsent, MaxTries: maxUnsentTries}
+			return event.Denial{Reason: event.DeniedUnsent, Attempts: r.unsent, MaxAttempts: maxUnsentTries}
 		}
 		return event.Denial{}
 	}
 	if r.forwarded {
-		return event.Denial{Reason: event.DeniedForwarded, Tries: r.tries}
+		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.tries}
 	}
 	return spendAttempt(now, r, max(rt.MaxAttempts, 1), rd.retryBudget(now, r.profile.Service))
 }
@@ -121,7 +121,7 @@
 // spendAttempt is spendRetry for a request that may be sent to at most maxTries targets.
 func spendAttempt(now ident.Time, r *request, maxTries int, b *retry.Budget) event.Denial {
 	if r.tries >= maxTries {
-		return event.Denial{Reason: event.DeniedAttempts, Tries: r.tries, MaxTries: maxTries}
+		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.tries, MaxAttempts: maxTries}
 	}
 	return spendRetry(now, r, b)
 }
@@ -131,7 +131,7 @@
 	if b.Spend(now) {
 		return event.Denial{}
 	}
-	d := event.Denial{Reason: event.DeniedBudget, Tries: r.tries}
-	d.Spent, d.Allowed = b.Usage(now)
+	d := event.Denial{Reason: event.DeniedBudget, Attempts: r.tries}
+	d.Retries, d.MaxRetries = b.Usage(now)
 	return d
 }
--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -25,7 +25,7 @@
 	case event.EntriesAsked:
 		rd.answerEntries(now, e)
 	case event.NearbyAsked:
-		rd.emit(event.EntriesAnswered{Ask: e.Ask, Valid: nearbyTTL, Entries: rd.table.Nearby(now, e.Near, rd.spread.Book().Homes(e.Host))})
+		rd.emit(event.EntriesAnswered{Ask: e.Ask, TTL: nearbyTTL, Entries: rd.table.Nearby(now, e.Near, rd.spread.Book().Homes(e.Host))})
 	case event.RouteAsked:
 		rd.explainRoute(now, e)
 	case event.StatusAsked:
@@ -34,7 +34,7 @@
 }
 
 func (rd *Reducer) answerEntries(now ident.Time, e event.EntriesAsked) {
-	ans := event.EntriesAnswered{Ask: e.Ask, Valid: entriesTTL}
+	ans := event.EntriesAnswered{Ask: e.Ask, TTL: entriesTTL}
 	p, okProfile := rd.spread.Book().Profile(e.Profile)
 	c, okClient := rd.spread.Book().Client(e.Account)
 	switch {
@@ -45,7 +45,7 @@
 	case !c.May(p.Name):
 		ans.Code = codes.ProfileForbidden.ID
 	default:
-		ans.Entries = rd.allowedEntries(now, p, c, e.Spread)
+		ans.Entries = rd.allowedEntries(now, p, c, e.Seed)
 	}
 	rd.emit(ans)
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -127,8 +127,8 @@
 	rd.router.PrefixSent(now, a.target, r.Prefix)
 	rd.emit(event.Dispatch{
 		Request: r.ID, Attempt: a.id, Target: dec.Target.Target, Serve: dec.Serve,
-		Priority: engineLevel(r, dec), Deadline: r.deadline, Resume: r.delivered,
-		Once: r.outlivesCaller(), Keep: r.storesAnswer() && !r.forwarded, CopyFrom: holderOf(dec.CopyFrom),
+		Priority: engineLevel(r, dec), Deadline: r.deadline, ResumeAfter: r.delivered,
+		AtMostOnce: r.outlivesCaller(), KeepOutcome: r.storesAnswer() && !r.forwarded, CopyFrom: holderOf(dec.CopyFrom),
 		Basis: rd.basis(now, r, dec), IdleTimeouts: rd.idleTimeouts(r, dec),
 	})
 }
@@ -148,7 +148,7 @@
 	if r.profile.Route == nil || !member.HasLongSharedPrefix(&r.Request) || !mech.On(codes.AnnouncedHolders) {
 		return
 	}
-	part := r.Prefix[r.Shared-1]
+	part := r.Prefix[r.SharedBlocks-1]
 	if !rd.router.RecentlySent(now, id, part) {
 		rd.table.PrefixSent(id, part)
 	}
@@ -167,16 +167,16 @@
 	a.host = a.dec.Host
 	rd.table.ForwardStarted(a.dec.Centre, a.dec.Pool)
 	env := event.Envelope{
-		Attempt: a.id, To: a.host.Incarnation, From: rd.self.ID, FromPlace: rd.self.Place,
-		Crossings: r.env.Crossings, Seen: append(append([]ident.EntryID(nil), r.env.Seen...), rd.self.ID),
+		Attempt: a.id, ToIncarnation: a.host.Incarnation, From: rd.self.ID, FromPlace: rd.self.Place,
+		Crossings: r.env.Crossings, Visited: append(append([]ident.EntryID(nil), r.env.Visited...), rd.self.ID),
 		Revision: rd.spread.Revision(),
 	}
 	if a.host.Place.Region != rd.self.Place.Region {
 		env.Crossings++
 	}
 	rd.emit(event.Forward{
-		Request: r.ID, To: a.host, Envelope: env, Deadline: r.deadline, Resume: r.delivered,
-		Once: r.outlivesCaller(), Keep: r.storesAnswer(), Basis: rd.basis(now, r, a.dec), Service: r.profile.Service,
+		Request: r.ID, To: a.host, Envelope: env, Deadline: r.deadline, ResumeAfter: r.delivered,
+		AtMostOnce: r.outlivesCaller(), KeepOutcome: r.storesAnswer(), Basis: rd.basis(now, r, a.dec), Service: r.profile.Service,
 		IdleTimeouts: rd.idleTimeouts(r, a.dec),
 	})
 }
@@ -234,7 +234,7 @@
 // has failed; one that was still running at the deadline may be healthy.
 func healthOf(now ident.Time, a *attempt, e event.AttemptEnded) health {
 	switch {
-	case e.Result == event.ResultDone || e.Draining || e.Held:
+	case e.Result == event.ResultDone || e.Draining || e.AnswerBuffered:
 		return healthy
 	case e.Result == event.ResultNotRun && a.sent:
 		return healthy
@@ -268,7 +268,7 @@
 	switch e.Result {
 	case event.ResultDone:
 		rd.table.AnswerCompleted(a.target, now.Sub(a.start))
-		r.answerStored = e.Kept
+		r.answerStored = e.OutcomeStored
 		rd.pools.of(r).recordRun(now.Sub(a.start), e.Generated)
 		rd.recordStreamLength(r)
 		rd.close(now, r, event.Done)
@@ -290,12 +290,12 @@
 	}
 	r.mayHaveRun = true
 	r.lastEnding = endingOf(now, a, e)
-	if e.Held && r.delivered == 0 && (r.once || !rd.takeRetry(now, r, a, e)) {
+	if e.AnswerBuffered && r.delivered == 0 && (r.once || !rd.takeRetry(now, r, a, e)) {
 		// The target's own failure is more informative to the caller than a refusal by this host.
 		rd.deliverBuffered(now, r)
 		return
 	}
-	if e.Held && r.delivered == 0 {
+	if e.AnswerBuffered && r.delivered == 0 {
 		rd.retryElsewhere(now, r, a, refusal{code: codes.TargetFailed.ID, outcome: event.Unknown})
 		return
 	}
@@ -319,7 +319,7 @@
 func endingOf(now ident.Time, a *attempt, e event.AttemptEnded) event.Ending {
 	switch {
 	case now >= a.req.deadline:
-		return event.Ending{Side: event.SideDeadline, Reason: event.ReasonOver}
+		return event.Ending{Side: event.SideDeadline, Reason: event.ReasonDeadlineExpired}
 	case e.Silent:
 		return event.Ending{Side: event.SideHost, Reason: event.ReasonSilent}
 	case a.target == "":
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -179,7 +179,7 @@
 	case event.ChangesWanted:
 		rd.changesWanted(e)
 	case event.BarAsked:
-		rd.emit(event.AnswerBar{To: e.From, Attempt: e.Attempt, Answer: rd.once.Bar(now, e.Attempt, e.To)})
+		rd.emit(event.AnswerBar{To: e.From, Attempt: e.Attempt, Answer: rd.once.Bar(now, e.Attempt, e.ToIncarnation)})
 	default:
 		return false
 	}
@@ -238,7 +238,7 @@
 	}
 	for _, h := range d.Holders {
 		if t, ok := rd.table.TargetByKey(h.Target); ok {
-			rd.router.PrefixSent(now, t.ID, []uint64{h.Part})
+			rd.router.PrefixSent(now, t.ID, []uint64{h.LastBlock})
 		}
 	}
 }
@@ -249,7 +249,7 @@
 func (rd *Reducer) summary(now ident.Time, s event.Summary, direct bool) {
 	rd.quota.SetRegion(s.Place.Group(), s.Place.Region)
 	rd.quota.CentreSeen(now, s.Place.Group())
-	if !s.AccountsKept {
+	if !s.AccountsOmitted {
 		rd.quota.CentreReport(now, s.Place.Group(), s.Accounts)
 	}
 	if !direct && !rd.table.IsRepresentative(now) {
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -60,8 +60,8 @@
 	if !ok || a.req.live != a || a.req.profile.Route == nil || a.retryTaken && a.silentSince == e.Since {
 		return
 	}
-	s := event.Silence{Since: e.Since, Lasted: now.Sub(e.Since), Begun: e.Begun}
-	if d := rd.reserveRetry(now, a, e.Begun); d.Reason != "" {
+	s := event.Silence{Since: e.Since, Duration: now.Sub(e.Since), AnswerBegan: e.AnswerBegan}
+	if d := rd.reserveRetry(now, a, e.AnswerBegan); d.Reason != "" {
 		rd.emit(event.KeepAttempt{Request: a.req.ID, Attempt: a.id, Silence: s, Denial: d})
 		return
 	}
@@ -78,7 +78,7 @@
 func (rd *Reducer) reserveRetry(now ident.Time, a *attempt, begun bool) event.Denial {
 	r := a.req
 	if r.forwarded {
-		return event.Denial{Reason: event.DeniedForwarded, Tries: r.tries}
+		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.tries}
 	}
 	q := rd.query(r)
 	q.MayHaveRun = true
@@ -90,10 +90,10 @@
 	dec := rd.router.Preview(now, q, rd.table)
 	free := dec.Target != nil || dec.Centre != ""
 	if !free && (begun || !dec.Full) || begun && rd.pools.of(r).hasOthersWaiting(r) {
-		return event.Denial{Reason: event.DeniedPlace, Tries: r.tries}
+		return event.Denial{Reason: event.DeniedCapacity, Attempts: r.tries}
 	}
 	if free && now.Add(dec.Wait+minRetryTime) >= r.deadline {
-		return event.Denial{Reason: event.DeniedTime, Tries: r.tries, Wait: dec.Wait, Left: r.deadline.Sub(now)}
+		return event.Denial{Reason: event.DeniedTime, Attempts: r.tries, PredictedWait: dec.Wait, RemainingTime: r.deadline.Sub(now)}
 	}
 	if a.retryTaken {
 		return event.Denial{}
--- a/internal/core/promise_test.go
+++ b/internal/core/promise_test.go
@@ -287,12 +287,12 @@
 	}{
 		{"outside", "bound", event.Envelope{Crossings: 1}, codes.OutsideResidency},
 		{"hops", "draft", event.Envelope{Crossings: 2}, codes.TooManyHops},
-		{"round", "draft", event.Envelope{Crossings: 1, Seen: []ident.EntryID{"khovd-0"}}, codes.TooManyHops},
+		{"round", "draft", event.Envelope{Crossings: 1, Visited: []ident.EntryID{"khovd-0"}}, codes.TooManyHops},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(t.Fatalf)
 			tc.env.Attempt = ident.Attempt{Entry: "uvs-0", Incarnation: 1, Number: 1}
-			tc.env.To = 1
+			tc.env.ToIncarnation = 1
 			w.Send("khovd-0", event.Request{
 				ID: "forged", Account: "foundation", Profile: tc.profile, Deadline: w.Now.Add(time.Second),
 				Envelope: value.Some(tc.env),
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -181,7 +181,7 @@
 	if r.env.Crossings > r.profile.MaxCrossings {
 		return true
 	}
-	for _, id := range r.env.Seen {
+	for _, id := range r.env.Visited {
 		if id == rd.self.ID {
 			return true
 		}
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -26,11 +26,11 @@
 	}
 	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 4, Generated: 4})
 	retried, ok := pick[event.Dispatch](effs)
-	if !ok || retried.Resume != 4 {
+	if !ok || retried.ResumeAfter != 4 {
 		t.Fatalf("the stream is not resumed after event 4: %v", effs)
 	}
 	h.step(event.AttemptSent{Attempt: retried.Attempt})
-	effs = h.end(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultFailed, Status: 500, Held: true, Delivered: 4})
+	effs = h.end(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultFailed, Status: 500, AnswerBuffered: true, Delivered: 4})
 	if f, ok := pick[event.Finish](effs); ok {
 		t.Errorf("a truncated stream is finished as complete: %+v", f)
 	}
@@ -54,7 +54,7 @@
 	h.step(event.FirstToken{Attempt: d.Attempt})
 	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	fwd, ok := pick[event.Forward](effs)
-	if !ok || fwd.Resume != 5 {
+	if !ok || fwd.ResumeAfter != 5 {
 		t.Fatalf("the rest of the stream is not passed on: %v", effs)
 	}
 	h.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t0"), boardTarget("t1")}})
@@ -62,7 +62,7 @@
 	if r, ok := pick[event.Refuse](effs); ok {
 		t.Fatalf("the rest of the stream is refused: %+v", r)
 	}
-	if d, ok := pick[event.Dispatch](effs); !ok || d.Target.ID != "t1" || d.Resume != 5 {
+	if d, ok := pick[event.Dispatch](effs); !ok || d.Target.ID != "t1" || d.ResumeAfter != 5 {
 		t.Errorf("the rest of the stream is not sent to the new target: %v", effs)
 	}
 }
@@ -91,7 +91,7 @@
 		h.step(event.AttemptSent{Attempt: rest.Attempt})
 		effs := h.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultNotRun, Delivered: 5, RetryAfter: 200 * time.Millisecond})
 		retried, ok := pick[event.Dispatch](effs)
-		if !ok || retried.Target.ID != rest.Target.ID || retried.Resume != 5 {
+		if !ok || retried.Target.ID != rest.Target.ID || retried.ResumeAfter != 5 {
 			t.Fatalf("the rest of the stream is not sent to the target that shed it: %v", effs)
 		}
 		rest = retried
@@ -173,8 +173,8 @@
 		}
 		from := event.Place{DataCentre: "east-a", Region: "east", Reach: "east"}
 		effs := h.step(event.RequestArrived{Request: event.Request{
-			ID: "rest", Account: "callers", Profile: "draft", Service: "board", Begun: begun, Deadline: h.now.Add(8 * time.Second),
-			Envelope: value.Some(event.Envelope{Attempt: ident.Attempt{Entry: "e1", Incarnation: 1, Number: 1}, To: 1, From: "e1", FromPlace: from, Crossings: 1}),
+			ID: "rest", Account: "callers", Profile: "draft", Service: "board", AnswerBegan: begun, Deadline: h.now.Add(8 * time.Second),
+			Envelope: value.Some(event.Envelope{Attempt: ident.Attempt{Entry: "e1", Incarnation: 1, Number: 1}, ToIncarnation: 1, From: "e1", FromPlace: from, Crossings: 1}),
 		}})
 		for range 40 {
 			h.now = h.now.Add(50 * time.Millisecond)
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -218,17 +218,17 @@
 		return event.Basis{}
 	}
 	b := event.Basis{
-		Profile: r.profile.Name, Revision: rd.spread.Revision(), Try: r.tries, Wait: dec.Wait, LoadAge: loadAgeUnknown,
-		Expect: rd.expectedEvents(r), Pace: rd.table.Pace(now, r.profile.Service), PaceThere: dec.EventInterval,
-		Part: dec.SpillShare, Room: dec.RemoteRoom, Full: dec.Full, Unread: dec.PrefillTokens,
+		Profile: r.profile.Name, Revision: rd.spread.Revision(), Attempts: r.tries, PredictedWait: dec.Wait, LoadAge: loadAgeUnknown,
+		ExpectedEvents: rd.expectedEvents(r), EventGap: rd.table.Pace(now, r.profile.Service), RemoteEventGap: dec.EventInterval,
+		ForwardedShare: dec.SpillShare, RemotePrefillRoom: dec.RemoteRoom, CapacityLimited: dec.Full, UncachedPrompt: dec.PrefillTokens,
 	}
 	if r.arrived > 0 {
 		b.Waited = now.Sub(r.arrived)
-		b.Left = rd.queueDeadline(r).Sub(now)
+		b.RemainingTime = rd.queueDeadline(r).Sub(now)
 		b.Queued = rd.pools.of(r).waiting()
 	}
 	if t := dec.Target; t != nil {
-		b.Busy = t.Outstanding(now)
+		b.InFlight = t.Outstanding(now)
 		if t.HasLoad {
 			b.LoadAge = now.Sub(t.LoadAt)
 		}
--- a/internal/core/routed_test.go
+++ b/internal/core/routed_test.go
@@ -23,7 +23,7 @@
 	const calls = 200
 	for range calls {
 		d := h.send("fetch")
-		effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
+		effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, AnswerBuffered: true})
 		if retried, ok := pick[event.Dispatch](effs); ok {
 			tries++
 			if retried.Target.ID == d.Target.ID {
@@ -47,7 +47,7 @@
 	for _, res := range []event.Result{event.ResultBroken, event.ResultFailed} {
 		h := newTestHost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 		d := h.send("publish")
-		if !d.Once || d.IdleTimeouts != (event.IdleTimeouts{}) {
+		if !d.AtMostOnce || d.IdleTimeouts != (event.IdleTimeouts{}) {
 			t.Errorf("a call that may run only once is dispatched as %+v", d)
 		}
 		effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: res})
@@ -209,7 +209,7 @@
 		n := 0
 		for range 60 {
 			d := h.send("fetch")
-			effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, Held: true})
+			effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, AnswerBuffered: true})
 			if retried, ok := pick[event.Dispatch](effs); ok {
 				n++
 				h.step(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultDone})
@@ -257,7 +257,7 @@
 	const blocks, own = 12, 4
 	prompt := func(id string, h *testHost) event.Request {
 		r := event.Request{
-			ID: ident.RequestID(id), Account: "callers", Profile: "draft", Prompt: 512 * (blocks + own), Shared: blocks,
+			ID: ident.RequestID(id), Account: "callers", Profile: "draft", Prompt: 512 * (blocks + own), SharedBlocks: blocks,
 			Deadline: h.now.Add(10 * time.Second),
 		}
 		for i := range blocks {
@@ -273,7 +273,7 @@
 	if !ok {
 		t.Fatal("the first prompt is not sent")
 	}
-	holder := event.PrefixHolder{Part: 1000 + blocks - 1}
+	holder := event.PrefixHolder{LastBlock: 1000 + blocks - 1}
 	for i := range 6 {
 		if id := ident.TargetID(fmt.Sprint("t", i)); id != usual.Target.ID {
 			holder.Target = event.TargetKey(rank.Hash(string(id)))
--- a/internal/core/same_test.go
+++ b/internal/core/same_test.go
@@ -55,7 +55,7 @@
 var queryActs = []act{
 	{"status", func(rt *rapid.T, w *world) { w.Post(anyHost(rt), 0, event.StatusAsked{Ask: 1}) }},
 	{"entries", func(rt *rapid.T, w *world) {
-		w.Post(anyHost(rt), 0, event.EntriesAsked{Ask: 2, Account: "third", Profile: "draft", Spread: uint64(w.n)})
+		w.Post(anyHost(rt), 0, event.EntriesAsked{Ask: 2, Account: "third", Profile: "draft", Seed: uint64(w.n)})
 	}},
 	{"route", func(rt *rapid.T, w *world) {
 		w.Post(anyHost(rt), 0, event.RouteAsked{Ask: 3, Request: event.Request{ID: "q", Account: "third", Profile: "draft"}})
--- a/internal/core/silent_test.go
+++ b/internal/core/silent_test.go
@@ -26,7 +26,7 @@
 }
 
 func (h *testHost) reportSilence(a ident.Attempt) []event.Effect {
-	return h.step(event.AttemptSilent{Attempt: a, Since: h.silentSince, Begun: true})
+	return h.step(event.AttemptSilent{Attempt: a, Since: h.silentSince, AnswerBegan: true})
 }
 
 // Guards against a silent stream being cut although no other attempt can follow.
@@ -37,7 +37,7 @@
 		bounds  core.Bounds
 		before  func(h *testHost)
 	}{
-		{event.DeniedPlace, 1, ampleBudget, func(*testHost) {}},
+		{event.DeniedCapacity, 1, ampleBudget, func(*testHost) {}},
 		{event.DeniedBudget, 3, core.Bounds{RetryRatio: 0.001}, func(*testHost) {}},
 		{event.DeniedTime, 3, ampleBudget, func(h *testHost) { h.now = h.now.Add(7990 * time.Millisecond) }},
 	} {
@@ -94,7 +94,7 @@
 	}
 	effs := h.step(event.AttemptEnded{Attempt: first.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	next, ok := pick[event.Dispatch](effs)
-	if !ok || next.Resume != 5 || next.Target.ID == first.Target.ID {
+	if !ok || next.ResumeAfter != 5 || next.Target.ID == first.Target.ID {
 		t.Errorf("the stream is not resumed elsewhere immediately: %v", effs)
 	}
 }
@@ -113,7 +113,7 @@
 				break
 			}
 		}
-		_, off := pick[event.BreakOff](h.step(event.AttemptSilent{Attempt: d.Attempt, Since: h.now.Add(-time.Second), Begun: begun}))
+		_, off := pick[event.BreakOff](h.step(event.AttemptSilent{Attempt: d.Attempt, Since: h.now.Add(-time.Second), AnswerBegan: begun}))
 		if diff := cmp.Diff(!begun, off); diff != "" {
 			t.Errorf("begun %v: broken off with all targets full (-want +got):\n%s", begun, diff)
 		}
@@ -166,7 +166,7 @@
 	}
 	h.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t8")}})
 	h.now = h.now.Add(time.Second)
-	if next, ok := pick[event.Dispatch](h.step(event.Tick{})); !ok || next.Request != d.Request || next.Resume != 5 {
+	if next, ok := pick[event.Dispatch](h.step(event.Tick{})); !ok || next.Request != d.Request || next.ResumeAfter != 5 {
 		t.Errorf("the rest of the stream is not sent to the target that is available again: %+v", next)
 	}
 }
@@ -189,7 +189,7 @@
 	effs = h.step(event.Tick{})
 	h.now = h.now.Add(100 * time.Millisecond)
 	effs = append(effs, h.step(event.Tick{})...)
-	if next, ok := pick[event.Dispatch](effs); !ok || next.Request != d.Request || next.Resume != 5 {
+	if next, ok := pick[event.Dispatch](effs); !ok || next.Request != d.Request || next.ResumeAfter != 5 {
 		t.Errorf("the stream is not resumed when the budget allows it: %v", effs)
 	}
 }
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -14,9 +14,9 @@
 	case r.forwarded || !r.once || r.profile.Route != nil:
 		rd.reserveAndPlace(now, r)
 	case r.Ticket != "":
-		rd.applyVerdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Print))
+		rd.applyVerdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Fingerprint))
 	case r.Key != "":
-		rd.applyVerdict(now, r, rd.once.UseKey(now, r.Key, r.Print, r.ID))
+		rd.applyVerdict(now, r, rd.once.UseKey(now, r.Key, r.Fingerprint, r.ID))
 	default:
 		rd.endRefused(now, r, refuseAs(codes.NeedsOnce))
 	}
@@ -84,7 +84,7 @@
 		rd.emit(ans)
 		return
 	}
-	ans.Ticket, ans.Valid, ans.Code = rd.once.IssueTicket(now, e.Account, e.Profile, e.Secret)
+	ans.Ticket, ans.TTL, ans.Code = rd.once.IssueTicket(now, e.Account, e.Profile, e.Secret)
 	rd.emit(ans)
 }
 
--- a/internal/core/wait.go
+++ b/internal/core/wait.go
@@ -18,7 +18,7 @@
 // queued until its deadline, since its caller may have a part of the answer.
 func (rd *Reducer) queueDeadline(r *request) ident.Time {
 	rt := r.profile.Route
-	if rt == nil || rt.GoalMs <= 0 || r.tries > 0 || r.Begun {
+	if rt == nil || rt.GoalMs <= 0 || r.tries > 0 || r.AnswerBegan {
 		return r.deadline
 	}
 	half := time.Duration(maxWaitRatio * float64(r.deadline.Sub(r.arrived)))
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -130,7 +130,7 @@
 	w.n++
 	req := event.Request{
 		ID: ident.RequestID(fmt.Sprint("r", w.n)), Account: "foundation", Profile: profile,
-		Prompt: 100, MaxTokens: 10, Deadline: w.Now.Add(within), Ticket: ticket, Key: key, Print: job,
+		Prompt: 100, MaxTokens: 10, Deadline: w.Now.Add(within), Ticket: ticket, Key: key, Fingerprint: job,
 	}
 	if job == "" {
 		req.Account = []ident.Account{"foundation", "clydeside", "third"}[w.n%3]
--- a/internal/daemon/forward_test.go
+++ b/internal/daemon/forward_test.go
@@ -67,7 +67,7 @@
 	if _, passed := req.Envelope.Get(); passed {
 		return event.Dispatch{Request: req.ID, Serve: rules.Serve{Model: "draft"}, Attempt: a, Target: r.engine, Deadline: deadline}
 	}
-	env := event.Envelope{Attempt: a, To: r.peer.Incarnation, Seen: []ident.EntryID{r.self.ID}}
+	env := event.Envelope{Attempt: a, ToIncarnation: r.peer.Incarnation, Visited: []ident.EntryID{r.self.ID}}
 	return event.Forward{Request: req.ID, To: r.peer, Envelope: env, Deadline: deadline}
 }
 
--- a/internal/dev/drive/carry.go
+++ b/internal/dev/drive/carry.go
@@ -56,7 +56,7 @@
 	case event.AskChanges:
 		d.message(h.Host, e.To, e, event.ChangesWanted{From: h.ID, After: e.After})
 	case event.AskBar:
-		d.message(h.Host, e.To, e, event.BarAsked{From: h.ID, Attempt: e.Attempt, To: e.Incarnation})
+		d.message(h.Host, e.To, e, event.BarAsked{From: h.ID, Attempt: e.Attempt, ToIncarnation: e.Incarnation})
 	case event.AnswerBar:
 		if to := d.Host(e.To); to != nil {
 			d.message(h.Host, to.Host, e, event.BarAnswered{Attempt: e.Attempt, Answer: e.Answer})
--- a/internal/dev/drive/outside.go
+++ b/internal/dev/drive/outside.go
@@ -80,7 +80,7 @@
 	t.Runs[origin(e.Request)]++
 	t.Running++
 	wait := time.Duration(max(t.Running-t.Slots, 0)/max(t.Slots, 1)) * t.Work
-	end := event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultDone, Generated: 1, Kept: e.Keep}
+	end := event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultDone, Generated: 1, OutcomeStored: e.KeepOutcome}
 	if t.Break != nil && t.Break() {
 		end = event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultBroken}
 	}
--- a/internal/dev/slope/slope.go
+++ b/internal/dev/slope/slope.go
@@ -283,7 +283,7 @@
 		{"digest accounts", event.Digest{Accounts: d.Accounts}},
 		{"digest summaries", event.Digest{Summaries: d.Summaries}},
 		{"digest targets", event.Digest{Targets: d.Targets}},
-		{"digest rest", event.Digest{Seq: d.Seq, Revision: d.Revision, Draining: d.Draining, Away: d.Away, Wants: d.Wants}},
+		{"digest rest", event.Digest{Seq: d.Seq, Revision: d.Revision, Draining: d.Draining, Forwarded: d.Forwarded, Wants: d.Wants}},
 	}
 	for _, s := range sizes {
 		r.parts[s.name] += proto.Size(wire.FromDigest(s.d))
--- a/internal/event/effect.go
+++ b/internal/event/effect.go
@@ -18,13 +18,13 @@
 	Priority int         `json:"priority"`
 	// Deadline is when the attempt must have ended.
 	Deadline ident.Time `json:"deadline"`
-	// Resume is the number of tokens that have reached the caller already;
+	// ResumeAfter is the number of tokens that have reached the caller already;
 	// the engine goes on after them.
-	Resume ident.Tokens `json:"resume,omitempty"`
-	// Once says that the call may not be repeated.
-	Once bool `json:"once,omitempty"`
-	// Keep says that the answer is to be kept for repeats.
-	Keep bool `json:"keep,omitempty"`
+	ResumeAfter ident.Tokens `json:"resume,omitempty"`
+	// AtMostOnce says that the call may not be repeated.
+	AtMostOnce bool `json:"once,omitempty"`
+	// KeepOutcome says that the answer is to be kept for repeats.
+	KeepOutcome bool `json:"keep,omitempty"`
 	// CopyFrom is the target that probably caches a prefix of the prompt, which this one
 	// then copies; empty for none.
 	CopyFrom Holder `json:"copyFrom"`
@@ -54,46 +54,46 @@
 	// that it stands in.
 	Profile  ident.Profile  `json:"profile,omitempty"`
 	Revision ident.Revision `json:"revision"`
-	// Try counts the tries of the request, this one included.
-	Try int `json:"try"`
+	// Attempts counts the tries of the request, this one included.
+	Attempts int `json:"try"`
 	// Waited is the time since the request arrived, Wait the predicted time to
 	// its first token.
-	Waited time.Duration `json:"waited"`
-	Wait   time.Duration `json:"wait"`
-	// Busy counts the requests that the target was estimated to have, LoadAge is
+	Waited        time.Duration `json:"waited"`
+	PredictedWait time.Duration `json:"wait"`
+	// InFlight counts the requests that the target was estimated to have, LoadAge is
 	// the age of its load, negative for none.
-	Busy    int           `json:"busy"`
-	LoadAge time.Duration `json:"loadAge"`
-	// Expect is how many events the stream was taken to have, Pace how long one
+	InFlight int           `json:"busy"`
+	LoadAge  time.Duration `json:"loadAge"`
+	// ExpectedEvents is how many events the stream was taken to have, Pace how long one
 	// takes at the targets here, PaceThere where it was passed on to; zero where that
 	// is not known.
-	Expect    float64       `json:"expect,omitempty"`
-	Pace      time.Duration `json:"pace,omitempty"`
-	PaceThere time.Duration `json:"paceThere,omitempty"`
-	// Part is which part of the work that callers bring went elsewhere, Room the tokens
+	ExpectedEvents float64       `json:"expect,omitempty"`
+	EventGap       time.Duration `json:"pace,omitempty"`
+	RemoteEventGap time.Duration `json:"paceThere,omitempty"`
+	// ForwardedShare is which part of the work that callers bring went elsewhere, Room the tokens
 	// to read a second that the data centre has room for which the request was passed
 	// on to; zero where that did not decide.
-	Part float64 `json:"part,omitempty"`
-	Room float64 `json:"room,omitempty"`
-	// Unread is the part of the prompt that the target was taken to have to read.
-	Unread ident.Tokens `json:"unread,omitempty"`
-	// Left is the time within which it had to start, Queued how many requests waited
+	ForwardedShare    float64 `json:"part,omitempty"`
+	RemotePrefillRoom float64 `json:"room,omitempty"`
+	// UncachedPrompt is the part of the prompt that the target was taken to have to read.
+	UncachedPrompt ident.Tokens `json:"unread,omitempty"`
+	// RemainingTime is the time within which it had to start, Queued how many requests waited
 	// for the same targets here, Full that only room was missing.
-	Left   time.Duration `json:"left,omitempty"`
-	Queued int           `json:"queued,omitempty"`
-	Full   bool          `json:"full,omitempty"`
+	RemainingTime   time.Duration `json:"left,omitempty"`
+	Queued          int           `json:"queued,omitempty"`
+	CapacityLimited bool          `json:"full,omitempty"`
 }
 
 // Forward asks the request's goroutine to pass the request to another entry
 // host.
 type Forward struct {
-	Request  ident.RequestID `json:"request"`
-	To       Host            `json:"to"`
-	Envelope Envelope        `json:"envelope"`
-	Deadline ident.Time      `json:"deadline"`
-	Resume   ident.Tokens    `json:"resume,omitempty"`
-	Once     bool            `json:"once,omitempty"`
-	Keep     bool            `json:"keep,omitempty"`
+	Request     ident.RequestID `json:"request"`
+	To          Host            `json:"to"`
+	Envelope    Envelope        `json:"envelope"`
+	Deadline    ident.Time      `json:"deadline"`
+	ResumeAfter ident.Tokens    `json:"resume,omitempty"`
+	AtMostOnce  bool            `json:"once,omitempty"`
+	KeepOutcome bool            `json:"keep,omitempty"`
 	// Service is the service that was picked for a request of a route.
 	Service      string       `json:"service,omitempty"`
 	Basis        Basis        `json:"basis"`
@@ -135,23 +135,23 @@
 	DeniedUnsent DenialReason = "unsent"
 	// DeniedTime says that too little time is left.
 	DeniedTime DenialReason = "time"
-	// DeniedPlace says that no other target or data centre has room.
-	DeniedPlace DenialReason = "noPlace"
+	// DeniedCapacity says that no other target or data centre has room.
+	DeniedCapacity DenialReason = "noPlace"
 )
 
 // Denial is why a request gets no other attempt and what that was judged by. The zero Denial
 // denies nothing.
 type Denial struct {
 	Reason DenialReason `json:"reason,omitempty"`
-	// Tries is the number of attempts so far, MaxTries the most.
-	Tries    int `json:"tries,omitempty"`
-	MaxTries int `json:"maxTries,omitempty"`
-	// Wait is the predicted time to the first token, Left the time to the deadline.
-	Wait time.Duration `json:"wait,omitempty"`
-	Left time.Duration `json:"left,omitempty"`
-	// Spent is the number of retries in the window of the budget, Allowed the most.
-	Spent   int     `json:"spent,omitempty"`
-	Allowed float64 `json:"allowed,omitempty"`
+	// Attempts is the number of attempts so far, MaxTries the most.
+	Attempts    int `json:"tries,omitempty"`
+	MaxAttempts int `json:"maxTries,omitempty"`
+	// PredictedWait is the predicted time to the first token, Left the time to the deadline.
+	PredictedWait time.Duration `json:"wait,omitempty"`
+	RemainingTime time.Duration `json:"left,omitempty"`
+	// Retries is the number of retries in the window of the budget, Allowed the most.
+	Retries    int     `json:"spent,omitempty"`
+	MaxRetries float64 `json:"allowed,omitempty"`
 }
 
 // BreakOff asks the request's goroutine to break off an attempt, which ends as if its
@@ -168,10 +168,10 @@
 type Silence struct {
 	// Since is when the last piece of the answer came, zero for no silence.
 	Since ident.Time `json:"since,omitempty"`
-	// Lasted is the duration of the silence.
-	Lasted time.Duration `json:"lasted,omitempty"`
-	// Begun says that a piece of the answer has come.
-	Begun bool `json:"begun,omitempty"`
+	// Duration is the duration of the silence.
+	Duration time.Duration `json:"lasted,omitempty"`
+	// AnswerBegan says that a piece of the answer has come.
+	AnswerBegan bool `json:"begun,omitempty"`
 }
 
 // KeepAttempt says, for the log, why a silent attempt is not broken off.
@@ -310,8 +310,8 @@
 type TicketIssued struct {
 	Ask    Ask    `json:"ask"`
 	Ticket string `json:"ticket"`
-	// Valid is how long it may be redeemed.
-	Valid time.Duration `json:"valid"`
+	// TTL is how long it may be redeemed.
+	TTL time.Duration `json:"valid"`
 	// Code is set when no ticket is given.
 	Code codes.ID `json:"code,omitempty"`
 	// Entries are the hosts to ask instead.
@@ -322,7 +322,7 @@
 type EntriesAnswered struct {
 	Ask     Ask           `json:"ask"`
 	Entries []Host        `json:"entries"`
-	Valid   time.Duration `json:"valid"`
+	TTL     time.Duration `json:"valid"`
 	Code    codes.ID      `json:"code,omitempty"`
 }
 
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -63,9 +63,9 @@
 	// Capacity is how many requests it runs at once, zero where only its load
 	// report says so.
 	Capacity int `json:"capacity,omitempty"`
-	// Closed says that its data centre is evacuated: nothing more is sent there
+	// Evacuated says that its data centre is evacuated: nothing more is sent there
 	// until that ends.
-	Closed bool `json:"closed,omitempty"`
+	Evacuated bool `json:"closed,omitempty"`
 	// ColdFor is how long it stays cold from now on, during which it takes
 	// only a few requests a second.
 	ColdFor time.Duration `json:"coldFor,omitempty"`
@@ -95,9 +95,9 @@
 	DecodeRate  float64       `json:"decodeRate"`
 	Serves      []rules.Serve `json:"serves,omitempty"`
 	Draining    bool          `json:"leaving,omitempty"`
-	// Kept says that Slots, the rates and Serves are left out: the receiver
+	// StaticOmitted says that Slots, the rates and Serves are left out: the receiver
 	// keeps those that it holds of this incarnation.
-	Kept bool `json:"kept,omitempty"`
+	StaticOmitted bool `json:"kept,omitempty"`
 }
 
 // TargetKey is a hash of the id of a target, which stands for it between hosts
@@ -113,8 +113,8 @@
 	// Running counts requests, Tokens the prefill work among them.
 	Running int          `json:"running"`
 	Tokens  ident.Tokens `json:"tokens"`
-	// Unread is the part of Tokens whose requests have had no first token.
-	Unread ident.Tokens `json:"unread,omitempty"`
+	// PendingPrefill is the part of Tokens whose requests have had no first token.
+	PendingPrefill ident.Tokens `json:"unread,omitempty"`
 }
 
 // AccountUse is the demand of one account at one place, as a smoothed rate.
@@ -164,48 +164,48 @@
 	Complete bool `json:"complete,omitempty"`
 	// Removed holds the targets that were removed from the list lately.
 	Removed []RemovedTarget `json:"removed,omitempty"`
-	// Away is the work that the sender has passed on to other data centres and
+	// Forwarded is the work that the sender has passed on to other data centres and
 	// that has not ended.
-	Away []AwayUse `json:"away,omitempty"`
-	// Flows is the work that the sender's callers bring for engines.
-	Flows []Flow `json:"flows,omitempty"`
+	Forwarded []ForwardedUse `json:"away,omitempty"`
+	// Demand is the work that the sender's callers bring for engines.
+	Demand []PrefillDemand `json:"flows,omitempty"`
 	// Held is what the sender has brought to targets since its last digest.
 	Holders []PrefixHolder `json:"holders,omitempty"`
 	// Wants names what the sender's callers ask for and no target of the data
 	// centre serves, so that its representative asks the others.
 	Wants []Want `json:"wants,omitempty"`
-	// Lacks names the data centres whose hosts the sender does not hold as
+	// StaleCentres names the data centres whose hosts the sender does not hold as
 	// they are now, so that the host that got them sends them again.
-	Lacks []ident.DataCentre `json:"lacks,omitempty"`
-	// Blind says that the platform does not answer the sender, so that another
+	StaleCentres []ident.DataCentre `json:"lacks,omitempty"`
+	// PlatformUnreachable says that the platform does not answer the sender, so that another
 	// host had better watch it.
-	Blind bool `json:"blind,omitempty"`
+	PlatformUnreachable bool `json:"blind,omitempty"`
 }
 
 // PrefixHolder says that a target was sent a prompt with a long shared prefix, and now probably
 // caches it.
 type PrefixHolder struct {
 	Target TargetKey `json:"target"`
-	// Part names the last block of the prefix.
-	Part uint64 `json:"part"`
+	// LastBlock names the last block of the prefix.
+	LastBlock uint64 `json:"part"`
 }
 
-// AwayUse counts the requests of one model or service that one entry host has
+// ForwardedUse counts the requests of one model or service that one entry host has
 // passed on to another data centre and that have not ended.
-type AwayUse struct {
+type ForwardedUse struct {
 	DataCentre ident.DataCentre `json:"dataCentre"`
 	Serve      rules.Serve      `json:"serve"`
 	Service    string           `json:"service,omitempty"`
 	Running    int              `json:"running"`
 }
 
-// Flow is the work that callers bring for the engines of a service.
-type Flow struct {
+// PrefillDemand is the work that callers bring for the engines of a service.
+type PrefillDemand struct {
 	Service string `json:"service"`
-	// Alone is the work of prompts that share little with others, Shared that of those
+	// UnsharedPrefill is the work of prompts that share little with others, Shared that of those
 	// with a long shared prefix, both in tokens to prefill a second.
-	Alone  float64 `json:"alone"`
-	Shared float64 `json:"shared"`
+	UnsharedPrefill float64 `json:"alone"`
+	SharedPrefill   float64 `json:"shared"`
 }
 
 // Want names a model or a plain service that is asked for.
@@ -234,9 +234,9 @@
 	Price       float64       `json:"price"`
 	// Targets counts the targets, Alone and Shared are the work that callers of the
 	// data centre bring for them; see Flow.
-	Targets int     `json:"targets,omitempty"`
-	Alone   float64 `json:"alone,omitempty"`
-	Shared  float64 `json:"shared,omitempty"`
+	Targets         int     `json:"targets,omitempty"`
+	UnsharedPrefill float64 `json:"alone,omitempty"`
+	SharedPrefill   float64 `json:"shared,omitempty"`
 }
 
 // Summary is the state of a data centre for another one. The representative sends it. Two
@@ -257,12 +257,12 @@
 	Hosts    []Host         `json:"hosts"`
 	Pools    []Pool         `json:"pools"`
 	Accounts []AccountUse   `json:"accounts,omitempty"`
-	// HostsKept, PoolsKept and AccountsKept say that a part is left out: the
+	// HostsOmitted, PoolsKept and AccountsKept say that a part is left out: the
 	// receiver keeps what it holds of it, and takes it for unknown, not for
 	// none, where it holds nothing.
-	HostsKept    bool `json:"hostsKept,omitempty"`
-	PoolsKept    bool `json:"poolsKept,omitempty"`
-	AccountsKept bool `json:"accountsKept,omitempty"`
+	HostsOmitted    bool `json:"hostsKept,omitempty"`
+	PoolsOmitted    bool `json:"poolsKept,omitempty"`
+	AccountsOmitted bool `json:"accountsKept,omitempty"`
 	// HostsHash is a hash of the hosts that the data centre has now, by which
 	// a receiver notices that those it keeps are not the same. Zero is no hash.
 	HostsHash uint64 `json:"hostsHash,omitempty"`
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -22,15 +22,15 @@
 type Envelope struct {
 	// Attempt names the sender's try. The receiver answers "run or bar" by it.
 	Attempt ident.Attempt `json:"attempt"`
-	// To is the incarnation of the receiver that the sender meant. Another
+	// ToIncarnation is the incarnation of the receiver that the sender meant. Another
 	// incarnation refuses it, since it can't know what the meant one did.
-	To        ident.Incarnation `json:"to"`
-	From      ident.EntryID     `json:"from"`
-	FromPlace Place             `json:"fromPlace"`
+	ToIncarnation ident.Incarnation `json:"to"`
+	From          ident.EntryID     `json:"from"`
+	FromPlace     Place             `json:"fromPlace"`
 	// Crossings counts the passages between regions so far, this included.
 	Crossings ident.Hops `json:"crossings"`
-	// Seen lists the entry hosts that the request has passed.
-	Seen []ident.EntryID `json:"seen"`
+	// Visited lists the entry hosts that the request has passed.
+	Visited []ident.EntryID `json:"seen"`
 	// Revision is the configuration that the sender decided by.
 	Revision ident.Revision `json:"revision"`
 }
@@ -48,9 +48,9 @@
 	// last, for cache affinity. They are compared with the cache events of
 	// engines and never leave the host.
 	Prefix []uint64 `json:"prefix,omitempty"`
-	// Shared is how many blocks of Prefix other requests probably begin with
+	// SharedBlocks is how many blocks of Prefix other requests probably begin with
 	// too, zero where that is unknown.
-	Shared int `json:"shared,omitempty"`
+	SharedBlocks int `json:"shared,omitempty"`
 	// Service is the service that was picked for a request of a route.
 	Service string `json:"service,omitempty"`
 	// Model is the model that a request of a route names.
@@ -59,13 +59,13 @@
 	// profile's.
 	Deadline ident.Time `json:"deadline"`
 	Stream   bool       `json:"stream,omitempty"`
-	// Begun says that the caller of a forwarded request has a part of the answer.
-	Begun bool `json:"begun,omitempty"`
+	// AnswerBegan says that the caller of a forwarded request has a part of the answer.
+	AnswerBegan bool `json:"begun,omitempty"`
 	// Ticket is the caller's ticket, Key the digest of its idempotency key,
 	// Print a digest of the request that detects a reused key.
-	Ticket string `json:"ticket,omitempty"`
-	Key    string `json:"key,omitempty"`
-	Print  string `json:"print,omitempty"`
+	Ticket      string `json:"ticket,omitempty"`
+	Key         string `json:"key,omitempty"`
+	Fingerprint string `json:"print,omitempty"`
 	// Envelope is set for a request that another entry host passed on.
 	Envelope value.Option[Envelope] `json:"envelope"`
 }
@@ -138,8 +138,8 @@
 	Attempt ident.Attempt `json:"attempt"`
 	// Since is when the last piece of the answer came, or the attempt began.
 	Since ident.Time `json:"since"`
-	// Begun says that a piece of the answer has come.
-	Begun bool `json:"begun,omitempty"`
+	// AnswerBegan says that a piece of the answer has come.
+	AnswerBegan bool `json:"begun,omitempty"`
 }
 
 // AttemptEnded says how an attempt ended.
@@ -161,12 +161,12 @@
 	Draining bool `json:"draining,omitempty"`
 	// Resumable says that a new attempt may go on after the tokens delivered.
 	Resumable bool `json:"resumable,omitempty"`
-	// Kept says that the outcome was kept for repeats by the traffic side.
-	Kept bool `json:"kept,omitempty"`
+	// OutcomeStored says that the outcome was kept for repeats by the traffic side.
+	OutcomeStored bool `json:"kept,omitempty"`
 	// Silent says that the attempt was broken off for a silence.
 	Silent bool `json:"silent,omitempty"`
-	// Held says that a whole answer with a failure is buffered and can be delivered.
-	Held bool `json:"held,omitempty"`
+	// AnswerBuffered says that a whole answer with a failure is buffered and can be delivered.
+	AnswerBuffered bool `json:"held,omitempty"`
 }
 
 // CallerLeft says that the connection of the caller, or of the host that forwarded its request,
@@ -205,8 +205,8 @@
 	ReasonStopped Reason = "stopped"
 	// ReasonSilent says that an answer brought nothing for its idle timeout.
 	ReasonSilent Reason = "silent"
-	// ReasonOver says that the time of the request was over.
-	ReasonOver Reason = "over"
+	// ReasonDeadlineExpired says that the time of the request was over.
+	ReasonDeadlineExpired Reason = "over"
 )
 
 // Ending is which side ended a connection or an answer, and why.
@@ -242,7 +242,7 @@
 	Entry       ident.EntryID     `json:"entry"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Request     ident.RequestID   `json:"request"`
-	Print       string            `json:"print"`
+	Fingerprint string            `json:"print"`
 }
 
 // TicketAsked asks for a ticket.
@@ -260,8 +260,8 @@
 	Ask     Ask           `json:"ask"`
 	Account ident.Account `json:"account"`
 	Profile ident.Profile `json:"profile"`
-	// Spread is a random number that shares callers out over equal hosts.
-	Spread uint64 `json:"spread"`
+	// Seed is a random number that shares callers out over equal hosts.
+	Seed uint64 `json:"spread"`
 }
 
 // NearbyAsked asks which entry hosts a caller at a place should use.
--- a/internal/event/system.go
+++ b/internal/event/system.go
@@ -60,9 +60,9 @@
 
 // BarAsked says that a peer asks "run or bar" about an attempt of its own.
 type BarAsked struct {
-	From    ident.EntryID     `json:"from"`
-	Attempt ident.Attempt     `json:"attempt"`
-	To      ident.Incarnation `json:"to"`
+	From          ident.EntryID     `json:"from"`
+	Attempt       ident.Attempt     `json:"attempt"`
+	ToIncarnation ident.Incarnation `json:"to"`
 }
 
 // BarAnswered brings the answer to AskBar.
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -130,9 +130,9 @@
 		}
 		return []event.Effect{event.Refuse{Request: id, Code: "VB1020", Outcome: event.Unknown}}
 	case event.EntriesAsked:
-		return []event.Effect{event.EntriesAnswered{Ask: e.Ask, Valid: 5 * time.Second, Entries: []event.Host{{CallerURL: "http://192.0.2.1:8080"}}}}
+		return []event.Effect{event.EntriesAnswered{Ask: e.Ask, TTL: 5 * time.Second, Entries: []event.Host{{CallerURL: "http://192.0.2.1:8080"}}}}
 	case event.TicketAsked:
-		return []event.Effect{event.TicketIssued{Ask: e.Ask, Ticket: "tk-" + e.Secret, Valid: time.Minute}}
+		return []event.Effect{event.TicketIssued{Ask: e.Ask, Ticket: "tk-" + e.Secret, TTL: time.Minute}}
 	}
 	return nil
 }
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -222,7 +222,7 @@
 	if key == "" && req.Ticket == "" {
 		return
 	}
-	req.Print = digest(x.r.Method, x.r.URL.RequestURI(), string(x.body))
+	req.Fingerprint = digest(x.r.Method, x.r.URL.RequestURI(), string(x.body))
 	if key != "" {
 		req.Key = digest(string(req.Account), string(req.Profile), key)
 	}
--- a/internal/front/lists.go
+++ b/internal/front/lists.go
@@ -59,7 +59,7 @@
 	if ref != nil {
 		return ref
 	}
-	x.writeJSON(http.StatusOK, event.Done, entryList{Entries: callerURLs(ans.Entries), ValidForMs: ans.Valid.Milliseconds()})
+	x.writeJSON(http.StatusOK, event.Done, entryList{Entries: callerURLs(ans.Entries), ValidForMs: ans.TTL.Milliseconds()})
 	return nil
 }
 
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(x.r.Context(), queryTimeout)
 	defer cancel()
 	eff, err := x.cfg.Loop.Ask(ctx, func(n event.Ask) event.Event {
-		return event.EntriesAsked{Ask: n, Account: x.client.Name, Profile: profile, Spread: newSpreadSeed()}
+		return event.EntriesAsked{Ask: n, Account: x.client.Name, Profile: profile, Seed: newSpreadSeed()}
 	})
 	ans, ok := eff.(event.EntriesAnswered)
 	if err != nil || !ok {
@@ -138,7 +138,7 @@
 		ref.Entries = ans.Entries
 		return ref
 	}
-	x.writeJSON(http.StatusOK, event.Done, ticketAnswer{Ticket: ans.Ticket, ValidForMs: ans.Valid.Milliseconds()})
+	x.writeJSON(http.StatusOK, event.Done, ticketAnswer{Ticket: ans.Ticket, ValidForMs: ans.TTL.Milliseconds()})
 	return nil
 }
 
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -200,7 +200,7 @@
 	switch {
 	case direct:
 		c.toRelay.add(s)
-	case !s.HostsKept:
+	case !s.HostsOmitted:
 		// The peer that relayed the hosts has sent them to all peers.
 		c.toRelay.hostsHash = s.HostsHash
 	}
@@ -222,21 +222,21 @@
 // mergeParts replaces the parts that a summary contains and keeps the others.
 func (c *Centre) mergeParts(now ident.Time, s event.Summary) {
 	old := c.Summary
-	if s.HostsKept {
+	if s.HostsOmitted {
 		s.Hosts = old.Hosts
 	} else {
 		c.hostsHash = hashHosts(s.Hosts)
 	}
-	if s.PoolsKept {
+	if s.PoolsOmitted {
 		s.Pools = old.Pools
 	} else {
 		c.offersReceived = recordOffers(c.offersReceived, now, s.Pools)
 		c.poolsMadeAt = c.summaryMadeAt.Add(-s.PoolsAge)
 	}
-	if s.AccountsKept {
+	if s.AccountsOmitted {
 		s.Accounts = old.Accounts
 	}
-	s.HostsKept, s.PoolsKept, s.AccountsKept, s.PoolsAge = false, false, false, 0
+	s.HostsOmitted, s.PoolsOmitted, s.AccountsOmitted, s.PoolsAge = false, false, false, 0
 	c.Summary = s
 	c.HasSummary = true
 }
@@ -244,9 +244,9 @@
 // add marks the parts of a summary that peers need. Hosts are relayed only when they have
 // changed.
 func (r *relayState) add(s event.Summary) {
-	r.hosts = r.hosts || !s.HostsKept && s.HostsHash != r.hostsHash
-	r.pools = r.pools || !s.PoolsKept
-	r.accounts = r.accounts || !s.AccountsKept
+	r.hosts = r.hosts || !s.HostsOmitted && s.HostsHash != r.hostsHash
+	r.pools = r.pools || !s.PoolsOmitted
+	r.accounts = r.accounts || !s.AccountsOmitted
 	r.due = r.due || r.hosts || r.pools || r.accounts || s.InForce != r.inForce || s.Highest != r.highest
 }
 
@@ -287,10 +287,10 @@
 	s := c.Summary
 	s.Age = c.Age(now)
 	if c.hostsOutdated() || c.hostsHash == 0 {
-		s.Hosts, s.HostsKept = nil, true
+		s.Hosts, s.HostsOmitted = nil, true
 	}
 	if c.poolsMadeAt == 0 {
-		s.Pools, s.PoolsKept = nil, true
+		s.Pools, s.PoolsOmitted = nil, true
 	}
 	s.PoolsAge = c.summaryMadeAt.Sub(c.poolsMadeAt)
 	return s
@@ -369,15 +369,15 @@
 	r := &c.toRelay
 	s := c.summaryWithAge(now)
 	if !r.hosts {
-		s.Hosts, s.HostsKept = nil, true
+		s.Hosts, s.HostsOmitted = nil, true
 	}
 	if !r.pools {
-		s.Pools, s.PoolsKept, s.PoolsAge = nil, true, 0
+		s.Pools, s.PoolsOmitted, s.PoolsAge = nil, true, 0
 	}
 	if !r.accounts {
-		s.Accounts, s.AccountsKept = nil, true
+		s.Accounts, s.AccountsOmitted = nil, true
 	}
-	if !s.HostsKept {
+	if !s.HostsOmitted {
 		r.hostsHash = s.HostsHash
 	}
 	*r = relayState{receivedHere: r.receivedHere, inForce: s.InForce, highest: s.Highest, hostsHash: r.hostsHash}
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -203,7 +203,7 @@
 			})
 			tb.Advance(at)
 			closed := newTarget("a")
-			closed.Closed = true
+			closed.Evacuated = true
 			tb.HostsRead(at, listOf(1, closed))
 			at = at.Add(10 * time.Second)
 			tb.HostsRead(at, listOf(2, newTarget("a")))
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -36,13 +36,13 @@
 	}
 	p.seq = d.Seq
 	p.revision = d.Revision
-	p.platformUnreachable = d.Blind
-	p.forwarded = slices.Clone(d.Away)
-	p.flows = slices.Clone(d.Flows)
+	p.platformUnreachable = d.PlatformUnreachable
+	p.forwarded = slices.Clone(d.Forwarded)
+	p.flows = slices.Clone(d.Demand)
 	tb.observe(now, p)
 	tb.mergeList(now, d)
 	tb.mergeUse(p, d.Use)
-	tb.resendHosts(d.Lacks)
+	tb.resendHosts(d.StaleCentres)
 	for _, w := range d.Wants {
 		tb.recordPoolRequest(now, PoolID{Serve: w.Serve, Service: w.Service})
 	}
@@ -54,7 +54,7 @@
 		if t, ok := tb.byID[u.Target]; ok {
 			t.PeerInFlight -= u.Running
 			t.PeerInFlightTokens -= u.Tokens
-			t.PeerPendingPrefill -= u.Unread
+			t.PeerPendingPrefill -= u.PendingPrefill
 		}
 	}
 	p.use = slices.Clone(use)
@@ -64,7 +64,7 @@
 		if t, ok := tb.byID[u.Target]; ok {
 			t.PeerInFlight += u.Running
 			t.PeerInFlightTokens += u.Tokens
-			t.PeerPendingPrefill += u.Unread
+			t.PeerPendingPrefill += u.PendingPrefill
 		}
 	}
 }
@@ -89,7 +89,7 @@
 			if u.Target == t.ID {
 				t.PeerInFlight += u.Running
 				t.PeerInFlightTokens += u.Tokens
-				t.PeerPendingPrefill += u.Unread
+				t.PeerPendingPrefill += u.PendingPrefill
 			}
 		}
 	}
@@ -99,9 +99,9 @@
 func (tb *Table) digest(now ident.Time) event.Digest {
 	tb.heartbeat.seq++
 	d := event.Digest{
-		Host: tb.self, Seq: tb.heartbeat.seq, Revision: tb.local.Revision, Blind: tb.platformUnreachable,
-		Accounts: tb.local.Accounts, AccountsIncluded: tb.local.AccountsIncluded, Draining: tb.drainNotices(now, false), Away: slices.Clone(tb.forwarded), Wants: tb.ownPoolRequests(now),
-		Flows: tb.ownFlows(now), Removed: tb.recentRemovals(now),
+		Host: tb.self, Seq: tb.heartbeat.seq, Revision: tb.local.Revision, PlatformUnreachable: tb.platformUnreachable,
+		Accounts: tb.local.Accounts, AccountsIncluded: tb.local.AccountsIncluded, Draining: tb.drainNotices(now, false), Forwarded: slices.Clone(tb.forwarded), Wants: tb.ownPoolRequests(now),
+		Demand: tb.ownFlows(now), Removed: tb.recentRemovals(now),
 	}
 	for _, t := range tb.targets {
 		if t.InFlight > 0 {
@@ -109,7 +109,7 @@
 			use := event.TargetUse{Target: id, Key: key, Running: t.InFlight, Tokens: t.InFlightTokens}
 			if t.Capacity > 0 {
 				// Other targets report their queue with their load.
-				use.Unread = t.PendingPrefill
+				use.PendingPrefill = t.PendingPrefill
 			}
 			d.Use = append(d.Use, use)
 		}
@@ -143,7 +143,7 @@
 	if regular {
 		d.Loads = tb.relayedLoads(now)
 		d.Summaries = tb.summariesToRelay(now)
-		d.Lacks = tb.outdatedCentres()
+		d.StaleCentres = tb.outdatedCentres()
 	}
 	if regular || tb.list.urgent {
 		tb.addListIfDue(now, &d)
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -39,7 +39,7 @@
 	// is the smoothed work a second.
 	alone, shared float64
 	sampleStart   ident.Time
-	rate          event.Flow
+	rate          event.PrefillDemand
 }
 
 // closeSample adds the current sample to the rate once sampleInterval is over.
@@ -48,8 +48,8 @@
 	if span < sampleInterval {
 		return
 	}
-	f.rate.Alone += flowWeight * (f.alone/span.Seconds() - f.rate.Alone)
-	f.rate.Shared += flowWeight * (f.shared/span.Seconds() - f.rate.Shared)
+	f.rate.UnsharedPrefill += flowWeight * (f.alone/span.Seconds() - f.rate.UnsharedPrefill)
+	f.rate.SharedPrefill += flowWeight * (f.shared/span.Seconds() - f.rate.SharedPrefill)
 	f.alone, f.shared, f.sampleStart = 0, 0, now
 }
 
@@ -79,7 +79,7 @@
 // HasLongSharedPrefix reports whether a prompt has a long prefix in common with other prompts.
 func HasLongSharedPrefix(r *event.Request) bool {
 	n := len(r.Prefix)
-	return n > 0 && r.Shared <= n && float64(r.Prompt)*float64(r.Shared)/float64(n) >= minLongPrefix
+	return n > 0 && r.SharedBlocks <= n && float64(r.Prompt)*float64(r.SharedBlocks)/float64(n) >= minLongPrefix
 }
 
 // RecordPrefillShare records how many tokens of a prompt its engine probably had to prefill.
@@ -98,17 +98,17 @@
 func (tb *Table) flowOf(now ident.Time, service string) *serviceFlow {
 	i, ok := slices.BinarySearchFunc(tb.flows, service, func(f *serviceFlow, s string) int { return strings.Compare(f.service, s) })
 	if !ok {
-		tb.flows = slices.Insert(tb.flows, i, &serviceFlow{service: service, sampleStart: now, rate: event.Flow{Service: service}})
+		tb.flows = slices.Insert(tb.flows, i, &serviceFlow{service: service, sampleStart: now, rate: event.PrefillDemand{Service: service}})
 	}
 	return tb.flows[i]
 }
 
 // ownFlows returns the demand at this host, for its peers.
-func (tb *Table) ownFlows(now ident.Time) []event.Flow {
-	var fs []event.Flow
+func (tb *Table) ownFlows(now ident.Time) []event.PrefillDemand {
+	var fs []event.PrefillDemand
 	for _, f := range tb.flows {
 		f.closeSample(now)
-		if f.rate.Alone+f.rate.Shared > 0 {
+		if f.rate.UnsharedPrefill+f.rate.SharedPrefill > 0 {
 			fs = append(fs, f.rate)
 		}
 	}
@@ -121,8 +121,8 @@
 	for _, f := range tb.flows {
 		if f.service == service {
 			f.closeSample(now)
-			alone += f.rate.Alone
-			shared += f.rate.Shared
+			alone += f.rate.UnsharedPrefill
+			shared += f.rate.SharedPrefill
 		}
 	}
 	for _, p := range tb.peers {
@@ -131,8 +131,8 @@
 		}
 		for _, f := range p.flows {
 			if f.Service == service {
-				alone += f.Alone
-				shared += f.Shared
+				alone += f.UnsharedPrefill
+				shared += f.SharedPrefill
 			}
 		}
 	}
@@ -177,8 +177,8 @@
 	rooms = append(rooms, own)
 	for _, c := range tb.centres {
 		if p := c.Pool(id); p != nil && !c.CutOff(now) {
-			rooms = append(rooms, CentreRoom{Centre: c, capacity: size(p), alone: p.Alone})
-			shared += p.Shared
+			rooms = append(rooms, CentreRoom{Centre: c, capacity: size(p), alone: p.UnsharedPrefill})
+			shared += p.SharedPrefill
 		}
 	}
 	level := evenLevel(rooms, shared)
@@ -222,8 +222,8 @@
 
 // demandStep returns the step of the current demand of a pool.
 func demandStep(p *event.Pool) uint64 {
-	if p.Alone+p.Shared < 1 {
+	if p.UnsharedPrefill+p.SharedPrefill < 1 {
 		return 0
 	}
-	return uint64(demandSteps * math.Log2(p.Alone+p.Shared))
+	return uint64(demandSteps * math.Log2(p.UnsharedPrefill+p.SharedPrefill))
 }
--- a/internal/member/flow_test.go
+++ b/internal/member/flow_test.go
@@ -14,11 +14,11 @@
 // sharedPrompt returns a request with a prompt of 12,000 tokens, of which other prompts share
 // 6,000; alonePrompt returns one with 1,000 tokens and no long shared prefix.
 func sharedPrompt() *event.Request {
-	return &event.Request{Service: "writers", Prompt: 12000, Shared: 12, Prefix: make([]uint64, 24)}
+	return &event.Request{Service: "writers", Prompt: 12000, SharedBlocks: 12, Prefix: make([]uint64, 24)}
 }
 
 func alonePrompt() *event.Request {
-	return &event.Request{Service: "writers", Prompt: 1000, Shared: 1, Prefix: make([]uint64, 2)}
+	return &event.Request{Service: "writers", Prompt: 1000, SharedBlocks: 1, Prefix: make([]uint64, 2)}
 }
 
 // sendDemand has callers send the given numbers of prompts to a host each second, and returns the
@@ -42,7 +42,7 @@
 	tb.SummaryReceived(at, event.Summary{
 		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: seq,
 		Hosts: []event.Host{newHost("e1", "east-a", "east")},
-		Pools: []event.Pool{{Service: "writers", Slots: 64 * targets, Free: 64 * targets, Targets: targets, Alone: alone, Shared: shared}},
+		Pools: []event.Pool{{Service: "writers", Slots: 64 * targets, Free: 64 * targets, Targets: targets, UnsharedPrefill: alone, SharedPrefill: shared}},
 	})
 }
 
@@ -90,7 +90,7 @@
 func TestDemandOfPeersIsCounted(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
-	tb.DigestReceived(at, event.Digest{Host: newHost("w9", "west-a", "west"), Seq: 1, Flows: []event.Flow{{Service: "writers", Alone: 100, Shared: 50}}})
+	tb.DigestReceived(at, event.Digest{Host: newHost("w9", "west-a", "west"), Seq: 1, Demand: []event.PrefillDemand{{Service: "writers", UnsharedPrefill: 100, SharedPrefill: 50}}})
 	if alone, shared := tb.demand(at, "writers"); alone != 100 || shared != 50 {
 		t.Errorf("the demand at a peer counts as %v alone and %v shared, want 100 and 50", alone, shared)
 	}
@@ -130,7 +130,7 @@
 	tb.AddPrefill("a", 5000)
 	report := func(seq uint64, unread ident.Tokens) {
 		tb.DigestReceived(at, event.Digest{
-			Host: newHost("w9", "west-a", "west"), Seq: seq, Use: []event.TargetUse{{Target: "a", Running: 3, Tokens: 90000, Unread: unread}},
+			Host: newHost("w9", "west-a", "west"), Seq: seq, Use: []event.TargetUse{{Target: "a", Running: 3, Tokens: 90000, PendingPrefill: unread}},
 		})
 	}
 	tg, _ := tb.Target("a")
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -156,12 +156,12 @@
 	if d.ColdFor > 0 && until > t.coldUntil {
 		t.coldUntil = until
 	}
-	if t.Closed && !d.Closed {
+	if t.Evacuated && !d.Evacuated {
 		tb.assumeCold(now, t)
 	}
 }
 
 // Usable reports whether requests may be sent to a target at all.
 func (t *Target) Usable(now ident.Time) bool {
-	return !t.KnownDraining && !t.Removed && !t.Closed && !t.Suspect(now)
+	return !t.KnownDraining && !t.Removed && !t.Evacuated && !t.Suspect(now)
 }
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -44,7 +44,7 @@
 func TestOlderListOfAPeerDoesNotEndEvacuation(t *testing.T) {
 	at := ident.Time(time.Second)
 	closed := newTarget("a")
-	closed.Closed = true
+	closed.Evacuated = true
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.HostsRead(at, listOf(5, closed))
 	announce := func(seq, version uint64, tg event.Target) {
@@ -88,7 +88,7 @@
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return 6 }, Duration: func(string) time.Duration { return 3 * time.Second }})
 	closed := newTarget("a")
-	closed.Closed = true
+	closed.Evacuated = true
 	tb.HostsRead(at, listOf(1, newTarget("a")))
 	tb.HostsRead(at, listOf(2, closed))
 	if usable(t, tb, at, "a") {
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -21,7 +21,7 @@
 	if tb.byKey[key] != t {
 		return // The key is ambiguous.
 	}
-	h := event.PrefixHolder{Target: key, Part: part}
+	h := event.PrefixHolder{Target: key, LastBlock: part}
 	if !slices.Contains(tb.heartbeat.holders, h) {
 		tb.heartbeat.holders = append(tb.heartbeat.holders, h)
 	}
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -25,7 +25,7 @@
 	for range 8 {
 		w.run(time.Second, nil)
 		s.Seq++
-		s.Age, s.Pools, s.PoolsKept = 0, nil, true
+		s.Age, s.Pools, s.PoolsOmitted = 0, nil, true
 		b.SummaryReceived(w.now, s)
 	}
 	if left := b.RemainingOffer(w.now, "dc0", scribePool); left != 0 {
@@ -90,7 +90,7 @@
 	tb.PeerUp(w.now, far)
 	tb.SummaryReceived(w.now, event.Summary{
 		From: far.ID, Place: far.Place, Incarnation: far.Incarnation, Seq: 1,
-		HostsKept: true, PoolsKept: true, AccountsKept: true, HostsHash: 7,
+		HostsOmitted: true, PoolsOmitted: true, AccountsOmitted: true, HostsHash: 7,
 	})
 	c := tb.Centres(w.now)[0]
 	if d := cmp.Diff([]event.Host{far}, c.Hosts); d != "" {
@@ -99,7 +99,7 @@
 	if d := cmp.Diff(tb.outdatedCentres(), []ident.DataCentre{"dc1"}); d != "" {
 		t.Errorf("lacking (-want +got):\n%s", d)
 	}
-	if s := c.summaryWithAge(w.now); !s.HostsKept || !s.PoolsKept {
+	if s := c.summaryWithAge(w.now); !s.HostsOmitted || !s.PoolsOmitted {
 		t.Error("unknown parts are passed on as empty ones")
 	}
 }
@@ -112,7 +112,7 @@
 	c := tb.Centres(w.now)[0]
 	getsFull := func(to event.Host) bool {
 		s := tb.summary(w.now)
-		return tb.omitKnownParts(w.now, c, to, &s, false) && !s.HostsKept && !s.PoolsKept && !s.AccountsKept
+		return tb.omitKnownParts(w.now, c, to, &s, false) && !s.HostsOmitted && !s.PoolsOmitted && !s.AccountsOmitted
 	}
 	far := w.nodes[1].tb.Self()
 	w.now = w.now.Add(minSummaryGap)
@@ -152,12 +152,12 @@
 	tb := w.nodes[0].tb
 	tg := tb.Targets()[0]
 	peer := w.nodes[1].tb.Self()
-	ld := event.Load{Key: targetKey(tg.ID), Incarnation: tg.Incarnation + 1, Seq: 1, Running: 1, Kept: true}
+	ld := event.Load{Key: targetKey(tg.ID), Incarnation: tg.Incarnation + 1, Seq: 1, Running: 1, StaticOmitted: true}
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1 << 20, Loads: []event.Load{ld}})
 	if tg.Load.Incarnation > 1 {
 		t.Errorf("%d slots of the former incarnation are attributed to incarnation %d", tg.Load.Slots, tg.Load.Incarnation)
 	}
-	ld.Kept, ld.Slots = false, 4
+	ld.StaticOmitted, ld.Slots = false, 4
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1<<20 + 1, Loads: []event.Load{ld}})
 	if tg.Load.Slots != 4 {
 		t.Errorf("%d slots, want 4 as in the full report", tg.Load.Slots)
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -96,7 +96,7 @@
 		if !ok {
 			return d.Place.Group() == tb.self.Place.Group()
 		}
-		return t.Closed != d.Closed
+		return t.Evacuated != d.Evacuated
 	})
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -116,7 +116,7 @@
 	coldProbeQueue []ident.TargetID
 	centres        []*Centre
 	pools          []*pool
-	forwarded      []event.AwayUse
+	forwarded      []event.ForwardedUse
 	// requestsQueuedAt is when RequestsQueued last recomputed the pools.
 	requestsQueuedAt    ident.Time
 	platformUnreachable bool
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -267,7 +267,7 @@
 }
 
 func (tb *Table) forwardedIndex(dc ident.DataCentre, id PoolID) (int, bool) {
-	return slices.BinarySearchFunc(tb.forwarded, id, func(u event.AwayUse, id PoolID) int {
+	return slices.BinarySearchFunc(tb.forwarded, id, func(u event.ForwardedUse, id PoolID) int {
 		return cmp.Or(cmp.Compare(u.DataCentre, dc), comparePools(PoolID{u.Serve, u.Service}, id))
 	})
 }
@@ -284,7 +284,7 @@
 func (tb *Table) ForwardStarted(dc ident.DataCentre, id PoolID) {
 	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
-		tb.forwarded = slices.Insert(tb.forwarded, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
+		tb.forwarded = slices.Insert(tb.forwarded, i, event.ForwardedUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
 	}
 	tb.forwarded[i].Running++
 	tb.recordForwarded(dc, id, 1)
--- a/internal/member/peer.go
+++ b/internal/member/peer.go
@@ -24,8 +24,8 @@
 	seq                 uint64
 	revision            ident.Revision
 	use                 []event.TargetUse
-	forwarded           []event.AwayUse
-	flows               []event.Flow
+	forwarded           []event.ForwardedUse
+	flows               []event.PrefillDemand
 	platformUnreachable bool
 	// needsFullDigest reports whether the host is due a digest of everything that this host
 	// knows.
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -144,7 +144,7 @@
 			p.DecodeRate /= n
 			p.Price = p.priceSum / n
 		}
-		p.Alone, p.Shared = tb.demand(now, p.Service)
+		p.UnsharedPrefill, p.SharedPrefill = tb.demand(now, p.Service)
 		forwarded := 0
 		if !tb.hasPace(p.id) {
 			forwarded = tb.countForwarded(now, p.id)
@@ -190,7 +190,7 @@
 	return n
 }
 
-func sumForwarded(uses []event.AwayUse, id PoolID) int {
+func sumForwarded(uses []event.ForwardedUse, id PoolID) int {
 	n := 0
 	for _, u := range uses {
 		if u.Serve == id.Serve && u.Service == id.Service {
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -88,7 +88,7 @@
 		return ld
 	}
 	ld.Slots, ld.PrefillRate, ld.DecodeRate, ld.Serves = 0, 0, 0, nil
-	ld.Kept = true
+	ld.StaticOmitted = true
 	return ld
 }
 
@@ -107,7 +107,7 @@
 		ld.Target = t.ID
 	}
 	ld.Key = 0
-	if !ld.Kept {
+	if !ld.StaticOmitted {
 		tb.mergeLoad(now, ld, false)
 		return
 	}
@@ -116,7 +116,7 @@
 		return
 	}
 	ld.Slots, ld.PrefillRate, ld.DecodeRate, ld.Serves = t.Load.Slots, t.Load.PrefillRate, t.Load.DecodeRate, t.Load.Serves
-	ld.Kept = false
+	ld.StaticOmitted = false
 	tb.mergeLoad(now, ld, false)
 }
 
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -195,7 +195,7 @@
 	relayed := func() int {
 		at = at.Add(HeartbeatInterval)
 		for _, s := range nextDigest(t, tb, at).Summaries {
-			if !s.HostsKept {
+			if !s.HostsOmitted {
 				return len(s.Hosts)
 			}
 		}
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -37,10 +37,10 @@
 		if !ok || !tb.omitKnownParts(now, c, to, &s, repeat) {
 			continue
 		}
-		if !s.AccountsKept && !accountsRead && tb.local.CentreAccounts != nil {
+		if !s.AccountsOmitted && !accountsRead && tb.local.CentreAccounts != nil {
 			accounts, accountsRead = tb.local.CentreAccounts(), true
 		}
-		if !s.AccountsKept {
+		if !s.AccountsOmitted {
 			s.Accounts = accounts
 		}
 		c.sendAttempts++
@@ -109,7 +109,7 @@
 	if !pools && !hosts && !accounts && !repeat && !t.revisionsChanged(s) {
 		return false
 	}
-	s.HostsKept, s.PoolsKept, s.AccountsKept = !hosts, !pools, !accounts
+	s.HostsOmitted, s.PoolsOmitted, s.AccountsOmitted = !hosts, !pools, !accounts
 	if hosts {
 		t.hostsHash, t.hostsAt = s.HostsHash, now
 	} else {
--- a/internal/member/world_test.go
+++ b/internal/member/world_test.go
@@ -225,7 +225,7 @@
 			}
 		case event.SendSummary:
 			w.summarySentAt[fmt.Sprint(e.Summary.From, e.Summary.Incarnation, e.Summary.Seq)] = w.now
-			if key := fmt.Sprint(n.place, e.To.Place); !e.Summary.PoolsKept {
+			if key := fmt.Sprint(n.place, e.To.Place); !e.Summary.PoolsOmitted {
 				w.sentPools[key] = append(w.sentPools[key], sentPools{w.now, e.Summary.Pools})
 			}
 			w.send(n, e.To.ID, e)
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -55,7 +55,7 @@
 		i++
 		now = now.Add(time.Millisecond)
 		a := ident.Attempt{Entry: ident.EntryID(fmt.Sprint("host", i%370)), Incarnation: 1, Number: i}
-		rg.AdmitAttempt(now, event.Envelope{Attempt: a, To: 1})
+		rg.AdmitAttempt(now, event.Envelope{Attempt: a, ToIncarnation: 1})
 		rg.AttemptEnded(now, a, event.Ended)
 	}
 	for range 370 * maxSenderAttempts {
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -40,7 +40,7 @@
 	rg.byRequest[req] = rec
 	rg.setDue(rec, Never)
 	return Verdict{Action: Claim, Record: event.KeyRecord{
-		Entry: rg.self, Incarnation: rg.inc, Request: rec.claimID, Print: rec.print,
+		Entry: rg.self, Incarnation: rg.inc, Request: rec.claimID, Fingerprint: rec.print,
 	}}
 }
 
@@ -72,22 +72,22 @@
 // applyTakenClaim decides on a claim whose key is already on record.
 func (rg *Registry) applyTakenClaim(r *record, req ident.RequestID, rec event.KeyRecord) Verdict {
 	own := rec.Entry == rg.self && rec.Incarnation == rg.inc && (rec.Request == r.claimID || r.noEarlierRun)
-	if own && rec.Print == r.print {
+	if own && rec.Fingerprint == r.print {
 		r.stored = true
 		return rg.start(r, req)
 	}
 	delete(rg.byRequest, req)
 	if own {
 		r.stored = true
-		r.print = rec.Print
+		r.print = rec.Fingerprint
 		rg.release(r)
 		return refuse(codes.KeyReused, event.NotRun)
 	}
 	r.req = ""
 	rg.setDue(r, rg.now.Add(recordTTL))
-	if rec.Print != r.print {
+	if rec.Fingerprint != r.print {
 		// Later repeats are compared with the fingerprint on record.
-		r.print = rec.Print
+		r.print = rec.Fingerprint
 		rg.applyForeignRecord(r, rec)
 		return refuse(codes.KeyReused, event.NotRun)
 	}
--- a/internal/once/key_test.go
+++ b/internal/once/key_test.go
@@ -23,7 +23,7 @@
 	}
 	want := []Verdict{
 		refuse(codes.StoreDown, event.NotRun),
-		{Action: Claim, Record: event.KeyRecord{Entry: "a", Incarnation: 5, Request: "r1", Print: "p"}},
+		{Action: Claim, Record: event.KeyRecord{Entry: "a", Incarnation: 5, Request: "r1", Fingerprint: "p"}},
 		{Action: Run},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -38,10 +38,10 @@
 		rec  event.KeyRecord
 		want Verdict
 	}{
-		"other host":    {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Print: "p"}, ownedBy("b", 3)},
-		"later run":     {event.KeyRecord{Entry: "a", Incarnation: 6, Request: "x", Print: "p"}, ownedBy("a", 6)},
-		"earlier run":   {event.KeyRecord{Entry: "a", Incarnation: 4, Request: "x", Print: "p"}, refuse(codes.OutcomeUnknown, event.Unknown)},
-		"other content": {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Print: "q"}, refuse(codes.KeyReused, event.NotRun)},
+		"other host":    {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Fingerprint: "p"}, ownedBy("b", 3)},
+		"later run":     {event.KeyRecord{Entry: "a", Incarnation: 6, Request: "x", Fingerprint: "p"}, ownedBy("a", 6)},
+		"earlier run":   {event.KeyRecord{Entry: "a", Incarnation: 4, Request: "x", Fingerprint: "p"}, refuse(codes.OutcomeUnknown, event.Unknown)},
+		"other content": {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Fingerprint: "q"}, refuse(codes.KeyReused, event.NotRun)},
 	} {
 		rg := New("a", 5)
 		rg.UseKey(0, "k", "p", "r1")
--- a/internal/once/peer.go
+++ b/internal/once/peer.go
@@ -47,7 +47,7 @@
 // the copy would be taken as one for the attempt.
 func (rg *Registry) AdmitAttempt(now ident.Time, env event.Envelope) Verdict {
 	rg.advance(now)
-	if env.To != rg.inc {
+	if env.ToIncarnation != rg.inc {
 		return refuse(codes.NoTarget, event.NotRun)
 	}
 	a := env.Attempt
--- a/internal/once/peer_test.go
+++ b/internal/once/peer_test.go
@@ -48,7 +48,7 @@
 		"arrive": func(t *rapid.T) {
 			a := drawAttempt(t)
 			previous, seen := naive[a]
-			v := rg.AdmitAttempt(now, event.Envelope{Attempt: a, To: inc})
+			v := rg.AdmitAttempt(now, event.Envelope{Attempt: a, ToIncarnation: inc})
 			if v.Action == Run && seen {
 				t.Fatalf("%v runs again, previous answer %s", a, previous)
 			}
@@ -109,7 +109,7 @@
 	if got := rg.Bar(0, a, 7); got != event.Forgotten {
 		t.Errorf("asked about another incarnation: got %s", got)
 	}
-	if v := rg.AdmitAttempt(0, event.Envelope{Attempt: a, To: 7}); v.Action != Refuse {
+	if v := rg.AdmitAttempt(0, event.Envelope{Attempt: a, ToIncarnation: 7}); v.Action != Refuse {
 		t.Errorf("addressed to another incarnation: got %s", v.Action)
 	}
 }
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -213,7 +213,7 @@
 	case 3:
 		sim.lateWrites = append(sim.lateWrites, s)
 	}
-	sim.applyVerdict(t, s, s.rec.Print, sim.hosts[s.host].ClaimAnswered(sim.now, s.req, claim, rec))
+	sim.applyVerdict(t, s, s.rec.Fingerprint, sim.hosts[s.host].ClaimAnswered(sim.now, s.req, claim, rec))
 }
 
 func (sim *simulation) landLateWrite(t *rapid.T) {
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -37,7 +37,7 @@
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
 	c := &outboundRequest{ForwardedRequest: p, m: m, session: s, stream: newRequestStream(m, st), relay: relay, delivered: p.Call.Resume}
-	c.delivered = max(c.delivered, p.Forward.Resume)
+	c.delivered = max(c.delivered, p.Forward.ResumeAfter)
 	// Closing the stream before its end frame signals that the caller has gone.
 	defer st.Close()
 	stop := context.AfterFunc(ctx, c.stream.cancelIO)
@@ -142,7 +142,7 @@
 		o.Request = string(c.Call.AnswerID)
 	}
 	o.Resume = int64(c.delivered)
-	o.Once = c.Forward.Once
+	o.Once = c.Forward.AtMostOnce
 	o.Method, o.Path, o.Header = c.Call.Method, c.Call.Path, wire.FromHeader(c.Call.Header)
 	o.Stream, o.Engine = c.Call.Stream, c.Call.Engine
 	o.Routed, o.Resumable, o.Service = c.Call.Routed, c.Call.Resumable, c.Forward.Service
@@ -238,7 +238,7 @@
 	if !c.Call.Stream {
 		return end
 	}
-	from := max(c.Call.Resume, c.Forward.Resume)
+	from := max(c.Call.Resume, c.Forward.ResumeAfter)
 	end.Delivered = c.delivered
 	end.Generated = max(end.Generated, c.delivered-from)
 	return end
--- a/internal/peer/forward_test.go
+++ b/internal/peer/forward_test.go
@@ -178,7 +178,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
-		_, end := forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Once = once })
+		_, end := forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.AtMostOnce = once })
 		if diff := cmp.Diff(event.ResultBroken, end.Result); diff != "" {
 			t.Errorf("once %v: result (-want +got):\n%s", once, diff)
 		}
@@ -231,7 +231,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
-		forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Once = true })
+		forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.AtMostOnce = true })
 		if err := <-read; err == nil {
 			t.Fatal("the body was read after the caller left")
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -175,7 +175,7 @@
 		event.SummaryReceived{Summary: sum},
 		event.ChangesWanted{From: "uvs-1", After: 9},
 		event.ChangesReceived{From: "uvs-1", Changes: []rules.Change{{Revision: 1, ID: "c-1"}}},
-		event.BarAsked{From: "uvs-1", Attempt: a, To: to.Incarnation},
+		event.BarAsked{From: "uvs-1", Attempt: a, ToIncarnation: to.Incarnation},
 	} {
 		eventually(t, event.TypeName(want), func() bool {
 			return y.hasEvent(func(ev event.Event) bool { return cmp.Equal(want, ev) })
@@ -234,8 +234,8 @@
 		Forward: event.Forward{
 			Request: "req-1", To: to, Deadline: ident.Time(time.Hour),
 			Envelope: event.Envelope{
-				Attempt: ident.Attempt{Entry: "uvs-1", Number: 1}, To: to.Incarnation,
-				Seen: []ident.EntryID{"uvs-1"}, Crossings: 1,
+				Attempt: ident.Attempt{Entry: "uvs-1", Number: 1}, ToIncarnation: to.Incarnation,
+				Visited: []ident.EntryID{"uvs-1"}, Crossings: 1,
 			},
 		},
 		Request: event.Request{ID: "req-1", Account: "foundation", Profile: "obituary", Prompt: 5, Stream: true, Prefix: []uint64{1, 2}},
--- a/internal/proofs/circulate_test.go
+++ b/internal/proofs/circulate_test.go
@@ -155,7 +155,7 @@
 	body := chatBody("draft", "x", 2)
 	pass := func(id ident.RequestID, crossings ident.Hops, seen ...ident.EntryID) fate {
 		env := g.envelope()
-		env.Crossings, env.Seen = crossings, append([]ident.EntryID{"stray-1"}, seen...)
+		env.Crossings, env.Visited = crossings, append([]ident.EntryID{"stray-1"}, seen...)
 		return g.pass(event.Request{ID: id, Account: "foundation", Profile: "draft", MaxTokens: 2, Stream: true}, env, body)
 	}
 	got := []fate{
--- a/internal/proofs/forge_test.go
+++ b/internal/proofs/forge_test.go
@@ -104,9 +104,9 @@
 func (g *forger) envelope() event.Envelope {
 	g.n++
 	return event.Envelope{
-		Attempt: ident.Attempt{Entry: g.host.ID, Incarnation: g.host.Incarnation, Number: g.n},
-		To:      g.to.Incarnation,
-		From:    g.host.ID, FromPlace: g.host.Place, Crossings: 1, Seen: []ident.EntryID{g.host.ID},
+		Attempt:       ident.Attempt{Entry: g.host.ID, Incarnation: g.host.Incarnation, Number: g.n},
+		ToIncarnation: g.to.Incarnation,
+		From:          g.host.ID, FromPlace: g.host.Place, Crossings: 1, Visited: []ident.EntryID{g.host.ID},
 	}
 }
 
--- a/internal/proofs/residency_test.go
+++ b/internal/proofs/residency_test.go
@@ -166,7 +166,7 @@
 		}
 	}
 	env := g.envelope()
-	env.Crossings, env.Seen, env.Revision = 0, nil, 1<<40
+	env.Crossings, env.Visited, env.Revision = 0, nil, 1<<40
 	got := g.pass(event.Request{ID: "req-forged", Account: "family", Profile: "confined"}, env, body)
 	if diff := cmp.Diff(refused, got); diff != "" {
 		t.Errorf("with another envelope (-want +got):\n%s", diff)
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -241,7 +241,7 @@
 // loaded one is used: by rank alone, some targets come first for several prefixes and others for
 // none.
 func (rt *Router) addPreferred(v *view) {
-	n := v.q.Request.Shared
+	n := v.q.Request.SharedBlocks
 	if n == 0 || n > len(v.q.Request.Prefix) {
 		return
 	}
--- a/internal/route/filter.go
+++ b/internal/route/filter.go
@@ -24,7 +24,7 @@
 	{codes.FilterModel, lacksModel},
 	{codes.FilterResidency, targetOutside},
 	{codes.FilterLeaving, func(_ *view, t *member.Target) bool { return t.KnownDraining || t.Removed }},
-	{codes.FilterClosed, func(_ *view, t *member.Target) bool { return t.Closed }},
+	{codes.FilterClosed, func(_ *view, t *member.Target) bool { return t.Evacuated }},
 	{codes.FilterHealth, func(v *view, t *member.Target) bool { return t.Suspect(v.now) && !v.allowSuspect }},
 	{codes.FilterTried, func(v *view, t *member.Target) bool { return v.q.TriedTargets.Has(t.ID) }},
 	{codes.FilterBound, func(v *view, t *member.Target) bool { return v.q.OnlyTarget != "" && t.ID != v.q.OnlyTarget }},
--- a/internal/route/pace_test.go
+++ b/internal/route/pace_test.go
@@ -90,7 +90,7 @@
 		var evacuated []event.Target
 		for _, x := range tb.Targets() {
 			d := x.Target
-			d.Closed = true
+			d.Evacuated = true
 			evacuated = append(evacuated, d)
 		}
 		tb.HostsRead(now, event.HostsRead{Version: 2, Complete: true, Targets: evacuated})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -356,7 +356,7 @@
 		return v.key
 	}
 	at := (len(p) - 1) / 2
-	if n := v.q.Request.Shared; n > 0 && n <= len(p) {
+	if n := v.q.Request.SharedBlocks; n > 0 && n <= len(p) {
 		at = n - 1
 	}
 	return p[at]
--- a/internal/route/spill_test.go
+++ b/internal/route/spill_test.go
@@ -19,7 +19,7 @@
 
 // writersTable returns the table of a host with ten local engines, next to a region with as
 // many. here and there are the demand of the callers of each; see event.Flow.
-func writersTable(here, there event.Flow) (*member.Table, ident.Time) {
+func writersTable(here, there event.PrefillDemand) (*member.Table, ident.Time) {
 	now := ident.Time(time.Second)
 	tb := member.New(event.Host{ID: "w1", Incarnation: 1, Place: west})
 	ev := event.HostsRead{Version: 1, Complete: true}
@@ -33,11 +33,11 @@
 	for _, tg := range ev.Targets {
 		tb.FirstTokenReceived(tg.ID, 10000, 0, 200*time.Millisecond)
 	}
-	tb.DigestReceived(now, event.Digest{Host: event.Host{ID: "w2", Incarnation: 1, Place: west}, Seq: 1, Flows: []event.Flow{here}})
+	tb.DigestReceived(now, event.Digest{Host: event.Host{ID: "w2", Incarnation: 1, Place: west}, Seq: 1, Demand: []event.PrefillDemand{here}})
 	h := event.Host{ID: "e1", Incarnation: 1, Place: east}
 	tb.SummaryReceived(now, event.Summary{
 		From: h.ID, Place: east, Incarnation: 1, Seq: 1, Hosts: []event.Host{h},
-		Pools: []event.Pool{{Service: "writers", Slots: 640, Free: 640, PrefillRate: 50000, Targets: 10, Alone: there.Alone, Shared: there.Shared}},
+		Pools: []event.Pool{{Service: "writers", Slots: 640, Free: 640, PrefillRate: 50000, Targets: 10, UnsharedPrefill: there.UnsharedPrefill, SharedPrefill: there.SharedPrefill}},
 	})
 	tb.Tick(now, member.LocalState{})
 	return tb, now
@@ -52,7 +52,7 @@
 	}
 	return Query{
 		Request: event.Request{
-			ID: ident.RequestID(id), Service: "writers", Prompt: ident.Tokens(2 * shared * 512), Shared: shared, Prefix: prefix,
+			ID: ident.RequestID(id), Service: "writers", Prompt: ident.Tokens(2 * shared * 512), SharedBlocks: shared, Prefix: prefix,
 		},
 		Profile: rules.Profile{
 			Service: "writers", MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Crossing: 0.05},
@@ -66,15 +66,15 @@
 func TestPeakSpillsBeforeStreamsAreSlow(t *testing.T) {
 	const numRequests = 400
 	for name, c := range map[string]struct {
-		here, there                event.Flow
+		here, there                event.PrefillDemand
 		bound                      bool
 		minForwarded, maxForwarded int
 	}{
-		"idle there":        {here: event.Flow{Alone: 1e6}, minForwarded: numRequests * 4 / 10, maxForwarded: numRequests * 6 / 10},
-		"half as much":      {here: event.Flow{Alone: 1e6}, there: event.Flow{Alone: 5e5}, minForwarded: numRequests * 15 / 100, maxForwarded: numRequests * 35 / 100},
-		"as much":           {here: event.Flow{Alone: 1e6}, there: event.Flow{Alone: 1e6}},
-		"more there":        {here: event.Flow{Alone: 5e5}, there: event.Flow{Alone: 1e6}},
-		"bound to a region": {here: event.Flow{Alone: 1e6}, bound: true},
+		"idle there":        {here: event.PrefillDemand{UnsharedPrefill: 1e6}, minForwarded: numRequests * 4 / 10, maxForwarded: numRequests * 6 / 10},
+		"half as much":      {here: event.PrefillDemand{UnsharedPrefill: 1e6}, there: event.PrefillDemand{UnsharedPrefill: 5e5}, minForwarded: numRequests * 15 / 100, maxForwarded: numRequests * 35 / 100},
+		"as much":           {here: event.PrefillDemand{UnsharedPrefill: 1e6}, there: event.PrefillDemand{UnsharedPrefill: 1e6}},
+		"more there":        {here: event.PrefillDemand{UnsharedPrefill: 5e5}, there: event.PrefillDemand{UnsharedPrefill: 1e6}},
+		"bound to a region": {here: event.PrefillDemand{UnsharedPrefill: 1e6}, bound: true},
 	} {
 		c.here.Service = "writers"
 		tb, now := writersTable(c.here, c.there)
@@ -98,7 +98,7 @@
 // Guards against every region prefilling the same long prefixes, because requests are forwarded
 // without regard to the prefix that they share.
 func TestLongSharedPrefixesHaveOneRegion(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers", Shared: 5e5}, event.Flow{Shared: 5e5})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers", SharedPrefill: 5e5}, event.PrefillDemand{SharedPrefill: 5e5})
 	rt := New()
 	forwarded := 0
 	for b := range 100 {
@@ -124,7 +124,7 @@
 // Guards against prefilling a prefix again at another engine while the preferred one, which
 // caches it, is busy.
 func TestPrefixIsCopiedFromBusyEngine(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers"}, event.Flow{})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers"}, event.PrefillDemand{})
 	q := writersQuery("first", 1<<20, 10)
 	preferred := New().Choose(now, q, tb).Target
 	if preferred == nil {
@@ -151,7 +151,7 @@
 // Guards against prefilling a prefix at its preferred engine although another engine caches
 // it, which happens after the preferred one was busy.
 func TestPreferredEngineCopiesFromHolder(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers"}, event.Flow{})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers"}, event.PrefillDemand{})
 	q := writersQuery("first", 1<<20, 10)
 	preferred := New().Choose(now, q, tb).Target
 	rt := New()
@@ -172,7 +172,7 @@
 // Guards against long prompts that fill the memory of an engine and evict the shared prefixes
 // from its cache.
 func TestLongPromptsWaitForMemory(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers"}, event.Flow{})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers"}, event.PrefillDemand{})
 	for _, tg := range tb.Targets() {
 		tb.MemoryReported(event.MemoryReported{Target: tg.ID, Incarnation: 1, Tokens: 100000})
 		for range 5 {
@@ -197,7 +197,7 @@
 // Guards against forwarding the rest of a broken stream: the other region may refuse it, while
 // here it could queue until its deadline.
 func TestRequestThatMayHaveRunIsNotForwarded(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers", Alone: 2e6, Shared: 1e5}, event.Flow{})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers", UnsharedPrefill: 2e6, SharedPrefill: 1e5}, event.PrefillDemand{})
 	rt := New()
 	for i := range 100 {
 		for _, shared := range []int{1, 10} {
@@ -244,7 +244,7 @@
 // Guards against forwarding further requests to a region that has just refused one: at its peak, it
 // refuses each of them until its next summary.
 func TestRefusingRegionIsSkippedBriefly(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers", Alone: 1e6}, event.Flow{})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers", UnsharedPrefill: 1e6}, event.PrefillDemand{})
 	countForwarded := func(at ident.Time) int {
 		rt, n := New(), 0
 		for i := range 200 {
@@ -267,7 +267,7 @@
 // Guards against forwarding a request a second time to a region that has refused it, which happens
 // if the choice by prefix ignores TriedCentres.
 func TestRefusingRegionIsNotRetried(t *testing.T) {
-	tb, now := writersTable(event.Flow{Service: "writers", Alone: 1e6}, event.Flow{})
+	tb, now := writersTable(event.PrefillDemand{Service: "writers", UnsharedPrefill: 1e6}, event.PrefillDemand{})
 	rt := New()
 	forwarded := 0
 	for i := range 200 {
--- a/internal/route/strand_test.go
+++ b/internal/route/strand_test.go
@@ -67,7 +67,7 @@
 		for r := range 5 {
 			own := uint64(1000 + 100*h + r)
 			dec := rt.Choose(now, Query{
-				Request: event.Request{ID: ident.RequestID(rune('a' + 5*h + r)), Prompt: 10000, Shared: 10, Prefix: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, own, own + 50}},
+				Request: event.Request{ID: ident.RequestID(rune('a' + 5*h + r)), Prompt: 10000, SharedBlocks: 10, Prefix: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, own, own + 50}},
 				Profile: rules.Profile{Service: "writers", MaxCrossings: 1, Route: &rules.Route{Kind: rules.Streaming}},
 			}, tb)
 			chosen[dec.Target.ID]++
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -84,7 +84,7 @@
 			return nil
 		}
 		return []event.Effect{event.BreakOff{
-			Request: testID, Attempt: e.Attempt, Silence: event.Silence{Since: e.Since, Begun: e.Begun},
+			Request: testID, Attempt: e.Attempt, Silence: event.Silence{Since: e.Since, AnswerBegan: e.AnswerBegan},
 		}}
 	case event.AttemptEnded:
 		f.ends = append(f.ends, e)
@@ -106,7 +106,7 @@
 	f.attempts++
 	return []event.Effect{event.Dispatch{
 		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: f.attempts}, Target: f.targets[f.attempts-1],
-		Deadline: now.Add(f.deadline), Resume: resume, Once: f.once, Keep: f.once, IdleTimeouts: f.idleTimeouts,
+		Deadline: now.Add(f.deadline), ResumeAfter: resume, AtMostOnce: f.once, KeepOutcome: f.once, IdleTimeouts: f.idleTimeouts,
 	}}
 }
 
--- a/internal/serve/routed_test.go
+++ b/internal/serve/routed_test.go
@@ -56,7 +56,7 @@
 				panic(http.ErrAbortHandler)
 			}, second, streamAnswer(routedEvents(3, 3)))
 			check(t, "caller", callerResult{Status: 200, Body: routedEvents(1, 3), Outcome: event.Done}, f.run(t.Context(), routedStream))
-			check(t, "held", false, f.ends[1].Held)
+			check(t, "held", false, f.ends[1].AnswerBuffered)
 			f.result, f.attempts, f.targets = callerResult{}, 0, f.targets[:2]
 			cut := f.run(t.Context(), routedStream)
 			check(t, "body", routedEvents(1, 2), cut.Body)
@@ -82,7 +82,7 @@
 	f.once = true
 	f.run(t.Context(), routedCall)
 	check(t, "result", event.ResultFailed, f.ends[0].Result)
-	check(t, "held", true, f.ends[0].Held)
+	check(t, "held", true, f.ends[0].AnswerBuffered)
 }
 
 // Guards against waiting for a silent target until the deadline instead of trying the next one.
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -67,7 +67,7 @@
 	return target.Order{
 		Target: d.Target, Attempt: d.Attempt, Request: a.call.AnswerID, Serve: d.Serve,
 		Method: a.call.Method, Path: a.call.Path, Header: a.call.Header, Body: body,
-		Priority: d.Priority, Resume: max(d.Resume, a.delivered), Left: a.remaining(d.Deadline), Once: d.Once,
+		Priority: d.Priority, Resume: max(d.ResumeAfter, a.delivered), Left: a.remaining(d.Deadline), Once: d.AtMostOnce,
 		CopyFrom: d.CopyFrom.URL,
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	end.Result = event.ResultDone
 	if a.call.Routed && res.StatusCode >= http.StatusInternalServerError {
-		end.Result, end.Held = event.ResultFailed, true
+		end.Result, end.AnswerBuffered = event.ResultFailed, true
 	}
 	return end
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -249,7 +249,7 @@
 	a := r.current
 	r.current = nil
 	if a.atMostOnce && a.keepAnswer && a.end.Result == event.ResultDone {
-		a.end.Kept = r.Answers.Put(r.req.ID, r.buffered)
+		a.end.OutcomeStored = r.Answers.Put(r.req.ID, r.buffered)
 	}
 	r.Loop.Post(a.end)
 	if r.sinkFailed && !r.onceStarted {
@@ -263,11 +263,11 @@
 func (r *run) apply(ctx context.Context, eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.Dispatch:
-		a := &attempt{run: r, id: e.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
+		a := &attempt{run: r, id: e.Attempt, atMostOnce: e.AtMostOnce, keepAnswer: e.KeepOutcome, deadline: e.Deadline, resume: e.ResumeAfter, idleTimeouts: e.IdleTimeouts}
 		a.do = func(ctx context.Context) event.AttemptEnded { return a.send(ctx, e) }
 		return r.startAttempt(ctx, a)
 	case event.Forward:
-		a := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.Once, keepAnswer: e.Keep, deadline: e.Deadline, resume: e.Resume, idleTimeouts: e.IdleTimeouts}
+		a := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.AtMostOnce, keepAnswer: e.KeepOutcome, deadline: e.Deadline, resume: e.ResumeAfter, idleTimeouts: e.IdleTimeouts}
 		a.do = func(ctx context.Context) event.AttemptEnded { return a.forward(ctx, e) }
 		return r.startAttempt(ctx, a)
 	case event.BreakOff:
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -185,7 +185,7 @@
 	f.once = true
 	check(t, "caller", callerResult{Status: 201, Body: "booked", Outcome: event.Done}, f.run(ctx, serviceCall))
 	kept, ok := f.rn.Answers.Get(testID)
-	check(t, "kept", true, ok && f.ends[0].Kept)
+	check(t, "kept", true, ok && f.ends[0].OutcomeStored)
 	check(t, "kept body", "booked", string(kept.Body))
 	check(t, "kept status", http.StatusCreated, kept.Status)
 	check(t, "kept header", "/jobs/7", kept.Header.Get("Location"))
--- a/internal/serve/try.go
+++ b/internal/serve/try.go
@@ -102,7 +102,7 @@
 				sub.Reset(deadline)
 				continue
 			}
-			w.Loop.Post(event.AttemptSilent{Attempt: w.id, Since: ident.Time(w.lastByteAt.Load()), Begun: w.hasBytes.Load()})
+			w.Loop.Post(event.AttemptSilent{Attempt: w.id, Since: ident.Time(w.lastByteAt.Load()), AnswerBegan: w.hasBytes.Load()})
 			sub.Reset(now.Add(silenceReportInterval))
 		case <-w.ctx.Done():
 			return nil
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -105,8 +105,8 @@
 
 // A claim in doubt runs a request twice, or blocks its key.
 func TestClaim(t *testing.T) {
-	mine := event.KeyRecord{Entry: "uvs-1", Incarnation: 7, Request: "req-1", Print: "p"}
-	other := event.KeyRecord{Entry: "uvs-2", Incarnation: 3, Request: "req-2", Print: "p"}
+	mine := event.KeyRecord{Entry: "uvs-1", Incarnation: 7, Request: "req-1", Fingerprint: "p"}
+	other := event.KeyRecord{Entry: "uvs-2", Incarnation: 3, Request: "req-2", Fingerprint: "p"}
 	cases := []struct {
 		name   string
 		before *event.KeyRecord
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -93,25 +93,25 @@
 		tr.placedAfter.Update(e.Basis.Waited.Microseconds())
 		tr.count("requests.sent." + e.Target.Service)
 		tr.logRoutine("sent to a target", "request", e.Request, "attempt", e.Attempt.Number, "target", e.Target.ID,
-			"service", e.Target.Service, "profile", e.Basis.Profile, "try", e.Basis.Try, "revision", e.Basis.Revision, "waitedMs", millis(e.Basis.Waited),
-			"leftMs", millis(e.Basis.Left), "predictedMs", millis(e.Basis.Wait), "busy", e.Basis.Busy, "loadAgeMs", millis(e.Basis.LoadAge),
-			"expectEvents", int(e.Basis.Expect), "paceMs", millis(e.Basis.Pace), "resume", e.Resume,
-			"unread", e.Basis.Unread, "level", e.Priority, "copyFrom", e.CopyFrom.Target)
+			"service", e.Target.Service, "profile", e.Basis.Profile, "try", e.Basis.Attempts, "revision", e.Basis.Revision, "waitedMs", millis(e.Basis.Waited),
+			"leftMs", millis(e.Basis.RemainingTime), "predictedMs", millis(e.Basis.PredictedWait), "busy", e.Basis.InFlight, "loadAgeMs", millis(e.Basis.LoadAge),
+			"expectEvents", int(e.Basis.ExpectedEvents), "paceMs", millis(e.Basis.EventGap), "resume", e.ResumeAfter,
+			"unread", e.Basis.UncachedPrompt, "level", e.Priority, "copyFrom", e.CopyFrom.Target)
 	case event.Forward:
 		tr.track(e.Envelope.Attempt, attempt{request: e.Request, target: ident.TargetID(e.To.ID), sentAt: now})
 		tr.count("requests.passedOn")
 		tr.logRoutine("passed on", "request", e.Request, "attempt", e.Envelope.Attempt.Number, "to", e.To.ID,
-			"region", e.To.Place.Region, "service", e.Service, "profile", e.Basis.Profile, "try", e.Basis.Try, "revision", e.Basis.Revision,
-			"waitedMs", millis(e.Basis.Waited), "predictedMs", millis(e.Basis.Wait),
-			"expectEvents", int(e.Basis.Expect), "paceMs", millis(e.Basis.Pace), "paceThereMs", millis(e.Basis.PaceThere), "resume", e.Resume,
-			"part", roundHundredths(e.Basis.Part), "roomThere", int(e.Basis.Room))
+			"region", e.To.Place.Region, "service", e.Service, "profile", e.Basis.Profile, "try", e.Basis.Attempts, "revision", e.Basis.Revision,
+			"waitedMs", millis(e.Basis.Waited), "predictedMs", millis(e.Basis.PredictedWait),
+			"expectEvents", int(e.Basis.ExpectedEvents), "paceMs", millis(e.Basis.EventGap), "paceThereMs", millis(e.Basis.RemoteEventGap), "resume", e.ResumeAfter,
+			"part", roundHundredths(e.Basis.ForwardedShare), "roomThere", int(e.Basis.RemotePrefillRoom))
 	case event.Refuse:
 		c, _ := codes.Find(e.Code)
 		tr.count("requests.refused." + string(e.Code))
 		kv := []any{
-			"request", e.Request, "code", e.Code, "title", c.Title, "outcome", e.Outcome, "profile", e.Basis.Profile, "try", e.Basis.Try,
-			"revision", e.Basis.Revision, "waitedMs", millis(e.Basis.Waited), "leftMs", millis(e.Basis.Left),
-			"predictedMs", millis(e.Basis.Wait), "queued", e.Basis.Queued, "full", e.Basis.Full, "paceMs", millis(e.Basis.Pace),
+			"request", e.Request, "code", e.Code, "title", c.Title, "outcome", e.Outcome, "profile", e.Basis.Profile, "try", e.Basis.Attempts,
+			"revision", e.Basis.Revision, "waitedMs", millis(e.Basis.Waited), "leftMs", millis(e.Basis.RemainingTime),
+			"predictedMs", millis(e.Basis.PredictedWait), "queued", e.Basis.Queued, "full", e.Basis.CapacityLimited, "paceMs", millis(e.Basis.EventGap),
 			"retryAfterMs", millis(e.RetryAfter),
 		}
 		kv = append(kv, denialFields(e.Denial)...)
@@ -139,9 +139,9 @@
 	if d.Reason == "" {
 		return nil
 	}
-	kv := []any{"denied", d.Reason, "tries", d.Tries, "maxTries", d.MaxTries, "retriesSpent", d.Spent, "retriesAllowed", roundHundredths(d.Allowed)}
+	kv := []any{"denied", d.Reason, "tries", d.Attempts, "maxTries", d.MaxAttempts, "retriesSpent", d.Retries, "retriesAllowed", roundHundredths(d.MaxRetries)}
 	if d.Reason == event.DeniedTime {
-		kv = append(kv, "nextMs", millis(d.Wait), "deadlineMs", millis(d.Left))
+		kv = append(kv, "nextMs", millis(d.PredictedWait), "deadlineMs", millis(d.RemainingTime))
 	}
 	return kv
 }
@@ -157,7 +157,7 @@
 }
 
 func silenceFields(req ident.RequestID, a ident.Attempt, s event.Silence) []any {
-	return []any{"request", req, "attempt", a.Number, "silentMs", millis(s.Lasted), "begun", s.Begun}
+	return []any{"request", req, "attempt", a.Number, "silentMs", millis(s.Duration), "begun", s.AnswerBegan}
 }
 
 func (tr *Trail) firstToken(now ident.Time, e event.FirstToken) {
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -25,19 +25,19 @@
 	var out bytes.Buffer
 	tr := New(logs.New(&out, logs.NewLevel(0)), metrics.NewRegistry())
 	at := ident.Time(time.Second)
-	basis := event.Basis{Profile: "draft", Revision: 7, Try: 1, Waited: 3 * time.Millisecond, Wait: 40 * time.Millisecond, Busy: 2, LoadAge: 9 * time.Millisecond, Expect: 48, Pace: 120 * time.Millisecond, PaceThere: 30 * time.Millisecond, Part: 0.254, Room: 64000}
+	basis := event.Basis{Profile: "draft", Revision: 7, Attempts: 1, Waited: 3 * time.Millisecond, PredictedWait: 40 * time.Millisecond, InFlight: 2, LoadAge: 9 * time.Millisecond, ExpectedEvents: 48, EventGap: 120 * time.Millisecond, RemoteEventGap: 30 * time.Millisecond, ForwardedShare: 0.254, RemotePrefillRoom: 64000}
 	tr.Record(at, event.Tick{}, []event.Effect{
 		event.InForceNow{Book: rules.FromSheet(7, rules.Sheet{})},
 		event.Dispatch{Request: "a.1", Attempt: newAttempt(1), Target: event.Target{ID: "t", Service: "writers"}, CopyFrom: event.Holder{Target: "u"}, Basis: basis},
 		event.Forward{Request: "b.2", To: event.Host{ID: "h", Place: event.Place{Region: "east"}}, Envelope: event.Envelope{Attempt: newAttempt(2)}, Service: "writers", Basis: basis},
 		event.Refuse{Request: "c.3", Code: codes.NoTarget.ID, Outcome: event.NotRun, RetryAfter: time.Second, Basis: basis},
-		event.Refuse{Request: "d.4", Code: codes.TargetFailed.ID, Outcome: event.Unknown, Basis: basis, Denial: event.Denial{Reason: event.DeniedBudget, Tries: 1, MaxTries: 2, Spent: 3, Allowed: 3.25}, Ending: event.Ending{Side: event.SideTarget, Reason: event.ReasonClosed}},
+		event.Refuse{Request: "d.4", Code: codes.TargetFailed.ID, Outcome: event.Unknown, Basis: basis, Denial: event.Denial{Reason: event.DeniedBudget, Attempts: 1, MaxAttempts: 2, Retries: 3, MaxRetries: 3.25}, Ending: event.Ending{Side: event.SideTarget, Reason: event.ReasonClosed}},
 	})
-	silence := event.Silence{Since: 1, Lasted: 2 * time.Second, Begun: true}
+	silence := event.Silence{Since: 1, Duration: 2 * time.Second, AnswerBegan: true}
 	tr.Record(at, event.Tick{}, []event.Effect{
 		event.BreakOff{Request: "e.5", Attempt: newAttempt(5)},
 		event.BreakOff{Request: "e.5", Attempt: newAttempt(6), Silence: silence},
-		event.KeepAttempt{Request: "e.6", Attempt: newAttempt(7), Silence: silence, Denial: event.Denial{Reason: event.DeniedTime, Tries: 1, Wait: 854 * time.Millisecond, Left: 677 * time.Millisecond}},
+		event.KeepAttempt{Request: "e.6", Attempt: newAttempt(7), Silence: silence, Denial: event.Denial{Reason: event.DeniedTime, Attempts: 1, PredictedWait: 854 * time.Millisecond, RemainingTime: 677 * time.Millisecond}},
 	})
 	tr.Record(at.Add(50*time.Millisecond), event.FirstToken{Attempt: newAttempt(1)}, nil)
 	tr.Record(at.Add(90*time.Millisecond), event.AttemptEnded{Attempt: newAttempt(1), Result: event.ResultDone, Status: 200, Delivered: 5}, []event.Effect{event.Finish{Request: "a.1", Outcome: event.Done}})
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -14,17 +14,17 @@
 // by the session and not repeated.
 func FromEnvelope(e event.Envelope) *Envelope {
 	return &Envelope{
-		Attempt: fromAttempt(e.Attempt), To: uint64(e.To), Crossings: uint32(e.Crossings),
-		Seen: convert(e.Seen, func(id ident.EntryID) string { return string(id) }), Revision: uint64(e.Revision),
+		Attempt: fromAttempt(e.Attempt), To: uint64(e.ToIncarnation), Crossings: uint32(e.Crossings),
+		Seen: convert(e.Visited, func(id ident.EntryID) string { return string(id) }), Revision: uint64(e.Revision),
 	}
 }
 
 // ToEvent maps an envelope that came from an authenticated host.
 func (p *Envelope) ToEvent(from event.Host) event.Envelope {
 	return event.Envelope{
-		Attempt: toAttempt(p.GetAttempt()), To: ident.Incarnation(p.GetTo()),
+		Attempt: toAttempt(p.GetAttempt()), ToIncarnation: ident.Incarnation(p.GetTo()),
 		From: from.ID, FromPlace: from.Place, Crossings: ident.Hops(p.GetCrossings()),
-		Seen:     convert(p.GetSeen(), func(id string) ident.EntryID { return ident.EntryID(id) }),
+		Visited:  convert(p.GetSeen(), func(id string) ident.EntryID { return ident.EntryID(id) }),
 		Revision: ident.Revision(p.GetRevision()),
 	}
 }
@@ -75,17 +75,17 @@
 	}
 }
 
-// Left is the time that the request has left.
-func (p *Open) Left() time.Duration { return duration(p.GetLeftMs()) }
+// TimeLeft is the time that the request has left.
+func (p *Open) TimeLeft() time.Duration { return duration(p.GetLeftMs()) }
 
-var results = pairsOf([]event.Result{
+var results = enumOf([]event.Result{
 	"", event.ResultDone, event.ResultNotRun, event.ResultBroken, event.ResultFailed,
 })
 
 // FromEnd maps the end of an attempt, with the number of bytes of its answer.
 func FromEnd(e event.AttemptEnded, bytes uint64) *End {
 	return &End{
-		Result: Result(results.index(e.Result)), Code: string(e.Code), Status: uint32(e.Status),
+		Result: Result(results.number(e.Result)), Code: string(e.Code), Status: uint32(e.Status),
 		RetryAfterMs: millis(e.RetryAfter), Generated: int64(e.Generated), Cached: int64(e.Cached),
 		Draining: e.Draining, Resumable: e.Resumable, Bytes: bytes,
 	}
@@ -93,7 +93,7 @@
 
 // ToEvent maps the end of an attempt back.
 func (p *End) ToEvent() (event.AttemptEnded, error) {
-	res, err := results.at(int32(p.GetResult()))
+	res, err := results.value(int32(p.GetResult()))
 	if err != nil {
 		return event.AttemptEnded{}, err
 	}
--- a/internal/wire/change.go
+++ b/internal/wire/change.go
@@ -74,7 +74,7 @@
 	return b, nil
 }
 
-var answers = pairsOf([]event.Answer{
+var answers = enumOf([]event.Answer{
 	"", event.Barred, event.Running, event.Ended, event.Refused, event.Forgotten,
 })
 
@@ -87,7 +87,7 @@
 // peer, since the wire has no field for another's.
 func (p *BarAsk) ToEvent(from ident.EntryID) event.BarAsked {
 	return event.BarAsked{
-		From: from, To: ident.Incarnation(p.GetTo()),
+		From: from, ToIncarnation: ident.Incarnation(p.GetTo()),
 		Attempt: ident.Attempt{
 			Entry: from, Incarnation: ident.Incarnation(p.GetIncarnation()), Number: p.GetNumber(),
 		},
@@ -97,13 +97,13 @@
 // FromBarAnswer maps an answer.
 func FromBarAnswer(e event.AnswerBar) *BarAnswer {
 	return &BarAnswer{
-		Incarnation: uint64(e.Attempt.Incarnation), Number: e.Attempt.Number, Answer: Answer(answers.index(e.Answer)),
+		Incarnation: uint64(e.Attempt.Incarnation), Number: e.Attempt.Number, Answer: Answer(answers.number(e.Answer)),
 	}
 }
 
 // ToEvent maps an answer about an attempt of this host.
 func (p *BarAnswer) ToEvent(self ident.EntryID) (event.BarAnswered, error) {
-	ans, err := answers.at(int32(p.GetAnswer()))
+	ans, err := answers.value(int32(p.GetAnswer()))
 	if err != nil {
 		return event.BarAnswered{}, err
 	}
@@ -115,13 +115,13 @@
 	}, nil
 }
 
-// pairs numbers the values of a named string type. The value numbered zero
+// enumValues numbers the values of a named string type. The value numbered zero
 // stands for none and is malformed.
-type pairs[T ~string] []T
+type enumValues[T ~string] []T
 
-func pairsOf[T ~string](vs []T) pairs[T] { return vs }
+func enumOf[T ~string](vs []T) enumValues[T] { return vs }
 
-func (ps pairs[T]) index(v T) int32 {
+func (ps enumValues[T]) number(v T) int32 {
 	for n, p := range ps {
 		if p == v {
 			return int32(n)
@@ -130,7 +130,7 @@
 	return 0
 }
 
-func (ps pairs[T]) at(n int32) (T, error) {
+func (ps enumValues[T]) value(n int32) (T, error) {
 	if n <= 0 || int(n) >= len(ps) {
 		return "", errors.Wrapf(ErrFormat, "no value has the number %d", n)
 	}
--- a/internal/wire/digest.go
+++ b/internal/wire/digest.go
@@ -16,8 +16,8 @@
 		Use: convert(named, fromUse), Keyed: keyed, Loads: convert(d.Loads, fromLoad),
 		Accounts: fromAccounts(d.Accounts), DrainNotices: convert(d.Draining, fromDrainNotice),
 		Summaries: convert(d.Summaries, FromSummary), Targets: convert(d.Targets, fromTarget),
-		Away: convert(d.Away, fromAway), Blind: d.Blind, Wants: convert(d.Wants, fromWant), AccountsIncluded: d.AccountsIncluded,
-		Lacks: convert(d.Lacks, fromLack), ListVersion: d.ListVersion, Flows: convert(d.Flows, fromFlow),
+		Away: convert(d.Forwarded, fromAway), Blind: d.PlatformUnreachable, Wants: convert(d.Wants, fromWant), AccountsIncluded: d.AccountsIncluded,
+		Lacks: convert(d.StaleCentres, fromLack), ListVersion: d.ListVersion, Flows: convert(d.Demand, fromFlow),
 		Holders: fromHolders(d.Holders), Complete: d.Complete, Removed: convert(d.Removed, fromRemoved),
 	}
 }
@@ -30,8 +30,8 @@
 		Use: append(convert(p.GetUse(), toUse), p.GetKeyed().toUses()...), Loads: convert(p.GetLoads(), toLoad),
 		Accounts: p.GetAccounts().toAccounts(), Draining: convert(p.GetDrainNotices(), toDrainNotice),
 		Summaries: convert(p.GetSummaries(), (*Summary).ToEvent), Targets: convert(p.GetTargets(), toTarget),
-		Away: convert(p.GetAway(), toAway), Blind: p.GetBlind(), Wants: convert(p.GetWants(), toWant), AccountsIncluded: p.GetAccountsIncluded(),
-		Lacks: convert(p.GetLacks(), toLack), ListVersion: p.GetListVersion(), Flows: convert(p.GetFlows(), toFlow),
+		Forwarded: convert(p.GetAway(), toAway), PlatformUnreachable: p.GetBlind(), Wants: convert(p.GetWants(), toWant), AccountsIncluded: p.GetAccountsIncluded(),
+		StaleCentres: convert(p.GetLacks(), toLack), ListVersion: p.GetListVersion(), Demand: convert(p.GetFlows(), toFlow),
 		Holders: p.GetHolders().toHolders(), Complete: p.GetComplete(), Removed: convert(p.GetRemoved(), toRemoved),
 	}
 }
@@ -41,8 +41,8 @@
 	return &Summary{
 		From: string(s.From), Place: fromPlace(s.Place), Incarnation: uint64(s.Incarnation), Seq: s.Seq,
 		AgeMs: millis(s.Age), InForce: uint64(s.InForce), Highest: uint64(s.Highest),
-		Hosts: convert(s.Hosts, hostFrom(s.Place)), Pools: convert(s.Pools, fromPool),
-		Accounts: fromAccounts(s.Accounts), Kept: keptOf(s),
+		Hosts: convert(s.Hosts, fromSummaryHost(s.Place)), Pools: convert(s.Pools, fromPool),
+		Accounts: fromAccounts(s.Accounts), Kept: omittedParts(s),
 		HostsHash: s.HostsHash, PoolsAgeMs: millis(s.PoolsAge),
 	}
 }
@@ -53,38 +53,38 @@
 		From: ident.EntryID(p.GetFrom()), Place: toPlace(p.GetPlace()),
 		Incarnation: ident.Incarnation(p.GetIncarnation()), Seq: p.GetSeq(), Age: duration(p.GetAgeMs()),
 		InForce: ident.Revision(p.GetInForce()), Highest: ident.Revision(p.GetHighest()),
-		Hosts: convert(p.GetHosts(), hostTo(toPlace(p.GetPlace()))), Pools: convert(p.GetPools(), toPool),
-		Accounts:  p.GetAccounts().toAccounts(),
-		HostsKept: p.GetKept()&keptHosts != 0, PoolsKept: p.GetKept()&keptPools != 0,
-		AccountsKept: p.GetKept()&keptAccounts != 0,
-		HostsHash:    p.GetHostsHash(), PoolsAge: duration(p.GetPoolsAgeMs()),
+		Hosts: convert(p.GetHosts(), toSummaryHost(toPlace(p.GetPlace()))), Pools: convert(p.GetPools(), toPool),
+		Accounts:     p.GetAccounts().toAccounts(),
+		HostsOmitted: p.GetKept()&omittedHosts != 0, PoolsOmitted: p.GetKept()&omittedPools != 0,
+		AccountsOmitted: p.GetKept()&omittedAccounts != 0,
+		HostsHash:       p.GetHostsHash(), PoolsAge: duration(p.GetPoolsAgeMs()),
 	}
 }
 
 // The parts that a summary may leave out.
 const (
-	keptHosts = 1 << iota
-	keptPools
-	keptAccounts
+	omittedHosts = 1 << iota
+	omittedPools
+	omittedAccounts
 )
 
-func keptOf(s event.Summary) uint32 {
+func omittedParts(s event.Summary) uint32 {
 	kept := uint32(0)
-	if s.HostsKept {
-		kept |= keptHosts
+	if s.HostsOmitted {
+		kept |= omittedHosts
 	}
-	if s.PoolsKept {
-		kept |= keptPools
+	if s.PoolsOmitted {
+		kept |= omittedPools
 	}
-	if s.AccountsKept {
-		kept |= keptAccounts
+	if s.AccountsOmitted {
+		kept |= omittedAccounts
 	}
 	return kept
 }
 
-// hostFrom maps the hosts of a summary. Nearly all stand where it says, and
+// fromSummaryHost maps the hosts of a summary. Nearly all stand where it says, and
 // their places were a quarter of their bytes.
-func hostFrom(place event.Place) func(event.Host) *Host {
+func fromSummaryHost(place event.Place) func(event.Host) *Host {
 	return func(h event.Host) *Host {
 		p := FromHost(h)
 		if h.Place == place {
@@ -94,7 +94,7 @@
 	}
 }
 
-func hostTo(place event.Place) func(*Host) event.Host {
+func toSummaryHost(place event.Place) func(*Host) event.Host {
 	return func(p *Host) event.Host {
 		h := p.ToEvent()
 		if p.GetPlace() == nil {
@@ -108,12 +108,12 @@
 
 func toLack(dc string) ident.DataCentre { return ident.DataCentre(dc) }
 
-func fromFlow(f event.Flow) *Flow {
-	return &Flow{Service: f.Service, Alone: float32(f.Alone), Shared: float32(f.Shared)}
+func fromFlow(f event.PrefillDemand) *Flow {
+	return &Flow{Service: f.Service, Alone: float32(f.UnsharedPrefill), Shared: float32(f.SharedPrefill)}
 }
 
-func toFlow(p *Flow) event.Flow {
-	return event.Flow{Service: p.GetService(), Alone: number(p.GetAlone()), Shared: number(p.GetShared())}
+func toFlow(p *Flow) event.PrefillDemand {
+	return event.PrefillDemand{Service: p.GetService(), UnsharedPrefill: finiteOrZero(p.GetAlone()), SharedPrefill: finiteOrZero(p.GetShared())}
 }
 
 func fromRemoved(r event.RemovedTarget) *RemovedTarget {
@@ -131,7 +131,7 @@
 	p := &PrefixHolders{}
 	for _, h := range hs {
 		p.Targets = append(p.Targets, uint32(h.Target))
-		p.Parts = append(p.Parts, h.Part)
+		p.Parts = append(p.Parts, h.LastBlock)
 	}
 	return p
 }
@@ -139,19 +139,19 @@
 func (p *PrefixHolders) toHolders() []event.PrefixHolder {
 	var hs []event.PrefixHolder
 	for i := range min(len(p.GetTargets()), len(p.GetParts())) {
-		hs = append(hs, event.PrefixHolder{Target: event.TargetKey(p.GetTargets()[i]), Part: p.GetParts()[i]})
+		hs = append(hs, event.PrefixHolder{Target: event.TargetKey(p.GetTargets()[i]), LastBlock: p.GetParts()[i]})
 	}
 	return hs
 }
 
 func fromUse(u event.TargetUse) *TargetUse {
-	return &TargetUse{Target: string(u.Target), Running: int64(u.Running), Tokens: int64(u.Tokens), Key: uint32(u.Key), Unread: int64(u.Unread)}
+	return &TargetUse{Target: string(u.Target), Running: int64(u.Running), Tokens: int64(u.Tokens), Key: uint32(u.Key), Unread: int64(u.PendingPrefill)}
 }
 
 // splitUse parts the uses that go by an id from those that go by a key. As
 // messages of their own the latter would cost twice the bytes.
 func splitUse(uses []event.TargetUse) (named []event.TargetUse, keyed *KeyedUse) {
-	unread := slices.ContainsFunc(uses, func(u event.TargetUse) bool { return u.Unread > 0 })
+	unread := slices.ContainsFunc(uses, func(u event.TargetUse) bool { return u.PendingPrefill > 0 })
 	for _, u := range uses {
 		if u.Target != "" {
 			named = append(named, u)
@@ -164,7 +164,7 @@
 		keyed.Running = append(keyed.Running, uint64(max(u.Running, 0)))
 		keyed.Tokens = append(keyed.Tokens, uint64(max(u.Tokens, 0)))
 		if unread {
-			keyed.Unread = append(keyed.Unread, uint64(max(u.Unread, 0)))
+			keyed.Unread = append(keyed.Unread, uint64(max(u.PendingPrefill, 0)))
 		}
 	}
 	return named, keyed
@@ -178,8 +178,8 @@
 	for i := range n {
 		uses = append(uses, event.TargetUse{
 			Key:     event.TargetKey(p.GetKeys()[i]),
-			Running: int(count(int64(p.GetRunning()[i]))), Tokens: ident.Tokens(count(int64(p.GetTokens()[i]))),
-			Unread: ident.Tokens(count(int64(at(p.GetUnread(), i)))),
+			Running: int(nonNegative(int64(p.GetRunning()[i]))), Tokens: ident.Tokens(nonNegative(int64(p.GetTokens()[i]))),
+			PendingPrefill: ident.Tokens(nonNegative(int64(columnValue(p.GetUnread(), i)))),
 		})
 	}
 	return uses
@@ -187,29 +187,29 @@
 
 func toUse(p *TargetUse) event.TargetUse {
 	return event.TargetUse{
-		Target: ident.TargetID(p.GetTarget()), Running: int(count(p.GetRunning())), Tokens: ident.Tokens(count(p.GetTokens())),
-		Key: event.TargetKey(p.GetKey()), Unread: ident.Tokens(count(p.GetUnread())),
+		Target: ident.TargetID(p.GetTarget()), Running: int(nonNegative(p.GetRunning())), Tokens: ident.Tokens(nonNegative(p.GetTokens())),
+		Key: event.TargetKey(p.GetKey()), PendingPrefill: ident.Tokens(nonNegative(p.GetUnread())),
 	}
 }
 
-// at returns an entry of a column that is left out where it holds nothing.
-func at(column []uint64, i int) uint64 {
+// columnValue returns an entry of a column that is left out where it holds nothing.
+func columnValue(column []uint64, i int) uint64 {
 	if i >= len(column) {
 		return 0
 	}
 	return column[i]
 }
 
-func fromAway(u event.AwayUse) *AwayUse {
+func fromAway(u event.ForwardedUse) *AwayUse {
 	return &AwayUse{
 		DataCentre: string(u.DataCentre), Serve: fromServe(u.Serve), Service: u.Service, Running: int64(u.Running),
 	}
 }
 
-func toAway(p *AwayUse) event.AwayUse {
-	return event.AwayUse{
+func toAway(p *AwayUse) event.ForwardedUse {
+	return event.ForwardedUse{
 		DataCentre: ident.DataCentre(p.GetDataCentre()), Serve: toServe(p.GetServe()),
-		Service: p.GetService(), Running: int(count(p.GetRunning())),
+		Service: p.GetService(), Running: int(nonNegative(p.GetRunning())),
 	}
 }
 
@@ -248,21 +248,21 @@
 }
 
 const (
-	// rateParts are the parts of a rate that travel.
-	rateParts = 16
+	// rateScale are the parts of a rate that travel.
+	rateScale = 16
 	maxRate   = 1 << 52
 )
 
 // fromRate rounds up: a small demand that became none would have the share of
 // its account withdrawn while it lasts.
 func fromRate(r ident.PerMinute) uint64 {
-	if r > 0 && r < maxRate/rateParts {
-		return uint64(math.Ceil(float64(r) * rateParts))
+	if r > 0 && r < maxRate/rateScale {
+		return uint64(math.Ceil(float64(r) * rateScale))
 	}
 	return 0
 }
 
-func toRate(n uint64) ident.PerMinute { return ident.PerMinute(min(n, maxRate)) / rateParts }
+func toRate(n uint64) ident.PerMinute { return ident.PerMinute(min(n, maxRate)) / rateScale }
 
 func fromDrainNotice(t event.DrainNotice) *DrainNotice {
 	return &DrainNotice{Target: string(t.Target), Incarnation: uint64(t.Incarnation)}
@@ -280,18 +280,18 @@
 		Slots: int64(l.Slots), Running: int64(l.Running), Queued: int64(l.Queued),
 		QueuedTokens: int64(l.QueuedTokens), PrefillRate: float32(l.PrefillRate),
 		DecodeRate: float32(l.DecodeRate), Serves: convert(l.Serves, fromServe), Draining: l.Draining,
-		Key: uint32(l.Key), Kept: l.Kept,
+		Key: uint32(l.Key), Kept: l.StaticOmitted,
 	}
 }
 
 func toLoad(p *Load) event.Load {
 	return event.Load{
 		Target: ident.TargetID(p.GetTarget()), Incarnation: ident.Incarnation(p.GetIncarnation()),
-		Seq: p.GetSeq(), Age: duration(p.GetAgeMs()), Slots: int(count(p.GetSlots())), Running: int(count(p.GetRunning())),
-		Queued: int(count(p.GetQueued())), QueuedTokens: ident.Tokens(count(p.GetQueuedTokens())),
-		PrefillRate: number(p.GetPrefillRate()), DecodeRate: number(p.GetDecodeRate()),
+		Seq: p.GetSeq(), Age: duration(p.GetAgeMs()), Slots: int(nonNegative(p.GetSlots())), Running: int(nonNegative(p.GetRunning())),
+		Queued: int(nonNegative(p.GetQueued())), QueuedTokens: ident.Tokens(nonNegative(p.GetQueuedTokens())),
+		PrefillRate: finiteOrZero(p.GetPrefillRate()), DecodeRate: finiteOrZero(p.GetDecodeRate()),
 		Serves: convert(p.GetServes(), toServe), Draining: p.GetDraining(),
-		Key: event.TargetKey(p.GetKey()), Kept: p.GetKept(),
+		Key: event.TargetKey(p.GetKey()), StaticOmitted: p.GetKept(),
 	}
 }
 
@@ -300,15 +300,15 @@
 		Serve: fromServe(l.Serve), Service: l.Service, Slots: int64(l.Slots), Free: int64(l.Free),
 		Offer: int64(l.Offer), WaitMs: millis(l.Wait), PrefillRate: float32(l.PrefillRate),
 		DecodeRate: float32(l.DecodeRate), Price: float32(l.Price),
-		Targets: int64(l.Targets), Alone: float32(l.Alone), Shared: float32(l.Shared),
+		Targets: int64(l.Targets), Alone: float32(l.UnsharedPrefill), Shared: float32(l.SharedPrefill),
 	}
 }
 
 func toPool(p *Pool) event.Pool {
 	return event.Pool{
-		Serve: toServe(p.GetServe()), Service: p.GetService(), Slots: int(count(p.GetSlots())), Free: int(count(p.GetFree())),
-		Offer: int(count(p.GetOffer())), Wait: duration(p.GetWaitMs()), PrefillRate: number(p.GetPrefillRate()),
-		DecodeRate: number(p.GetDecodeRate()), Price: number(p.GetPrice()),
-		Targets: int(count(p.GetTargets())), Alone: number(p.GetAlone()), Shared: number(p.GetShared()),
+		Serve: toServe(p.GetServe()), Service: p.GetService(), Slots: int(nonNegative(p.GetSlots())), Free: int(nonNegative(p.GetFree())),
+		Offer: int(nonNegative(p.GetOffer())), Wait: duration(p.GetWaitMs()), PrefillRate: finiteOrZero(p.GetPrefillRate()),
+		DecodeRate: finiteOrZero(p.GetDecodeRate()), Price: finiteOrZero(p.GetPrice()),
+		Targets: int(nonNegative(p.GetTargets())), UnsharedPrefill: finiteOrZero(p.GetAlone()), SharedPrefill: finiteOrZero(p.GetShared()),
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -119,14 +119,14 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// count reads a number of things, which can't be negative: added up with
+// nonNegative reads a number of things, which can't be negative: added up with
 // others it would make a full target look free.
-func count(n int64) int64 { return max(n, 0) }
+func nonNegative(n int64) int64 { return max(n, 0) }
 
-// number reads a rate or a price. Not-a-number compares as neither less nor
+// finiteOrZero reads a rate or a price. Not-a-finiteOrZero compares as neither less nor
 // more than any other, so that one of it in a cost would make each choice
 // arbitrary without an error anywhere; it counts as not known.
-func number(f float32) float64 {
+func finiteOrZero(f float32) float64 {
 	if f >= 0 && f <= math.MaxFloat32 {
 		return float64(f)
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -59,7 +59,7 @@
 	return &Target{
 		Id: string(t.ID), Incarnation: uint64(t.Incarnation), Kind: kind, Place: fromPlace(t.Place),
 		Url: t.URL, Service: t.Service, Draining: t.Draining, Price: float32(t.Price),
-		Capacity: uint32(max(t.Capacity, 0)), Closed: t.Closed, ColdMs: uint32(millis(t.ColdFor)), Loaded: convert(t.Loaded, fromServe),
+		Capacity: uint32(max(t.Capacity, 0)), Closed: t.Evacuated, ColdMs: uint32(millis(t.ColdFor)), Loaded: convert(t.Loaded, fromServe),
 	}
 }
 
@@ -71,7 +71,7 @@
 	return event.Target{
 		ID: ident.TargetID(p.GetId()), Incarnation: ident.Incarnation(p.GetIncarnation()), Kind: kind,
 		Place: toPlace(p.GetPlace()), URL: p.GetUrl(), Service: p.GetService(),
-		Draining: p.GetDraining(), Price: number(p.GetPrice()),
-		Capacity: int(p.GetCapacity()), Closed: p.GetClosed(), ColdFor: duration(uint64(p.GetColdMs())), Loaded: convert(p.GetLoaded(), toServe),
+		Draining: p.GetDraining(), Price: finiteOrZero(p.GetPrice()),
+		Capacity: int(p.GetCapacity()), Evacuated: p.GetClosed(), ColdFor: duration(uint64(p.GetColdMs())), Loaded: convert(p.GetLoaded(), toServe),
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -107,11 +107,11 @@
 		{ID: "uvs-e1", Incarnation: 5, Kind: event.Engine, Place: place, URL: "http://10.1.2.1:8000", Price: 1.5},
 		{ID: "uvs-s1", Kind: event.Service, Place: place, URL: "http://10.1.2.2:8000", Service: "publish", Draining: true},
 	}
-	d.Use[0].Unread = 1200
-	d.Use = append(d.Use, event.TargetUse{Key: 77, Running: 2, Tokens: 900, Unread: 300})
-	d.Flows = []event.Flow{{Service: "writers", Alone: 1500, Shared: 250.5}}
+	d.Use[0].PendingPrefill = 1200
+	d.Use = append(d.Use, event.TargetUse{Key: 77, Running: 2, Tokens: 900, PendingPrefill: 300})
+	d.Demand = []event.PrefillDemand{{Service: "writers", UnsharedPrefill: 1500, SharedPrefill: 250.5}}
 	pool := &d.Summaries[0].Pools[0]
-	pool.Targets, pool.Alone, pool.Shared = 12, 64000, 512
+	pool.Targets, pool.UnsharedPrefill, pool.SharedPrefill = 12, 64000, 512
 	d.Loads[0].Serves = []rules.Serve{{Model: "draft", Version: "3", Adapter: "formal"}}
 	d.Host.Draining = true
 	said := d.Host
@@ -151,15 +151,15 @@
 
 func TestRequestArrivesAsSent(t *testing.T) {
 	env := event.Envelope{
-		Attempt: ident.Attempt{Entry: "uvs-1", Incarnation: 9, Number: 4}, To: 8, From: "uvs-1", FromPlace: place,
-		Crossings: 1, Seen: []ident.EntryID{"uvs-1", "uvs-2"}, Revision: 3,
+		Attempt: ident.Attempt{Entry: "uvs-1", Incarnation: 9, Number: 4}, ToIncarnation: 8, From: "uvs-1", FromPlace: place,
+		Crossings: 1, Visited: []ident.EntryID{"uvs-1", "uvs-2"}, Revision: 3,
 	}
 	req := event.Request{ID: "req-1", Account: "foundation", Profile: "obituary", Prompt: 3, MaxTokens: 9, Prefix: []uint64{1}}
 	o := sent(t, FromRequest(req, env, 1500*time.Millisecond), &Open{})
 	if diff := cmp.Diff(env, o.GetEnvelope().ToEvent(someHost(1))); diff != "" {
 		t.Errorf("envelope (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(1500*time.Millisecond, o.Left()); diff != "" {
+	if diff := cmp.Diff(1500*time.Millisecond, o.TimeLeft()); diff != "" {
 		t.Errorf("time left (-want +got):\n%s", diff)
 	}
 	h := http.Header{"Content-Type": {"application/json"}, "X-A": {"1", "2"}}
@@ -247,7 +247,7 @@
 		if diff := cmp.Diff(env, again); diff != "" {
 			t.Errorf("envelope (-want +got):\n%s", diff)
 		}
-		_ = m.GetOpen().Left()
+		_ = m.GetOpen().TimeLeft()
 		_ = ToHeader(m.GetOpen().GetHeader())
 		end, err := m.GetEnd().ToEvent()
 		if err == nil && end.Result == "" {
