--- a/internal/event/effect.go
+++ b/internal/event/effect.go
@@ -13,79 +13,80 @@
 	Request ident.RequestID `json:"request"`
 	Attempt ident.Attempt   `json:"attempt"`
 	Target  Target          `json:"target"`
-	// Serve is what the target is asked to run.
+	// Serve is the model, version and adapter that the target is asked to run.
 	Serve    rules.Serve `json:"serve"`
 	Priority int         `json:"priority"`
-	// Deadline is when the attempt must have ended.
+	// Deadline is the time by which the attempt must have ended.
 	Deadline ident.Time `json:"deadline"`
-	// ResumeAfter is the number of tokens that have reached the caller already;
-	// the engine goes on after them.
+	// ResumeAfter is the number of tokens that the caller has already received; the
+	// engine continues after them.
 	ResumeAfter ident.Tokens `json:"resume,omitempty"`
-	// AtMostOnce says that the call may not be repeated.
+	// AtMostOnce forbids repeating the call.
 	AtMostOnce bool `json:"once,omitempty"`
-	// KeepOutcome says that the answer is to be kept for repeats.
+	// KeepOutcome asks the goroutine to store the answer for repeats of the request.
 	KeepOutcome bool `json:"keep,omitempty"`
-	// CopyFrom is the target that probably caches a prefix of the prompt, which this one
-	// then copies; empty for none.
+	// CopyFrom is a target that probably caches a prefix of the prompt, from which this
+	// target copies it; empty for none.
 	CopyFrom Holder `json:"copyFrom"`
-	// Basis is what the choice was made by.
+	// Basis holds the inputs of the routing decision.
 	Basis        Basis        `json:"basis"`
 	IdleTimeouts IdleTimeouts `json:"idleTimeouts"`
 }
 
-// Holder is a target that holds something in its memory.
+// Holder is a target that holds data, such as a cached prefix, in its memory.
 type Holder struct {
 	Target ident.TargetID `json:"target,omitempty"`
 	URL    string         `json:"url,omitempty"`
 }
 
-// IdleTimeouts is how long an attempt may bring nothing before AttemptSilent reports it. Zero
-// is until its deadline.
+// IdleTimeouts bounds how long an attempt may send no data before AttemptSilent reports
+// it. Zero means until the deadline of the attempt.
 type IdleTimeouts struct {
-	// First bounds the time to the first byte, Gap the time between two pieces
-	// of a stream.
+	// First bounds the time to the first byte, Gap the time between two pieces of a
+	// stream.
 	First time.Duration `json:"first,omitempty"`
 	Gap   time.Duration `json:"gap,omitempty"`
 }
 
-// Basis is what a decision about a request was made by, for the log.
+// Basis holds the inputs of a decision about a request, for the log.
 type Basis struct {
-	// Profile is what the request was judged by, Revision the configuration
-	// that it stands in.
+	// Profile is the profile that was applied to the request, Revision the configuration
+	// that defines it.
 	Profile  ident.Profile  `json:"profile,omitempty"`
 	Revision ident.Revision `json:"revision"`
-	// Attempts counts the tries of the request, this one included.
+	// Attempts counts the attempts of the request, including this one.
 	Attempts int `json:"try"`
-	// Waited is the time since the request arrived, Wait the predicted time to
+	// Waited is the time since the request arrived, PredictedWait the predicted time to
 	// its first token.
 	Waited        time.Duration `json:"waited"`
 	PredictedWait time.Duration `json:"wait"`
-	// InFlight counts the requests that the target was estimated to have, LoadAge is
-	// the age of its load, negative for none.
+	// InFlight is the estimated number of requests at the target. LoadAge is the age of
+	// its load report, negative if there is none.
 	InFlight int           `json:"busy"`
 	LoadAge  time.Duration `json:"loadAge"`
-	// ExpectedEvents is how many events the stream was taken to have, Pace how long one
-	// takes at the targets here, PaceThere where it was passed on to; zero where that
-	// is not known.
+	// ExpectedEvents is the expected number of events of the stream. EventGap is the
+	// time between two events at the targets here, RemoteEventGap at the data centre to
+	// which the request was forwarded. Zero means unknown.
 	ExpectedEvents float64       `json:"expect,omitempty"`
 	EventGap       time.Duration `json:"pace,omitempty"`
 	RemoteEventGap time.Duration `json:"paceThere,omitempty"`
-	// ForwardedShare is which part of the work that callers bring went elsewhere, Room the tokens
-	// to read a second that the data centre has room for which the request was passed
-	// on to; zero where that did not decide.
+	// ForwardedShare is the share of the demand that went to other data centres.
+	// RemotePrefillRoom is the spare prefill rate, in tokens per second, of the data
+	// centre to which the request was forwarded. Both are zero if they did not affect
+	// the decision.
 	ForwardedShare    float64 `json:"part,omitempty"`
 	RemotePrefillRoom float64 `json:"room,omitempty"`
-	// UncachedPrompt is the part of the prompt that the target was taken to have to read.
+	// UncachedPrompt is the part of the prompt that the target was expected to prefill.
 	UncachedPrompt ident.Tokens `json:"unread,omitempty"`
-	// RemainingTime is the time within which it had to start, Queued how many requests waited
-	// for the same targets here, Full that only room was missing.
+	// RemainingTime is the time within which the request had to start. Queued is the
+	// number of requests that waited for the same targets here. CapacityLimited is set
+	// if only a lack of capacity prevented the request from starting.
 	RemainingTime   time.Duration `json:"left,omitempty"`
 	Queued          int           `json:"queued,omitempty"`
 	CapacityLimited bool          `json:"full,omitempty"`
 }
 
-// Forward asks the request's goroutine to pass the request to another entry
-// host.
+// Forward asks the request's goroutine to forward the request to another entry host.
 type Forward struct {
 	Request     ident.RequestID `json:"request"`
 	To          Host            `json:"to"`
@@ -94,29 +95,30 @@
 	ResumeAfter ident.Tokens    `json:"resume,omitempty"`
 	AtMostOnce  bool            `json:"once,omitempty"`
 	KeepOutcome bool            `json:"keep,omitempty"`
-	// Service is the service that was picked for a request of a route.
+	// Service is the service that was selected for a request of a route.
 	Service      string       `json:"service,omitempty"`
 	Basis        Basis        `json:"basis"`
 	IdleTimeouts IdleTimeouts `json:"idleTimeouts"`
 }
 
-// Refuse gives a request its final answer, for a request of which nothing has
-// been sent to the caller yet, or cuts the stream where something has.
+// Refuse gives a request its final answer if nothing has been sent to the caller yet,
+// and otherwise cuts the stream.
 type Refuse struct {
 	Request ident.RequestID `json:"request"`
 	Code    codes.ID        `json:"code"`
 	Outcome Outcome         `json:"outcome"`
-	// RetryAfter is when to come back, zero where waiting does not help.
+	// RetryAfter is the delay after which the caller may retry, zero if waiting does not
+	// help.
 	RetryAfter time.Duration `json:"retryAfter,omitempty"`
-	// Entries are the hosts to try instead, best first.
+	// Entries lists the hosts to try instead, best first.
 	Entries []Host `json:"entries,omitempty"`
 	// Reason is one plain sentence for the answer and the log.
 	Reason string `json:"reason,omitempty"`
-	// Basis is what the refusal was decided by.
+	// Basis holds the inputs of the decision to refuse.
 	Basis Basis `json:"basis"`
-	// Denial says why no other attempt was made, for a request that had one.
+	// Denial is the reason why a request that had an attempt gets no further one.
 	Denial Denial `json:"denial"`
-	// Ending is which side ended an answer that may have run and does not reach its end.
+	// Ending is the side that ended an answer which may have run and is incomplete.
 	Ending Ending `json:"ending"`
 }
 
@@ -125,56 +127,59 @@
 
 // The reasons of a denial.
 const (
-	// DeniedAttempts says that as many targets have seen the request as may.
+	// DeniedAttempts means that the request has reached the maximum number of targets.
 	DeniedAttempts DenialReason = "attempts"
-	// DeniedBudget says that the retry budget of the service is used up.
+	// DeniedBudget means that the retry budget of the service is used up.
 	DeniedBudget DenialReason = "budget"
-	// DeniedForwarded says that the host which forwarded the request decides.
+	// DeniedForwarded means that the host which forwarded the request decides on
+	// retries.
 	DeniedForwarded DenialReason = "forwarded"
-	// DeniedUnsent says that too many attempts ended before anything was sent.
+	// DeniedUnsent means that too many attempts ended before anything was sent.
 	DeniedUnsent DenialReason = "unsent"
-	// DeniedTime says that too little time is left.
+	// DeniedTime means that too little time remains.
 	DeniedTime DenialReason = "time"
-	// DeniedCapacity says that no other target or data centre has room.
+	// DeniedCapacity means that no other target or data centre has capacity.
 	DeniedCapacity DenialReason = "noPlace"
 )
 
-// Denial is why a request gets no other attempt and what that was judged by. The zero Denial
-// denies nothing.
+// Denial is the reason why a request gets no further attempt, with the inputs of that
+// decision. The zero Denial denies nothing.
 type Denial struct {
 	Reason DenialReason `json:"reason,omitempty"`
-	// Attempts is the number of attempts so far, MaxTries the most.
+	// Attempts is the number of attempts so far, MaxAttempts their limit.
 	Attempts    int `json:"tries,omitempty"`
 	MaxAttempts int `json:"maxTries,omitempty"`
-	// PredictedWait is the predicted time to the first token, Left the time to the deadline.
+	// PredictedWait is the predicted time to the first token, RemainingTime the time to
+	// the deadline.
 	PredictedWait time.Duration `json:"wait,omitempty"`
 	RemainingTime time.Duration `json:"left,omitempty"`
-	// Retries is the number of retries in the window of the budget, Allowed the most.
+	// Retries is the number of retries in the window of the retry budget, MaxRetries
+	// their limit.
 	Retries    int     `json:"spent,omitempty"`
 	MaxRetries float64 `json:"allowed,omitempty"`
 }
 
-// BreakOff asks the request's goroutine to break off an attempt, which ends as if its
-// target had closed the connection.
+// BreakOff asks the request's goroutine to abort an attempt. The attempt then ends as if
+// its target had closed the connection.
 type BreakOff struct {
 	Request ident.RequestID `json:"request"`
 	Attempt ident.Attempt   `json:"attempt"`
-	// Silence is set for an attempt that is broken off for it. Its goroutine ignores the effect
-	// if a piece has come since.
+	// Silence is set if the attempt is aborted because it sent no data. The goroutine
+	// ignores the effect if data has arrived since.
 	Silence Silence `json:"silence"`
 }
 
-// Silence is what is known of an attempt that brings nothing.
+// Silence describes an attempt that sends no data.
 type Silence struct {
-	// Since is when the last piece of the answer came, zero for no silence.
+	// Since is when the last piece of the answer arrived, zero for no silence.
 	Since ident.Time `json:"since,omitempty"`
-	// Duration is the duration of the silence.
+	// Duration is how long the silence has lasted.
 	Duration time.Duration `json:"lasted,omitempty"`
-	// AnswerBegan says that a piece of the answer has come.
+	// AnswerBegan is set once a piece of the answer has arrived.
 	AnswerBegan bool `json:"begun,omitempty"`
 }
 
-// KeepAttempt says, for the log, why a silent attempt is not broken off.
+// KeepAttempt records, for the log, why a silent attempt is not aborted.
 type KeepAttempt struct {
 	Request ident.RequestID `json:"request"`
 	Attempt ident.Attempt   `json:"attempt"`
@@ -182,38 +187,38 @@
 	Denial  Denial          `json:"denial"`
 }
 
-// DropLinks says that the idle connections to an address lead to a target that no
-// longer runs.
+// DropLinks asks for the idle connections to an address to be closed, because its target
+// no longer runs.
 type DropLinks struct {
 	Target ident.TargetID `json:"target"`
 	URL    string         `json:"url"`
 }
 
-// Finish says that the request is over and its answer was passed on whole.
-// The goroutine sends the final chunk or status only after it.
+// Finish ends a request whose complete answer was delivered. The goroutine sends the
+// final chunk or status only after it.
 type Finish struct {
 	Request ident.RequestID `json:"request"`
 	Outcome Outcome         `json:"outcome"`
 }
 
-// Replay asks the request's goroutine to answer with the kept outcome of
-// another request.
+// Replay asks the request's goroutine to answer with the stored outcome of another
+// request.
 type Replay struct {
 	Request ident.RequestID `json:"request"`
 	Of      ident.RequestID `json:"of"`
 }
 
-// ForgetOutcome drops a kept outcome.
+// ForgetOutcome deletes a stored outcome.
 type ForgetOutcome struct {
 	Request ident.RequestID `json:"request"`
 }
 
-// Wake asks for a Tick at a time. A later Wake replaces the one before.
+// Wake asks for a Tick at a given time. A later Wake replaces the previous one.
 type Wake struct {
 	At ident.Time `json:"at"`
 }
 
-// SendDigest sends a heartbeat to hosts of the own data centre.
+// SendDigest sends a heartbeat to hosts of this data centre.
 type SendDigest struct {
 	To     []Host `json:"to"`
 	Digest Digest `json:"digest"`
@@ -225,46 +230,46 @@
 	Summary Summary `json:"summary"`
 }
 
-// SendChanges sends changes to peers.
+// SendChanges sends configuration changes to peers.
 type SendChanges struct {
 	To      []Host         `json:"to"`
 	Changes []rules.Change `json:"changes"`
 }
 
-// SendSnapshot sends the whole book to a peer that lacks too much.
+// SendSnapshot sends the complete book to a peer that lacks too many changes.
 type SendSnapshot struct {
 	To   Host        `json:"to"`
 	Book *rules.Book `json:"book"`
 }
 
-// AskChanges asks a peer for all after a revision.
+// AskChanges asks a peer for all changes after a revision.
 type AskChanges struct {
 	To    Host           `json:"to"`
 	After ident.Revision `json:"after"`
 }
 
-// AskBar asks a peer "run or bar" about an attempt. It is answered by
-// BarAnswered, or not at all; the reducer asks again.
+// AskBar asks a peer to report an attempt as run, or to bar it from running. The answer
+// is BarAnswered; if none arrives, the reducer asks again.
 type AskBar struct {
 	To          Host              `json:"to"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Attempt     ident.Attempt     `json:"attempt"`
 }
 
-// AnswerBar answers a peer's question.
+// AnswerBar answers the "run or bar" question of a peer.
 type AnswerBar struct {
 	To      ident.EntryID `json:"to"`
 	Attempt ident.Attempt `json:"attempt"`
 	Answer  Answer        `json:"answer"`
 }
 
-// ClaimKey records an idempotency key in the platform's store before the
-// first send.
+// ClaimKey records an idempotency key in the platform's store before the request is
+// first sent.
 type ClaimKey struct {
 	Request ident.RequestID `json:"request"`
 	Key     string          `json:"key"`
 	Record  KeyRecord       `json:"record"`
-	// Deadline is when the claim must be answered.
+	// Deadline is the time by which the claim must be answered.
 	Deadline ident.Time `json:"deadline"`
 }
 
@@ -273,11 +278,11 @@
 	After ident.Revision `json:"after"`
 }
 
-// StopWatch ends the watch: another host watches for the data centre.
+// StopWatch ends the watch because another host watches for the data centre.
 type StopWatch struct{}
 
-// PaceReads says how often this host reads the platform's store: all the time, or
-// now and then while others of its data centre do.
+// PaceReads sets how often this host reads the platform's store: continuously if Active,
+// or occasionally while other hosts of its data centre read it.
 type PaceReads struct {
 	Active bool `json:"active"`
 }
@@ -291,17 +296,17 @@
 // PollLoad reads the load report of a target and its cache events.
 type PollLoad struct {
 	Target Target `json:"target"`
-	// After is the last sequence number of its cache events that was seen.
+	// After is the sequence number of the last cache event received from the target.
 	After uint64 `json:"after"`
 }
 
-// AskMemory asks an engine how much memory it has.
+// AskMemory asks an engine for the size of its memory.
 type AskMemory struct {
 	Target Target `json:"target"`
 }
 
-// InForceNow says that a revision is in force at this host from now on. The
-// loop publishes the book for the traffic side to read.
+// InForceNow announces that a revision is in force at this host. The loop publishes the
+// book to the goroutines that serve traffic.
 type InForceNow struct {
 	Book *rules.Book `json:"book"`
 }
@@ -310,11 +315,11 @@
 type TicketIssued struct {
 	Ask    Ask    `json:"ask"`
 	Ticket string `json:"ticket"`
-	// TTL is how long it may be redeemed.
+	// TTL is how long the ticket may be redeemed.
 	TTL time.Duration `json:"valid"`
-	// Code is set when no ticket is given.
+	// Code is set if no ticket is issued.
 	Code codes.ID `json:"code,omitempty"`
-	// Entries are the hosts to ask instead.
+	// Entries lists the hosts to ask instead.
 	Entries []Host `json:"entries,omitempty"`
 }
 
@@ -326,13 +331,15 @@
 	Code    codes.ID      `json:"code,omitempty"`
 }
 
-// Choice is one place that a request could go to.
+// Choice is one candidate for a request: a target or a data centre.
 type Choice struct {
 	Target     ident.TargetID   `json:"target,omitempty"`
 	DataCentre ident.DataCentre `json:"dataCentre"`
-	// RuledOut is the filter that rules it out, empty for one that remains.
+	// RuledOut is the code of the filter that excludes the candidate, empty if none
+	// does.
 	RuledOut codes.ID `json:"ruledOut,omitempty"`
-	// Cost is the weighted cost in seconds of one that remains, and its parts.
+	// Cost is the weighted cost, in seconds, of a candidate that is not excluded; the
+	// fields after it are its parts.
 	Cost     float64 `json:"cost"`
 	Wait     float64 `json:"wait"`
 	Prefill  float64 `json:"prefill"`
@@ -350,23 +357,23 @@
 	Code   codes.ID `json:"code,omitempty"`
 }
 
-// TargetStatus is one target as this host knows it.
+// TargetStatus is the state of one target as known to this host.
 type TargetStatus struct {
 	Target   Target        `json:"target"`
 	Load     Load          `json:"load"`
 	LoadAge  time.Duration `json:"loadAge"`
-	Sent     int           `json:"sent"`
+	InFlight int           `json:"sent"`
 	Suspect  bool          `json:"suspect"`
 	Draining bool          `json:"draining"`
 }
 
-// CentreStatus is one data centre as this host knows it.
+// CentreStatus is the state of one data centre as known to this host.
 type CentreStatus struct {
 	Place   Place          `json:"place"`
 	InForce ident.Revision `json:"inForce"`
 	Hosts   []Host         `json:"hosts"`
 	Pools   []Pool         `json:"pools"`
-	// Age is the age of its newest summary.
+	// Age is the age of the newest summary of the data centre.
 	Age            time.Duration `json:"age"`
 	CutOff         bool          `json:"cutOff"`
 	Representative ident.EntryID `json:"representative"`
@@ -380,19 +387,19 @@
 	Revision ident.Revision `json:"revision"`
 	Ready    bool           `json:"ready"`
 	Requests int            `json:"requests"`
-	// PlatformAge is the time since the platform last answered this host or
-	// the one that watches for it.
+	// PlatformAge is the time since the platform last answered this host or the host
+	// that watches the platform for it.
 	PlatformAge time.Duration  `json:"platformAge"`
 	Centres     []CentreStatus `json:"centres"`
 	Targets     []TargetStatus `json:"targets"`
 }
 
-// Drained says that the last request has ended and the host may stop.
+// Drained means that the last request has ended and the host may stop.
 type Drained struct{}
 
-// Note is one line for the log. It holds no text of a request.
+// Note is one log line. It contains no text of a request.
 type Note struct {
-	// Code is the declared code of what happened, if any.
+	// Code is the declared code of the occurrence, if it has one.
 	Code   codes.ID   `json:"code,omitempty"`
 	Text   string     `json:"text"`
 	Fields []NotePair `json:"fields,omitempty"`
--- a/internal/event/record.go
+++ b/internal/event/record.go
@@ -9,26 +9,24 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// record is the JSON form of an event or effect: its type by name beside its
-// fields.
+// record is the JSON form of an event or effect: its fields with its type name and time.
 type record struct {
 	At   ident.Time      `json:"at"`
 	Type string          `json:"type"`
 	Body json.RawMessage `json:"body"`
 }
 
-// eventTypes and effectTypes hold every type by its recorded name. A type
-// that is missing here can't be recorded, which the test of this package
-// notices.
+// eventTypes and effectTypes map the recorded name of each type to the type. A
+// type that is missing here can't be decoded; TestEveryTypeIsRecorded detects it.
 var (
-	eventTypes = namesOf[Event](
+	eventTypes = typesByName[Event](
 		RequestArrived{}, AttemptSent{}, FirstToken{}, StreamPaced{}, AttemptSilent{}, AttemptEnded{}, CallerLeft{}, KeyClaimed{},
 		TicketAsked{}, EntriesAsked{}, NearbyAsked{}, RouteAsked{}, StatusAsked{}, Tick{}, DrainAsked{}, DrainExpired{}, PeerUp{},
 		PeerDown{}, DigestReceived{}, SummaryReceived{}, ChangesReceived{}, SnapshotReceived{},
 		ChangesWanted{}, BarAsked{}, BarAnswered{}, LoadReported{}, LoadSeen{}, ProbeAnswered{}, MemoryReported{}, LoadFailed{}, CacheChanged{},
 		HostsRead{}, PlatformFailed{}, WatchIdle{}, ReadProgress{},
 	)
-	effectTypes = namesOf[Effect](
+	effectTypes = typesByName[Effect](
 		Dispatch{}, Forward{}, Refuse{}, Finish{}, BreakOff{}, KeepAttempt{}, DropLinks{}, Replay{}, ForgetOutcome{}, Wake{},
 		SendDigest{}, SendSummary{}, SendChanges{}, SendSnapshot{}, AskChanges{}, AskBar{},
 		AnswerBar{}, ClaimKey{}, WatchChange{}, StopWatch{}, PaceReads{}, ReadSnapshot{}, ReadHosts{}, PollLoad{}, AskMemory{},
@@ -37,7 +35,7 @@
 	)
 )
 
-func namesOf[T any](vs ...T) map[string]reflect.Type {
+func typesByName[T any](vs ...T) map[string]reflect.Type {
 	types := make(map[string]reflect.Type, len(vs))
 	for _, v := range vs {
 		types[TypeName(v)] = reflect.TypeOf(v)
@@ -52,10 +50,10 @@
 	return strings.ToLower(name[:1]) + name[1:]
 }
 
-// EncodeEvent writes an event as one line of JSON.
+// EncodeEvent returns an event as one line of JSON.
 func EncodeEvent(at ident.Time, ev Event) ([]byte, error) { return encode(at, ev) }
 
-// EncodeEffect writes an effect as one line of JSON.
+// EncodeEffect returns an effect as one line of JSON.
 func EncodeEffect(at ident.Time, eff Effect) ([]byte, error) { return encode(at, eff) }
 
 func encode(at ident.Time, v any) ([]byte, error) {
@@ -66,10 +64,10 @@
 	return json.Marshal(record{At: at, Type: TypeName(v), Body: body})
 }
 
-// DecodeEvent reads a line that EncodeEvent wrote.
+// DecodeEvent parses a line written by EncodeEvent.
 func DecodeEvent(line []byte) (ident.Time, Event, error) { return decode[Event](line, eventTypes) }
 
-// DecodeEffect reads a line that EncodeEffect wrote.
+// DecodeEffect parses a line written by EncodeEffect.
 func DecodeEffect(line []byte) (ident.Time, Effect, error) { return decode[Effect](line, effectTypes) }
 
 func decode[T any](line []byte, types map[string]reflect.Type) (ident.Time, T, error) {
@@ -80,7 +78,7 @@
 	}
 	typ, ok := types[rec.Type]
 	if !ok {
-		return 0, zero, fmt.Errorf("decode record: type %q is not known", rec.Type)
+		return 0, zero, fmt.Errorf("decode record: unknown type %q", rec.Type)
 	}
 	ptr := reflect.New(typ)
 	if err := json.Unmarshal(rec.Body, ptr.Interface()); err != nil {
--- a/internal/event/record_test.go
+++ b/internal/event/record_test.go
@@ -15,9 +15,9 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// A type that is missing from the tables stops a replay half way.
+// A replay stops at the first event or effect whose type is missing from the tables.
 func TestEveryTypeIsRecorded(t *testing.T) {
-	want := markedTypes(t)
+	want := declaredTypes(t)
 	got := value.SetOf[string]()
 	for name := range eventTypes {
 		got.Add("isEvent " + name)
@@ -30,8 +30,8 @@
 	}
 }
 
-// markedTypes reads the receivers of isEvent and isEffect from the sources.
-func markedTypes(t *testing.T) value.Set[string] {
+// declaredTypes parses the sources for the receivers of isEvent and isEffect.
+func declaredTypes(t *testing.T) value.Set[string] {
 	t.Helper()
 	names := value.SetOf[string]()
 	for _, file := range []string{"member.go", "request.go", "system.go", "effect.go"} {
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// Outcome says whether a request ran, as far as its caller can know.
+// Outcome states whether a request ran, as far as its caller can know.
 type Outcome string
 
 // The outcomes. NotRun is a promise; Unknown claims nothing.
@@ -18,166 +18,171 @@
 	Unknown Outcome = "unknown"
 )
 
-// Envelope travels with a request from one entry host to another.
+// Envelope accompanies a request that one entry host forwards to another.
 type Envelope struct {
-	// Attempt names the sender's try. The receiver answers "run or bar" by it.
+	// Attempt identifies the attempt of the sender. The recipient uses it to answer "run
+	// or bar".
 	Attempt ident.Attempt `json:"attempt"`
-	// ToIncarnation is the incarnation of the receiver that the sender meant. Another
-	// incarnation refuses it, since it can't know what the meant one did.
+	// ToIncarnation is the incarnation of the recipient that the sender addressed.
+	// Another incarnation refuses the request, since it can't know what the addressed
+	// one did.
 	ToIncarnation ident.Incarnation `json:"to"`
 	From          ident.EntryID     `json:"from"`
 	FromPlace     Place             `json:"fromPlace"`
-	// Crossings counts the passages between regions so far, this included.
+	// Crossings counts how often the request has crossed between regions, including this
+	// time.
 	Crossings ident.Hops `json:"crossings"`
-	// Visited lists the entry hosts that the request has passed.
+	// Visited lists the entry hosts that the request has passed through.
 	Visited []ident.EntryID `json:"seen"`
-	// Revision is the configuration that the sender decided by.
+	// Revision is the configuration by which the sender decided.
 	Revision ident.Revision `json:"revision"`
 }
 
-// Request is what the reducer knows of a request. It holds no text.
+// Request is the reducer's view of a request. It contains no text.
 type Request struct {
 	ID      ident.RequestID `json:"id"`
 	Account ident.Account   `json:"account"`
 	Profile ident.Profile   `json:"profile"`
-	// Prompt is the estimated length of the prompt, MaxTokens the most that
-	// may be generated.
+	// Prompt is the estimated length of the prompt, MaxTokens the maximum number of
+	// tokens to generate.
 	Prompt    ident.Tokens `json:"prompt"`
 	MaxTokens ident.Tokens `json:"maxTokens"`
-	// Prefix holds chained digests of the prompt's blocks, the longest prefix
-	// last, for cache affinity. They are compared with the cache events of
-	// engines and never leave the host.
+	// Prefix holds chained digests of the prompt's blocks, the longest prefix last, for
+	// cache affinity. They are compared with the cache events of engines. Only the
+	// digest that ends a long shared prefix leaves the host; see PrefixHolder.
 	Prefix []uint64 `json:"prefix,omitempty"`
-	// SharedBlocks is how many blocks of Prefix other requests probably begin with
-	// too, zero where that is unknown.
+	// SharedBlocks is how many leading blocks of Prefix other requests probably share,
+	// zero if unknown.
 	SharedBlocks int `json:"shared,omitempty"`
-	// Service is the service that was picked for a request of a route.
+	// Service is the service that was selected for a request of a route.
 	Service string `json:"service,omitempty"`
-	// Model is the model that a request of a route names.
+	// Model is the model named by a request of a route.
 	Model ident.Model `json:"model,omitempty"`
-	// Deadline is when the caller stops waiting; zero stands for the
-	// profile's.
+	// Deadline is when the caller stops waiting; zero selects the deadline of the
+	// profile.
 	Deadline ident.Time `json:"deadline"`
 	Stream   bool       `json:"stream,omitempty"`
-	// AnswerBegan says that the caller of a forwarded request has a part of the answer.
+	// AnswerBegan means that the caller of a forwarded request has received a part of
+	// the answer.
 	AnswerBegan bool `json:"begun,omitempty"`
-	// Ticket is the caller's ticket, Key the digest of its idempotency key,
-	// Print a digest of the request that detects a reused key.
+	// Ticket is the caller's ticket, Key the digest of its idempotency key, Fingerprint
+	// a digest of the request that detects a reused key.
 	Ticket      string `json:"ticket,omitempty"`
 	Key         string `json:"key,omitempty"`
 	Fingerprint string `json:"print,omitempty"`
-	// Envelope is set for a request that another entry host passed on.
+	// Envelope is set if another entry host forwarded the request.
 	Envelope value.Option[Envelope] `json:"envelope"`
 }
 
-// Ask numbers a question to the reducer. Its answer carries the same number.
+// Ask identifies a question to the reducer. The answer carries the same number.
 type Ask uint64
 
-// Result says how an attempt ended.
+// Result states how an attempt ended.
 type Result string
 
 // The results of attempts.
 const (
-	// ResultDone is a whole answer, passed on to the caller.
+	// ResultDone is a complete answer that was delivered to the caller.
 	ResultDone Result = "done"
-	// ResultNotRun is a proof that nothing ran: no byte was sent, or the
-	// target or peer said so under its contract.
+	// ResultNotRun means that the attempt provably did not run: no byte was sent, or the
+	// target or peer reported so under its contract.
 	ResultNotRun Result = "notRun"
-	// ResultBroken is an attempt that may have run: the link broke, the
-	// answer was short, or the target failed in the middle.
+	// ResultBroken is an attempt that may have run: the connection broke, the answer was
+	// truncated, or the target failed midway.
 	ResultBroken Result = "broken"
-	// ResultFailed is a whole answer of the target that says it failed, such
-	// as status 500. It ran.
+	// ResultFailed is a complete answer by which the target reports a failure, such as
+	// status 500. The attempt ran.
 	ResultFailed Result = "failed"
 )
 
-// Answer says what became of an attempt that was asked about by "run or
-// bar".
+// Answer is the state of an attempt that a "run or bar" question asked about.
 type Answer string
 
 // The answers.
 const (
-	// Barred says that the attempt had not arrived and never will run.
+	// Barred means that the attempt had not arrived and will never run.
 	Barred Answer = "barred"
-	// Running says that it runs; the asker asks again.
+	// Running means that the attempt is running; the asking host asks again.
 	Running Answer = "running"
-	// Ended says that it ran or may have run.
+	// Ended means that the attempt ran or may have run.
 	Ended Answer = "ended"
-	// Refused says that it had arrived and was not run.
+	// Refused means that the attempt had arrived and was not run.
 	Refused Answer = "refused"
-	// Forgotten says that the asked host can't know, such as after a restart.
+	// Forgotten means that the asked host can't know, for example after a restart.
 	Forgotten Answer = "forgotten"
 )
 
-// RequestArrived starts a request at this host.
+// RequestArrived reports a new request at this host.
 type RequestArrived struct {
 	Request Request `json:"request"`
 }
 
-// AttemptSent says that the first byte of the request was written, so that
-// from now on it may run.
+// AttemptSent reports that the first byte of the request was written; from now on it may
+// run.
 type AttemptSent struct {
 	Attempt ident.Attempt `json:"attempt"`
 }
 
-// StreamPaced says how long a stream of a route takes from one event to the next,
-// over the last few of them.
+// StreamPaced reports the time between events of a route's stream, taken over its last
+// few events.
 type StreamPaced struct {
 	Attempt ident.Attempt `json:"attempt"`
 	Gap     time.Duration `json:"gap"`
 }
 
-// FirstToken says that the first byte of an answer has come.
+// FirstToken reports that the first byte of an answer has arrived.
 type FirstToken struct {
 	Attempt ident.Attempt `json:"attempt"`
 }
 
-// AttemptSilent says that an attempt has brought nothing for its idle timeout. It is repeated
-// while the silence goes on.
+// AttemptSilent reports that an attempt has sent no data for its idle timeout. It is
+// repeated while the silence lasts.
 type AttemptSilent struct {
 	Attempt ident.Attempt `json:"attempt"`
-	// Since is when the last piece of the answer came, or the attempt began.
+	// Since is when the last piece of the answer arrived, or when the attempt began if
+	// none has.
 	Since ident.Time `json:"since"`
-	// AnswerBegan says that a piece of the answer has come.
+	// AnswerBegan is set once a piece of the answer has arrived.
 	AnswerBegan bool `json:"begun,omitempty"`
 }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded reports how an attempt ended.
 type AttemptEnded struct {
 	Attempt ident.Attempt `json:"attempt"`
 	Result  Result        `json:"result"`
-	// Code and Status are those of a refusal of the peer or target.
+	// Code and Status are those of a refusal by the peer or target.
 	Code   codes.ID `json:"code,omitempty"`
 	Status int      `json:"status,omitempty"`
-	// RetryAfter is the wait that the target or peer asked for.
+	// RetryAfter is the delay requested by the target or peer.
 	RetryAfter time.Duration `json:"retryAfter,omitempty"`
-	// Delivered counts tokens that have reached the caller.
+	// Delivered counts the tokens that have reached the caller.
 	Delivered ident.Tokens `json:"delivered,omitempty"`
 	// Generated counts all tokens of the answer.
 	Generated ident.Tokens `json:"generated,omitempty"`
-	// Cached counts prompt tokens that the engine found in its cache.
+	// Cached counts the prompt tokens that the engine found in its cache.
 	Cached ident.Tokens `json:"cached,omitempty"`
-	// Draining says that the target refused because it drains.
+	// Draining means that the target refused because it is draining.
 	Draining bool `json:"draining,omitempty"`
-	// Resumable says that a new attempt may go on after the tokens delivered.
+	// Resumable means that a new attempt may continue after the delivered tokens.
 	Resumable bool `json:"resumable,omitempty"`
-	// OutcomeStored says that the outcome was kept for repeats by the traffic side.
+	// OutcomeStored means that the request's goroutine stored the outcome for repeats.
 	OutcomeStored bool `json:"kept,omitempty"`
-	// Silent says that the attempt was broken off for a silence.
+	// Silent means that the attempt was aborted because it sent no data.
 	Silent bool `json:"silent,omitempty"`
-	// AnswerBuffered says that a whole answer with a failure is buffered and can be delivered.
+	// AnswerBuffered means that a complete answer with a failure is buffered and can be
+	// delivered.
 	AnswerBuffered bool `json:"held,omitempty"`
 }
 
-// CallerLeft says that the connection of the caller, or of the host that forwarded its request,
-// has ended before the answer.
+// CallerLeft reports that the connection of the caller, or of the host that forwarded
+// its request, ended before the answer.
 type CallerLeft struct {
 	Request ident.RequestID `json:"request"`
-	// Ending is which side ended it, zero where that is not known.
+	// Ending is the side that ended the connection, zero if unknown.
 	Ending Ending `json:"ending"`
 }
 
-// Side is who ended a connection or an answer.
+// Side is the party that ended a connection or an answer.
 type Side string
 
 // The sides.
@@ -194,22 +199,23 @@
 
 // The reasons.
 const (
-	// ReasonClosed says that the side closed its connection, ReasonReset that it reset it.
+	// ReasonClosed means that the side closed its connection, ReasonReset that it reset
+	// it.
 	ReasonClosed Reason = "closed"
 	ReasonReset  Reason = "reset"
-	// ReasonFailed says that the connection failed otherwise.
+	// ReasonFailed means that the connection failed in another way.
 	ReasonFailed Reason = "failed"
-	// ReasonWriteTimeout says that the other side took nothing for too long.
+	// ReasonWriteTimeout means that the other side accepted no data for too long.
 	ReasonWriteTimeout Reason = "writeTimeout"
-	// ReasonStopped says that the process ended.
+	// ReasonStopped means that the process ended.
 	ReasonStopped Reason = "stopped"
-	// ReasonSilent says that an answer brought nothing for its idle timeout.
+	// ReasonSilent means that the answer sent no data for its idle timeout.
 	ReasonSilent Reason = "silent"
-	// ReasonDeadlineExpired says that the time of the request was over.
+	// ReasonDeadlineExpired means that the deadline of the request passed.
 	ReasonDeadlineExpired Reason = "over"
 )
 
-// Ending is which side ended a connection or an answer, and why.
+// Ending is the side that ended a connection or an answer, and its reason.
 type Ending struct {
 	Side   Side   `json:"side,omitempty"`
 	Reason Reason `json:"reason,omitempty"`
@@ -219,7 +225,7 @@
 type KeyClaimed struct {
 	Request ident.RequestID `json:"request"`
 	Claim   Claim           `json:"claim"`
-	// Owner and Print are those on record, where the key was taken.
+	// Owner is the record in the store if the key was already claimed.
 	Owner KeyRecord `json:"owner"`
 }
 
@@ -228,16 +234,16 @@
 
 // The answers to a claim.
 const (
-	// ClaimWon says that the record was made by this claim and read back if
-	// the reply was lost.
+	// ClaimWon means that this claim created the record. If the reply was lost, the
+	// record was read back to confirm it.
 	ClaimWon Claim = "won"
-	// ClaimTaken says that the key was claimed before.
+	// ClaimTaken means that the key was claimed earlier.
 	ClaimTaken Claim = "taken"
-	// ClaimFailed says that nothing is known: the request is not run.
+	// ClaimFailed means that the state of the key is unknown: the request is not run.
 	ClaimFailed Claim = "failed"
 )
 
-// KeyRecord is what the store holds under the digest of an idempotency key.
+// KeyRecord is the stored value for the digest of an idempotency key.
 type KeyRecord struct {
 	Entry       ident.EntryID     `json:"entry"`
 	Incarnation ident.Incarnation `json:"incarnation"`
@@ -245,13 +251,13 @@
 	Fingerprint string            `json:"print"`
 }
 
-// TicketAsked asks for a ticket.
+// TicketAsked asks the reducer for a ticket.
 type TicketAsked struct {
 	Ask     Ask           `json:"ask"`
 	Account ident.Account `json:"account"`
 	Profile ident.Profile `json:"profile"`
-	// Secret is 128 bits of randomness in hexadecimal, made outside the
-	// reducer, which has no source of its own.
+	// Secret is 128 bits of randomness in hexadecimal. It is generated outside the
+	// reducer, which is deterministic and has no source of randomness.
 	Secret string `json:"secret"`
 }
 
@@ -260,7 +266,7 @@
 	Ask     Ask           `json:"ask"`
 	Account ident.Account `json:"account"`
 	Profile ident.Profile `json:"profile"`
-	// Seed is a random number that shares callers out over equal hosts.
+	// Seed is a random number that distributes callers over equally good hosts.
 	Seed uint64 `json:"spread"`
 }
 
@@ -268,18 +274,18 @@
 type NearbyAsked struct {
 	Ask  Ask   `json:"ask"`
 	Near Place `json:"near"`
-	// Host is the name that the caller's requests go to, by which the homes of their
-	// routes are found.
+	// Host is the host name in the caller's requests, which selects the home data
+	// centres of their routes.
 	Host string `json:"host,omitempty"`
 }
 
-// RouteAsked asks where a request would go and why, without sending it.
+// RouteAsked asks where a request would be sent and why, without sending it.
 type RouteAsked struct {
 	Ask     Ask     `json:"ask"`
 	Request Request `json:"request"`
 }
 
-// StatusAsked asks for the state as this host knows it.
+// StatusAsked asks for the state as known to this host.
 type StatusAsked struct {
 	Ask Ask `json:"ask"`
 }
--- a/internal/event/system.go
+++ b/internal/event/system.go
@@ -7,81 +7,82 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Tick says that a moment asked for by Wake has come.
+// Tick reports that the time requested by Wake has come.
 type Tick struct{}
 
 // DrainAsked starts a graceful stop.
 type DrainAsked struct{}
 
-// DrainExpired says that the time to drain is over: what still runs gets its final answer, and
-// nothing new is taken.
+// DrainExpired reports that the drain timeout has expired: requests still running get
+// their final answer, and no new ones are accepted.
 type DrainExpired struct{}
 
-// PeerUp says that a link to another entry host stands and that the host has
-// proved who it is.
+// PeerUp reports that a connection to another entry host is established and that the
+// host has proved its identity.
 type PeerUp struct {
 	Host Host `json:"host"`
 }
 
-// PeerDown says that the link broke. It is a hint and no proof of a failure.
+// PeerDown reports that the connection to a peer broke. It is a hint, not proof of a
+// failure.
 type PeerDown struct {
 	Entry ident.EntryID `json:"entry"`
 }
 
-// DigestReceived brings a heartbeat of a host of the same data centre.
+// DigestReceived carries a heartbeat of a host of the same data centre.
 type DigestReceived struct {
 	Digest Digest `json:"digest"`
 }
 
-// SummaryReceived brings the state of another data centre.
+// SummaryReceived carries the state of another data centre.
 type SummaryReceived struct {
 	Summary Summary `json:"summary"`
 }
 
-// ChangesReceived brings changes of the configuration from a peer or from
-// the platform. Those that do not follow the revision in force are dropped.
+// ChangesReceived carries changes of the configuration from a peer or from the platform.
+// Changes that do not follow the revision in force are dropped.
 type ChangesReceived struct {
 	// From is the peer, or empty for the platform.
 	From    ident.EntryID  `json:"from,omitempty"`
 	Changes []rules.Change `json:"changes"`
 }
 
-// SnapshotReceived brings a whole book from a peer or from the platform.
+// SnapshotReceived carries a complete book from a peer or from the platform.
 type SnapshotReceived struct {
 	From ident.EntryID `json:"from,omitempty"`
 	Book *rules.Book   `json:"book"`
 }
 
-// ChangesWanted says that a peer asks for all after a revision.
+// ChangesWanted reports that a peer asks for all changes after a revision.
 type ChangesWanted struct {
 	From  ident.EntryID  `json:"from"`
 	After ident.Revision `json:"after"`
 }
 
-// BarAsked says that a peer asks "run or bar" about an attempt of its own.
+// BarAsked reports that a peer asks "run or bar" about one of its own attempts.
 type BarAsked struct {
 	From          ident.EntryID     `json:"from"`
 	Attempt       ident.Attempt     `json:"attempt"`
 	ToIncarnation ident.Incarnation `json:"to"`
 }
 
-// BarAnswered brings the answer to AskBar.
+// BarAnswered carries the answer to AskBar.
 type BarAnswered struct {
 	Attempt ident.Attempt `json:"attempt"`
 	Answer  Answer        `json:"answer"`
 }
 
-// LoadReported brings a load report, read by this host from the target or
-// carried by an answer of it.
+// LoadReported carries a load report that this host read from the target or from one of
+// its answers.
 type LoadReported struct {
 	Load Load `json:"load"`
 }
 
-// LoadSeen is the load that an answer of a target carried. It is not relayed: each host
-// has answers of its own.
+// LoadSeen carries the load that an answer of a target contained. It is not relayed,
+// because each host receives answers itself.
 type LoadSeen struct {
 	Target ident.TargetID `json:"target"`
-	// Incarnation is that of the target which was probed.
+	// Incarnation is the incarnation of the target that was probed.
 	Incarnation ident.Incarnation `json:"incarnation"`
 
 	Running int `json:"running"`
@@ -89,30 +90,30 @@
 	Slots   int `json:"slots"`
 }
 
-// ProbeAnswered says that a target which had not answered requests has answered
+// ProbeAnswered reports that a target which had stopped answering requests has answered
 // a probe.
 type ProbeAnswered struct {
 	Target      ident.TargetID    `json:"target"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// ColdFor is how long it says that it stays cold, zero for a warm one.
+	// ColdFor is how much longer the target expects to stay cold, zero if it is warm.
 	ColdFor time.Duration `json:"coldFor,omitempty"`
 }
 
-// MemoryReported brings the memory of an engine, in tokens.
+// MemoryReported carries the memory size of an engine, in tokens.
 type MemoryReported struct {
 	Target      ident.TargetID    `json:"target"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Tokens      ident.Tokens      `json:"tokens"`
 }
 
-// LoadFailed says that a target did not give its load report.
+// LoadFailed reports that the load report of a target could not be read.
 type LoadFailed struct {
 	Target      ident.TargetID    `json:"target"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 }
 
-// CacheChanged brings cache events of an engine: prefix digests that were
-// stored or dropped. A gap in Seq means that events were lost.
+// CacheChanged carries cache events of an engine: prefix digests that were stored or
+// dropped. A gap in Seq means that events were lost.
 type CacheChanged struct {
 	Target      ident.TargetID    `json:"target"`
 	Incarnation ident.Incarnation `json:"incarnation"`
@@ -121,18 +122,17 @@
 	Dropped     []uint64          `json:"dropped,omitempty"`
 }
 
-// HostsRead brings the platform's list of hosts. It lags.
+// HostsRead carries the platform's list of hosts. The list lags.
 type HostsRead struct {
 	Version uint64   `json:"version"`
 	Hosts   []Host   `json:"hosts"`
 	Targets []Target `json:"targets"`
-	// Complete says that the list is no older than a moment and names every
-	// host and target that the platform counts as there, so that what it lacks
-	// has gone.
+	// Complete means that the list is current to within a moment and contains every host
+	// and target that the platform considers present, so that missing ones have gone.
 	Complete bool `json:"complete,omitempty"`
 }
 
-// ReadProgress says that a long answer of the platform is still arriving.
+// ReadProgress reports that a long answer of the platform is still arriving.
 type ReadProgress struct{}
 
 // PlatformOp names a call to the platform.
@@ -145,14 +145,14 @@
 	OpReadHosts    PlatformOp = "readHosts"
 )
 
-// PlatformFailed says that a call to the platform brought no answer. A watch
-// that ends without a change is no failure but a WatchIdle.
+// PlatformFailed reports that a call to the platform got no answer. A watch that ends
+// without a change is not a failure; WatchIdle reports it.
 type PlatformFailed struct {
 	Op PlatformOp `json:"op"`
 }
 
-// WatchIdle says that a watch ended with no change: the platform answers and
-// has nothing newer.
+// WatchIdle reports that a watch ended without a change: the platform answers and has
+// nothing newer.
 type WatchIdle struct {
 	After ident.Revision `json:"after"`
 }
--- a/internal/member/show.go
+++ b/internal/member/show.go
@@ -98,7 +98,7 @@
 	}
 	targets := make([]event.TargetStatus, 0, len(tb.targets))
 	for _, t := range tb.targets {
-		st := event.TargetStatus{Target: t.Target, Load: t.Load, Sent: t.InFlight, Suspect: t.Suspect(now), Draining: t.KnownDraining}
+		st := event.TargetStatus{Target: t.Target, Load: t.Load, InFlight: t.InFlight, Suspect: t.Suspect(now), Draining: t.KnownDraining}
 		if t.HasLoad {
 			st.LoadAge = now.Sub(t.LoadAt)
 		}
--- a/internal/opctl/hosts.go
+++ b/internal/opctl/hosts.go
@@ -55,7 +55,7 @@
 	for _, t := range st.Targets {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n",
 			t.Target.ID, t.Target.Kind, t.Target.Place.DataCentre, t.Load.Slots, t.Load.Running, t.Load.Queued,
-			t.Sent, age(t.LoadAge), targetState(t))
+			t.InFlight, age(t.LoadAge), targetState(t))
 	}
 }
 
--- a/internal/opctl/opctl_test.go
+++ b/internal/opctl/opctl_test.go
@@ -94,7 +94,7 @@
 			Revision: rev, Ready: rev > 0, Requests: 3, PlatformAge: 200 * time.Millisecond,
 			Centres: []event.CentreStatus{at("uvs", rev), at("erdenet", rev), khovd},
 			Targets: []event.TargetStatus{
-				{Target: event.Target{ID: "uvs-e1", Kind: event.Engine, Place: event.Place{DataCentre: "uvs"}}, Load: event.Load{Slots: 8, Running: 2}, Sent: 1},
+				{Target: event.Target{ID: "uvs-e1", Kind: event.Engine, Place: event.Place{DataCentre: "uvs"}}, Load: event.Load{Slots: 8, Running: 2}, InFlight: 1},
 				{Target: event.Target{ID: "uvs-e2", Kind: event.Engine, Place: event.Place{DataCentre: "uvs"}}, Draining: true},
 			},
 		}}
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -10,8 +10,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// FromEnvelope maps an envelope. Who sends it and where that stands is known
-// by the session and not repeated.
+// FromEnvelope converts an envelope. It leaves out the sender and its place, which the
+// session already knows.
 func FromEnvelope(e event.Envelope) *Envelope {
 	return &Envelope{
 		Attempt: fromAttempt(e.Attempt), To: uint64(e.ToIncarnation), Crossings: uint32(e.Crossings),
@@ -19,7 +19,7 @@
 	}
 }
 
-// ToEvent maps an envelope that came from an authenticated host.
+// ToEvent converts an envelope received from an authenticated host.
 func (p *Envelope) ToEvent(from event.Host) event.Envelope {
 	return event.Envelope{
 		Attempt: toAttempt(p.GetAttempt()), ToIncarnation: ident.Incarnation(p.GetTo()),
@@ -39,7 +39,7 @@
 	}
 }
 
-// FromHeader maps a header, in the order of the names.
+// FromHeader converts a header, sorted by name.
 func FromHeader(h http.Header) []*Field {
 	fs := make([]*Field, 0, len(h))
 	for k, vs := range h {
@@ -54,7 +54,7 @@
 	return fs
 }
 
-// ToHeader maps a header back.
+// ToHeader converts fields back to a header.
 func ToHeader(fs []*Field) http.Header {
 	h := make(http.Header, len(fs))
 	for _, f := range fs {
@@ -65,8 +65,8 @@
 	return h
 }
 
-// FromRequest maps a request with the time that it has left. Its ticket and its
-// key stay here: the host that took the call answers for it.
+// FromRequest converts a request with its remaining time. The ticket and the idempotency
+// key are left out: the host that accepted the call is responsible for them.
 func FromRequest(r event.Request, env event.Envelope, left time.Duration) *Open {
 	return &Open{
 		Envelope: FromEnvelope(env), Request: string(r.ID), Account: string(r.Account),
@@ -75,14 +75,14 @@
 	}
 }
 
-// TimeLeft is the time that the request has left.
+// TimeLeft returns the remaining time of the request.
 func (p *Open) TimeLeft() time.Duration { return duration(p.GetLeftMs()) }
 
 var results = enumOf([]event.Result{
 	"", event.ResultDone, event.ResultNotRun, event.ResultBroken, event.ResultFailed,
 })
 
-// FromEnd maps the end of an attempt, with the number of bytes of its answer.
+// FromEnd converts the end of an attempt, with the number of bytes of its answer.
 func FromEnd(e event.AttemptEnded, bytes uint64) *End {
 	return &End{
 		Result: Result(results.number(e.Result)), Code: string(e.Code), Status: uint32(e.Status),
@@ -91,7 +91,7 @@
 	}
 }
 
-// ToEvent maps the end of an attempt back.
+// ToEvent converts the end of an attempt back.
 func (p *End) ToEvent() (event.AttemptEnded, error) {
 	res, err := results.value(int32(p.GetResult()))
 	if err != nil {
--- a/internal/wire/change.go
+++ b/internal/wire/change.go
@@ -11,14 +11,14 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// FromChanges maps changes of the configuration.
+// FromChanges converts changes of the configuration.
 func FromChanges(cs []rules.Change) *Changes { return &Changes{Changes: convert(cs, fromChange)} }
 
-// ToEvent maps changes back.
+// ToEvent converts changes back.
 func (p *Changes) ToEvent() []rules.Change { return convert(p.GetChanges(), toChange) }
 
-// fromWallClock keeps milliseconds, which is enough for people to read. Zero
-// stands for no time.
+// fromWallClock keeps milliseconds, since the time is only displayed. Zero means no
+// time.
 func fromWallClock(at time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -56,7 +56,7 @@
 	return rules.Item{Kind: rules.Kind(p.GetKind()), Name: p.GetName(), Doc: p.GetDoc()}
 }
 
-// FromBook maps a whole book.
+// FromBook converts a complete book.
 func FromBook(b *rules.Book) (*Snapshot, error) {
 	text, err := json.Marshal(b)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return &Snapshot{Book: text}, nil
 }
 
-// ToEvent maps a book back.
+// ToEvent converts a book back.
 func (p *Snapshot) ToEvent() (*rules.Book, error) {
 	b := &rules.Book{}
 	if err := json.Unmarshal(p.GetBook(), b); err != nil {
@@ -78,13 +78,13 @@
 	"", event.Barred, event.Running, event.Ended, event.Refused, event.Forgotten,
 })
 
-// FromBarAsk maps the question about an attempt.
+// FromBarAsk converts a "run or bar" question about an attempt.
 func FromBarAsk(e event.AskBar) *BarAsk {
 	return &BarAsk{Incarnation: uint64(e.Attempt.Incarnation), Number: e.Attempt.Number, To: uint64(e.Incarnation)}
 }
 
-// ToEvent maps the question of a peer. It can only be about an attempt of the
-// peer, since the wire has no field for another's.
+// ToEvent converts the question of a peer. It can only concern an attempt of that peer,
+// since the message has no field for another host.
 func (p *BarAsk) ToEvent(from ident.EntryID) event.BarAsked {
 	return event.BarAsked{
 		From: from, ToIncarnation: ident.Incarnation(p.GetTo()),
@@ -94,14 +94,14 @@
 	}
 }
 
-// FromBarAnswer maps an answer.
+// FromBarAnswer converts an answer.
 func FromBarAnswer(e event.AnswerBar) *BarAnswer {
 	return &BarAnswer{
 		Incarnation: uint64(e.Attempt.Incarnation), Number: e.Attempt.Number, Answer: Answer(answers.number(e.Answer)),
 	}
 }
 
-// ToEvent maps an answer about an attempt of this host.
+// ToEvent converts an answer about an attempt of this host.
 func (p *BarAnswer) ToEvent(self ident.EntryID) (event.BarAnswered, error) {
 	ans, err := answers.value(int32(p.GetAnswer()))
 	if err != nil {
@@ -115,8 +115,8 @@
 	}, nil
 }
 
-// enumValues numbers the values of a named string type. The value numbered zero
-// stands for none and is malformed.
+// enumValues lists the values of a named string type by their number on the wire. Zero
+// is the unspecified value, which is malformed.
 type enumValues[T ~string] []T
 
 func enumOf[T ~string](vs []T) enumValues[T] { return vs }
@@ -132,7 +132,7 @@
 
 func (ps enumValues[T]) value(n int32) (T, error) {
 	if n <= 0 || int(n) >= len(ps) {
-		return "", errors.Wrapf(ErrFormat, "no value has the number %d", n)
+		return "", errors.Wrapf(ErrFormat, "invalid enum number %d", n)
 	}
 	return ps[n], nil
 }
--- a/internal/wire/digest.go
+++ b/internal/wire/digest.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// FromDigest maps a digest. Of its host only the leaving mark travels.
+// FromDigest converts a digest. Of the host, only its draining flag is sent.
 func FromDigest(d event.Digest) *Digest {
 	named, keyed := splitUse(d.Use)
 	return &Digest{
@@ -16,13 +16,13 @@
 		Use: convert(named, fromUse), Keyed: keyed, Loads: convert(d.Loads, fromLoad),
 		Accounts: fromAccounts(d.Accounts), DrainNotices: convert(d.Draining, fromDrainNotice),
 		Summaries: convert(d.Summaries, FromSummary), Targets: convert(d.Targets, fromTarget),
-		Away: convert(d.Forwarded, fromAway), Blind: d.PlatformUnreachable, Wants: convert(d.Wants, fromWant), AccountsIncluded: d.AccountsIncluded,
-		Lacks: convert(d.StaleCentres, fromLack), ListVersion: d.ListVersion, Flows: convert(d.Demand, fromFlow),
+		Away: convert(d.Forwarded, fromForwarded), Blind: d.PlatformUnreachable, Wants: convert(d.Wants, fromWant), AccountsIncluded: d.AccountsIncluded,
+		Lacks: convert(d.StaleCentres, fromCentre), ListVersion: d.ListVersion, Flows: convert(d.Demand, fromDemand),
 		Holders: fromHolders(d.Holders), Complete: d.Complete, Removed: convert(d.Removed, fromRemoved),
 	}
 }
 
-// ToEvent maps a digest back. The host is the one that the hello named.
+// ToEvent converts a digest back. The host is the one from the hello message.
 func (p *Digest) ToEvent(host event.Host) event.Digest {
 	host.Draining = p.GetDraining()
 	return event.Digest{
@@ -30,13 +30,13 @@
 		Use: append(convert(p.GetUse(), toUse), p.GetKeyed().toUses()...), Loads: convert(p.GetLoads(), toLoad),
 		Accounts: p.GetAccounts().toAccounts(), Draining: convert(p.GetDrainNotices(), toDrainNotice),
 		Summaries: convert(p.GetSummaries(), (*Summary).ToEvent), Targets: convert(p.GetTargets(), toTarget),
-		Forwarded: convert(p.GetAway(), toAway), PlatformUnreachable: p.GetBlind(), Wants: convert(p.GetWants(), toWant), AccountsIncluded: p.GetAccountsIncluded(),
-		StaleCentres: convert(p.GetLacks(), toLack), ListVersion: p.GetListVersion(), Demand: convert(p.GetFlows(), toFlow),
+		Forwarded: convert(p.GetAway(), toForwarded), PlatformUnreachable: p.GetBlind(), Wants: convert(p.GetWants(), toWant), AccountsIncluded: p.GetAccountsIncluded(),
+		StaleCentres: convert(p.GetLacks(), toCentre), ListVersion: p.GetListVersion(), Demand: convert(p.GetFlows(), toDemand),
 		Holders: p.GetHolders().toHolders(), Complete: p.GetComplete(), Removed: convert(p.GetRemoved(), toRemoved),
 	}
 }
 
-// FromSummary maps a summary.
+// FromSummary converts a summary.
 func FromSummary(s event.Summary) *Summary {
 	return &Summary{
 		From: string(s.From), Place: fromPlace(s.Place), Incarnation: uint64(s.Incarnation), Seq: s.Seq,
@@ -47,7 +47,7 @@
 	}
 }
 
-// ToEvent maps a summary back.
+// ToEvent converts a summary back.
 func (p *Summary) ToEvent() event.Summary {
 	return event.Summary{
 		From: ident.EntryID(p.GetFrom()), Place: toPlace(p.GetPlace()),
@@ -61,7 +61,7 @@
 	}
 }
 
-// The parts that a summary may leave out.
+// The bits of the optional parts that a summary leaves out.
 const (
 	omittedHosts = 1 << iota
 	omittedPools
@@ -69,21 +69,22 @@
 )
 
 func omittedParts(s event.Summary) uint32 {
-	kept := uint32(0)
+	omitted := uint32(0)
 	if s.HostsOmitted {
-		kept |= omittedHosts
+		omitted |= omittedHosts
 	}
 	if s.PoolsOmitted {
-		kept |= omittedPools
+		omitted |= omittedPools
 	}
 	if s.AccountsOmitted {
-		kept |= omittedAccounts
+		omitted |= omittedAccounts
 	}
-	return kept
+	return omitted
 }
 
-// fromSummaryHost maps the hosts of a summary. Nearly all stand where it says, and
-// their places were a quarter of their bytes.
+// fromSummaryHost converts the hosts of a summary and leaves out a place equal to that
+// of the summary. Nearly all hosts have that place, and the places took a quarter of the
+// bytes of the hosts.
 func fromSummaryHost(place event.Place) func(event.Host) *Host {
 	return func(h event.Host) *Host {
 		p := FromHost(h)
@@ -104,15 +105,15 @@
 	}
 }
 
-func fromLack(dc ident.DataCentre) string { return string(dc) }
+func fromCentre(dc ident.DataCentre) string { return string(dc) }
 
-func toLack(dc string) ident.DataCentre { return ident.DataCentre(dc) }
+func toCentre(dc string) ident.DataCentre { return ident.DataCentre(dc) }
 
-func fromFlow(f event.PrefillDemand) *Flow {
+func fromDemand(f event.PrefillDemand) *Flow {
 	return &Flow{Service: f.Service, Alone: float32(f.UnsharedPrefill), Shared: float32(f.SharedPrefill)}
 }
 
-func toFlow(p *Flow) event.PrefillDemand {
+func toDemand(p *Flow) event.PrefillDemand {
 	return event.PrefillDemand{Service: p.GetService(), UnsharedPrefill: finiteOrZero(p.GetAlone()), SharedPrefill: finiteOrZero(p.GetShared())}
 }
 
@@ -148,10 +149,10 @@
 	return &TargetUse{Target: string(u.Target), Running: int64(u.Running), Tokens: int64(u.Tokens), Key: uint32(u.Key), Unread: int64(u.PendingPrefill)}
 }
 
-// splitUse parts the uses that go by an id from those that go by a key. As
-// messages of their own the latter would cost twice the bytes.
+// splitUse separates the uses sent by ID from those sent by key. As messages of their
+// own, the latter would take twice the bytes.
 func splitUse(uses []event.TargetUse) (named []event.TargetUse, keyed *KeyedUse) {
-	unread := slices.ContainsFunc(uses, func(u event.TargetUse) bool { return u.PendingPrefill > 0 })
+	hasPending := slices.ContainsFunc(uses, func(u event.TargetUse) bool { return u.PendingPrefill > 0 })
 	for _, u := range uses {
 		if u.Target != "" {
 			named = append(named, u)
@@ -163,15 +164,15 @@
 		keyed.Keys = append(keyed.Keys, uint32(u.Key))
 		keyed.Running = append(keyed.Running, uint64(max(u.Running, 0)))
 		keyed.Tokens = append(keyed.Tokens, uint64(max(u.Tokens, 0)))
-		if unread {
+		if hasPending {
 			keyed.Unread = append(keyed.Unread, uint64(max(u.PendingPrefill, 0)))
 		}
 	}
 	return named, keyed
 }
 
-// toUses maps the columns back. Columns of different lengths are of no host of
-// this version; what has no partner is left out.
+// toUses converts the columns back. No host of this version sends columns of different
+// lengths; surplus entries are dropped.
 func (p *KeyedUse) toUses() []event.TargetUse {
 	n := min(len(p.GetKeys()), len(p.GetRunning()), len(p.GetTokens()))
 	var uses []event.TargetUse
@@ -192,7 +193,8 @@
 	}
 }
 
-// columnValue returns an entry of a column that is left out where it holds nothing.
+// columnValue returns entry i of a column, or zero if the column was left out because it
+// has no values.
 func columnValue(column []uint64, i int) uint64 {
 	if i >= len(column) {
 		return 0
@@ -200,13 +202,13 @@
 	return column[i]
 }
 
-func fromAway(u event.ForwardedUse) *AwayUse {
+func fromForwarded(u event.ForwardedUse) *AwayUse {
 	return &AwayUse{
 		DataCentre: string(u.DataCentre), Serve: fromServe(u.Serve), Service: u.Service, Running: int64(u.Running),
 	}
 }
 
-func toAway(p *AwayUse) event.ForwardedUse {
+func toForwarded(p *AwayUse) event.ForwardedUse {
 	return event.ForwardedUse{
 		DataCentre: ident.DataCentre(p.GetDataCentre()), Serve: toServe(p.GetServe()),
 		Service: p.GetService(), Running: int(nonNegative(p.GetRunning())),
@@ -219,8 +221,8 @@
 	return event.Want{Serve: toServe(p.GetServe()), Service: p.GetService()}
 }
 
-// fromAccounts maps the demand of accounts. As messages of their own with
-// floats they cost 24 bytes each, of which ten were the name.
+// fromAccounts converts the demand of accounts. As messages of their own with floats
+// they took 24 bytes each, ten of them for the name.
 func fromAccounts(as []event.AccountUse) *AccountUses {
 	if len(as) == 0 {
 		return nil
@@ -234,7 +236,7 @@
 	return p
 }
 
-// toAccounts maps the columns back, as far as they have the same length.
+// toAccounts converts the columns back, up to the shortest length.
 func (p *AccountUses) toAccounts() []event.AccountUse {
 	n := min(len(p.GetAccounts()), len(p.GetRequests()), len(p.GetTokens()))
 	var as []event.AccountUse
@@ -248,13 +250,13 @@
 }
 
 const (
-	// rateScale are the parts of a rate that travel.
+	// rateScale is the number of steps per unit in which rates are sent.
 	rateScale = 16
 	maxRate   = 1 << 52
 )
 
-// fromRate rounds up: a small demand that became none would have the share of
-// its account withdrawn while it lasts.
+// fromRate rounds up: if a small demand became zero, its account would lose its share
+// while the demand lasts.
 func fromRate(r ident.PerMinute) uint64 {
 	if r > 0 && r < maxRate/rateScale {
 		return uint64(math.Ceil(float64(r) * rateScale))
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,6 +1,5 @@
-// Package wire is the form in which entry hosts talk to each other: protobuf
-// messages, each behind its length, and their mapping to the types of package
-// event.
+// Package wire defines the messages between entry hosts, as length-prefixed
+// protobuf, and converts them to and from the types of package event.
 //
 // # Usage
 //
@@ -10,16 +9,17 @@
 //	err := wire.Read(br, &f, wire.MaxFrame)
 //	d := f.GetDigest().ToEvent(host)
 //
-// The messages hold no absolute time. The clocks of two hosts may differ by
-// any amount, so that a deadline by the sender's clock could lie in the
-// receiver's past or far in its future; remaining times and ages mean the
-// same on both. What a hello has said once is not said again: a digest names
-// neither its host nor its place.
+// The messages contain no absolute time, except the time of a configuration
+// change, which is only displayed. The clocks of two hosts may differ by any
+// amount, so that a deadline by the sender's clock could lie in the recipient's
+// past or far in its future; remaining times and ages mean the same on both.
+// Data sent in the hello message is not repeated: a digest contains neither its
+// host nor its place.
 //
-// The digests of a prompt's blocks have no field here: they stay on the host
-// that read the prompt, but for the one that ends a long shared prefix.
-// Hosts of one region exchange it with the target that caches it; no text follows
-// from it.
+// The digests of a prompt's blocks are not sent: they stay on the host that read
+// the prompt. The exception is the digest that ends a long shared prefix. Hosts
+// of one region exchange it together with the target that caches the prefix; it
+// reveals no text.
 package wire
 
 import (
@@ -39,33 +39,33 @@
 
 // Bounds of one message in bytes.
 const (
-	// MaxHello bounds the first message of a session, which comes from a
-	// sender that has not yet said who it is.
+	// MaxHello bounds the first message of a session, whose sender has not identified
+	// itself yet.
 	MaxHello = 4 << 10
-	// MaxFrame bounds a message of the control stream. The largest is a
-	// snapshot of the configuration.
+	// MaxFrame bounds a message of the control stream. The largest is a snapshot of the
+	// configuration.
 	MaxFrame = 4 << 20
 	// MaxPart bounds a message of the stream of a forwarded request.
 	MaxPart = 128 << 10
-	// PieceSize is how much of a body or an answer goes into one message.
+	// PieceSize is the maximum part of a body or an answer in one message.
 	PieceSize = 32 << 10
 )
 
 // The errors of this package.
 var (
-	// ErrLink says that the bytes did not come or could not be written.
-	ErrLink = errors.New("wire: the link broke")
-	// ErrFormat says that a message can't be understood.
-	ErrFormat = errors.New("wire: the message is malformed")
+	// ErrLink means that bytes could not be read or written.
+	ErrLink = errors.New("wire: connection failed")
+	// ErrFormat means that a message can't be decoded.
+	ErrFormat = errors.New("wire: malformed message")
 )
 
-// Reader is what messages are read from, such as a bufio.Reader.
+// Reader is a source of messages, such as a bufio.Reader.
 type Reader interface {
 	io.Reader
 	io.ByteReader
 }
 
-// Encode returns one message behind its length.
+// Encode returns one message prefixed with its length.
 func Encode(m proto.Message) ([]byte, error) {
 	n := proto.Size(m)
 	b := make([]byte, 0, n+binary.MaxVarintLen64)
@@ -77,8 +77,8 @@
 	return b, nil
 }
 
-// Write writes one message behind its length, in one call of w, so that it
-// costs one header of the layer below.
+// Write writes one message prefixed with its length in a single call of w, so that the
+// layer below adds only one header.
 func Write(w io.Writer, m proto.Message) error {
 	b, err := Encode(m)
 	if err != nil {
@@ -90,11 +90,11 @@
 	return nil
 }
 
-// Read reads one message of at most the given number of bytes. The length is
-// checked before memory is allocated for it: a sender that announces gigabytes
-// would otherwise end the process with one small packet.
-func Read(r Reader, m proto.Message, most int64) error {
-	err := protodelim.UnmarshalOptions{MaxSize: most}.UnmarshalFrom(r, m)
+// Read reads one message of at most maxSize bytes. The length is checked before memory
+// is allocated: otherwise a sender that announces gigabytes could end the process with
+// one small packet.
+func Read(r Reader, m proto.Message, maxSize int64) error {
+	err := protodelim.UnmarshalOptions{MaxSize: maxSize}.UnmarshalFrom(r, m)
 	if err == nil {
 		return nil
 	}
@@ -105,11 +105,11 @@
 	return errors.Wrap(ErrLink, err.Error())
 }
 
-// millis rounds to the milliseconds that travel. A negative duration travels
-// as zero: a deadline that has passed has no time left.
+// millis truncates to the milliseconds that are sent. A negative duration is sent as
+// zero: no time remains after a deadline has passed.
 func millis(d time.Duration) uint64 { return uint64(max(d.Milliseconds(), 0)) }
 
-// maxDuration bounds the durations that are read, so that no sum overflows.
+// maxDuration limits the durations that are read, so that sums do not overflow.
 const maxDuration = 24 * time.Hour
 
 func duration(ms uint64) time.Duration {
@@ -119,13 +119,13 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// nonNegative reads a number of things, which can't be negative: added up with
-// others it would make a full target look free.
+// nonNegative reads a count. A negative count, added to others, would make a full target
+// look free.
 func nonNegative(n int64) int64 { return max(n, 0) }
 
-// finiteOrZero reads a rate or a price. Not-a-finiteOrZero compares as neither less nor
-// more than any other, so that one of it in a cost would make each choice
-// arbitrary without an error anywhere; it counts as not known.
+// finiteOrZero reads a rate or a price. NaN compares as neither less nor greater than
+// any number, so that one NaN in a cost would make every choice arbitrary without an
+// error. Such values count as unknown, which is zero.
 func finiteOrZero(f float32) float64 {
 	if f >= 0 && f <= math.MaxFloat32 {
 		return float64(f)
@@ -133,7 +133,7 @@
 	return 0
 }
 
-// convert maps each element of a slice and keeps nil for an empty one.
+// convert applies f to each element of a slice and returns nil for an empty one.
 func convert[A, B any](as []A, f func(A) B) []B {
 	if len(as) == 0 {
 		return nil
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -6,7 +6,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// FromHost maps a host.
+// FromHost converts a host.
 func FromHost(h event.Host) *Host {
 	return &Host{
 		Id: string(h.ID), Incarnation: uint64(h.Incarnation), Place: fromPlace(h.Place),
@@ -14,7 +14,7 @@
 	}
 }
 
-// ToEvent maps a host back.
+// ToEvent converts a host back.
 func (p *Host) ToEvent() event.Host {
 	return event.Host{
 		ID: ident.EntryID(p.GetId()), Incarnation: ident.Incarnation(p.GetIncarnation()),
--- a/internal/wire/whole_test.go
+++ b/internal/wire/whole_test.go
@@ -13,8 +13,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// fill sets every field that can be reached from v to a value that is not
-// zero.
+// fill sets every field reachable from v to a non-zero value.
 func fill(v reflect.Value, n *int) {
 	*n++
 	if v.Type() == reflect.TypeOf(time.Time{}) {
@@ -52,30 +51,32 @@
 	}
 }
 
-// A field that is missing from the wire form is zero between real hosts only.
+// Guards against a field that has no wire form: it would be zero between real hosts, and
+// tests within one process would not notice.
 func TestNoFieldIsLost(t *testing.T) {
 	n := 0
 	var d event.Digest
 	fill(reflect.ValueOf(&d).Elem(), &n)
 	d.Targets[0].Kind = event.Service
-	if diff := cmp.Diff(d, sent(t, FromDigest(d), &Digest{}).ToEvent(d.Host)); diff != "" {
+	if diff := cmp.Diff(d, roundTrip(t, FromDigest(d), &Digest{}).ToEvent(d.Host)); diff != "" {
 		t.Errorf("digest (-want +got):\n%s", diff)
 	}
-	// Uses without an id travel in a form of their own.
+	// Uses without an ID are sent as columns.
 	keyed := event.Digest{Use: []event.TargetUse{{Key: 1 << 31, Running: 2, Tokens: 3}, {Key: 4, Running: 5, Tokens: 6}}}
-	if diff := cmp.Diff(keyed, sent(t, FromDigest(keyed), &Digest{}).ToEvent(keyed.Host)); diff != "" {
+	if diff := cmp.Diff(keyed, roundTrip(t, FromDigest(keyed), &Digest{}).ToEvent(keyed.Host)); diff != "" {
 		t.Errorf("digest with keys (-want +got):\n%s", diff)
 	}
 	var c rules.Change
 	fill(reflect.ValueOf(&c).Elem(), &n)
 	cs := []rules.Change{c}
-	if diff := cmp.Diff(cs, sent(t, FromChanges(cs), &Changes{}).ToEvent()); diff != "" {
+	if diff := cmp.Diff(cs, roundTrip(t, FromChanges(cs), &Changes{}).ToEvent()); diff != "" {
 		t.Errorf("change (-want +got):\n%s", diff)
 	}
 }
 
-// A demand below the smallest part of a rate arrives as none and loses its share.
-func TestSmallDemandDoesNotBecomeNone(t *testing.T) {
+// If a demand below the smallest step of a rate arrived as zero, its account would lose
+// its share.
+func TestSmallDemandIsNotRoundedToZero(t *testing.T) {
 	for _, r := range []ident.PerMinute{1e-9, 0.01, 1.0 / 16, 12.53, 1e9} {
 		got := toRate(fromRate(r))
 		if got < r || got > r+1.0/16 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// someDigest is the digest of a second in which five targets were used and
-// two of them read.
+// someDigest returns the digest of one second in which five targets were used and the
+// load of two was read.
 func someDigest() event.Digest {
 	d := event.Digest{Host: someHost(1), Seq: 4711, Revision: 8400}
 	for n := range 5 {
@@ -81,14 +81,14 @@
 	goldie.New(t, goldie.WithFixtureDir("testdata/golden")).Assert(t, name, []byte(text))
 }
 
-// The wire form is what hosts of two versions have in common.
+// Hosts of different versions exchange these messages, so the encoding must not change.
 func TestGolden(t *testing.T) {
 	golden(t, "digest", &Frame{Body: &Frame_Digest{Digest: FromDigest(someDigest())}})
 	golden(t, "summary", &Frame{Body: &Frame_Summary{Summary: FromSummary(someSummary())}})
 	golden(t, "ping", &Frame{Body: &Frame_Ping{Ping: &Ping{}}})
 }
 
-func sent[M proto.Message](t *testing.T, m, into M) M {
+func roundTrip[M proto.Message](t *testing.T, m, into M) M {
 	t.Helper()
 	var buf bytes.Buffer
 	if err := Write(&buf, m); err != nil {
@@ -114,9 +114,9 @@
 	pool.Targets, pool.UnsharedPrefill, pool.SharedPrefill = 12, 64000, 512
 	d.Loads[0].Serves = []rules.Serve{{Model: "draft", Version: "3", Adapter: "formal"}}
 	d.Host.Draining = true
-	said := d.Host
-	said.Draining = false
-	got := sent(t, FromDigest(d), &Digest{}).ToEvent(said)
+	host := d.Host
+	host.Draining = false
+	got := roundTrip(t, FromDigest(d), &Digest{}).ToEvent(host)
 	if diff := cmp.Diff(d, got); diff != "" {
 		t.Errorf("digest (-want +got):\n%s", diff)
 	}
@@ -127,7 +127,7 @@
 		Revision: 1, ID: "c-1", Operator: "ops", Approver: "other", Note: "a note",
 		Items: []rules.Item{{Kind: rules.KindAccount, Name: "foundation", Doc: json.RawMessage(`{"name":"foundation"}`)}},
 	}}
-	if diff := cmp.Diff(cs, sent(t, FromChanges(cs), &Changes{}).ToEvent()); diff != "" {
+	if diff := cmp.Diff(cs, roundTrip(t, FromChanges(cs), &Changes{}).ToEvent()); diff != "" {
 		t.Errorf("changes (-want +got):\n%s", diff)
 	}
 	book, err := (*rules.Book)(nil).Apply(cs[0])
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := sent(t, snap, &Snapshot{}).ToEvent()
+	got, err := roundTrip(t, snap, &Snapshot{}).ToEvent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		Crossings: 1, Visited: []ident.EntryID{"uvs-1", "uvs-2"}, Revision: 3,
 	}
 	req := event.Request{ID: "req-1", Account: "foundation", Profile: "obituary", Prompt: 3, MaxTokens: 9, Prefix: []uint64{1}}
-	o := sent(t, FromRequest(req, env, 1500*time.Millisecond), &Open{})
+	o := roundTrip(t, FromRequest(req, env, 1500*time.Millisecond), &Open{})
 	if diff := cmp.Diff(env, o.GetEnvelope().ToEvent(someHost(1))); diff != "" {
 		t.Errorf("envelope (-want +got):\n%s", diff)
 	}
@@ -170,7 +170,7 @@
 		Result: event.ResultNotRun, Code: "VB1007", Status: 503, RetryAfter: time.Second, Generated: 5, Cached: 2,
 		Draining: true, Resumable: true,
 	}
-	got, err := sent(t, FromEnd(end, 77), &End{}).ToEvent()
+	got, err := roundTrip(t, FromEnd(end, 77), &End{}).ToEvent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,16 +179,17 @@
 	}
 }
 
-// A rate that is not a number makes every comparison of costs false.
-func TestOddNumbersCountAsNotKnown(t *testing.T) {
+// A rate of NaN makes every comparison of costs false, so it must be read as unknown.
+func TestInvalidNumbersCountAsUnknown(t *testing.T) {
 	in := &Load{PrefillRate: float32(math.NaN()), DecodeRate: float32(math.Inf(1)), Running: -4}
 	if diff := cmp.Diff(event.Load{}, toLoad(in)); diff != "" {
 		t.Errorf("load (-want +got):\n%s", diff)
 	}
 }
 
-// The memory for a message is taken by its announced length alone.
-func TestHugeMessageIsRefusedUnread(t *testing.T) {
+// Guards against allocating memory for the announced length of a message before the
+// length is checked.
+func TestHugeMessageIsRefusedBeforeAllocation(t *testing.T) {
 	b := append(protowire.AppendVarint(nil, 1<<30), 1, 2, 3, 4)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -198,11 +199,11 @@
 		t.Errorf("got %v", err)
 	}
 	if n := after.TotalAlloc - before.TotalAlloc; n > 1<<24 {
-		t.Errorf("%d bytes of memory taken", n)
+		t.Errorf("%d bytes allocated", n)
 	}
 }
 
-// An end frame says nothing that is known. It must be no success.
+// An end frame with an unknown result must not count as a success.
 func TestUnknownResultIsMalformed(t *testing.T) {
 	for _, n := range []Result{0, -1, 99} {
 		if _, err := (&End{Result: n}).ToEvent(); !errors.Is(err, ErrFormat) {
@@ -211,8 +212,8 @@
 	}
 }
 
-// FuzzFrame feeds the control stream with anything: nothing may end the
-// process, and what was understood is understood the same when sent on.
+// FuzzFrame feeds arbitrary bytes to the control stream. No input may end the process,
+// and a decoded message must decode to the same value after it is encoded again.
 func FuzzFrame(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := &Frame{}
@@ -221,7 +222,7 @@
 		}
 		host := m.GetHello().GetHost().ToEvent()
 		dig := m.GetDigest().ToEvent(host)
-		again := sent(t, FromDigest(dig), &Digest{}).ToEvent(host)
+		again := roundTrip(t, FromDigest(dig), &Digest{}).ToEvent(host)
 		if diff := cmp.Diff(dig, again); diff != "" {
 			t.Errorf("digest (-want +got):\n%s", diff)
 		}
@@ -243,7 +244,7 @@
 			return
 		}
 		env := m.GetOpen().GetEnvelope().ToEvent(event.Host{})
-		again := sent(t, FromEnvelope(env), &Envelope{}).ToEvent(event.Host{})
+		again := roundTrip(t, FromEnvelope(env), &Envelope{}).ToEvent(event.Host{})
 		if diff := cmp.Diff(env, again); diff != "" {
 			t.Errorf("envelope (-want +got):\n%s", diff)
 		}
