--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -271,7 +271,7 @@
 		items = slices.DeleteFunc(items, func(it rules.Item) bool { return it.Kind != rb.Kind || it.Name != rb.Name })
 	}
 	if len(items) == 0 {
-		err := fmt.Errorf("%w: revision %d did not change %s %s; history shows those that did", revlog.ErrAbsent, rb.To, rb.Kind, rb.Name)
+		err := fmt.Errorf("%w: revision %d did not change %s %s; history shows those that did", revlog.ErrNotFound, rb.To, rb.Kind, rb.Name)
 		return a.failLog(r.Context(), w, rb.ID, err)
 	}
 	note := rb.Note
--- a/internal/admin/fault.go
+++ b/internal/admin/fault.go
@@ -67,7 +67,7 @@
 	{revlog.ErrUnknown, KindUnknown, http.StatusGatewayTimeout},
 	{revlog.ErrNeedsApproval, KindNeedsApproval, http.StatusForbidden},
 	{revlog.ErrSameOperator, KindNeedsApproval, http.StatusForbidden},
-	{revlog.ErrAbsent, KindNotFound, http.StatusNotFound},
+	{revlog.ErrNotFound, KindNotFound, http.StatusNotFound},
 	{revlog.ErrRefused, KindRefused, http.StatusUnprocessableEntity},
 }
 
--- a/internal/config/pages.go
+++ b/internal/config/pages.go
@@ -69,7 +69,7 @@
 		if c.Status != 0 {
 			fmt.Fprintf(&b, ", HTTP status %d", c.Status)
 		}
-		if c.Wait {
+		if c.RetryLater {
 			b.WriteString(", with `Retry-After`")
 		}
 		b.WriteString(".\n\n")
--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -104,7 +104,7 @@
 	if rt == nil {
 		return spendAttempt(now, r, retry.MaxTries, &rd.budget)
 	}
-	if e.Result == event.ResultNotRun && !reachedTarget(a, e) && (r.mayHaveRun || e.Code != codes.TurnedAway.ID) {
+	if e.Result == event.ResultNotRun && !reachedTarget(a, e) && (r.mayHaveRun || e.Code != codes.ForwardRefused.ID) {
 		r.tries--
 		r.unsent++
 		if r.unsent > maxUnsentTries {
--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -25,7 +25,7 @@
 	case event.EntriesAsked:
 		rd.answerEntries(now, e)
 	case event.NearbyAsked:
-		rd.emit(event.EntriesAnswered{Ask: e.Ask, Valid: nearbyTTL, Entries: rd.table.Nearby(now, e.Near, rd.spread.Book().Homes(e.Host))})
+		rd.emit(event.EntriesAnswered{Ask: e.Ask, Valid: nearbyTTL, Entries: rd.table.Nearby(now, e.Near, rd.spread.Book().HostRegions(e.Host))})
 	case event.RouteAsked:
 		rd.explainRoute(now, e)
 	case event.StatusAsked:
@@ -42,7 +42,7 @@
 		ans.Code = codes.UnknownKey.ID
 	case !okProfile:
 		ans.Code = codes.UnknownProfile.ID
-	case !c.May(p.Name):
+	case !c.MayUse(p.Name):
 		ans.Code = codes.ProfileForbidden.ID
 	default:
 		ans.Entries = rd.allowedEntries(now, p, c, e.Spread)
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -59,7 +59,7 @@
 	if now.Sub(rd.drainStartedAt) < rd.bounds.DrainAccept {
 		return true
 	}
-	return mech.On(codes.LateDrain) && r.Deadline > 0 && r.Deadline <= rd.drainStartedAt.Add(rd.bounds.DrainTimeout-drainAnswerMargin)
+	return mech.On(codes.DrainAccept) && r.Deadline > 0 && r.Deadline <= rd.drainStartedAt.Add(rd.bounds.DrainTimeout-drainAnswerMargin)
 }
 
 // refuseDraining refers a caller to other hosts. Without another host in the region the caller is
--- a/internal/core/later.go
+++ b/internal/core/later.go
@@ -42,7 +42,7 @@
 // time grows with the duration of the overload, up to a fraction of the time left to the caller.
 func (rd *Reducer) retryAfter(now ident.Time, r *request) time.Duration {
 	lasted := rd.pools.of(r).overload.recordRefusal(now)
-	if !mech.On(codes.GrowingReturns) {
+	if !mech.On(codes.GrowingRetryAfter) {
 		lasted = 0
 	}
 	left := r.deadline.Sub(now)
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -71,7 +71,7 @@
 	}
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
 	o.red = core.New(event.Host{ID: "w1", Incarnation: 1, Place: place})
-	o.step(event.SnapshotReceived{Book: rules.FromSheet(1, rules.Sheet{
+	o.step(event.SnapshotReceived{Book: rules.FromStatic(1, rules.StaticConfig{
 		Clients: []rules.Client{{Name: "callers"}},
 		Profiles: []rules.Profile{{
 			Name: "tag", Service: "writers", Weights: rules.Weights{Tail: 1},
--- a/internal/core/post_test.go
+++ b/internal/core/post_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	place := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
 	h := &testHost{t: t, red: core.NewBounded(event.Host{ID: "w1", Incarnation: 1, Place: place}, bounds), now: ident.Time(time.Second)}
-	h.step(event.SnapshotReceived{Book: rules.FromSheet(1, rules.Sheet{
+	h.step(event.SnapshotReceived{Book: rules.FromStatic(1, rules.StaticConfig{
 		Profiles: []rules.Profile{
 			routeProfile("fetch", rules.Idempotent, 2), routeProfile("publish", rules.NonIdempotent, 1), routeProfile("draft", rules.Streaming, 2),
 		},
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -50,7 +50,7 @@
 // refuse sends a request its final answer immediately.
 func (rd *Reducer) refuse(now ident.Time, r *request, ref refusal) {
 	if r.isUntriedForward(ref) {
-		ref.code = codes.TurnedAway.ID
+		ref.code = codes.ForwardRefused.ID
 	}
 	eff := event.Refuse{
 		Request: r.ID, Code: ref.code, Outcome: ref.outcome, RetryAfter: ref.retryAfter, Entries: ref.entries,
@@ -59,7 +59,7 @@
 	if ref.outcome == event.Unknown {
 		eff.Ending = r.lastEnding
 	}
-	if c, ok := codes.Find(ref.code); ok && c.Wait && eff.RetryAfter <= 0 {
+	if c, ok := codes.Find(ref.code); ok && c.RetryLater && eff.RetryAfter <= 0 {
 		eff.RetryAfter = defaultRetryAfter
 	}
 	rd.emit(eff)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -135,7 +135,7 @@
 		return refuseAs(codes.UnknownKey), false
 	}
 	r.client = c
-	if !c.May(p.Name) {
+	if !c.MayUse(p.Name) {
 		return refuseAs(codes.ProfileForbidden), false
 	}
 	// The sending host checked the same rule, but may have an older profile. A request of a route
@@ -150,7 +150,7 @@
 	if rd.draining && r.Ticket == "" && !rd.acceptsWhileDraining(now, r) {
 		return rd.refuseDraining(now, r), false
 	}
-	r.once = p.Once || r.Ticket != "" || r.Key != "" || p.Route != nil && !p.Route.Repeatable()
+	r.once = p.AtMostOnce || r.Ticket != "" || r.Key != "" || p.Route != nil && !p.Route.Repeatable()
 	rd.pickService(r)
 	return rd.resolveDeadline(now, r)
 }
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("the rest of the stream is not passed on: %v", effs)
 	}
 	h.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t0"), boardTarget("t1")}})
-	effs = h.end(event.AttemptEnded{Attempt: fwd.Envelope.Attempt, Result: event.ResultNotRun, Code: codes.TurnedAway.ID, Delivered: 5})
+	effs = h.end(event.AttemptEnded{Attempt: fwd.Envelope.Attempt, Result: event.ResultNotRun, Code: codes.ForwardRefused.ID, Delivered: 5})
 	if r, ok := pick[event.Refuse](effs); ok {
 		t.Fatalf("the rest of the stream is refused: %+v", r)
 	}
@@ -186,7 +186,7 @@
 				refused = r.Code
 			}
 		}
-		want := codes.TurnedAway.ID
+		want := codes.ForwardRefused.ID
 		if begun {
 			want = ""
 		}
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -113,7 +113,7 @@
 
 // lacksCapacity reports whether another data centre refused a request for lack of capacity.
 func lacksCapacity(code codes.ID) bool {
-	return code == codes.Overloaded.ID || code == codes.TurnedAway.ID || code == codes.NoTarget.ID
+	return code == codes.Overloaded.ID || code == codes.ForwardRefused.ID || code == codes.NoTarget.ID
 }
 
 // isUntriedForward reports whether ref refuses a forwarded request that no target has seen. If
@@ -126,7 +126,7 @@
 // shedRefusal returns the refusal of a request that a target or another host turned away.
 func shedRefusal(a *attempt, e event.AttemptEnded) refusal {
 	ref := refusal{code: codes.NoTarget.ID, outcome: event.NotRun, retryAfter: e.RetryAfter}
-	if reachedTarget(a, e) || e.Code == codes.TurnedAway.ID {
+	if reachedTarget(a, e) || e.Code == codes.ForwardRefused.ID {
 		ref.code = codes.Overloaded.ID
 	}
 	return ref
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -18,7 +18,7 @@
 	case r.Key != "":
 		rd.applyVerdict(now, r, rd.once.UseKey(now, r.Key, r.Print, r.ID))
 	default:
-		rd.endRefused(now, r, refuseAs(codes.NeedsOnce))
+		rd.endRefused(now, r, refuseAs(codes.NeedsTicketOrKey))
 	}
 }
 
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -104,7 +104,7 @@
 	w.Change(
 		profileItem(rules.Profile{Name: "draft", Models: []rules.Serve{{Model: "draft"}}, MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Crossing: 0.1}}),
 		profileItem(rules.Profile{Name: "bound", Models: []rules.Serve{{Model: "draft"}}, Regions: []ident.Region{"uvs"}, MaxCrossings: 1}),
-		profileItem(rules.Profile{Name: "publish", Service: "publish", Once: true, MaxCrossings: 1}),
+		profileItem(rules.Profile{Name: "publish", Service: "publish", AtMostOnce: true, MaxCrossings: 1}),
 		clientItem(rules.Client{Name: "foundation", KeyDigest: rules.Digest("k")}),
 		clientItem(rules.Client{Name: "clydeside", KeyDigest: rules.Digest("c"), RequestsPerMinute: 60000}),
 		clientItem(rules.Client{Name: "third", KeyDigest: rules.Digest("t"), TokensPerMinute: 6000000}),
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -211,7 +211,7 @@
 	switch {
 	case err == nil:
 		w.d.loop.Post(event.ChangesReceived{Changes: []rules.Change{c}})
-	case errors.Is(err, revlog.ErrIdle):
+	case errors.Is(err, revlog.ErrNoLaterChange):
 		w.d.loop.Post(event.WatchIdle(e))
 	default:
 		w.d.loop.Post(event.PlatformFailed{Op: event.OpWatchChange})
--- a/internal/dev/demo/show.go
+++ b/internal/dev/demo/show.go
@@ -52,7 +52,7 @@
 	items := []rules.Item{
 		item(rules.KindProfile, "draft", rules.Profile{Models: []rules.Serve{{Model: "draft"}}, MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Cost: 0.1, Crossing: 0.2}}),
 		item(rules.KindProfile, "khovd-only", rules.Profile{Models: []rules.Serve{{Model: "draft"}}, Regions: []ident.Region{"khovd"}}),
-		item(rules.KindProfile, "publish", rules.Profile{Service: "publish", Once: true, MaxCrossings: 1}),
+		item(rules.KindProfile, "publish", rules.Profile{Service: "publish", AtMostOnce: true, MaxCrossings: 1}),
 		item(rules.KindAccount, "demo", rules.Client{KeyDigest: rules.Digest(callerKey), RequestsPerMinute: 6000}),
 	}
 	cl := &opctl.Client{URL: "http://" + s.hosts[0].Operators.Listen, Token: operatorToken}
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -139,7 +139,7 @@
 		return x.notRun(codes.UnknownProfile, fmt.Sprintf("%q", truncate(string(name))))
 	}
 	x.profile = p
-	if !x.client.May(p.Name) {
+	if !x.client.MayUse(p.Name) {
 		return x.notRun(codes.ProfileForbidden, "")
 	}
 	if !p.Allows(x.client, x.cfg.Self.Place.Region) {
--- a/internal/front/lists.go
+++ b/internal/front/lists.go
@@ -32,7 +32,7 @@
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, p := range x.cfg.Book().Profiles() {
-		if p.Service == "" && x.client.May(p.Name) {
+		if p.Service == "" && x.client.MayUse(p.Name) {
 			list.Data = append(list.Data, modelEntry{ID: string(p.Name), Object: "model", OwnedBy: viaPseudonym})
 		}
 	}
@@ -73,7 +73,7 @@
 	if !ok {
 		return "", x.notRun(codes.UnknownProfile, "")
 	}
-	if !x.client.May(name) {
+	if !x.client.MayUse(name) {
 		return "", x.notRun(codes.ProfileForbidden, "")
 	}
 	x.profile = p
--- a/internal/front/refuse.go
+++ b/internal/front/refuse.go
@@ -33,7 +33,7 @@
 // notRun returns the refusal of a request that has not been run.
 func (x *exchange) notRun(c codes.Code, reason string) *event.Refuse {
 	ref := &event.Refuse{Request: x.id, Code: c.ID, Outcome: event.NotRun, Reason: reason}
-	if c.Wait {
+	if c.RetryLater {
 		ref.RetryAfter = defaultRetryDelay
 	}
 	return ref
@@ -56,7 +56,7 @@
 	c, _ := codes.Find(r.Code)
 	x.code = r.Code
 	x.cfg.Meter.RequestRefused(r.Code)
-	if c.Wait {
+	if c.RetryLater {
 		x.w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
 	if c.Status == http.StatusUnauthorized {
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -29,5 +29,5 @@
 // refusalBackoff.
 func (tb *Table) RecentlyRefused(now ident.Time, c *Centre, service string) bool {
 	at, ok := c.rejectedAt[service]
-	return ok && mech.On(codes.LeftAlone) && now.Sub(at) < refusalBackoff
+	return ok && mech.On(codes.RefusalBackoff) && now.Sub(at) < refusalBackoff
 }
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -229,7 +229,7 @@
 
 func refuse(c codes.Code, outcome event.Outcome) Verdict {
 	v := Verdict{Action: Refuse, Code: c.ID, Outcome: outcome}
-	if c.Wait {
+	if c.RetryLater {
 		v.RetryAfter = busyRetryAfter
 	}
 	return v
--- a/internal/opctl/config.go
+++ b/internal/opctl/config.go
@@ -86,7 +86,7 @@
 			operators = 2
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\n",
-			p.Name, serves(p), places(p), p.MaxCrossings, yesNo(p.Once), operators, i.Changed)
+			p.Name, serves(p), places(p), p.MaxCrossings, yesNo(p.AtMostOnce), operators, i.Changed)
 	}
 }
 
--- a/internal/proofs/fleet_test.go
+++ b/internal/proofs/fleet_test.go
@@ -459,7 +459,7 @@
 			Name: "draft", Models: []rules.Serve{{Model: "draft"}}, MaxCrossings: 1,
 			Weights: rules.Weights{Tail: 1, Cost: 0.1, Crossing: 0.2},
 		}),
-		item(f.t, rules.KindProfile, "publish", rules.Profile{Name: "publish", Service: "publish", Once: true, MaxCrossings: 1}),
+		item(f.t, rules.KindProfile, "publish", rules.Profile{Name: "publish", Service: "publish", AtMostOnce: true, MaxCrossings: 1}),
 		item(f.t, rules.KindAccount, "foundation", rules.Client{Name: "foundation", KeyDigest: rules.Digest("key-1")}),
 	}, extra...)
 	applyItems(f.t, f.hosts[0].entry, items...)
--- a/internal/proofs/marker_test.go
+++ b/internal/proofs/marker_test.go
@@ -25,7 +25,7 @@
 	f := startTuned(t, verbose, siteOf("uvs", 2, 1, 1), siteOf("erdenet", 2, 1, 0), siteOf("khovd", 1, 0, 0))
 	tp := f.tapeRegions()
 	f.configure(append(confinedItems(t), item(t, rules.KindProfile, "notices", rules.Profile{
-		Name: "notices", Service: "publish", Once: true, Regions: []ident.Region{"uvs"}, MaxCrossings: 1,
+		Name: "notices", Service: "publish", AtMostOnce: true, Regions: []ident.Region{"uvs"}, MaxCrossings: 1,
 	}))...)
 	f.answered(t)
 	f.refused(t)
--- a/internal/revlog/append.go
+++ b/internal/revlog/append.go
@@ -14,8 +14,8 @@
 // for. At 8,400 changes a day it spans a quarter of an hour.
 const repeatWindow = 96
 
-// writeTries bounds the writes under one revision whose outcome is not known.
-const writeTries = 8
+// maxWriteAttempts bounds the writes under one revision whose outcome is not known.
+const maxWriteAttempts = 8
 
 // Append gives a change the first free revision after the book's and writes
 // it; it sets the change's own revision. The same change, known by its id, can
@@ -26,13 +26,13 @@
 // means that nothing was accepted.
 func (l *Log) Append(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	if len(c.Items) == 0 {
-		return rules.Change{}, turn(ErrRefused, errors.New("it has no items"))
+		return rules.Change{}, wrapAs(ErrRefused, errors.New("it has no items"))
 	}
 	if c.At.IsZero() {
 		c.At = l.Now().UTC()
 	}
 	for {
-		done, err := l.judge(ctx, book, c)
+		done, err := l.validate(ctx, book, c)
 		if err != nil || done.Revision != 0 {
 			return done, err
 		}
@@ -42,26 +42,26 @@
 			return rules.Change{}, err
 		}
 		if won.ID == c.ID {
-			l.snapshotAfter(ctx, book, won)
+			l.snapshotIfDue(ctx, book, won)
 			return won, nil
 		}
-		book, err = l.advance(ctx, book, won)
+		book, err = l.catchUp(ctx, book, won)
 		if err != nil {
 			return rules.Change{}, err
 		}
 	}
 }
 
-// judge decides by the book whether a change may be written next. It returns a
+// validate decides by the book whether a change may be written next. It returns a
 // change with a revision where this one is in the log already.
 //
 // A repeat is looked for only after a conflict: a change that was accepted has
 // changed its own items since its base, so that its repeat always conflicts,
 // and the usual change costs no read.
-func (l *Log) judge(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
+func (l *Log) validate(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	conflict := book.Conflict(c)
 	if conflict != nil {
-		done, err := l.find(ctx, book, c)
+		done, err := l.findRepeat(ctx, book, c)
 		if err != nil || done.Revision != 0 {
 			return done, err
 		}
@@ -75,7 +75,7 @@
 	if _, err := book.Apply(next); err != nil {
 		// A change that can't be applied would stop every reader of the log
 		// at its revision for good.
-		return rules.Change{}, turn(ErrRefused, err)
+		return rules.Change{}, wrapAs(ErrRefused, err)
 	}
 	return rules.Change{}, nil
 }
@@ -92,9 +92,9 @@
 // Unwrap returns the rules.ConflictError.
 func (e *Conflict) Unwrap() error { return e.Cause }
 
-// find looks for the change in the log, from its base on. A read that fails
+// findRepeat looks for the change in the log, from its base on. A read that fails
 // leaves open whether an earlier sending was accepted.
-func (l *Log) find(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
+func (l *Log) findRepeat(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	first := c.Base + 1
 	if book.Rev() > repeatWindow {
 		first = max(first, book.Rev()-repeatWindow+1)
@@ -102,13 +102,13 @@
 	for rev := first; rev <= book.Rev(); rev++ {
 		old, err := l.Read(ctx, rev)
 		if err != nil {
-			return rules.Change{}, turn(ErrUnknown, err)
+			return rules.Change{}, wrapAs(ErrUnknown, err)
 		}
 		if old.ID != c.ID {
 			continue
 		}
 		if !sameChange(old, c) {
-			return rules.Change{}, turnf(ErrRefused, "the id %s belongs to another change, revision %d", c.ID, rev)
+			return rules.Change{}, wrapAsf(ErrRefused, "the id %s belongs to another change, revision %d", c.ID, rev)
 		}
 		return old, nil
 	}
@@ -124,13 +124,13 @@
 func (l *Log) create(ctx context.Context, c rules.Change) (rules.Change, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
-		return rules.Change{}, turn(ErrRefused, err)
+		return rules.Change{}, wrapAs(ErrRefused, err)
 	}
 	doubt := false
-	for range writeTries {
+	for range maxWriteAttempts {
 		_, err = l.cl.Put(ctx, changeKey(c.Revision), body, store.Absent)
 		if err == nil {
-			l.remember(c)
+			l.cacheChange(c)
 			return c, nil
 		}
 		doubt = doubt || errors.Is(err, store.ErrUnknown)
@@ -141,45 +141,45 @@
 		if readErr == nil {
 			return won, nil
 		}
-		if !errors.Is(readErr, ErrAbsent) {
+		if !errors.Is(readErr, ErrNotFound) {
 			err = readErr
 			break
 		}
 	}
-	return rules.Change{}, failed(err, doubt)
+	return rules.Change{}, writeError(err, doubt)
 }
 
-// failed returns what a write that was given up means for the operator.
-func failed(err error, doubt bool) error {
+// writeError returns what a write that was given up means for the operator.
+func writeError(err error, doubt bool) error {
 	if doubt {
-		return turn(ErrUnknown, err)
+		return wrapAs(ErrUnknown, err)
 	}
 	if errors.Is(err, store.ErrTooLarge) {
-		return turn(ErrRefused, err)
+		return wrapAs(ErrRefused, err)
 	}
-	return turn(ErrDown, err)
+	return wrapAs(ErrUnavailable, err)
 }
 
-// advance takes the book past a change of another operator and then to the
+// catchUp takes the book past a change of another operator and then to the
 // end of the log, so that a host that was behind does not try to write every
 // revision that is long taken.
-func (l *Log) advance(ctx context.Context, book *rules.Book, won rules.Change) (*rules.Book, error) {
+func (l *Log) catchUp(ctx context.Context, book *rules.Book, won rules.Change) (*rules.Book, error) {
 	next, err := book.Apply(won)
 	if err != nil {
-		return nil, turn(ErrRefused, err)
+		return nil, wrapAs(ErrRefused, err)
 	}
-	next, err = l.follow(ctx, next, followMost)
+	next, err = l.replay(ctx, next, maxReplay)
 	if err != nil {
 		return nil, err
 	}
 	return next, nil
 }
 
-// follow applies up to n changes that come after the book.
-func (l *Log) follow(ctx context.Context, book *rules.Book, n int) (*rules.Book, error) {
+// replay applies up to n changes that come after the book.
+func (l *Log) replay(ctx context.Context, book *rules.Book, n int) (*rules.Book, error) {
 	for range n {
 		c, err := l.Read(ctx, book.Rev()+1)
-		if errors.Is(err, ErrAbsent) {
+		if errors.Is(err, ErrNotFound) {
 			return book, nil
 		}
 		if err != nil {
@@ -187,7 +187,7 @@
 		}
 		next, err := book.Apply(c)
 		if err != nil {
-			return book, turn(ErrRefused, err)
+			return book, wrapAs(ErrRefused, err)
 		}
 		book = next
 	}
--- a/internal/revlog/model_test.go
+++ b/internal/revlog/model_test.go
@@ -65,7 +65,7 @@
 		m.bound[c.ID] = done
 	case errors.Is(err, ErrUnknown):
 		m.doubt = append(m.doubt, c)
-	case errors.Is(err, ErrConflict), errors.Is(err, ErrDown):
+	case errors.Is(err, ErrConflict), errors.Is(err, ErrUnavailable):
 		if _, ok := m.bound[c.ID]; ok {
 			t.Fatalf("change %s reported as accepted, then: %v", c.ID, err)
 		}
--- a/internal/revlog/propose.go
+++ b/internal/revlog/propose.go
@@ -37,12 +37,12 @@
 // indexKey lists the ids of recent proposals, since the store lists no keys.
 const indexKey = "verbenadale/proposals"
 
-// indexMost bounds the index. A proposal that fell out of it is still found by
+// maxIndexEntries bounds the index. A proposal that fell out of it is still found by
 // its id.
-const indexMost = 128
+const maxIndexEntries = 128
 
-// indexTries bounds the attempts to get into the index against other writers.
-const indexTries = 8
+// maxIndexAttempts bounds the attempts to get into the index against other writers.
+const maxIndexAttempts = 8
 
 func proposalKey(id ident.ChangeID) string { return indexKey + "/" + string(id) }
 
@@ -50,22 +50,22 @@
 // proposal can be sent again.
 func (l *Log) Propose(ctx context.Context, c rules.Change) (Proposal, error) {
 	if c.ID == "" || len(c.Items) == 0 {
-		return Proposal{}, turn(ErrRefused, errors.New("it has no id or no items"))
+		return Proposal{}, wrapAs(ErrRefused, errors.New("it has no id or no items"))
 	}
 	c.Approver = ""
 	c.At = l.Now().UTC()
 	p, ver, err := l.Proposal(ctx, c.ID)
 	switch {
-	case errors.Is(err, ErrAbsent):
+	case errors.Is(err, ErrNotFound):
 		p, err = l.putProposal(ctx, Proposal{Change: c, State: Open}, ver)
 	case err == nil && (p.Change.Base != c.Base || !sameChange(p.Change, c)):
-		return Proposal{}, turnf(ErrRefused, "the id %s belongs to another proposal", c.ID)
+		return Proposal{}, wrapAsf(ErrRefused, "the id %s belongs to another proposal", c.ID)
 	}
 	if err != nil {
 		return Proposal{}, err
 	}
 	if err := l.addToIndex(ctx, c.ID); err != nil {
-		return Proposal{}, turnf(ErrUnknown, "the proposal is stored, but not listed: %v", err)
+		return Proposal{}, wrapAsf(ErrUnknown, "the proposal is stored, but not listed: %v", err)
 	}
 	return p, nil
 }
@@ -92,14 +92,14 @@
 func (l *Log) Proposal(ctx context.Context, id ident.ChangeID) (Proposal, store.Version, error) {
 	v, err := l.cl.Get(ctx, proposalKey(id))
 	if errors.Is(err, store.ErrAbsent) {
-		return Proposal{}, store.Absent, ErrAbsent
+		return Proposal{}, store.Absent, ErrNotFound
 	}
 	if err != nil {
-		return Proposal{}, store.Absent, turn(ErrDown, err)
+		return Proposal{}, store.Absent, wrapAs(ErrUnavailable, err)
 	}
 	var p Proposal
 	if err := json.Unmarshal(v.Body, &p); err != nil {
-		return Proposal{}, store.Absent, turn(ErrRefused, err)
+		return Proposal{}, store.Absent, wrapAs(ErrRefused, err)
 	}
 	return p, v.Version, nil
 }
@@ -145,13 +145,13 @@
 		}
 	}
 	done, err := l.Append(ctx, book, p.Change)
-	l.settle(ctx, p, err)
+	l.recordOutcome(ctx, p, err)
 	return done, err
 }
 
-// settle notes in the proposal what became of it, for the lists. The log shows
+// recordOutcome notes in the proposal what became of it, for the lists. The log shows
 // the truth where this write is lost.
-func (l *Log) settle(ctx context.Context, p Proposal, err error) {
+func (l *Log) recordOutcome(ctx context.Context, p Proposal, err error) {
 	state := p.State
 	switch {
 	case err == nil:
@@ -176,10 +176,10 @@
 func (l *Log) putProposal(ctx context.Context, p Proposal, ver store.Version) (Proposal, error) {
 	body, err := json.Marshal(p)
 	if err != nil {
-		return Proposal{}, turn(ErrRefused, err)
+		return Proposal{}, wrapAs(ErrRefused, err)
 	}
 	doubt := false
-	for range writeTries {
+	for range maxWriteAttempts {
 		_, err = l.cl.Put(ctx, proposalKey(p.Change.ID), body, ver)
 		if err == nil {
 			return p, nil
@@ -192,12 +192,12 @@
 		if readErr == nil && at != ver {
 			return cur, nil
 		}
-		if readErr != nil && !errors.Is(readErr, ErrAbsent) {
+		if readErr != nil && !errors.Is(readErr, ErrNotFound) {
 			err = readErr
 			break
 		}
 	}
-	return Proposal{}, failed(err, doubt)
+	return Proposal{}, writeError(err, doubt)
 }
 
 func (l *Log) index(ctx context.Context) ([]ident.ChangeID, store.Version, error) {
@@ -206,29 +206,29 @@
 		return nil, store.Absent, nil
 	}
 	if err != nil {
-		return nil, store.Absent, turn(ErrDown, err)
+		return nil, store.Absent, wrapAs(ErrUnavailable, err)
 	}
 	var ids []ident.ChangeID
 	if err := json.Unmarshal(v.Body, &ids); err != nil {
-		return nil, store.Absent, turn(ErrRefused, err)
+		return nil, store.Absent, wrapAs(ErrRefused, err)
 	}
 	return ids, v.Version, nil
 }
 
 func (l *Log) addToIndex(ctx context.Context, id ident.ChangeID) error {
-	for range indexTries {
+	for range maxIndexAttempts {
 		ids, ver, err := l.index(ctx)
 		if err != nil || slices.Contains(ids, id) {
 			return err
 		}
 		ids = append(ids, id)
-		body, err := json.Marshal(ids[max(0, len(ids)-indexMost):])
+		body, err := json.Marshal(ids[max(0, len(ids)-maxIndexEntries):])
 		if err != nil {
-			return turn(ErrRefused, err)
+			return wrapAs(ErrRefused, err)
 		}
 		_, err = l.cl.Put(ctx, indexKey, body, ver)
 		if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
-			return turn(ErrDown, err)
+			return wrapAs(ErrUnavailable, err)
 		}
 		// The next read distinguishes a lost race and a lost reply; a success
 		// costs one read more and nothing else.
@@ -236,5 +236,5 @@
 			return nil
 		}
 	}
-	return turn(ErrDown, errors.New("the index of proposals is too busy"))
+	return wrapAs(ErrUnavailable, errors.New("the index of proposals is too busy"))
 }
--- a/internal/revlog/propose_test.go
+++ b/internal/revlog/propose_test.go
@@ -110,5 +110,5 @@
 	wantErr(t, "list", nil, err)
 	wantSame(t, "state", []State{Outdated}, states(ps))
 	_, err = lg.Approve(ctx, nil, "nowhere", "bold")
-	wantErr(t, "unknown proposal", ErrAbsent, err)
+	wantErr(t, "unknown proposal", ErrNotFound, err)
 }
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -41,12 +41,12 @@
 	// ErrUnknown says that the change may or may not have been accepted; the
 	// same change can be sent again without harm.
 	ErrUnknown = errors.New("revlog: whether the change was accepted is not known")
-	// ErrDown says that the store does not answer; nothing was accepted.
-	ErrDown = errors.New("revlog: the store does not answer")
-	// ErrIdle says that there is no later change.
-	ErrIdle = errors.New("revlog: no later change")
-	// ErrAbsent says that no such change or proposal is known.
-	ErrAbsent = errors.New("revlog: not found")
+	// ErrUnavailable says that the store does not answer; nothing was accepted.
+	ErrUnavailable = errors.New("revlog: the store does not answer")
+	// ErrNoLaterChange says that there is no later change.
+	ErrNoLaterChange = errors.New("revlog: no later change")
+	// ErrNotFound says that no such change or proposal is known.
+	ErrNotFound = errors.New("revlog: not found")
 	// ErrNeedsApproval says that the change has to be proposed and approved by
 	// a second operator.
 	ErrNeedsApproval = errors.New("revlog: the change needs the approval of a second operator")
@@ -56,11 +56,11 @@
 	ErrRefused = errors.New("revlog: the change can't be applied")
 )
 
-// turn makes an error of this layer from one below, which is kept as text only.
-func turn(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
+// wrapAs makes an error of this layer from one below, which is kept as text only.
+func wrapAs(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
 
-func turnf(own error, format string, args ...any) error {
-	return turn(own, errors.Errorf(format, args...))
+func wrapAsf(own error, format string, args ...any) error {
+	return wrapAs(own, errors.Errorf(format, args...))
 }
 
 // Log is the log of changes in the store. It is safe for several goroutines.
@@ -87,30 +87,30 @@
 
 // Next waits for the change that follows a revision.
 func (l *Log) Next(ctx context.Context, after ident.Revision, wait time.Duration) (rules.Change, error) {
-	if c, ok := l.recall(after + 1); ok {
+	if c, ok := l.cached(after + 1); ok {
 		return c, nil
 	}
 	v, err := l.cl.Watch(ctx, changeKey(after+1), store.Absent, wait)
 	if errors.Is(err, store.ErrIdle) {
-		return rules.Change{}, ErrIdle
+		return rules.Change{}, ErrNoLaterChange
 	}
 	if err != nil {
-		return rules.Change{}, turn(ErrDown, err)
+		return rules.Change{}, wrapAs(ErrUnavailable, err)
 	}
 	return l.decode(after+1, v)
 }
 
 // Read returns the change that made a revision, or ErrAbsent.
 func (l *Log) Read(ctx context.Context, rev ident.Revision) (rules.Change, error) {
-	if c, ok := l.recall(rev); ok {
+	if c, ok := l.cached(rev); ok {
 		return c, nil
 	}
 	v, err := l.cl.Get(ctx, changeKey(rev))
 	if errors.Is(err, store.ErrAbsent) {
-		return rules.Change{}, ErrAbsent
+		return rules.Change{}, ErrNotFound
 	}
 	if err != nil {
-		return rules.Change{}, turn(ErrDown, err)
+		return rules.Change{}, wrapAs(ErrUnavailable, err)
 	}
 	return l.decode(rev, v)
 }
@@ -131,23 +131,23 @@
 func (l *Log) decode(rev ident.Revision, v store.Value) (rules.Change, error) {
 	var c rules.Change
 	if err := json.Unmarshal(v.Body, &c); err != nil {
-		return rules.Change{}, turn(ErrRefused, err)
+		return rules.Change{}, wrapAs(ErrRefused, err)
 	}
 	if c.Revision != rev {
-		return rules.Change{}, turnf(ErrRefused, "revision %d stands under the key of %d", c.Revision, rev)
+		return rules.Change{}, wrapAsf(ErrRefused, "revision %d stands under the key of %d", c.Revision, rev)
 	}
-	l.remember(c)
+	l.cacheChange(c)
 	return c, nil
 }
 
-func (l *Log) recall(rev ident.Revision) (rules.Change, bool) {
+func (l *Log) cached(rev ident.Revision) (rules.Change, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, ok := l.recent[rev]
 	return c, ok
 }
 
-func (l *Log) remember(c rules.Change) {
+func (l *Log) cacheChange(c rules.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recent[c.Revision] = c
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -84,7 +84,7 @@
 	var ids []ident.ChangeID
 	for rev := ident.Revision(1); ; rev++ {
 		c, err := l.Read(context.Background(), rev)
-		if errors.Is(err, ErrAbsent) {
+		if errors.Is(err, ErrNotFound) {
 			return ids
 		}
 		if err != nil {
@@ -163,9 +163,9 @@
 	f.srv.SetFaults(plat.Faults{Refuse: []string{"127.0.0.1"}})
 	lg := f.log()
 	_, err := lg.Load(context.Background())
-	wantErr(t, "load", ErrDown, err)
+	wantErr(t, "load", ErrUnavailable, err)
 	_, err = New(store.New(store.Config{URL: "http://127.0.0.1:1"})).Append(context.Background(), nil, change(t, "c1", 0, "obituary", 1))
-	wantErr(t, "append with no link", ErrDown, err)
+	wantErr(t, "append with no link", ErrUnavailable, err)
 	if errors.Is(err, ErrUnknown) {
 		t.Error("a change that was never sent is reported as unknown")
 	}
@@ -271,7 +271,7 @@
 	f := newFixture(t)
 	lg := f.log()
 	book := &rules.Book{}
-	for n := range snapshotEvery + 5 {
+	for n := range snapshotInterval + 5 {
 		c, err := lg.Append(ctx, book, change(t, ident.ChangeID("c"+strconv.Itoa(n)), book.Rev(), ident.Profile("p"+strconv.Itoa(n%7)), n))
 		wantErr(t, "append", nil, err)
 		if book, err = book.Apply(c); err != nil {
@@ -286,7 +286,7 @@
 	f.srv.SetFaults(plat.Faults{DownAfter: 3})
 	got, err := f.log().Load(ctx)
 	wantErr(t, "the store goes down while a host reads", nil, err)
-	wantSame(t, "what it has read by then", ident.Revision(snapshotEvery+2), got.Rev())
+	wantSame(t, "what it has read by then", ident.Revision(snapshotInterval+2), got.Rev())
 }
 
 func image(t tester, b *rules.Book) string {
--- a/internal/revlog/snap.go
+++ b/internal/revlog/snap.go
@@ -14,13 +14,13 @@
 // snapshotKey holds the newest snapshot.
 const snapshotKey = "verbenadale/snapshot"
 
-// snapshotEvery is the number of changes between two snapshots. A host that
+// snapshotInterval is the number of changes between two snapshots. A host that
 // starts reads one snapshot and at most about as many changes.
-const snapshotEvery = 32
+const snapshotInterval = 32
 
-// followMost bounds the changes that one Load reads after the snapshot. What
+// maxReplay bounds the changes that one Load reads after the snapshot. What
 // is left comes with the watch.
-const followMost = 4 * snapshotEvery
+const maxReplay = 4 * snapshotInterval
 
 // Load reads the newest snapshot and the changes that follow it, as many as
 // the call budget and the context let it. A book that is behind is no fault:
@@ -30,11 +30,11 @@
 	if err != nil {
 		return nil, err
 	}
-	book, err := l.follow(ctx, snap, followMost)
+	book, err := l.replay(ctx, snap, maxReplay)
 	if err != nil && book.Rev() == 0 {
 		return nil, err
 	}
-	if book.Rev() >= snap.Rev()+2*snapshotEvery {
+	if book.Rev() >= snap.Rev()+2*snapshotInterval {
 		// The host that should have written the snapshot went away. Without
 		// this, each start would read a longer log than the one before.
 		l.writeSnapshot(ctx, book)
@@ -49,19 +49,19 @@
 		return &rules.Book{}, store.Absent, nil
 	}
 	if err != nil {
-		return nil, store.Absent, turn(ErrDown, err)
+		return nil, store.Absent, wrapAs(ErrUnavailable, err)
 	}
 	book := &rules.Book{}
 	if err := json.Unmarshal(v.Body, book); err != nil {
-		return nil, store.Absent, turn(ErrRefused, err)
+		return nil, store.Absent, wrapAs(ErrRefused, err)
 	}
 	return book, v.Version, nil
 }
 
-// snapshotAfter writes a snapshot where the change has made a revision that is
+// snapshotIfDue writes a snapshot where the change has made a revision that is
 // due for one.
-func (l *Log) snapshotAfter(ctx context.Context, book *rules.Book, won rules.Change) {
-	if won.Revision%snapshotEvery != 0 || book.Rev()+1 != won.Revision {
+func (l *Log) snapshotIfDue(ctx context.Context, book *rules.Book, won rules.Change) {
+	if won.Revision%snapshotInterval != 0 || book.Rev()+1 != won.Revision {
 		return
 	}
 	if next, err := book.Apply(won); err == nil {
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -27,7 +27,7 @@
 	at := ident.Time(time.Second)
 	basis := event.Basis{Profile: "draft", Revision: 7, Try: 1, Waited: 3 * time.Millisecond, Wait: 40 * time.Millisecond, Busy: 2, LoadAge: 9 * time.Millisecond, Expect: 48, Pace: 120 * time.Millisecond, PaceThere: 30 * time.Millisecond, Part: 0.254, Room: 64000}
 	tr.Record(at, event.Tick{}, []event.Effect{
-		event.InForceNow{Book: rules.FromSheet(7, rules.Sheet{})},
+		event.InForceNow{Book: rules.FromStatic(7, rules.StaticConfig{})},
 		event.Dispatch{Request: "a.1", Attempt: newAttempt(1), Target: event.Target{ID: "t", Service: "writers"}, CopyFrom: event.Holder{Target: "u"}, Basis: basis},
 		event.Forward{Request: "b.2", To: event.Host{ID: "h", Place: event.Place{Region: "east"}}, Envelope: event.Envelope{Attempt: newAttempt(2)}, Service: "writers", Basis: basis},
 		event.Refuse{Request: "c.3", Code: codes.NoTarget.ID, Outcome: event.NotRun, RetryAfter: time.Second, Basis: basis},
--- a/pkg/codes/codes.go
+++ b/pkg/codes/codes.go
@@ -47,9 +47,9 @@
 	Severity Severity
 	// Status is the HTTP status of a refusal, zero for the other families.
 	Status int
-	// Wait says that the same request may succeed later, so that the answer
+	// RetryLater says that the same request may succeed later, so that the answer
 	// carries a Retry-After.
-	Wait bool
+	RetryLater bool
 }
 
 // All returns every declared code in the order of the ids.
--- a/pkg/codes/filter.go
+++ b/pkg/codes/filter.go
@@ -19,7 +19,7 @@
 		ID: "VB2004", Title: "the request may not be passed on again", Since: firstVersion, Severity: Info,
 		Text: "The request has crossed between regions as often as the profile allows, or came from another entry host.",
 	}
-	FilterLeaving = Code{
+	FilterDraining = Code{
 		ID: "VB2005", Title: "the target is draining", Since: firstVersion, Severity: Info,
 		Text: "The platform's list, the target itself or a peer said so. It holds for the whole incarnation of the target.",
 	}
@@ -35,7 +35,7 @@
 		ID: "VB2008", Title: "the other data centre has offered no spare capacity", Since: firstVersion, Severity: Info,
 		Text: "Work goes to another data centre only on an offer that has not expired or been used up.",
 	}
-	FilterClosed = Code{
+	FilterEvacuated = Code{
 		ID: "VB2010", Title: "the data centre of the target is evacuated", Since: secondVersion, Severity: Info,
 		Text: "The operator has asked that nothing more be sent there until that is taken back.",
 	}
@@ -55,6 +55,6 @@
 
 // Filters is the table of the routing filters.
 var Filters = []Code{
-	FilterKind, FilterModel, FilterResidency, FilterHops, FilterLeaving,
-	FilterHealth, FilterTried, FilterOffer, FilterFull, FilterClosed, FilterCold, FilterBound,
+	FilterKind, FilterModel, FilterResidency, FilterHops, FilterDraining,
+	FilterHealth, FilterTried, FilterOffer, FilterFull, FilterEvacuated, FilterCold, FilterBound,
 }
--- a/pkg/codes/mechanism.go
+++ b/pkg/codes/mechanism.go
@@ -35,15 +35,15 @@
 		ID: "VB6008", Title: "small regions announce their use of targets four times a second", Since: secondVersion, Severity: Info,
 		Text: "An engine prefills what it is sent in a few tenths of a second; a heartbeat is older than that.",
 	}
-	LeftAlone = Code{
+	RefusalBackoff = Code{
 		ID: "VB6009", Title: "a region that has turned a request away is left alone for a moment", Since: secondVersion, Severity: Info,
 		Text: "Until its next summary, a region at its peak would turn away each further request that is passed on to it.",
 	}
-	GrowingReturns = Code{
+	GrowingRetryAfter = Code{
 		ID: "VB6010", Title: "Retry-After grows with the duration of an overload", Since: secondVersion, Severity: Info,
 		Text: "An overload that has lasted for seconds rarely ends within the next one; a caller that comes back into it is refused a second time.",
 	}
-	LateDrain = Code{
+	DrainAccept = Code{
 		ID: "VB6011", Title: "a draining host takes what ends in time", Since: secondVersion, Severity: Info,
 		Text: "Where all hosts of a region drain at once their callers know no other. Requests whose own time is over before the drain's are served.",
 	}
@@ -52,5 +52,5 @@
 // Mechanisms is the table of the mechanisms.
 var Mechanisms = []Code{
 	PrefixTransfer, AnnouncedHolders, OrderByLength, LateBehind, LongIdleTimeout, PromptMemory,
-	CallQueue, AnnouncedSends, LeftAlone, GrowingReturns, LateDrain,
+	CallQueue, AnnouncedSends, RefusalBackoff, GrowingRetryAfter, DrainAccept,
 }
--- a/pkg/codes/promise.go
+++ b/pkg/codes/promise.go
@@ -10,11 +10,11 @@
 		ID: "VB5002", Title: "no request circulates between regions without end", Since: firstVersion, Severity: Error,
 		Text: "A request crosses at most as often as its profile says; one received from another host is served there or refused.",
 	}
-	PromiseCutOff = Code{
+	PromisePartition = Code{
 		ID: "VB5003", Title: "a region that is cut off keeps serving its own callers", Since: firstVersion, Severity: Error,
 		Text: "Configuration and membership are held in memory and learned from peers; their age is never a reason to refuse.",
 	}
-	PromiseWhole = Code{
+	PromiseComplete = Code{
 		ID: "VB5004", Title: "every caller receives the whole answer to its own request", Since: firstVersion, Severity: Error,
 		Text: "Answers are matched by attempt, and an answer without its end mark is a failure.",
 	}
@@ -26,7 +26,7 @@
 		ID: "VB5006", Title: "a non-idempotent request runs at most once", Since: firstVersion, Severity: Error,
 		Text: "A ticket bound to one incarnation of one host, or a record in the platform's store before the first byte is sent.",
 	}
-	PromiseLeaving = Code{
+	PromiseDrainingTarget = Code{
 		ID: "VB5007", Title: "a draining target receives no new work after a few seconds", Since: firstVersion, Severity: Error,
 		Text: "The earliest notice wins, from whichever source, and holds for the incarnation.",
 	}
@@ -42,6 +42,6 @@
 
 // Promises is the table of the promises.
 var Promises = []Code{
-	PromiseResidency, PromiseNoLoop, PromiseCutOff, PromiseWhole, PromiseNotRun,
-	PromiseOnce, PromiseLeaving, PromiseDrain, PromiseChange,
+	PromiseResidency, PromiseNoLoop, PromisePartition, PromiseComplete, PromiseNotRun,
+	PromiseOnce, PromiseDrainingTarget, PromiseDrain, PromiseChange,
 }
--- a/pkg/codes/refuse.go
+++ b/pkg/codes/refuse.go
@@ -35,15 +35,15 @@
 		Text: "The request came from another region, or through an outside proxy that sends it in circles, and may not be passed on again.",
 	}
 	NoTarget = Code{
-		ID: "VB1007", Title: "no target may serve the request now", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Error, Wait: true,
+		ID: "VB1007", Title: "no target may serve the request now", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Error, RetryLater: true,
 		Text: "Each known target was ruled out. \"verbctl route\" shows by which filter. The request was not run.",
 	}
 	Overloaded = Code{
-		ID: "VB1008", Title: "the request can't be served before its deadline", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, Wait: true,
+		ID: "VB1008", Title: "the request can't be served before its deadline", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, RetryLater: true,
 		Text: "The predicted time to serve the request is longer than the time that it has left. It was not run. Retry-After gives the time after which it would be met at today's load.",
 	}
 	AccountLimit = Code{
-		ID: "VB1009", Title: "the account has used up its limit", Status: http.StatusTooManyRequests, Since: firstVersion, Severity: Warning, Wait: true,
+		ID: "VB1009", Title: "the account has used up its limit", Status: http.StatusTooManyRequests, Since: firstVersion, Severity: Warning, RetryLater: true,
 		Text: "The account has sent more requests or tokens a minute than its limit allows at this entry host. The request was not run.",
 	}
 	DeadlinePast = Code{
@@ -63,14 +63,14 @@
 		Text: "The host is about to stop and takes no new requests. The request was not run. Use one of the entry hosts that the answer names.",
 	}
 	StoreDown = Code{
-		ID: "VB1014", Title: "the idempotency key can't be recorded", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, Wait: true,
+		ID: "VB1014", Title: "the idempotency key can't be recorded", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, RetryLater: true,
 		Text: "The platform's store did not confirm the record that keeps a second run away, so this request was not run. An earlier one with the same key may have run. Come back later with the same key; take a ticket, which needs no store, only if nothing was sent with this key before.",
 	}
 	OutcomeUnknown = Code{
 		ID: "VB1015", Title: "whether the request ran is not known", Status: http.StatusBadGateway, Since: firstVersion, Severity: Error,
 		Text: "The request may not be repeated, and its one attempt broke off after it had been sent. It may have run. Look in the records of the target before sending it as a new request.",
 	}
-	NeedsOnce = Code{
+	NeedsTicketOrKey = Code{
 		ID: "VB1016", Title: "the profile takes no request without a ticket or an Idempotency-Key", Status: http.StatusPreconditionRequired, Since: firstVersion, Severity: Error,
 		Text: "Calls of this profile may run at most once. Take a ticket from POST /v1/tickets and send it as Verbenadale-Ticket, or send an Idempotency-Key of your own.",
 	}
@@ -79,7 +79,7 @@
 		Text: "The key is recorded with a request of another content. This request was not run. Use a new key for a new request.",
 	}
 	InProgress = Code{
-		ID: "VB1018", Title: "the first request with this ticket or key still runs", Status: http.StatusConflict, Since: firstVersion, Severity: Info, Wait: true,
+		ID: "VB1018", Title: "the first request with this ticket or key still runs", Status: http.StatusConflict, Since: firstVersion, Severity: Info, RetryLater: true,
 		Text: "A repeat was not run. Come back for the stored outcome after the time that Retry-After gives.",
 	}
 	ForgedEnvelope = Code{
@@ -87,7 +87,7 @@
 		Text: "Hops, entries seen and remaining time travel between entry hosts on authenticated connections only. The request was not run.",
 	}
 	TargetFailed = Code{
-		ID: "VB1020", Title: "the targets that were tried failed", Status: http.StatusBadGateway, Since: firstVersion, Severity: Error, Wait: true,
+		ID: "VB1020", Title: "the targets that were tried failed", Status: http.StatusBadGateway, Since: firstVersion, Severity: Error, RetryLater: true,
 		Text: "The request may be repeated, was tried within the retry budget, and each try failed. Part of the answer may have been sent; it is not whole.",
 	}
 	DeadlineExceeded = Code{
@@ -99,7 +99,7 @@
 		Text: "The account lists the profiles that it may use, and this one is not among them.",
 	}
 	NotReady = Code{
-		ID: "VB1023", Title: "this entry host has no configuration yet", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, Wait: true,
+		ID: "VB1023", Title: "this entry host has no configuration yet", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, RetryLater: true,
 		Text: "The host has just started and has received nothing from the platform or a peer yet. The request was not run.",
 	}
 	NoOutcome = Code{
@@ -107,7 +107,7 @@
 		Text: "A repeat of a request that ran. The stored answer was dropped to bound memory, or was too large to keep. The request is not run again.",
 	}
 	HostBusy = Code{
-		ID: "VB1025", Title: "this entry host holds as much as its settings allow", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, Wait: true,
+		ID: "VB1025", Title: "this entry host holds as much as its settings allow", Status: http.StatusServiceUnavailable, Since: firstVersion, Severity: Warning, RetryLater: true,
 		Text: "The requests in flight or the bodies of all callers together have reached the limits in the settings of the entry host. The request was not run. Come back later or use another entry host; an operator can raise limits.maxRequests or limits.maxHeldBytes.",
 	}
 	UnknownPath = Code{
@@ -126,8 +126,8 @@
 		ID: "VB1029", Title: "the body did not arrive in time", Status: http.StatusRequestTimeout, Since: firstVersion, Severity: Error,
 		Text: "The body took longer than limits.bodyMs in the settings of the entry host. Nothing was sent to a target.",
 	}
-	TurnedAway = Code{
-		ID: "VB1030", Title: "the data centre has no room for what another passed on", Status: http.StatusServiceUnavailable, Since: secondVersion, Severity: Warning, Wait: true,
+	ForwardRefused = Code{
+		ID: "VB1030", Title: "the data centre has no room for what another passed on", Status: http.StatusServiceUnavailable, Since: secondVersion, Severity: Warning, RetryLater: true,
 		Text: "Another entry host passed the request on, and no target here could begin it in time; none has seen it. The host that passed it on answers its caller, or places it again if its caller has a part of the answer.",
 	}
 	HostStopped = Code{
@@ -140,8 +140,8 @@
 var Refusals = []Code{
 	UnknownKey, BadRequest, TooLarge, UnknownProfile, OutsideResidency, TooManyHops,
 	NoTarget, Overloaded, AccountLimit, DeadlinePast, BadTicket, ForeignTicket,
-	Draining, StoreDown, OutcomeUnknown, NeedsOnce, KeyReused, InProgress,
+	Draining, StoreDown, OutcomeUnknown, NeedsTicketOrKey, KeyReused, InProgress,
 	ForgedEnvelope, TargetFailed, DeadlineExceeded, ProfileForbidden, NotReady, NoOutcome,
 	HostBusy, UnknownPath, WrongMethod, WrongType, SlowBody,
-	TurnedAway, HostStopped,
+	ForwardRefused, HostStopped,
 }
--- a/pkg/rules/book.go
+++ b/pkg/rules/book.go
@@ -57,8 +57,8 @@
 	return fmt.Sprintf("revision %d does not follow revision %d", e.Got, e.Have)
 }
 
-// FromSheet returns the book of a configuration that was written as a whole.
-func FromSheet(rev ident.Revision, sh Sheet) *Book {
+// FromStatic returns the book of a configuration that was written as a whole.
+func FromStatic(rev ident.Revision, sh StaticConfig) *Book {
 	b := (*Book)(nil).clone()
 	b.Revision = rev
 	for _, p := range sh.Profiles {
@@ -84,9 +84,9 @@
 	return b.routes.find(host, path)
 }
 
-// Homes returns the regions in which the requests of every route of a host may
+// HostRegions returns the regions in which the requests of every route of a host may
 // be served, none where no route is confined.
-func (b *Book) Homes(host string) []ident.Region {
+func (b *Book) HostRegions(host string) []ident.Region {
 	if b == nil {
 		return nil
 	}
@@ -318,7 +318,7 @@
 // Profile reads the document as a profile. Unknown fields are faults.
 func (it Item) Profile() (Profile, error) {
 	p := Profile{}
-	if err := strict(it, &p); err != nil {
+	if err := decodeStrict(it, &p); err != nil {
 		return Profile{}, err
 	}
 	p.Name = ident.Profile(it.Name)
@@ -328,14 +328,14 @@
 // Client reads the document as an account. Unknown fields are faults.
 func (it Item) Client() (Client, error) {
 	c := Client{}
-	if err := strict(it, &c); err != nil {
+	if err := decodeStrict(it, &c); err != nil {
 		return Client{}, err
 	}
 	c.Name = ident.Account(it.Name)
 	return c, nil
 }
 
-func strict(it Item, v any) error {
+func decodeStrict(it Item, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(it.Doc))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
@@ -344,8 +344,8 @@
 	return nil
 }
 
-// image is the JSON form of a book, used for snapshots.
-type image struct {
+// bookJSON is the JSON form of a book, used for snapshots.
+type bookJSON struct {
 	Revision ident.Revision `json:"revision"`
 	LastID   ident.ChangeID `json:"lastID"`
 	Profiles []Profile      `json:"profiles"`
@@ -363,7 +363,7 @@
 
 // MarshalJSON writes the whole book, for a snapshot.
 func (b *Book) MarshalJSON() ([]byte, error) {
-	img := image{
+	img := bookJSON{
 		Revision: b.Rev(),
 		LastID:   b.LastID(),
 		Profiles: b.Profiles(),
@@ -389,15 +389,15 @@
 
 // UnmarshalJSON reads a snapshot.
 func (b *Book) UnmarshalJSON(data []byte) error {
-	var img image
+	var img bookJSON
 	if err := json.Unmarshal(data, &img); err != nil {
 		return err
 	}
-	sh := Sheet{Profiles: img.Profiles, Clients: img.Clients, Services: img.Services}
+	sh := StaticConfig{Profiles: img.Profiles, Clients: img.Clients, Services: img.Services}
 	if img.Limits != nil {
 		sh.Limits = *img.Limits
 	}
-	next := FromSheet(img.Revision, sh)
+	next := FromStatic(img.Revision, sh)
 	next.lastID = img.LastID
 	for _, it := range img.Changed {
 		next.changed[itemKey{it.Kind, it.Name}] = it.Revision
--- a/pkg/rules/check.go
+++ b/pkg/rules/check.go
@@ -45,14 +45,14 @@
 // checks is the table that Check goes through.
 var checks = []check{
 	{code: codes.ProfileName, profile: profileName, client: clientName},
-	{code: codes.ProfileServes, profile: profileServes},
+	{code: codes.ProfileServes, profile: profileModelsOrService},
 	{code: codes.ProfileRange, profile: profileRange, client: clientRange},
 	{code: codes.ProfileList, profile: profileLists, client: clientLists},
 	{code: codes.ProfileDigest, client: clientDigest},
-	{code: codes.ProfileShared, client: clientShared},
-	{code: codes.ProfileAbsent, client: clientAbsent},
-	{code: codes.ProfileNoHome, client: clientNoHome},
-	{code: codes.ProfileHome, client: clientHome},
+	{code: codes.ProfileShared, client: clientSharedKey},
+	{code: codes.ProfileAbsent, client: clientUnknownProfiles},
+	{code: codes.ProfileNoHome, client: clientMissingHome},
+	{code: codes.ProfileHome, client: clientHomeOutside},
 }
 
 // Check returns every fault of the items of a change to the empty
@@ -61,16 +61,16 @@
 
 // CheckWith returns every fault of the items of a change to a configuration.
 func CheckWith(book *Book, items []Item) []Fault {
-	faults := repeats(items)
-	after := book.after(items)
+	faults := duplicateItems(items)
+	after := book.withItems(items)
 	for _, it := range items {
-		faults = append(faults, named(it, checkItem(after, it))...)
+		faults = append(faults, withItem(it, checkItem(after, it))...)
 	}
-	return append(faults, touched(after, items)...)
+	return append(faults, checkUnchangedAccounts(after, items)...)
 }
 
-// after is the configuration with the items that can be read.
-func (b *Book) after(items []Item) *Book {
+// withItems is the configuration with the items that can be read.
+func (b *Book) withItems(items []Item) *Book {
 	next := b.clone()
 	for _, it := range items {
 		// What can't be read has a check of its own.
@@ -79,9 +79,9 @@
 	return next
 }
 
-// touched checks the accounts that the change leaves alone, for what a changed
+// checkUnchangedAccounts checks the accounts that the change leaves alone, for what a changed
 // or deleted profile does to them.
-func touched(after *Book, items []Item) []Fault {
+func checkUnchangedAccounts(after *Book, items []Item) []Fault {
 	changed := make(map[itemKey]bool, len(items))
 	profiles := false
 	for _, it := range items {
@@ -98,30 +98,30 @@
 		}
 		it := Item{Kind: KindAccount, Name: string(c.Name)}
 		for _, ck := range []check{
-			{code: codes.ProfileAbsent, client: clientAbsent},
-			{code: codes.ProfileNoHome, client: clientNoHome},
-			{code: codes.ProfileHome, client: clientHome},
+			{code: codes.ProfileAbsent, client: clientUnknownProfiles},
+			{code: codes.ProfileNoHome, client: clientMissingHome},
+			{code: codes.ProfileHome, client: clientHomeOutside},
 		} {
-			faults = append(faults, named(it, stamp(ck.code, ck.client(after, c)))...)
+			faults = append(faults, withItem(it, withCode(ck.code, ck.client(after, c)))...)
 		}
 	}
 	return faults
 }
 
-func repeats(items []Item) []Fault {
+func duplicateItems(items []Item) []Fault {
 	var faults []Fault
 	seen := make(map[itemKey]bool, len(items))
 	for _, it := range items {
 		key := itemKey{it.Kind, it.Name}
 		if seen[key] {
-			faults = append(faults, named(it, []Fault{{Code: codes.ProfileTwice.ID, Path: "name", Message: "it stands twice in the change; send it once"}})...)
+			faults = append(faults, withItem(it, []Fault{{Code: codes.ProfileTwice.ID, Path: "name", Message: "it stands twice in the change; send it once"}})...)
 		}
 		seen[key] = true
 	}
 	return faults
 }
 
-func named(it Item, faults []Fault) []Fault {
+func withItem(it Item, faults []Fault) []Fault {
 	for i := range faults {
 		faults[i].Item = string(it.Kind) + " " + it.Name
 	}
@@ -163,7 +163,7 @@
 	var faults []Fault
 	for _, c := range checks {
 		if c.profile != nil {
-			faults = append(faults, stamp(c.code, c.profile(p))...)
+			faults = append(faults, withCode(c.code, c.profile(p))...)
 		}
 	}
 	return faults
@@ -173,13 +173,13 @@
 	var faults []Fault
 	for _, c := range checks {
 		if c.client != nil {
-			faults = append(faults, stamp(c.code, c.client(after, cl))...)
+			faults = append(faults, withCode(c.code, c.client(after, cl))...)
 		}
 	}
 	return faults
 }
 
-func stamp(code codes.Code, faults []Fault) []Fault {
+func withCode(code codes.Code, faults []Fault) []Fault {
 	for i := range faults {
 		faults[i].Code = code.ID
 	}
@@ -197,7 +197,7 @@
 	return []Fault{{Path: path, Message: fmt.Sprintf("%q is no name; write 1 to 63 of a-z, 0-9, dot, dash and slash, and begin with a letter or digit", name)}}
 }
 
-func profileServes(p Profile) []Fault {
+func profileModelsOrService(p Profile) []Fault {
 	if p.Service == "" && len(p.Models) == 0 {
 		return []Fault{{Path: "models", Message: "name at least one model, or a service"}}
 	}
@@ -207,21 +207,21 @@
 	return nil
 }
 
-// number is a value with its bounds.
-type number struct {
+// boundedNumber is a value with its bounds.
+type boundedNumber struct {
 	path    string
 	v       float64
-	low     float64
-	high    float64
+	min     float64
+	max     float64
 	message string
 }
 
-// outside returns a fault for each number out of its bounds. One that is not a
-// number at all is outside too.
-func outside(ns []number) []Fault {
+// outOfRange returns a fault for each number out of its bounds. One that is not a
+// number at all is outOfRange too.
+func outOfRange(ns []boundedNumber) []Fault {
 	var faults []Fault
 	for _, n := range ns {
-		if n.v >= n.low && n.v <= n.high {
+		if n.v >= n.min && n.v <= n.max {
 			continue
 		}
 		faults = append(faults, Fault{Path: n.path, Message: n.message})
@@ -231,7 +231,7 @@
 
 func profileRange(p Profile) []Fault {
 	const weight = "write zero or more"
-	return outside([]number{
+	return outOfRange([]boundedNumber{
 		{"maxCrossings", float64(p.MaxCrossings), 0, maxCrossings, fmt.Sprintf("write 0 to %d", maxCrossings)},
 		{"deadlineMs", float64(p.DeadlineMs), 0, maxDeadlineMs, fmt.Sprintf("write 1 to %d, or leave it out", maxDeadlineMs)},
 		{"priority", float64(p.Priority), -maxPriority, maxPriority, fmt.Sprintf("write %d to %d", -maxPriority, maxPriority)},
@@ -243,7 +243,7 @@
 
 func clientRange(_ *Book, c Client) []Fault {
 	const limit = "write zero or more; zero is no limit"
-	return outside([]number{
+	return outOfRange([]boundedNumber{
 		{"requestsPerMinute", float64(c.RequestsPerMinute), 0, math.MaxFloat64, limit},
 		{"tokensPerMinute", float64(c.TokensPerMinute), 0, math.MaxFloat64, limit},
 	})
--- a/pkg/rules/refer.go
+++ b/pkg/rules/refer.go
@@ -48,7 +48,7 @@
 	return []Fault{{Path: "keyDigest", Message: "write the SHA-256 digest of the key as 64 hexadecimal digits in lower case; verbctl accounts digest prints it"}}
 }
 
-func clientShared(after *Book, c Client) []Fault {
+func clientSharedKey(after *Book, c Client) []Fault {
 	for _, other := range after.Clients() {
 		if other.Name != c.Name && other.KeyDigest == c.KeyDigest {
 			return []Fault{{Path: "keyDigest", Message: fmt.Sprintf("account %s has the same key; give this one its own", other.Name)}}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func clientAbsent(after *Book, c Client) []Fault {
+func clientUnknownProfiles(after *Book, c Client) []Fault {
 	var faults []Fault
 	for i, name := range c.Profiles {
 		if _, ok := after.Profile(name); !ok {
@@ -70,7 +70,7 @@
 	return faults
 }
 
-func clientNoHome(after *Book, c Client) []Fault {
+func clientMissingHome(after *Book, c Client) []Fault {
 	for _, name := range c.Profiles {
 		if p, ok := after.Profile(name); ok && p.HomeOnly && c.Home == "" {
 			return []Fault{{Path: "home", Message: fmt.Sprintf("write a region; profile %s is confined to the home of the account", name)}}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func clientHome(after *Book, c Client) []Fault {
+func clientHomeOutside(after *Book, c Client) []Fault {
 	for _, name := range c.Profiles {
 		p, ok := after.Profile(name)
 		if !ok || !p.HomeOnly || c.Home == "" || p.Allows(c, c.Home) {
--- a/pkg/rules/route.go
+++ b/pkg/rules/route.go
@@ -106,9 +106,9 @@
 	IdleMs         int64 `json:"idleMs,omitempty"`
 }
 
-// Sheet is a whole configuration as an operator writes it at once, in place of
+// StaticConfig is a whole configuration as an operator writes it at once, in place of
 // a log of changes.
-type Sheet struct {
+type StaticConfig struct {
 	Profiles []Profile
 	Clients  []Client
 	Services []Service
--- a/pkg/rules/rules.go
+++ b/pkg/rules/rules.go
@@ -58,8 +58,8 @@
 	HomeOnly bool `json:"homeOnly,omitempty"`
 	// MaxCrossings bounds how often a request passes between regions.
 	MaxCrossings ident.Hops `json:"maxCrossings"`
-	// Once says that calls may not be repeated.
-	Once bool `json:"once,omitempty"`
+	// AtMostOnce says that calls may not be repeated.
+	AtMostOnce bool `json:"once,omitempty"`
 	// Weights are the profile's weights of the measures.
 	Weights Weights `json:"weights"`
 	// DeadlineMs is the deadline of requests that name none.
@@ -125,8 +125,8 @@
 	Items []Item    `json:"items"`
 }
 
-// May reports whether the account may use the profile.
-func (c Client) May(p ident.Profile) bool {
+// MayUse reports whether the account may use the profile.
+func (c Client) MayUse(p ident.Profile) bool {
 	return len(c.Profiles) == 0 || slices.Contains(c.Profiles, p)
 }
 
