--- a/internal/core/wait.go
+++ b/internal/core/wait.go
@@ -31,7 +31,7 @@
 // isLate reports whether a request arrived too late to be answered within its goal.
 func (rd *Reducer) isLate(r *request) bool {
 	rt := r.profile.Route
-	return mech.On(codes.LateBehind) && rt != nil && r.waitedBefore > 0 && rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore) <= 0
+	return mech.On(codes.LateRequestsLast) && rt != nil && r.waitedBefore > 0 && rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore) <= 0
 }
 
 // lateWaitRatio is the fraction of its goal that a late request may be queued. While others
--- a/internal/revlog/measure_test.go
+++ b/internal/revlog/measure_test.go
@@ -14,7 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// follower watches the log as the watching host of a data centre does.
+// follower reads the log from rev up to the revision to, as the host of a data
+// centre that watches the store does.
 type follower struct {
 	lg  *Log
 	rev ident.Revision
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// A change costs more than one write and one watch a data centre; -v prints the figures.
+// Guards against a change that costs more than one write, and one watch for each
+// data centre. -v prints the figures.
 func TestPlatformCalls(t *testing.T) {
 	const changes = 10
 	for _, watchers := range []int{1, 3, 45} {
@@ -62,7 +64,8 @@
 	}
 }
 
-// The snapshot of the target size does not fit into a value of the store.
+// Guards against a snapshot that is too large for a value of the store, with as
+// many accounts and profiles as the system is meant for. -v prints the sizes.
 func TestSizes(t *testing.T) {
 	const accounts, profiles = 890, 30
 	var items []rules.Item
@@ -88,19 +91,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := func(n int) int {
+	changeSize := func(n int) int {
 		c := rules.Change{Revision: 8400, ID: sampleID, Base: 8399, Operator: "operator", At: time.Unix(1_700_000_000, 0).UTC(), Note: "a note of usual length", Items: items[n : n+1]}
 		return len(encoded(t, c))
 	}
 	snapshot := len(image(t, book))
 	t.Logf("change of a profile %d bytes, of an account %d bytes, snapshot of %d accounts and %d profiles %d bytes",
-		one(0), one(profiles), accounts, profiles, snapshot)
+		changeSize(0), changeSize(profiles), accounts, profiles, snapshot)
 	if snapshot > store.MaxValue/2 {
-		t.Errorf("a snapshot of %d bytes is more than half of what the store holds", snapshot)
+		t.Errorf("a snapshot of %d bytes is more than half of the maximum value size of the store", snapshot)
 	}
 }
 
-// sampleID is an id of the usual length.
+// sampleID is an id of typical length.
 const sampleID ident.ChangeID = "0123456789abcdef01234567"
 
 func encoded(t *testing.T, v any) []byte {
--- a/internal/revlog/model_test.go
+++ b/internal/revlog/model_test.go
@@ -16,7 +16,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict.
+// TestMain fixes the seed so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "20261202")
@@ -25,18 +25,19 @@
 	os.Exit(m.Run())
 }
 
-// model is the naive version: a list of the changes that were reported as accepted,
-// without a store, hosts or failures.
+// model runs several hosts against one store with injected faults, and records
+// what Append reported for each change.
 type model struct {
-	f     *fixture
-	hosts []*Log
-	books []*rules.Book
-	bound map[ident.ChangeID]rules.Change
-	doubt []rules.Change
-	n     int
+	f        *fixture
+	hosts    []*Log
+	books    []*rules.Book
+	accepted map[ident.ChangeID]rules.Change
+	unknown  []rules.Change
+	n        int
 }
 
-// write lets a host change one of three profiles, based on what it knows.
+// write changes one of three profiles at a random host, based on the host's
+// revision.
 func (m *model) write(t *rapid.T) {
 	h := rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
 	name := ident.Profile("p" + strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "profile")))
@@ -45,13 +46,13 @@
 	m.send(t, h, c)
 }
 
-// again sends a change whose outcome is not known, through any host.
-func (m *model) again(t *rapid.T) {
-	if len(m.doubt) == 0 {
-		t.Skip("nothing is in doubt")
+// resend sends a change of unknown outcome through a random host.
+func (m *model) resend(t *rapid.T) {
+	if len(m.unknown) == 0 {
+		t.Skip("no change has an unknown outcome")
 	}
-	c := m.doubt[0]
-	m.doubt = m.doubt[1:]
+	c := m.unknown[0]
+	m.unknown = m.unknown[1:]
 	m.send(t, rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host"), c)
 }
 
@@ -59,14 +60,14 @@
 	done, err := m.hosts[h].Append(context.Background(), m.books[h], c)
 	switch {
 	case err == nil:
-		if old, ok := m.bound[c.ID]; ok && old.Revision != done.Revision {
+		if old, ok := m.accepted[c.ID]; ok && old.Revision != done.Revision {
 			t.Fatalf("change %s reported as revision %d and as %d", c.ID, old.Revision, done.Revision)
 		}
-		m.bound[c.ID] = done
+		m.accepted[c.ID] = done
 	case errors.Is(err, ErrUnknown):
-		m.doubt = append(m.doubt, c)
+		m.unknown = append(m.unknown, c)
 	case errors.Is(err, ErrConflict), errors.Is(err, ErrUnavailable):
-		if _, ok := m.bound[c.ID]; ok {
+		if _, ok := m.accepted[c.ID]; ok {
 			t.Fatalf("change %s reported as accepted, then: %v", c.ID, err)
 		}
 	default:
@@ -74,7 +75,7 @@
 	}
 }
 
-// read lets a host go on in the log, and reload reads it all as after a start.
+// read lets a host apply the next change of the log.
 func (m *model) read(t *rapid.T) {
 	h := rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
 	c, err := m.hosts[h].Next(context.Background(), m.books[h].Rev(), time.Millisecond)
@@ -88,6 +89,7 @@
 	m.books[h] = next
 }
 
+// restart replaces a host by a new one that loads the log.
 func (m *model) restart(t *rapid.T) {
 	h := rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
 	lg := m.f.log()
@@ -99,27 +101,28 @@
 	m.books[h] = book
 }
 
-func (m *model) fault(t *rapid.T) {
+func (m *model) injectFaults(t *rapid.T) {
 	m.f.srv.SetFaults(plat.Faults{
 		LoseNext:  rapid.IntRange(0, 2).Draw(t, "lose"),
 		DownAfter: rapid.IntRange(0, 4).Draw(t, "downAfter"),
 	})
 }
 
-func (m *model) heal(*rapid.T) { m.f.srv.SetFaults(plat.Faults{}) }
+func (m *model) clearFaults(*rapid.T) { m.f.srv.SetFaults(plat.Faults{}) }
 
-// check compares every host with the naive list, cut at the host's revision.
+// check compares every host with the log up to the host's revision, and the log
+// with the changes that were reported as accepted.
 func (m *model) check(t *rapid.T) {
 	seen := map[ident.ChangeID]ident.Revision{}
 	want := &rules.Book{}
 	images := []string{image(t, want)}
 	for rev := ident.Revision(1); ; rev++ {
-		c, ok := m.listed(t, rev)
+		c, ok := m.logged(t, rev)
 		if !ok {
 			break
 		}
 		if at, twice := seen[c.ID]; twice {
-			t.Fatalf("change %s stands at revision %d and at %d", c.ID, at, rev)
+			t.Fatalf("change %s is in the log at revision %d and at %d", c.ID, at, rev)
 		}
 		seen[c.ID] = rev
 		next, err := want.Apply(c)
@@ -129,20 +132,21 @@
 		want = next
 		images = append(images, image(t, want))
 	}
-	for id, c := range m.bound {
+	for id, c := range m.accepted {
 		if seen[id] != c.Revision {
-			t.Fatalf("change %s was reported as revision %d and stands at %d", id, c.Revision, seen[id])
+			t.Fatalf("change %s was reported as revision %d and is in the log at %d", id, c.Revision, seen[id])
 		}
 	}
 	for h, b := range m.books {
 		if image(t, b) != images[b.Rev()] {
-			t.Fatalf("host %d at revision %d differs from the list", h, b.Rev())
+			t.Fatalf("host %d at revision %d differs from the log", h, b.Rev())
 		}
 	}
 }
 
-// listed reads the stand-in's own memory, past all faults.
-func (m *model) listed(t *rapid.T, rev ident.Revision) (rules.Change, bool) {
+// logged reads a change directly from the memory of the fake store, unaffected by
+// injected faults.
+func (m *model) logged(t *rapid.T, rev ident.Revision) (rules.Change, bool) {
 	v, ok := m.f.srv.Peek(changeKey(rev))
 	if !ok {
 		return rules.Change{}, false
@@ -154,18 +158,19 @@
 	return c, true
 }
 
-// Lost replies and outages undo an accepted change, or make it twice.
-func TestLogAgainstList(t *testing.T) {
+// Guards against lost replies and outages that undo an accepted change or write it
+// twice.
+func TestLogAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(t)
-		m := &model{f: f, bound: map[ident.ChangeID]rules.Change{}}
+		m := &model{f: f, accepted: map[ident.ChangeID]rules.Change{}}
 		for range 3 {
 			m.hosts = append(m.hosts, f.log())
 			m.books = append(m.books, &rules.Book{})
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"write": m.write, "again": m.again, "read": m.read,
-			"restart": m.restart, "fault": m.fault, "heal": m.heal, "": m.check,
+			"write": m.write, "again": m.resend, "read": m.read,
+			"restart": m.restart, "fault": m.injectFaults, "heal": m.clearFaults, "": m.check,
 		})
 	})
 }
--- a/internal/revlog/propose.go
+++ b/internal/revlog/propose.go
@@ -13,44 +13,47 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// State says how far a proposal has come.
+// State is the state of a proposal.
 type State string
 
 // The states of a proposal.
 const (
-	// Open waits for a second operator.
+	// Open proposals wait for the approval of a second operator.
 	Open State = "open"
-	// Approved has its second operator; the change may not be in the log yet.
+	// Approved proposals have a second operator; the change may not be in the
+	// log yet.
 	Approved State = "approved"
-	// Accepted is in the log.
+	// Accepted proposals are in the log.
 	Accepted State = "accepted"
-	// Outdated was approved after one of its items had changed.
+	// Outdated proposals were approved after one of their items had changed.
 	Outdated State = "outdated"
 )
 
-// Proposal is a change that waits for a second operator.
+// Proposal is a change that needs the approval of a second operator.
 type Proposal struct {
 	Change rules.Change `json:"change"`
 	State  State        `json:"state"`
 }
 
-// indexKey lists the ids of recent proposals, since the store lists no keys.
+// indexKey is the key of the list of the ids of recent proposals. The store
+// can't list keys.
 const indexKey = "verbenadale/proposals"
 
-// maxIndexEntries bounds the index. A proposal that fell out of it is still found by
-// its id.
+// maxIndexEntries bounds the index. A proposal that was dropped from it can
+// still be read by its id.
 const maxIndexEntries = 128
 
-// maxIndexAttempts bounds the attempts to get into the index against other writers.
+// maxIndexAttempts bounds the attempts to update the index while other
+// writers update it.
 const maxIndexAttempts = 8
 
 func proposalKey(id ident.ChangeID) string { return indexKey + "/" + string(id) }
 
-// Propose stores a change for the approval by a second operator. The same
-// proposal can be sent again.
+// Propose stores a change for approval by a second operator. It can be called
+// again with the same proposal.
 func (l *Log) Propose(ctx context.Context, c rules.Change) (Proposal, error) {
 	if c.ID == "" || len(c.Items) == 0 {
-		return Proposal{}, wrapAs(ErrRefused, errors.New("it has no id or no items"))
+		return Proposal{}, wrapAs(ErrRefused, errors.New("the proposal needs an id and at least one item"))
 	}
 	c.Approver = ""
 	c.At = l.Now().UTC()
@@ -65,17 +68,18 @@
 		return Proposal{}, err
 	}
 	if err := l.addToIndex(ctx, c.ID); err != nil {
-		return Proposal{}, wrapAsf(ErrUnknown, "the proposal is stored, but not listed: %v", err)
+		return Proposal{}, wrapAsf(ErrUnknown, "the proposal is stored but not in the index: %v", err)
 	}
 	return p, nil
 }
 
-// sameChange reports whether two sendings ask for the same.
+// sameChange reports whether two changes have the same operator and items.
 func sameChange(a, b rules.Change) bool {
 	return a.Operator == b.Operator && slices.EqualFunc(a.Items, b.Items, sameItem)
 }
 
-// sameItem compares two items. Storing a document drops its blanks.
+// sameItem reports whether two items are equal. It ignores white space in the
+// documents, because storing a document removes it.
 func sameItem(a, b rules.Item) bool {
 	return a.Kind == b.Kind && a.Name == b.Name && bytes.Equal(compact(a.Doc), compact(b.Doc))
 }
@@ -88,7 +92,7 @@
 	return b.Bytes()
 }
 
-// Proposal reads a proposal, or returns ErrAbsent.
+// Proposal returns a proposal and its version in the store, or ErrNotFound.
 func (l *Log) Proposal(ctx context.Context, id ident.ChangeID) (Proposal, store.Version, error) {
 	v, err := l.cl.Get(ctx, proposalKey(id))
 	if errors.Is(err, store.ErrAbsent) {
@@ -104,7 +108,7 @@
 	return p, v.Version, nil
 }
 
-// Proposals returns the recent proposals, newest first.
+// Proposals returns up to n recent proposals, newest first.
 func (l *Log) Proposals(ctx context.Context, n int) ([]Proposal, error) {
 	ids, _, err := l.index(ctx)
 	if err != nil {
@@ -122,10 +126,9 @@
 	return ps, nil
 }
 
-// Approve records the second operator and puts the change into the log.
-// Approving twice does no harm: whoever comes later, or asks again after an
-// unknown outcome, carries on where the first stopped and gets the same
-// change.
+// Approve records the second operator and appends the change to the log. It
+// is idempotent: a later approval, or a retry after an unknown outcome,
+// continues where the first one stopped and returns the same change.
 func (l *Log) Approve(ctx context.Context, book *rules.Book, id ident.ChangeID, op ident.Operator) (rules.Change, error) {
 	p, ver, err := l.Proposal(ctx, id)
 	if err != nil {
@@ -138,19 +141,19 @@
 		p.Change.Approver = op
 		p.Change.At = l.Now().UTC()
 		p.State = Approved
-		// Only one approval can follow the version that was read.
+		// The store accepts only one write over the version that was read.
 		p, err = l.putProposal(ctx, p, ver)
 		if err != nil {
 			return rules.Change{}, err
 		}
 	}
-	done, err := l.Append(ctx, book, p.Change)
+	accepted, err := l.Append(ctx, book, p.Change)
 	l.recordOutcome(ctx, p, err)
-	return done, err
+	return accepted, err
 }
 
-// recordOutcome notes in the proposal what became of it, for the lists. The log shows
-// the truth where this write is lost.
+// recordOutcome stores the final state in the proposal, for listings. If this
+// write is lost, the log still shows the outcome.
 func (l *Log) recordOutcome(ctx context.Context, p Proposal, err error) {
 	state := p.State
 	switch {
@@ -170,34 +173,34 @@
 	_, _ = l.putProposal(ctx, cur, ver)
 }
 
-// putProposal writes a proposal over the version that was read and returns
-// what stands there afterwards. A write that lost the race, or whose reply was
-// lost, is read back.
+// putProposal writes a proposal over the version that was read and returns the
+// stored proposal. If the write loses a race or its reply is lost, the
+// proposal is read back.
 func (l *Log) putProposal(ctx context.Context, p Proposal, ver store.Version) (Proposal, error) {
 	body, err := json.Marshal(p)
 	if err != nil {
 		return Proposal{}, wrapAs(ErrRefused, err)
 	}
-	doubt := false
+	uncertain := false
 	for range maxWriteAttempts {
 		_, err = l.cl.Put(ctx, proposalKey(p.Change.ID), body, ver)
 		if err == nil {
 			return p, nil
 		}
-		doubt = doubt || errors.Is(err, store.ErrUnknown)
+		uncertain = uncertain || errors.Is(err, store.ErrUnknown)
 		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
 			break
 		}
-		cur, at, readErr := l.Proposal(ctx, p.Change.ID)
-		if readErr == nil && at != ver {
-			return cur, nil
+		stored, storedVer, readErr := l.Proposal(ctx, p.Change.ID)
+		if readErr == nil && storedVer != ver {
+			return stored, nil
 		}
 		if readErr != nil && !errors.Is(readErr, ErrNotFound) {
 			err = readErr
 			break
 		}
 	}
-	return Proposal{}, writeError(err, doubt)
+	return Proposal{}, writeError(err, uncertain)
 }
 
 func (l *Log) index(ctx context.Context) ([]ident.ChangeID, store.Version, error) {
@@ -230,11 +233,11 @@
 		if err != nil && !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrUnknown) {
 			return wrapAs(ErrUnavailable, err)
 		}
-		// The next read distinguishes a lost race and a lost reply; a success
-		// costs one read more and nothing else.
+		// After a conflict or an unknown outcome, the next read shows whether
+		// the id is in the index.
 		if err == nil {
 			return nil
 		}
 	}
-	return wrapAs(ErrUnavailable, errors.New("the index of proposals is too busy"))
+	return wrapAs(ErrUnavailable, errors.New("the proposal index could not be updated: too many concurrent writers"))
 }
--- a/internal/revlog/propose_test.go
+++ b/internal/revlog/propose_test.go
@@ -9,22 +9,22 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// guarded returns a change that asks for two operators from now on.
-func guarded(t tester, id ident.ChangeID, base ident.Revision) rules.Change {
+// requireTwoOperators returns a change that makes the profile require two operators.
+func requireTwoOperators(t tester, id ident.ChangeID, base ident.Revision) rules.Change {
 	t.Helper()
 	p := rules.Profile{Name: "obituary", Models: []rules.Serve{{Model: "draft"}}, TwoOperators: true}
 	return rules.Change{ID: id, Base: base, Operator: "anu", Items: []rules.Item{profileItem(t, p)}}
 }
 
-// One operator alone changes what needs two.
-func TestOneOperatorIsNotTwo(t *testing.T) {
+// Guards against a single operator who changes a profile that requires two.
+func TestApprovalNeedsSecondOperator(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
 	lg := f.log()
-	_, err := lg.Append(ctx, nil, guarded(t, "c1", 0))
+	_, err := lg.Append(ctx, nil, requireTwoOperators(t, "c1", 0))
 	wantErr(t, "new profile under the rule", ErrNeedsApproval, err)
 
-	_, err = lg.Propose(ctx, guarded(t, "c1", 0))
+	_, err = lg.Propose(ctx, requireTwoOperators(t, "c1", 0))
 	wantErr(t, "propose", nil, err)
 	_, err = lg.Approve(ctx, nil, "c1", "anu")
 	wantErr(t, "own approval", ErrSameOperator, err)
@@ -33,20 +33,20 @@
 	wantSame(t, "approver on record", ident.Operator("bold"), done.Approver)
 
 	_, err = lg.Append(ctx, load(t, lg), change(t, "c2", 1, "obituary", 5))
-	wantErr(t, "taking the demand away alone", ErrNeedsApproval, err)
+	wantErr(t, "removing the requirement alone", ErrNeedsApproval, err)
 	_, err = f.log().Append(ctx, nil, change(t, "c3", 1, "obituary", 5))
-	wantErr(t, "the same at a host that is behind", ErrNeedsApproval, err)
+	wantErr(t, "the same at a host with an old book", ErrNeedsApproval, err)
 	wantSame(t, "log", []ident.ChangeID{"c1"}, f.ids(t))
 }
 
-// Two approvals at once make a change twice.
+// Guards against a change that repeated approvals write twice.
 func TestApproveTwice(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
 	lg := f.log()
-	_, err := lg.Propose(ctx, guarded(t, "c1", 0))
+	_, err := lg.Propose(ctx, requireTwoOperators(t, "c1", 0))
 	wantErr(t, "propose", nil, err)
-	_, err = lg.Propose(ctx, guarded(t, "c1", 0))
+	_, err = lg.Propose(ctx, requireTwoOperators(t, "c1", 0))
 	wantErr(t, "propose again", nil, err)
 	_, err = lg.Propose(ctx, change(t, "c1", 0, "publish", 1))
 	wantErr(t, "another proposal under the same id", ErrRefused, err)
@@ -72,14 +72,15 @@
 	return ss
 }
 
-// An outage in the middle of an approval blocks the profile or makes the change twice.
+// Guards against an outage during an approval that blocks the profile or writes
+// the change twice.
 func TestStoreDownDuringApproval(t *testing.T) {
 	for calls := 1; calls <= 6; calls++ {
 		for lose := range 3 {
 			ctx := context.Background()
 			f := newFixture(t)
 			lg := f.log()
-			_, err := lg.Propose(ctx, guarded(t, "c1", 0))
+			_, err := lg.Propose(ctx, requireTwoOperators(t, "c1", 0))
 			wantErr(t, "propose", nil, err)
 			f.srv.SetFaults(plat.Faults{DownAfter: calls, LoseNext: lose})
 			_, first := lg.Approve(ctx, nil, "c1", "bold")
@@ -95,12 +96,13 @@
 	}
 }
 
-// Approving an outdated proposal undoes a change that nobody has seen.
+// Guards against the approval of an outdated proposal, which would undo a change
+// that the proposer and the approver have not seen.
 func TestApproveOutdated(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
 	lg := f.log()
-	_, err := lg.Propose(ctx, guarded(t, "c1", 0))
+	_, err := lg.Propose(ctx, requireTwoOperators(t, "c1", 0))
 	wantErr(t, "propose", nil, err)
 	_, err = lg.Append(ctx, nil, change(t, "c2", 0, "obituary", 5))
 	wantErr(t, "change in between", nil, err)
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -1,6 +1,6 @@
-// Package revlog keeps the configuration in the platform's store as a log of
-// changes: one key for each revision, made with create-if-absent, and now and
-// then a snapshot of the whole.
+// Package revlog stores the configuration in the platform's store as a log of
+// changes: one key for each revision, written with create-if-absent, and
+// periodic snapshots of the whole configuration.
 //
 // # Usage
 //
@@ -9,12 +9,12 @@
 //	change, err := lg.Append(ctx, book, proposal)
 //	change, err := lg.Next(ctx, book.Revision, 30*time.Second)
 //
-// Several operators who race for one revision are distinguished by the store: a
-// key is created once. A writer whose reply was lost reads the key back and
-// knows its own change by its id. A revision is never written twice, so that
-// no reader can see the configuration go back.
+// If several operators race for one revision, only one of them can create its
+// key. A writer whose reply was lost reads the key back and recognises its own
+// change by the id. A revision is never written twice, so no reader sees the
+// configuration revert.
 //
-// A change of a profile that asks for two operators is first a proposal:
+// A change of a profile that requires two operators is proposed first:
 //
 //	p, err := lg.Propose(ctx, change)
 //	change, err := lg.Approve(ctx, book, p.Change.ID, "second")
@@ -34,63 +34,69 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The errors of this layer.
+// The errors of this package.
 var (
-	// ErrConflict says that an item has changed since the operator read it.
+	// ErrConflict is returned if an item has changed since the operator read
+	// it.
 	ErrConflict = errors.New("revlog: conflict")
-	// ErrUnknown says that the change may or may not have been accepted; the
-	// same change can be sent again without harm.
+	// ErrUnknown is returned if the change may or may not have been accepted.
+	// The same change can safely be sent again.
 	ErrUnknown = errors.New("revlog: whether the change was accepted is not known")
-	// ErrUnavailable says that the store does not answer; nothing was accepted.
+	// ErrUnavailable is returned if the store does not answer; nothing was
+	// accepted.
 	ErrUnavailable = errors.New("revlog: the store does not answer")
-	// ErrNoLaterChange says that there is no later change.
+	// ErrNoLaterChange is returned if no later change was written in time.
 	ErrNoLaterChange = errors.New("revlog: no later change")
-	// ErrNotFound says that no such change or proposal is known.
+	// ErrNotFound is returned if there is no such change or proposal.
 	ErrNotFound = errors.New("revlog: not found")
-	// ErrNeedsApproval says that the change has to be proposed and approved by
-	// a second operator.
+	// ErrNeedsApproval is returned if the change must be proposed and approved
+	// by a second operator.
 	ErrNeedsApproval = errors.New("revlog: the change needs the approval of a second operator")
-	// ErrSameOperator says that the proposer tried to approve.
+	// ErrSameOperator is returned if an operator tries to approve their own
+	// proposal.
 	ErrSameOperator = errors.New("revlog: the operator who proposed a change may not approve it")
-	// ErrRefused says that the change can't be applied as it is.
+	// ErrRefused is returned if a change, or stored data, is not valid.
 	ErrRefused = errors.New("revlog: the change can't be applied")
 )
 
-// wrapAs makes an error of this layer from one below, which is kept as text only.
+// wrapAs returns own with the text of an error of a lower layer. The result
+// doesn't wrap below.
 func wrapAs(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
 
 func wrapAsf(own error, format string, args ...any) error {
 	return wrapAs(own, errors.Errorf(format, args...))
 }
 
-// Log is the log of changes in the store. It is safe for several goroutines.
+// Log is the log of changes in the store. It is safe for concurrent use.
 type Log struct {
 	cl *store.Client
-	// Now reads the wall clock, for the times that people read.
+	// Now returns the wall-clock time for the At field of changes, which is
+	// for display only.
 	Now func() time.Time
 
 	mu sync.Mutex
-	// recent holds changes that were read. A revision never changes once it
-	// is written, so that they can't be out of date.
+	// recent caches changes that were read or written. Entries can't become
+	// stale because a written revision never changes.
 	recent map[ident.Revision]rules.Change
 }
 
-// maxRecent bounds the changes that are held in memory.
+// maxRecent bounds the number of changes in the cache.
 const maxRecent = 512
 
-// New returns the log that cl's store holds.
+// New returns the log in the store that cl connects to.
 func New(cl *store.Client) *Log {
 	return &Log{cl: cl, Now: time.Now, recent: make(map[ident.Revision]rules.Change)}
 }
 
 func changeKey(rev ident.Revision) string { return fmt.Sprintf("verbenadale/changes/%d", rev) }
 
-// Next waits for the change that follows a revision.
-func (l *Log) Next(ctx context.Context, after ident.Revision, wait time.Duration) (rules.Change, error) {
+// Next waits up to timeout for the change that follows a revision. It
+// returns ErrNoLaterChange if there is none by then.
+func (l *Log) Next(ctx context.Context, after ident.Revision, timeout time.Duration) (rules.Change, error) {
 	if c, ok := l.cached(after + 1); ok {
 		return c, nil
 	}
-	v, err := l.cl.Watch(ctx, changeKey(after+1), store.Absent, wait)
+	v, err := l.cl.Watch(ctx, changeKey(after+1), store.Absent, timeout)
 	if errors.Is(err, store.ErrIdle) {
 		return rules.Change{}, ErrNoLaterChange
 	}
@@ -100,7 +106,7 @@
 	return l.decode(after+1, v)
 }
 
-// Read returns the change that made a revision, or ErrAbsent.
+// Read returns the change that created a revision, or ErrNotFound.
 func (l *Log) Read(ctx context.Context, rev ident.Revision) (rules.Change, error) {
 	if c, ok := l.cached(rev); ok {
 		return c, nil
@@ -134,7 +140,7 @@
 		return rules.Change{}, wrapAs(ErrRefused, err)
 	}
 	if c.Revision != rev {
-		return rules.Change{}, wrapAsf(ErrRefused, "revision %d stands under the key of %d", c.Revision, rev)
+		return rules.Change{}, wrapAsf(ErrRefused, "found revision %d under the key of revision %d", c.Revision, rev)
 	}
 	l.cacheChange(c)
 	return c, nil
@@ -154,9 +160,9 @@
 	if len(l.recent) <= maxRecent {
 		return
 	}
-	low := c.Revision
+	oldest := c.Revision
 	for rev := range l.recent {
-		low = min(low, rev)
+		oldest = min(oldest, rev)
 	}
-	delete(l.recent, low)
+	delete(l.recent, oldest)
 }
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -19,18 +19,19 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// tester is what a plain test and one of package rapid have in common.
+// tester is the common part of *testing.T and *rapid.T.
 type tester interface {
 	Helper()
 	Errorf(format string, args ...any)
 	Fatal(args ...any)
 }
 
-// fixture is a stand-in that several logs use, as entry hosts do.
+// fixture is a fake store that several logs use, as entry hosts do.
 type fixture struct {
 	srv *plat.Server
 	url string
-	// before, where set, sees each call before the stand-in.
+	// before, if set, is called with each request before the fake store
+	// handles it.
 	before func(r *http.Request)
 }
 
@@ -61,7 +62,7 @@
 	return rules.Item{Kind: rules.KindProfile, Name: string(p.Name), Doc: doc}
 }
 
-// change returns a change of one profile to a priority.
+// change returns a change that sets the priority of one profile.
 func change(t tester, id ident.ChangeID, base ident.Revision, name ident.Profile, priority int) rules.Change {
 	t.Helper()
 	p := rules.Profile{Name: name, Models: []rules.Serve{{Model: "draft"}}, Priority: priority}
@@ -77,7 +78,8 @@
 	return b
 }
 
-// ids returns the ids of the log in order, read by a host that knows nothing.
+// ids returns the ids of the changes in the log in order, read through a new Log
+// without a cache.
 func (f *fixture) ids(t tester) []ident.ChangeID {
 	t.Helper()
 	l := f.log()
@@ -108,7 +110,8 @@
 	}
 }
 
-// A change whose write reply is lost is reported as failed, or made twice.
+// Guards against a change that is reported as failed or written twice after the
+// reply to its write was lost.
 func TestLostReply(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
@@ -119,8 +122,9 @@
 	wantSame(t, "log", []ident.ChangeID{"c1"}, f.ids(t))
 }
 
-// A change of unknown outcome that is sent again is made twice.
-func TestUnknownThenAgain(t *testing.T) {
+// Guards against a change of unknown outcome that is written twice when it is sent
+// again.
+func TestResendAfterUnknownOutcome(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
 	lg := f.log()
@@ -132,7 +136,7 @@
 	f.srv.SetFaults(plat.Faults{})
 	other := f.log()
 	_, err = other.Append(ctx, load(t, other), change(t, "c2", 1, "publish", 1))
-	wantErr(t, "another operator goes on", nil, err)
+	wantErr(t, "change of another operator", nil, err)
 	done, err := other.Append(ctx, load(t, other), c)
 	wantErr(t, "the same change by another host", nil, err)
 	wantSame(t, "revision", ident.Revision(1), done.Revision)
@@ -141,8 +145,9 @@
 	wantSame(t, "log", []ident.ChangeID{"c1", "c2"}, f.ids(t))
 }
 
-// A write that lands after its writer gave up makes the change twice.
-func TestWriteLandsLate(t *testing.T) {
+// Guards against a change that is written twice because its first write took
+// effect after the writer had given up.
+func TestDelayedWrite(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
 	f.srv.SetFaults(plat.Faults{DelayMs: 150})
@@ -157,21 +162,22 @@
 	wantSame(t, "log", []ident.ChangeID{"c1"}, f.ids(t))
 }
 
-// A change during an outage is reported as of unknown outcome though nothing was sent.
-func TestDown(t *testing.T) {
+// Guards against a change that is reported as of unknown outcome although an outage
+// kept it from being sent.
+func TestStoreDown(t *testing.T) {
 	f := newFixture(t)
 	f.srv.SetFaults(plat.Faults{Refuse: []string{"127.0.0.1"}})
 	lg := f.log()
 	_, err := lg.Load(context.Background())
 	wantErr(t, "load", ErrUnavailable, err)
 	_, err = New(store.New(store.Config{URL: "http://127.0.0.1:1"})).Append(context.Background(), nil, change(t, "c1", 0, "obituary", 1))
-	wantErr(t, "append with no link", ErrUnavailable, err)
+	wantErr(t, "append without a connection", ErrUnavailable, err)
 	if errors.Is(err, ErrUnknown) {
 		t.Error("a change that was never sent is reported as unknown")
 	}
 }
 
-// racer is one operator of a race.
+// racer is one of several operators who append at the same time.
 type racer struct {
 	lg  *Log
 	c   rules.Change
@@ -195,7 +201,8 @@
 	return rs
 }
 
-// Of racing changes to one profile a later one silently undoes the first.
+// Guards against a change that silently undoes another when operators race for one
+// profile.
 func TestOperatorsRace(t *testing.T) {
 	f := newFixture(t)
 	won, lost := 0, 0
@@ -227,7 +234,7 @@
 	}
 }
 
-// A slow writer replaces a snapshot by an older one.
+// Guards against a slow writer that replaces a snapshot by an older one.
 func TestSnapshotNeverGoesBack(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
@@ -246,15 +253,16 @@
 	}
 	newer = book
 
-	// The newer write slips in between the read and the write of the older.
-	var slipped atomic.Bool
+	// The newer snapshot is written between the read and the write of the
+	// older one.
+	var interleaved atomic.Bool
 	f.before = func(r *http.Request) {
-		if r.Method == http.MethodPut && slipped.CompareAndSwap(false, true) {
+		if r.Method == http.MethodPut && interleaved.CompareAndSwap(false, true) {
 			f.log().writeSnapshot(ctx, newer)
 		}
 	}
 	f.log().writeSnapshot(ctx, older)
-	wantSame(t, "the newer was written in between", true, slipped.Load())
+	wantSame(t, "the newer was written in between", true, interleaved.Load())
 	rev, err := lg.SnapshotRevision(ctx)
 	wantErr(t, "snapshot", nil, err)
 	wantSame(t, "snapshot after the race", newer.Rev(), rev)
@@ -265,7 +273,8 @@
 	wantSame(t, "snapshot after an older one alone", newer.Rev(), rev)
 }
 
-// A host that starts from a snapshot has another book than one that was there all the time.
+// Guards against a host that starts from a snapshot and gets another book than a
+// host that applied every change.
 func TestLoadFromSnapshot(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t)
@@ -280,13 +289,13 @@
 	}
 	before := f.srv.Counts()["get"]
 	got := load(t, f.log())
-	wantSame(t, "calls of a start", 1+5+1, f.srv.Counts()["get"]-before)
+	wantSame(t, "store calls of a start", 1+5+1, f.srv.Counts()["get"]-before)
 	wantSame(t, "book", image(t, book), image(t, got))
 
 	f.srv.SetFaults(plat.Faults{DownAfter: 3})
 	got, err := f.log().Load(ctx)
 	wantErr(t, "the store goes down while a host reads", nil, err)
-	wantSame(t, "what it has read by then", ident.Revision(snapshotInterval+2), got.Rev())
+	wantSame(t, "revision read before the outage", ident.Revision(snapshotInterval+2), got.Rev())
 }
 
 func image(t tester, b *rules.Book) string {
--- a/internal/revlog/snap.go
+++ b/internal/revlog/snap.go
@@ -11,20 +11,20 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// snapshotKey holds the newest snapshot.
+// snapshotKey is the key of the newest snapshot.
 const snapshotKey = "verbenadale/snapshot"
 
-// snapshotInterval is the number of changes between two snapshots. A host that
-// starts reads one snapshot and at most about as many changes.
+// snapshotInterval is the number of changes between two snapshots. A starting
+// host reads one snapshot and at most about this many changes.
 const snapshotInterval = 32
 
-// maxReplay bounds the changes that one Load reads after the snapshot. What
-// is left comes with the watch.
+// maxReplay bounds the changes that are read in one pass, such as those after
+// the snapshot in Load. The watch delivers the rest.
 const maxReplay = 4 * snapshotInterval
 
-// Load reads the newest snapshot and the changes that follow it, as many as
-// the call budget and the context let it. A book that is behind is no fault:
-// the watch brings the rest. Only where nothing could be read it fails.
+// Load reads the newest snapshot and the changes that follow it, as far as the
+// call budget and the context allow. An incomplete book is not an error, because
+// the watch delivers the rest. Load fails only if nothing could be read.
 func (l *Log) Load(ctx context.Context) (*rules.Book, error) {
 	snap, _, err := l.snapshot(ctx)
 	if err != nil {
@@ -35,14 +35,16 @@
 		return nil, err
 	}
 	if book.Rev() >= snap.Rev()+2*snapshotInterval {
-		// The host that should have written the snapshot went away. Without
-		// this, each start would read a longer log than the one before.
+		// The host that was due to write a snapshot stopped before it did.
+		// Without this write, each start would read a longer log than the
+		// one before.
 		l.writeSnapshot(ctx, book)
 	}
 	return book, nil
 }
 
-// snapshot reads the newest snapshot, the empty book where there is none.
+// snapshot returns the newest snapshot and its version in the store, or an
+// empty book if there is none.
 func (l *Log) snapshot(ctx context.Context) (*rules.Book, store.Version, error) {
 	v, err := l.cl.Get(ctx, snapshotKey)
 	if errors.Is(err, store.ErrAbsent) {
@@ -58,22 +60,23 @@
 	return book, v.Version, nil
 }
 
-// snapshotIfDue writes a snapshot where the change has made a revision that is
-// due for one.
-func (l *Log) snapshotIfDue(ctx context.Context, book *rules.Book, won rules.Change) {
-	if won.Revision%snapshotInterval != 0 || book.Rev()+1 != won.Revision {
+// snapshotIfDue writes a snapshot if the revision of the change is a multiple
+// of snapshotInterval.
+func (l *Log) snapshotIfDue(ctx context.Context, book *rules.Book, written rules.Change) {
+	if written.Revision%snapshotInterval != 0 || book.Rev()+1 != written.Revision {
 		return
 	}
-	if next, err := book.Apply(won); err == nil {
+	if next, err := book.Apply(written); err == nil {
 		l.writeSnapshot(ctx, next)
 	}
 }
 
-// writeSnapshot replaces the snapshot by a newer one. Failing is harmless,
-// since the log holds everything. It never replaces a snapshot by one of a
-// lower revision: the host that starts from it would for a moment serve by
-// rules that were replaced long ago. The version that was read along with the
-// old revision guards against a newer one written in between.
+// writeSnapshot replaces the stored snapshot by a newer one. Failures are
+// ignored because the log holds every change. A snapshot is never replaced by
+// one of a lower revision: a host that starts from it would briefly serve by
+// rules that were replaced long ago. The write is conditional on the version
+// that was read, so that it can't overwrite a newer snapshot that was written
+// in between.
 func (l *Log) writeSnapshot(ctx context.Context, book *rules.Book) {
 	old, ver, err := l.snapshot(ctx)
 	if err != nil || old.Rev() >= book.Rev() {
--- a/pkg/codes/codes_test.go
+++ b/pkg/codes/codes_test.go
@@ -8,7 +8,9 @@
 
 var shape = regexp.MustCompile(`^VB[1-6][0-9]{3}$`)
 
-func TestCodesAreWhole(t *testing.T) {
+// Guards against malformed or repeated ids, missing fields, and codes in the table
+// of another family.
+func TestCodesAreComplete(t *testing.T) {
 	seen := make(map[ID]bool)
 	for _, c := range All() {
 		if !shape.MatchString(string(c.ID)) {
--- a/pkg/codes/filter.go
+++ b/pkg/codes/filter.go
@@ -1,7 +1,7 @@
 package codes
 
-// The routing filters. Each rules out a choice for good; none is a cost that
-// could be outbid under load.
+// The routing filters. A filter excludes a choice whatever its cost; no load or
+// predicted time can outweigh it.
 var (
 	FilterKind = Code{
 		ID: "VB2001", Title: "the target is of another kind than the profile asks for", Since: firstVersion, Severity: Info,
@@ -53,7 +53,7 @@
 	}
 )
 
-// Filters is the table of the routing filters.
+// Filters lists the routing filters.
 var Filters = []Code{
 	FilterKind, FilterModel, FilterResidency, FilterHops, FilterDraining,
 	FilterHealth, FilterTried, FilterOffer, FilterFull, FilterEvacuated, FilterCold, FilterBound,
--- a/pkg/codes/mechanism.go
+++ b/pkg/codes/mechanism.go
@@ -1,7 +1,7 @@
 package codes
 
-// The mechanisms of placing, queueing, refusing and retrying that a load is answered with.
-// Each can be switched off in development builds, to measure what it is worth.
+// The mechanisms that place, queue, refuse and retry requests under load. Each
+// can be switched off in development builds to measure its effect.
 var (
 	PrefixTransfer = Code{
 		ID: "VB6001", Title: "engines copy cached prefixes from each other", Since: secondVersion, Severity: Info,
@@ -15,7 +15,7 @@
 		ID: "VB6003", Title: "engines begin prompts by what is left to prefill", Since: secondVersion, Severity: Info,
 		Text: "At a peak a long prompt waits for all short ones of a more urgent profile. By length first, and by urgency among those of one length, most callers wait least.",
 	}
-	LateBehind = Code{
+	LateRequestsLast = Code{
 		ID: "VB6004", Title: "requests that are late go behind those in time", Since: secondVersion, Severity: Info,
 		Text: "In an overload a request that can't be answered within its goal any more waits behind those that can, and for a quarter of its goal at the most.",
 	}
@@ -49,8 +49,8 @@
 	}
 )
 
-// Mechanisms is the table of the mechanisms.
+// Mechanisms lists the mechanisms.
 var Mechanisms = []Code{
-	PrefixTransfer, AnnouncedHolders, OrderByLength, LateBehind, LongIdleTimeout, PromptMemory,
+	PrefixTransfer, AnnouncedHolders, OrderByLength, LateRequestsLast, LongIdleTimeout, PromptMemory,
 	CallQueue, AnnouncedSends, RefusalBackoff, GrowingRetryAfter, DrainAccept,
 }
--- a/pkg/codes/profil.go
+++ b/pkg/codes/profil.go
@@ -1,6 +1,6 @@
 package codes
 
-// The checks of profiles and accounts, made before a change is accepted.
+// The checks of profiles and accounts, which run before a change is accepted.
 var (
 	ProfileName = Code{
 		ID: "VB4001", Title: "the name is empty or has characters other than a-z, 0-9, dot, dash and slash", Since: firstVersion, Severity: Error,
@@ -52,7 +52,7 @@
 	}
 )
 
-// Profiles is the table of the checks of profiles and accounts.
+// Profiles lists the checks of profiles and accounts.
 var Profiles = []Code{
 	ProfileName, ProfileServes, ProfileRange, ProfileHome, ProfileDigest, ProfileShape, ProfileKind,
 	ProfileTwice, ProfileShared, ProfileNoHome, ProfileList, ProfileAbsent,
--- a/pkg/codes/promise.go
+++ b/pkg/codes/promise.go
@@ -1,6 +1,6 @@
 package codes
 
-// The promises: what always holds, whatever fails.
+// The promises: guarantees that hold under every failure.
 var (
 	PromiseResidency = Code{
 		ID: "VB5001", Title: "data never leaves the place its residency rule confines it to", Since: firstVersion, Severity: Error,
@@ -40,7 +40,7 @@
 	}
 )
 
-// Promises is the table of the promises.
+// Promises lists the promises.
 var Promises = []Code{
 	PromiseResidency, PromiseNoLoop, PromisePartition, PromiseComplete, PromiseNotRun,
 	PromiseOnce, PromiseDrainingTarget, PromiseDrain, PromiseChange,
--- a/pkg/codes/refuse.go
+++ b/pkg/codes/refuse.go
@@ -5,10 +5,10 @@
 // firstVersion is the version that introduced the first set of codes.
 const firstVersion = "0.1.0"
 
-// secondVersion is the version that runs on a platform of routes.
+// secondVersion is the version that introduced routes by host and path.
 const secondVersion = "0.2.0"
 
-// The refusals, the final answers other than an answer of a target.
+// The refusals: final answers that don't come from a target.
 var (
 	UnknownKey = Code{
 		ID: "VB1001", Title: "the API key is not known", Status: http.StatusUnauthorized, Since: firstVersion, Severity: Error,
@@ -136,7 +136,7 @@
 	}
 )
 
-// Refusals is the table of the refusals.
+// Refusals lists the refusals.
 var Refusals = []Code{
 	UnknownKey, BadRequest, TooLarge, UnknownProfile, OutsideResidency, TooManyHops,
 	NoTarget, Overloaded, AccountLimit, DeadlinePast, BadTicket, ForeignTicket,
--- a/pkg/codes/setting.go
+++ b/pkg/codes/setting.go
@@ -1,6 +1,6 @@
 package codes
 
-// The settings checks, for the settings file of an entry host.
+// The checks of the settings file of an entry host.
 var (
 	SettingUnknown = Code{
 		ID: "VB3001", Title: "the field is not known", Since: firstVersion, Severity: Error,
@@ -60,7 +60,7 @@
 	}
 )
 
-// Settings is the table of the settings checks.
+// Settings lists the settings checks.
 var Settings = []Code{
 	SettingUnknown, SettingSyntax, SettingType, SettingTwice, SettingMissing, SettingName, SettingAddress,
 	SettingURL, SettingFile, SettingTLS, SettingDigest, SettingRange, SettingChoice, SettingClash,
--- a/pkg/ident/ident.go
+++ b/pkg/ident/ident.go
@@ -1,17 +1,16 @@
-// Package ident holds the named types for identities and units that every
-// other package of verbenadale shares.
+// Package ident defines the types for identities and units that the other
+// packages of verbenadale share.
 //
 // # Usage
 //
-// An identity is a string or number with a type of its own, so that a target
-// can't be passed where an entry host is meant:
+// Each kind of identity is a distinct string or number type, so that the
+// compiler rejects, for example, a target in place of an entry host:
 //
 //	var to ident.TargetID = "uvs-engine-3"
 //
-// Time is read from a monotonic clock of one process. It has no meaning in
-// another process: what travels between processes is an age or a remaining
-// time, never a Time. A clock that jumps on one host therefore shifts no
-// deadline on another.
+// A Time is a reading of the monotonic clock of one process and has no meaning
+// in another. Processes send each other ages or remaining times, never a Time,
+// so a clock jump on one host shifts no deadline on another.
 package ident
 
 import (
@@ -21,16 +20,17 @@
 	"time"
 )
 
-// Region names a region: a place that residency rules name.
+// Region names a region, the unit of residency rules.
 type Region string
 
-// DataCentre names a data centre. It lies in exactly one region.
+// DataCentre names a data centre. Each one is in exactly one region.
 type DataCentre string
 
-// EntryID names an entry host, for all its incarnations.
+// EntryID names an entry host. It is the same for all incarnations.
 type EntryID string
 
-// TargetID names a target: a model engine or a plain service.
+// TargetID names a target: an instance of a model engine or of a plain
+// service.
 type TargetID string
 
 // Account names a client account.
@@ -42,32 +42,34 @@
 // Profile names a profile.
 type Profile string
 
-// Model names a model as engines report it.
+// Model names a model, as engines report it.
 type Model string
 
 // Version names a version of a model.
 type Version string
 
-// Adapter names an adapter that is loaded on top of a model.
+// Adapter names an adapter that an engine loads on top of a model.
 type Adapter string
 
-// RequestID names one request of a caller. It is unique for all entry hosts.
+// RequestID names one request of a caller. It is unique across all entry hosts.
 type RequestID string
 
-// ChangeID names one proposed change of the configuration. The writer picks
-// it, so that it can recognise its own write after a lost reply.
+// ChangeID names one proposed change of the configuration. The writer chooses
+// it and recognises its own write by it after a lost reply.
 type ChangeID string
 
-// Incarnation distinguishes two runs of one entry host or target. A later run
-// has a higher number: it is the wall clock at the start in nanoseconds.
+// Incarnation distinguishes the runs of one entry host or target. It is the
+// wall-clock time of the start in nanoseconds, so a later run has a higher
+// number.
 type Incarnation uint64
 
-// Revision counts the accepted changes of the configuration from 1. Zero is
-// the empty configuration.
+// Revision numbers the accepted changes of the configuration, starting at 1.
+// Zero is the empty configuration.
 type Revision uint64
 
-// Fence is a fencing number that goes with an order to a target. A target
-// that checks fencing refuses an order with a lower number than it has seen.
+// Fence is a fencing token that is sent with an order to a target. A target
+// that checks it refuses an order with a lower number than the highest it has
+// seen.
 type Fence uint64
 
 // Tokens counts tokens.
@@ -76,13 +78,13 @@
 // Bytes counts bytes.
 type Bytes int64
 
-// Hops counts how often a request was passed from one region to another.
+// Hops counts how often a request was forwarded from one region to another.
 type Hops int
 
-// PerMinute is a rate of requests or tokens in one minute.
+// PerMinute is a rate of requests or tokens per minute.
 type PerMinute float64
 
-// Time is a reading of the process's monotonic clock in nanoseconds.
+// Time is a reading of the monotonic clock of this process in nanoseconds.
 type Time int64
 
 // Add returns the time d after t.
@@ -91,12 +93,12 @@
 // Sub returns the duration from u to t.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Before reports whether t lies before u.
+// Before reports whether t is before u.
 func (t Time) Before(u Time) bool { return t < u }
 
-// Attempt names one try to run a request. The entry host that starts the try
-// numbers it, and its incarnation keeps a restarted host from using a number
-// twice.
+// Attempt identifies one attempt to run a request. The entry host that starts
+// the attempt numbers it; the incarnation keeps the id unique if a restarted
+// host uses a number again.
 type Attempt struct {
 	Entry       EntryID     `json:"entry"`
 	Incarnation Incarnation `json:"incarnation"`
@@ -106,7 +108,7 @@
 // IsZero reports whether a names no attempt.
 func (a Attempt) IsZero() bool { return a == Attempt{} }
 
-// String writes a as entry/incarnation/number, the form of headers and logs.
+// String returns a as entry/incarnation/number, the form in headers and logs.
 func (a Attempt) String() string {
 	return fmt.Sprintf("%s/%d/%d", a.Entry, a.Incarnation, a.Number)
 }
@@ -114,7 +116,7 @@
 // attemptParts is the number of parts in the text form of an attempt.
 const attemptParts = 3
 
-// ParseAttempt reads the form that String writes.
+// ParseAttempt parses the form that String returns.
 func ParseAttempt(s string) (Attempt, error) {
 	parts := strings.Split(s, "/")
 	if len(parts) != attemptParts || parts[0] == "" {
@@ -122,11 +124,11 @@
 	}
 	inc, err := strconv.ParseUint(parts[1], 10, 64)
 	if err != nil {
-		return Attempt{}, fmt.Errorf("attempt %q has an incarnation that is no number", s)
+		return Attempt{}, fmt.Errorf("attempt %q has an incarnation that is not an unsigned integer", s)
 	}
 	n, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil {
-		return Attempt{}, fmt.Errorf("attempt %q has a number that is none", s)
+		return Attempt{}, fmt.Errorf("attempt %q has a number that is not an unsigned integer", s)
 	}
 	return Attempt{Entry: EntryID(parts[0]), Incarnation: Incarnation(inc), Number: n}, nil
 }
--- a/pkg/rules/approve.go
+++ b/pkg/rules/approve.go
@@ -2,10 +2,11 @@
 
 import "verbenadale.example/verbenadale/pkg/ident"
 
-// NeedsApproval reports whether a change may come into force only with the
-// approval of a second operator. Either side of the change can ask for it: the
-// profile in force, so that one operator can't take the demand away alone, and
-// the new document, so that a profile is under it from its first revision.
+// NeedsApproval reports whether a change of the given items requires the
+// approval of a second operator. It does if a profile in force sets
+// TwoOperators, so that one operator can't remove the requirement alone, or if
+// a new document sets it, so that it applies from the first revision of the
+// profile.
 func (b *Book) NeedsApproval(items []Item) bool {
 	for _, it := range items {
 		if it.Kind != KindProfile {
--- a/pkg/rules/book.go
+++ b/pkg/rules/book.go
@@ -11,17 +11,18 @@
 )
 
 // Book is the whole configuration at one revision. The zero Book is the empty
-// configuration. A Book is shared between goroutines and never changed.
+// configuration. A Book is immutable and may be shared between goroutines.
 type Book struct {
 	Revision ident.Revision
 	profiles map[ident.Profile]Profile
 	clients  map[ident.Account]Client
 	byDigest map[string]ident.Account
-	// changed holds the revision that last changed each item.
+	// changed maps each item to the revision that last changed it.
 	changed map[itemKey]ident.Revision
-	// lastID is the id of the change that made this revision.
+	// lastID is the id of the change that created this revision.
 	lastID ident.ChangeID
-	// services, limits and routes come with a Sheet only.
+	// services, limits and routes are set only from a StaticConfig, not by
+	// changes.
 	services map[string]Service
 	limits   CallerLimits
 	routes   routeIndex
@@ -32,7 +33,7 @@
 	name string
 }
 
-// ConflictError says that an item has changed since the operator read it.
+// ConflictError reports that an item has changed since the operator read it.
 type ConflictError struct {
 	Kind    Kind
 	Name    string
@@ -40,24 +41,24 @@
 	Changed ident.Revision
 }
 
-// Error names the item to read again.
+// Error returns a message that names the item to read again.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s %s was changed in revision %d, after revision %d that the change is based on; read it again",
 		e.Kind, e.Name, e.Changed, e.Base)
 }
 
-// GapError says that a change does not follow the book's revision.
+// GapError reports that a change does not have the revision after the book's.
 type GapError struct {
 	Have ident.Revision
 	Got  ident.Revision
 }
 
-// Error names both revisions.
+// Error returns a message that names both revisions.
 func (e *GapError) Error() string {
 	return fmt.Sprintf("revision %d does not follow revision %d", e.Got, e.Have)
 }
 
-// FromStatic returns the book of a configuration that was written as a whole.
+// FromStatic returns the book of a configuration that is written as a whole.
 func FromStatic(rev ident.Revision, sh StaticConfig) *Book {
 	b := (*Book)(nil).clone()
 	b.Revision = rev
@@ -76,7 +77,8 @@
 	return b
 }
 
-// Match returns the profile whose route takes a request.
+// Match returns the profile whose route matches the host and path of a
+// request, and whether there is one.
 func (b *Book) Match(host, path string) (Profile, bool) {
 	if b == nil {
 		return Profile{}, false
@@ -84,8 +86,8 @@
 	return b.routes.find(host, path)
 }
 
-// HostRegions returns the regions in which the requests of every route of a host may
-// be served, none where no route is confined.
+// HostRegions returns the regions in which requests to a host may be served
+// whatever route they match. It returns nil if no route of the host is confined.
 func (b *Book) HostRegions(host string) []ident.Region {
 	if b == nil {
 		return nil
@@ -103,7 +105,7 @@
 	return homes
 }
 
-// Service returns what the operator says of a service.
+// Service returns the configuration of the service with the given name.
 func (b *Book) Service(name string) (Service, bool) {
 	if b == nil {
 		return Service{}, false
@@ -112,7 +114,7 @@
 	return s, ok
 }
 
-// Limits returns the limits of callers' connections.
+// Limits returns the limits for callers' connections.
 func (b *Book) Limits() CallerLimits {
 	if b == nil {
 		return CallerLimits{}
@@ -129,7 +131,7 @@
 	return p, ok
 }
 
-// Profiles returns all profiles by name.
+// Profiles returns all profiles, sorted by name.
 func (b *Book) Profiles() []Profile {
 	if b == nil {
 		return nil
@@ -151,7 +153,7 @@
 	return c, ok
 }
 
-// Clients returns all accounts by name.
+// Clients returns all accounts, sorted by name.
 func (b *Book) Clients() []Client {
 	if b == nil {
 		return nil
@@ -176,8 +178,8 @@
 	return b.Client(name)
 }
 
-// ChangedAt returns the revision that last changed an item, zero for one that
-// never was.
+// ChangedAt returns the revision that last changed an item, or zero if no change
+// contained it.
 func (b *Book) ChangedAt(kind Kind, name string) ident.Revision {
 	if b == nil {
 		return 0
@@ -185,7 +187,7 @@
 	return b.changed[itemKey{kind, name}]
 }
 
-// LastID returns the id of the change that made this revision.
+// LastID returns the id of the change that created this revision.
 func (b *Book) LastID() ident.ChangeID {
 	if b == nil {
 		return ""
@@ -193,7 +195,7 @@
 	return b.lastID
 }
 
-// Conflict returns a ConflictError if an item of c has changed since c.Base.
+// Conflict returns a *ConflictError if an item of c has changed since c.Base.
 func (b *Book) Conflict(c Change) error {
 	for _, it := range c.Items {
 		at := b.ChangedAt(it.Kind, it.Name)
@@ -204,7 +206,8 @@
 	return nil
 }
 
-// Apply returns the book after c, which must carry the next revision.
+// Apply returns the book after the change c. It returns a *GapError if c does
+// not have the next revision.
 func (b *Book) Apply(c Change) (*Book, error) {
 	have := b.Rev()
 	if c.Revision != have+1 {
@@ -221,7 +224,7 @@
 	return next, nil
 }
 
-// Rev returns the revision, zero for a nil book.
+// Rev returns the revision, or zero for a nil book.
 func (b *Book) Rev() ident.Revision {
 	if b == nil {
 		return 0
@@ -292,7 +295,8 @@
 
 func (b *Book) putClient(it Item) error {
 	name := ident.Account(it.Name)
-	// Another item of the same change may have taken the old key over.
+	// Another item of the same change may already have moved the old key to
+	// its own account.
 	if old, ok := b.clients[name]; ok && b.byDigest[old.KeyDigest] == name {
 		delete(b.byDigest, old.KeyDigest)
 	}
@@ -309,13 +313,13 @@
 	return nil
 }
 
-// Deletes reports whether the item removes what it names.
+// Deletes reports whether the item deletes the profile or account it names.
 func (it Item) Deletes() bool {
 	doc := bytes.TrimSpace(it.Doc)
 	return len(doc) == 0 || string(doc) == "null"
 }
 
-// Profile reads the document as a profile. Unknown fields are faults.
+// Profile decodes the document as a profile. Unknown fields are errors.
 func (it Item) Profile() (Profile, error) {
 	p := Profile{}
 	if err := decodeStrict(it, &p); err != nil {
@@ -325,7 +329,7 @@
 	return p, nil
 }
 
-// Client reads the document as an account. Unknown fields are faults.
+// Client decodes the document as an account. Unknown fields are errors.
 func (it Item) Client() (Client, error) {
 	c := Client{}
 	if err := decodeStrict(it, &c); err != nil {
@@ -344,7 +348,7 @@
 	return nil
 }
 
-// bookJSON is the JSON form of a book, used for snapshots.
+// bookJSON is the JSON form of a Book in snapshots.
 type bookJSON struct {
 	Revision ident.Revision `json:"revision"`
 	LastID   ident.ChangeID `json:"lastID"`
@@ -361,7 +365,7 @@
 	Revision ident.Revision `json:"revision"`
 }
 
-// MarshalJSON writes the whole book, for a snapshot.
+// MarshalJSON encodes the whole book for a snapshot.
 func (b *Book) MarshalJSON() ([]byte, error) {
 	img := bookJSON{
 		Revision: b.Rev(),
@@ -387,7 +391,7 @@
 	return json.Marshal(img)
 }
 
-// UnmarshalJSON reads a snapshot.
+// UnmarshalJSON decodes a snapshot.
 func (b *Book) UnmarshalJSON(data []byte) error {
 	var img bookJSON
 	if err := json.Unmarshal(data, &img); err != nil {
--- a/pkg/rules/check.go
+++ b/pkg/rules/check.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// Bounds of the values in profiles.
+// Bounds on the values in documents.
 const (
 	maxCrossings  = 4
 	maxDeadlineMs = 3_600_000
@@ -18,31 +18,32 @@
 
 var nameShape = regexp.MustCompile(`^[a-z0-9][a-z0-9./-]{0,62}$`)
 
-// Fault is one fault found in a document.
+// Fault is an error found in a document.
 type Fault struct {
 	Code codes.ID `json:"code"`
 	// Item names the profile or account, such as "profile obituary".
 	Item string `json:"item"`
 	// Path names the field, such as weights.tail.
 	Path string `json:"path"`
-	// Message says what to write instead.
+	// Message states what is wrong, or what to write instead.
 	Message string `json:"message"`
 }
 
-// String writes the fault in one line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: %s: %s (%s)", f.Item, f.Path, f.Message, f.Code)
 }
 
-// check is one declared check. Each looks at one kind of thing; the context
-// is the configuration as it would be after the change.
+// check is a validation of profiles, accounts or both. after is the
+// configuration as it would be after the change. The functions leave Fault.Code
+// and Fault.Item unset.
 type check struct {
 	code    codes.Code
 	profile func(p Profile) []Fault
 	client  func(after *Book, c Client) []Fault
 }
 
-// checks is the table that Check goes through.
+// checks lists the checks that Check runs on each item.
 var checks = []check{
 	{code: codes.ProfileName, profile: profileName, client: clientName},
 	{code: codes.ProfileServes, profile: profileModelsOrService},
@@ -55,11 +56,12 @@
 	{code: codes.ProfileHome, client: clientHomeOutside},
 }
 
-// Check returns every fault of the items of a change to the empty
+// Check returns every fault in the items of a change to the empty
 // configuration.
 func Check(items []Item) []Fault { return CheckWith(nil, items) }
 
-// CheckWith returns every fault of the items of a change to a configuration.
+// CheckWith returns every fault in the items of a change to the given
+// configuration, and those that the change causes in other accounts.
 func CheckWith(book *Book, items []Item) []Fault {
 	faults := duplicateItems(items)
 	after := book.withItems(items)
@@ -69,18 +71,18 @@
 	return append(faults, checkUnchangedAccounts(after, items)...)
 }
 
-// withItems is the configuration with the items that can be read.
+// withItems returns the configuration after the items that can be decoded.
 func (b *Book) withItems(items []Item) *Book {
 	next := b.clone()
 	for _, it := range items {
-		// What can't be read has a check of its own.
+		// checkItem reports items that can't be decoded.
 		_ = next.put(it, next.Revision+1)
 	}
 	return next
 }
 
-// checkUnchangedAccounts checks the accounts that the change leaves alone, for what a changed
-// or deleted profile does to them.
+// checkUnchangedAccounts checks the accounts that are not part of the change,
+// because a changed or deleted profile can make them invalid.
 func checkUnchangedAccounts(after *Book, items []Item) []Fault {
 	changed := make(map[itemKey]bool, len(items))
 	profiles := false
@@ -114,7 +116,7 @@
 	for _, it := range items {
 		key := itemKey{it.Kind, it.Name}
 		if seen[key] {
-			faults = append(faults, withItem(it, []Fault{{Code: codes.ProfileTwice.ID, Path: "name", Message: "it stands twice in the change; send it once"}})...)
+			faults = append(faults, withItem(it, []Fault{{Code: codes.ProfileTwice.ID, Path: "name", Message: "it is listed twice in the change; send it once"}})...)
 		}
 		seen[key] = true
 	}
@@ -207,21 +209,22 @@
 	return nil
 }
 
-// boundedNumber is a value with its bounds.
+// boundedNumber is a value with its bounds and the message for a value outside
+// them.
 type boundedNumber struct {
-	path    string
-	v       float64
-	min     float64
-	max     float64
-	message string
+	path     string
+	v        float64
+	minValue float64
+	maxValue float64
+	message  string
 }
 
-// outOfRange returns a fault for each number out of its bounds. One that is not a
-// number at all is outOfRange too.
+// outOfRange returns a fault for each number outside its bounds. NaN is outside
+// any bounds.
 func outOfRange(ns []boundedNumber) []Fault {
 	var faults []Fault
 	for _, n := range ns {
-		if n.v >= n.min && n.v <= n.max {
+		if n.v >= n.minValue && n.v <= n.maxValue {
 			continue
 		}
 		faults = append(faults, Fault{Path: n.path, Message: n.message})
--- a/pkg/rules/check_test.go
+++ b/pkg/rules/check_test.go
@@ -15,13 +15,14 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// checkCase is a change, and the configuration that it is made to.
+// checkCase is a configuration and the items of a change to it.
 type checkCase struct {
 	Book  []Item `json:"book"`
 	Items []Item `json:"items"`
 }
 
-// A declared check is shown by no golden case, or another one than it declares.
+// Guards against a check whose messages differ from the golden files, and against a
+// declared code that no golden case produces.
 func TestChecks(t *testing.T) {
 	dirs, err := filepath.Glob("testdata/*")
 	if err != nil || len(dirs) == 0 {
@@ -35,7 +36,7 @@
 	}
 	for _, c := range codes.Profiles {
 		if !strings.Contains(all.String(), "("+string(c.ID)+")") {
-			t.Errorf("no case brings %s about: %s", c.ID, c.Title)
+			t.Errorf("no case produces %s: %s", c.ID, c.Title)
 		}
 	}
 }
@@ -73,7 +74,7 @@
 	return b.String()
 }
 
-// Two accounts that exchange their keys in one change lose them.
+// Guards against two accounts that lose their keys when one change swaps them.
 func TestKeysExchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/swapped/in.json")
 	if err != nil {
@@ -99,8 +100,9 @@
 	}
 }
 
-// A book loses its revisions in a snapshot, and conflicts are missed.
-func TestSnapshotKeepsAll(t *testing.T) {
+// Guards against a snapshot that drops the revisions of items, after which
+// conflicts go unnoticed.
+func TestSnapshotRoundTrip(t *testing.T) {
 	book, err := (*Book)(nil).Apply(Change{Revision: 1, ID: "c1", Items: []Item{
 		{Kind: KindProfile, Name: "obituary", Doc: json.RawMessage(`{"models":[{"model":"draft"}],"twoOperators":true}`)},
 		{Kind: KindAccount, Name: "foundation", Doc: json.RawMessage(`{"keyDigest":"d"}`)},
@@ -125,7 +127,8 @@
 	}
 }
 
-// A change that takes away or deletes the need for two operators needs only one.
+// Guards against a change that one operator alone can use to remove the requirement
+// for two, or to delete a profile that has it.
 func TestNeedsApproval(t *testing.T) {
 	guarded := Item{Kind: KindProfile, Name: "p", Doc: json.RawMessage(`{"service":"s","twoOperators":true}`)}
 	plain := Item{Kind: KindProfile, Name: "p", Doc: json.RawMessage(`{"service":"s"}`)}
@@ -141,7 +144,7 @@
 	}{
 		{"new and plain", nil, plain, false},
 		{"new and guarded", nil, guarded, true},
-		{"guard taken away", book, plain, true},
+		{"guard removed", book, plain, true},
 		{"guarded and deleted", book, Item{Kind: KindProfile, Name: "p"}, true},
 		{"another profile", book, Item{Kind: KindProfile, Name: "q", Doc: plain.Doc}, false},
 		{"an account of the same name", book, Item{Kind: KindAccount, Name: "p"}, false},
--- a/pkg/rules/refer.go
+++ b/pkg/rules/refer.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The checks of lists, and of what one document says about another.
+// The checks of lists and of references between documents.
 
 func profileLists(p Profile) []Fault {
 	var faults []Fault
@@ -17,7 +17,7 @@
 			faults = append(faults, Fault{Path: path, Message: "name the model"})
 		}
 		if slices.Contains(p.Models[:i], m) {
-			faults = append(faults, Fault{Path: path, Message: "it stands twice; leave one out"})
+			faults = append(faults, Fault{Path: path, Message: "it is listed twice; leave one out"})
 		}
 	}
 	return append(faults, listFaults("regions", p.Regions)...)
@@ -34,7 +34,7 @@
 			continue
 		}
 		if slices.Contains(vs[:i], v) {
-			faults = append(faults, Fault{Path: at, Message: fmt.Sprintf("%q stands twice; leave one out", v)})
+			faults = append(faults, Fault{Path: at, Message: fmt.Sprintf("%q is listed twice; leave one out", v)})
 		}
 	}
 	return faults
@@ -85,7 +85,7 @@
 		if !ok || !p.HomeOnly || c.Home == "" || p.Allows(c, c.Home) {
 			continue
 		}
-		return []Fault{{Path: "home", Message: fmt.Sprintf("%s is no region of profile %s, which is confined to the home; add it there, or write another home", c.Home, name)}}
+		return []Fault{{Path: "home", Message: fmt.Sprintf("%s is not a region of profile %s, which is confined to the home; add it there, or write another home", c.Home, name)}}
 	}
 	return nil
 }
--- a/pkg/rules/route.go
+++ b/pkg/rules/route.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// RouteKind says what a route's requests may suffer when something fails.
+// RouteKind determines how the requests of a route may be retried after a
+// failure.
 type RouteKind string
 
 // The kinds of routes.
@@ -16,54 +17,56 @@
 	Idempotent RouteKind = "idempotent"
 	// NonIdempotent requests run at most once.
 	NonIdempotent RouteKind = "nonIdempotent"
-	// Streaming requests are answered by a series of numbered events. They run
+	// Streaming requests are answered by a stream of numbered events. They run
 	// at most once unless the route is resumable.
 	Streaming RouteKind = "streaming"
 )
 
-// Route says which requests a profile takes by their host and path, and how
-// they may be tried. A profile with a route needs no ticket or key for what may
-// run only once: each request is one try of its caller, and the entry host that
-// took it never sends it a second time.
+// Route selects the requests of a profile by host and path, and says how they
+// may be attempted. A profile with a route needs no ticket or idempotency key
+// for requests that may run only once: each request is one attempt by its
+// caller, and the entry host that received it never sends it a second time.
 type Route struct {
 	Host string `json:"host"`
-	// Prefix begins the path of each request. Of several routes of a host the
-	// one with the longest prefix takes a request.
+	// Prefix is a prefix of the path of each request. If several routes of a
+	// host match, the one with the longest prefix is used.
 	Prefix string    `json:"prefix"`
 	Kind   RouteKind `json:"kind"`
-	// Resumable says that a stream may go on at another target after its last
-	// event.
+	// Resumable is set if another target may continue a stream after the last
+	// event that was delivered.
 	Resumable bool `json:"resumable,omitempty"`
-	// MaxAttempts bounds the targets that one request is sent to.
+	// MaxAttempts bounds the number of targets that one request is sent to.
 	MaxAttempts int `json:"maxAttempts"`
 	// TimeoutMs bounds the time from the arrival of a request to its answer.
 	TimeoutMs int64 `json:"timeoutMs"`
-	// GoalMs is the time to the answer, or to the first event of a stream,
-	// within which it is of full use to its caller. GapMs is the same for the
-	// pause between two events. Zero is no goal.
+	// GoalMs is the time within which an answer, or the first event of a
+	// stream, is of full use to the caller. GapMs is the same for the time
+	// between two events. Zero means no goal.
 	GoalMs int64 `json:"goalMs,omitempty"`
 	GapMs  int64 `json:"gapMs,omitempty"`
-	// Shares are the services that the requests are divided among.
+	// Shares lists the services that the requests are divided among.
 	Shares []Share `json:"shares"`
 }
 
-// Share is the part of a route's requests that goes to one service.
+// Share assigns a part of a route's requests to one service, in proportion to
+// its weight among all shares.
 type Share struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
-// Repeatable reports whether a request may be sent to a second target after it
-// may have run at a first.
+// Repeatable reports whether a request may be sent to another target although
+// it may already have run at a first one.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Goal is the time to the first byte that a request should meet.
+// Goal returns GoalMs as a duration: the goal for the time to the first byte.
 func (r *Route) Goal() time.Duration { return time.Duration(r.GoalMs) * time.Millisecond }
 
-// Pick returns the service of the request with the given hash. The same hash
-// gives the same service as long as the shares stay.
+// Pick returns the service for the request with the given hash, or "" if no
+// share has a positive weight. The same hash gives the same service as long as
+// the shares don't change.
 func (r *Route) Pick(key uint64) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -81,24 +84,27 @@
 	return ""
 }
 
-// Service is what the operator says of one service.
+// Service is the configuration of one service.
 type Service struct {
 	Name string `json:"name"`
-	// HealthPath answers a GET with 200 while a target of the service is well.
+	// HealthPath answers a GET with status 200 while a target of the service
+	// is healthy.
 	HealthPath string `json:"healthPath,omitempty"`
-	// MaxConnections bounds the connections of all hosts to one target.
+	// MaxConnections bounds the connections to one target from all hosts
+	// together.
 	MaxConnections int `json:"maxConnections,omitempty"`
-	// ColdPerSecond bounds the requests a second to a target that has just
-	// started, of all hosts together. Zero is no bound.
+	// ColdPerSecond bounds the requests per second from all hosts together to
+	// a target that has just started. Zero means no limit.
 	ColdPerSecond float64 `json:"coldPerSecond,omitempty"`
-	// ColdMs is how long a target stays cold after it starts.
+	// ColdMs is how long a target counts as cold after its start.
 	ColdMs int64 `json:"coldMs,omitempty"`
-	// MemoryTokens is the memory of one engine for running requests and cached
-	// prompts. Zero is a service that is no engine.
+	// MemoryTokens is the memory of one engine, in tokens, for running requests
+	// and cached prompts. Zero means that the service is not an engine.
 	MemoryTokens int64 `json:"memoryTokens,omitempty"`
 }
 
-// CallerLimits bound what a caller's connection may take up. Zero is no limit.
+// CallerLimits bounds the resources of a caller's connection. Zero means no
+// limit.
 type CallerLimits struct {
 	MaxHeaderBytes int   `json:"maxHeaderBytes,omitempty"`
 	MaxBodyBytes   int   `json:"maxBodyBytes,omitempty"`
@@ -106,8 +112,8 @@
 	IdleMs         int64 `json:"idleMs,omitempty"`
 }
 
-// StaticConfig is a whole configuration as an operator writes it at once, in place of
-// a log of changes.
+// StaticConfig is a whole configuration that an operator writes as one
+// document instead of as a log of changes.
 type StaticConfig struct {
 	Profiles []Profile
 	Clients  []Client
@@ -115,7 +121,7 @@
 	Limits   CallerLimits
 }
 
-// routeIndex finds the route of a request: the profiles with a route by host,
+// routeIndex maps each host to the profiles with a route for it, those with
 // the longest prefix first.
 type routeIndex map[string][]Profile
 
--- a/pkg/value/value.go
+++ b/pkg/value/value.go
@@ -1,4 +1,4 @@
-// Package value holds small generic value types: sets and options.
+// Package value provides small generic value types: sets and options.
 //
 // # Usage
 //
@@ -16,8 +16,8 @@
 	"slices"
 )
 
-// Set is a set of ordered values. The nil set is empty and can be read. Its
-// JSON form is a sorted array.
+// Set is a set of ordered values. A nil Set is empty and can be read. The JSON
+// form is a sorted array.
 type Set[T cmp.Ordered] map[T]struct{}
 
 // SetOf returns a set of the given values.
@@ -35,10 +35,10 @@
 	return ok
 }
 
-// Add puts v into s, which must not be nil.
+// Add adds v to s, which must not be nil.
 func (s Set[T]) Add(v T) { s[v] = struct{}{} }
 
-// With returns a copy of the set that has v too.
+// With returns a copy of s with v added.
 func (s Set[T]) With(v T) Set[T] {
 	out := make(Set[T], len(s)+1)
 	maps.Copy(out, s)
@@ -56,10 +56,10 @@
 	return vs
 }
 
-// MarshalJSON writes s as a sorted array.
+// MarshalJSON encodes s as a sorted array.
 func (s Set[T]) MarshalJSON() ([]byte, error) { return json.Marshal(s.Sorted()) }
 
-// UnmarshalJSON reads an array.
+// UnmarshalJSON decodes an array.
 func (s *Set[T]) UnmarshalJSON(b []byte) error {
 	var vs []T
 	if err := json.Unmarshal(b, &vs); err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Option is a value that may be absent. The zero Option is absent. Its JSON
+// Option is a value that may be absent. The zero Option is absent. The JSON
 // form is the value or null.
 type Option[T any] struct {
 	v  T
@@ -82,7 +82,7 @@
 // Get returns the value and whether it is present.
 func (o Option[T]) Get() (T, bool) { return o.v, o.ok }
 
-// Or returns the value, or v where it is absent.
+// Or returns the value, or v if it is absent.
 func (o Option[T]) Or(v T) T {
 	if !o.ok {
 		return v
@@ -90,7 +90,7 @@
 	return o.v
 }
 
-// MarshalJSON writes the value or null.
+// MarshalJSON encodes the value or null.
 func (o Option[T]) MarshalJSON() ([]byte, error) {
 	if !o.ok {
 		return []byte("null"), nil
@@ -98,7 +98,7 @@
 	return json.Marshal(o.v)
 }
 
-// UnmarshalJSON reads the value or null.
+// UnmarshalJSON decodes the value or null.
 func (o *Option[T]) UnmarshalJSON(b []byte) error {
 	if string(b) == "null" {
 		*o = Option[T]{}
