--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -61,21 +61,21 @@
 	a.router.GET("/healthz", a.health)
 	a.router.GET("/readyz", a.ready)
 	a.router.GET("/metrics", a.metrics)
-	a.router.GET("/v1/status", a.known(a.status))
-	a.router.GET("/v1/inForce", a.known(a.inForce))
-	a.router.GET("/v1/book", a.known(a.book))
-	a.router.GET("/v1/profiles", a.known(a.profiles))
-	a.router.GET("/v1/accounts", a.known(a.accounts))
-	a.router.POST("/v1/changes", a.known(a.change))
-	a.router.GET("/v1/proposals", a.known(a.proposals))
-	a.router.POST("/v1/proposals", a.known(a.propose))
-	a.router.POST("/v1/proposals/:id/approve", a.known(a.approve))
-	a.router.GET("/v1/history", a.known(a.history))
-	a.router.POST("/v1/rollback", a.known(a.rollback))
-	a.router.POST("/v1/drain", a.known(a.drain))
-	a.router.POST("/v1/route", a.known(a.route))
-	a.router.GET("/v1/logLevel", a.known(a.level))
-	a.router.PUT("/v1/logLevel", a.known(a.setLevel))
+	a.router.GET("/v1/status", a.requireOperator(a.status))
+	a.router.GET("/v1/inForce", a.requireOperator(a.inForce))
+	a.router.GET("/v1/book", a.requireOperator(a.book))
+	a.router.GET("/v1/profiles", a.requireOperator(a.profiles))
+	a.router.GET("/v1/accounts", a.requireOperator(a.accounts))
+	a.router.POST("/v1/changes", a.requireOperator(a.change))
+	a.router.GET("/v1/proposals", a.requireOperator(a.proposals))
+	a.router.POST("/v1/proposals", a.requireOperator(a.propose))
+	a.router.POST("/v1/proposals/:id/approve", a.requireOperator(a.approve))
+	a.router.GET("/v1/history", a.requireOperator(a.history))
+	a.router.POST("/v1/rollback", a.requireOperator(a.rollback))
+	a.router.POST("/v1/drain", a.requireOperator(a.drain))
+	a.router.POST("/v1/route", a.requireOperator(a.route))
+	a.router.GET("/v1/logLevel", a.requireOperator(a.level))
+	a.router.PUT("/v1/logLevel", a.requireOperator(a.setLevel))
 	return a
 }
 
@@ -92,7 +92,7 @@
 // ready says that there is a configuration to serve by.
 func (a *Admin) ready(w http.ResponseWriter, _ bunrouter.Request) error {
 	if a.cfg.Book().Rev() == 0 {
-		return fail(w, http.StatusServiceUnavailable, Fault{Message: "there is no configuration yet"})
+		return writeFault(w, http.StatusServiceUnavailable, Fault{Message: "there is no configuration yet"})
 	}
 	w.WriteHeader(http.StatusNoContent)
 	return nil
@@ -113,20 +113,20 @@
 	return nil
 }
 
-// handler serves a request of a known operator.
-type handler func(w http.ResponseWriter, r *http.Request, op ident.Operator) error
+// operatorHandler serves a request of a known operator.
+type operatorHandler func(w http.ResponseWriter, r *http.Request, op ident.Operator) error
 
-// maxBody bounds what an operator sends.
-const maxBody = 1 << 20
+// maxBodyBytes bounds what an operator sends.
+const maxBodyBytes = 1 << 20
 
-// known lets only operators of the settings through and bounds the body.
-func (a *Admin) known(next handler) bunrouter.HandlerFunc {
+// requireOperator lets only operators of the settings through and bounds the body.
+func (a *Admin) requireOperator(next operatorHandler) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
-		op, ok := a.operator(r.Request)
+		op, ok := a.authenticate(r.Request)
 		if !ok {
-			return fail(w, http.StatusUnauthorized, Fault{Message: "the operator's token is not known; give it with -token or VERBCTL_TOKEN"})
+			return writeFault(w, http.StatusUnauthorized, Fault{Message: "the operator's token is not known; give it with -token or VERBCTL_TOKEN"})
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		for name, v := range r.Params().Map() {
 			r.SetPathValue(name, v)
 		}
@@ -134,9 +134,9 @@
 	}
 }
 
-// operator finds the operator of a token. Every digest is compared, and each
+// authenticate finds the authenticate of a token. Every digest is compared, and each
 // in the same time, so that the time of an answer reveals nothing about them.
-func (a *Admin) operator(r *http.Request) (ident.Operator, bool) {
+func (a *Admin) authenticate(r *http.Request) (ident.Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return "", false
@@ -159,7 +159,7 @@
 	return errors.Wrap(dec.Decode(v), "admin: the body can't be read")
 }
 
-func answer(w http.ResponseWriter, status int, v any) error {
+func writeJSON(w http.ResponseWriter, status int, v any) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	return json.NewEncoder(w).Encode(v)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -141,7 +141,7 @@
 // A malformed change is accepted, or one that claims to be approved lets one operator count as two.
 func TestBadChanges(t *testing.T) {
 	r := newRig(t)
-	big := `{"id":"c","note":"` + strings.Repeat("x", maxBody) + `"}`
+	big := `{"id":"c","note":"` + strings.Repeat("x", maxBodyBytes) + `"}`
 	for _, c := range []struct {
 		name string
 		body string
--- a/internal/admin/ask.go
+++ b/internal/admin/ask.go
@@ -15,10 +15,10 @@
 // Times of the questions to the control thread.
 const (
 	askTimeout = 2 * time.Second
-	// forceStep is the time between two looks at what is in force, and
+	// inForcePollInterval is the time between two looks at what is in force, and
 	// forceMost the longest wait of one request.
-	forceStep = 100 * time.Millisecond
-	forceMost = 30 * time.Second
+	inForcePollInterval = 100 * time.Millisecond
+	maxInForceWait      = 30 * time.Second
 )
 
 func (a *Admin) ask(ctx context.Context, question func(n event.Ask) event.Event) (event.Effect, error) {
@@ -40,16 +40,16 @@
 	return st, nil
 }
 
-func down(w http.ResponseWriter, err error) error {
-	return fail(w, http.StatusServiceUnavailable, Fault{Message: err.Error(), Kind: KindDown})
+func writeUnavailable(w http.ResponseWriter, err error) error {
+	return writeFault(w, http.StatusServiceUnavailable, Fault{Message: err.Error(), Kind: KindUnavailable})
 }
 
 func (a *Admin) status(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	st, err := a.askStatus(r.Context())
 	if err != nil {
-		return down(w, err)
+		return writeUnavailable(w, err)
 	}
-	return answer(w, http.StatusOK, st)
+	return writeJSON(w, http.StatusOK, st)
 }
 
 // InForce holds which data centres have a revision in force, as far as the
@@ -63,13 +63,13 @@
 
 // CentreInForce is the lowest revision in force in a data centre.
 type CentreInForce struct {
-	DataCentre ident.DataCentre `json:"dataCentre"`
-	Region     ident.Region     `json:"region"`
-	Lowest     ident.Revision   `json:"lowest"`
-	InForce    bool             `json:"inForce"`
+	DataCentre     ident.DataCentre `json:"dataCentre"`
+	Region         ident.Region     `json:"region"`
+	LowestRevision ident.Revision   `json:"lowest"`
+	InForce        bool             `json:"inForce"`
 	// Age is the age of the newest summary of the data centre.
-	Age    time.Duration `json:"age"`
-	CutOff bool          `json:"cutOff,omitempty"`
+	Age         time.Duration `json:"age"`
+	Unreachable bool          `json:"cutOff,omitempty"`
 }
 
 // inForce answers at once, or waits until the revision is in force everywhere
@@ -78,38 +78,38 @@
 	q := r.URL.Query()
 	rev, err := strconv.ParseUint(q.Get("revision"), 10, 64)
 	if err != nil {
-		return badRequest(w, errors.Errorf("revision=%q is no revision", q.Get("revision")))
+		return writeBadRequest(w, errors.Errorf("revision=%q is no revision", q.Get("revision")))
 	}
 	ms, _ := strconv.ParseInt(q.Get("waitMs"), 10, 64)
-	ctx, cancel := context.WithTimeout(r.Context(), min(max(0, time.Duration(ms)*time.Millisecond), forceMost))
+	ctx, cancel := context.WithTimeout(r.Context(), min(max(0, time.Duration(ms)*time.Millisecond), maxInForceWait))
 	defer cancel()
-	step := a.cfg.Clock.Every(forceStep)
+	step := a.cfg.Clock.Every(inForcePollInterval)
 	defer step.Close()
 	for {
 		st, err := a.askStatus(r.Context())
 		if err != nil {
-			return down(w, err)
+			return writeUnavailable(w, err)
 		}
-		f := forceOf(ident.Revision(rev), st)
+		f := inForceAt(ident.Revision(rev), st)
 		if f.Everywhere {
-			return answer(w, http.StatusOK, f)
+			return writeJSON(w, http.StatusOK, f)
 		}
 		select {
 		case <-step.C():
 		case <-ctx.Done():
-			return answer(w, http.StatusOK, f)
+			return writeJSON(w, http.StatusOK, f)
 		}
 	}
 }
 
-func forceOf(rev ident.Revision, st event.StatusAnswered) InForce {
+func inForceAt(rev ident.Revision, st event.StatusAnswered) InForce {
 	f := InForce{Revision: rev, Everywhere: len(st.Centres) > 0}
 	for _, c := range st.Centres {
 		has := c.InForce >= rev
 		f.Everywhere = f.Everywhere && has
 		f.Centres = append(f.Centres, CentreInForce{
-			DataCentre: c.Place.DataCentre, Region: c.Place.Region, Lowest: c.InForce,
-			InForce: has, Age: c.Age, CutOff: c.CutOff,
+			DataCentre: c.Place.DataCentre, Region: c.Place.Region, LowestRevision: c.InForce,
+			InForce: has, Age: c.Age, Unreachable: c.CutOff,
 		})
 	}
 	return f
@@ -128,13 +128,13 @@
 func (a *Admin) route(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	var req event.Request
 	if err := decode(r, &req); err != nil {
-		return badRequest(w, err)
+		return writeBadRequest(w, err)
 	}
 	eff, err := a.ask(r.Context(), func(n event.Ask) event.Event { return event.RouteAsked{Ask: n, Request: req} })
 	if err != nil {
-		return down(w, err)
+		return writeUnavailable(w, err)
 	}
-	return answer(w, http.StatusOK, eff)
+	return writeJSON(w, http.StatusOK, eff)
 }
 
 // Level is the verbosity of the log.
@@ -146,18 +146,18 @@
 const maxLevel = 4
 
 func (a *Admin) level(w http.ResponseWriter, _ *http.Request, _ ident.Operator) error {
-	return answer(w, http.StatusOK, Level{Level: a.cfg.Level.Get()})
+	return writeJSON(w, http.StatusOK, Level{Level: a.cfg.Level.Get()})
 }
 
 func (a *Admin) setLevel(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var l Level
 	if err := decode(r, &l); err != nil {
-		return badRequest(w, err)
+		return writeBadRequest(w, err)
 	}
 	if l.Level < 0 || l.Level > maxLevel {
-		return badRequest(w, errors.Errorf("level %d is out of range; write 0 to %d", l.Level, maxLevel))
+		return writeBadRequest(w, errors.Errorf("level %d is out of range; write 0 to %d", l.Level, maxLevel))
 	}
 	a.cfg.Level.Set(l.Level)
 	a.cfg.Log.Info("log level changed", "level", l.Level, "operator", op)
-	return answer(w, http.StatusOK, l)
+	return writeJSON(w, http.StatusOK, l)
 }
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -15,13 +15,13 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// writeTimeout bounds a change with all its calls to the platform.
-const writeTimeout = 10 * time.Second
+// storeTimeout bounds a change with all its calls to the platform.
+const storeTimeout = 10 * time.Second
 
 // ProfileInfo is a profile and the revision that last changed it.
 type ProfileInfo struct {
-	Profile rules.Profile  `json:"profile"`
-	Changed ident.Revision `json:"changed"`
+	Profile   rules.Profile  `json:"profile"`
+	ChangedAt ident.Revision `json:"changed"`
 }
 
 // ProfileList is the answer to a question for profiles.
@@ -32,8 +32,8 @@
 
 // AccountInfo is an account and the revision that last changed it.
 type AccountInfo struct {
-	Account rules.Client   `json:"account"`
-	Changed ident.Revision `json:"changed"`
+	Account   rules.Client   `json:"account"`
+	ChangedAt ident.Revision `json:"changed"`
 }
 
 // AccountList is the answer to a question for accounts.
@@ -43,7 +43,7 @@
 }
 
 func (a *Admin) book(w http.ResponseWriter, _ *http.Request, _ ident.Operator) error {
-	return answer(w, http.StatusOK, a.cfg.Book())
+	return writeJSON(w, http.StatusOK, a.cfg.Book())
 }
 
 // profiles lists the profiles in force, or the one that is asked for.
@@ -53,10 +53,10 @@
 	list := ProfileList{Revision: b.Rev(), Profiles: []ProfileInfo{}}
 	for _, p := range b.Profiles() {
 		if name == "" || name == string(p.Name) {
-			list.Profiles = append(list.Profiles, ProfileInfo{Profile: p, Changed: b.ChangedAt(rules.KindProfile, string(p.Name))})
+			list.Profiles = append(list.Profiles, ProfileInfo{Profile: p, ChangedAt: b.ChangedAt(rules.KindProfile, string(p.Name))})
 		}
 	}
-	return answer(w, http.StatusOK, list)
+	return writeJSON(w, http.StatusOK, list)
 }
 
 // accounts lists the accounts in force, or the one that is asked for.
@@ -66,10 +66,10 @@
 	list := AccountList{Revision: b.Rev(), Accounts: []AccountInfo{}}
 	for _, c := range b.Clients() {
 		if name == "" || name == string(c.Name) {
-			list.Accounts = append(list.Accounts, AccountInfo{Account: c, Changed: b.ChangedAt(rules.KindAccount, string(c.Name))})
+			list.Accounts = append(list.Accounts, AccountInfo{Account: c, ChangedAt: b.ChangedAt(rules.KindAccount, string(c.Name))})
 		}
 	}
-	return answer(w, http.StatusOK, list)
+	return writeJSON(w, http.StatusOK, list)
 }
 
 // change puts a change into the log. One that needs a second operator is
@@ -77,25 +77,25 @@
 func (a *Admin) change(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var c rules.Change
 	if err := decode(r, &c); err != nil {
-		return badRequest(w, err)
+		return writeBadRequest(w, err)
 	}
 	return a.accept(w, r, op, c)
 }
 
 func (a *Admin) accept(w http.ResponseWriter, r *http.Request, op ident.Operator, c rules.Change) error {
-	book, ok := a.vet(w, r, op, &c)
+	book, ok := a.prepareChange(w, r, op, &c)
 	if !ok {
 		return nil
 	}
 	done, err := a.append(r.Context(), book, c)
 	if err != nil {
-		return a.failLog(r.Context(), w, c.ID, err)
+		return a.writeRevlogError(r.Context(), w, c.ID, err)
 	}
-	return answer(w, http.StatusOK, done)
+	return writeJSON(w, http.StatusOK, done)
 }
 
 func (a *Admin) append(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	done, err := a.cfg.Revs.Append(ctx, book, c)
 	if err != nil {
@@ -105,36 +105,36 @@
 	return done, nil
 }
 
-// vet checks a change that an operator sent and sets what the operator may
+// prepareChange checks a change that an operator sent and sets what the operator may
 // not: who sent it, and that nobody has approved it.
-func (a *Admin) vet(w http.ResponseWriter, r *http.Request, op ident.Operator, c *rules.Change) (*rules.Book, bool) {
+func (a *Admin) prepareChange(w http.ResponseWriter, r *http.Request, op ident.Operator, c *rules.Change) (*rules.Book, bool) {
 	c.Operator = op
 	c.Approver = ""
 	c.Revision = 0
 	c.At = time.Time{}
 	if c.ID == "" {
-		_ = badRequest(w, errors.New("the change has no id, by which a repeat is recognised"))
+		_ = writeBadRequest(w, errors.New("the change has no id, by which a repeat is recognised"))
 		return nil, false
 	}
-	book, err := a.basis(r.Context())
+	book, err := a.baseBook(r.Context())
 	if err != nil {
-		_ = a.failLog(r.Context(), w, c.ID, err)
+		_ = a.writeRevlogError(r.Context(), w, c.ID, err)
 		return nil, false
 	}
 	if faults := rules.CheckWith(book, c.Items); len(faults) > 0 {
-		_ = fail(w, http.StatusUnprocessableEntity, Fault{Message: "the change has faults", Kind: KindFaults, Faults: faults})
+		_ = writeFault(w, http.StatusUnprocessableEntity, Fault{Message: "the change has faults", Kind: KindFaults, Faults: faults})
 		return nil, false
 	}
 	return book, true
 }
 
-// basis returns the book to write on: the one in force, or that of the store
+// baseBook returns the book to write on: the one in force, or that of the store
 // at a host that has just started.
-func (a *Admin) basis(ctx context.Context) (*rules.Book, error) {
+func (a *Admin) baseBook(ctx context.Context) (*rules.Book, error) {
 	if b := a.cfg.Book(); b != nil {
 		return b, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return a.cfg.Revs.Load(ctx)
 }
@@ -142,78 +142,78 @@
 func (a *Admin) propose(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var c rules.Change
 	if err := decode(r, &c); err != nil {
-		return badRequest(w, err)
+		return writeBadRequest(w, err)
 	}
-	if _, ok := a.vet(w, r, op, &c); !ok {
+	if _, ok := a.prepareChange(w, r, op, &c); !ok {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	p, err := a.cfg.Revs.Propose(ctx, c)
 	if err != nil {
-		return a.failLog(r.Context(), w, c.ID, err)
+		return a.writeRevlogError(r.Context(), w, c.ID, err)
 	}
 	a.cfg.Log.Info("change proposed", "change", c.ID, "operator", op)
-	return answer(w, http.StatusOK, p)
+	return writeJSON(w, http.StatusOK, p)
 }
 
 func (a *Admin) approve(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	id := ident.ChangeID(r.PathValue("id"))
-	book, err := a.basis(r.Context())
+	book, err := a.baseBook(r.Context())
 	if err != nil {
-		return a.failLog(r.Context(), w, id, err)
+		return a.writeRevlogError(r.Context(), w, id, err)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	done, err := a.cfg.Revs.Approve(ctx, book, id, op)
 	if err != nil {
-		return a.failLog(r.Context(), w, id, err)
+		return a.writeRevlogError(r.Context(), w, id, err)
 	}
 	a.cfg.Log.Info("change approved", "revision", done.Revision, "change", id, "operator", done.Operator, "approver", op)
-	return answer(w, http.StatusOK, done)
+	return writeJSON(w, http.StatusOK, done)
 }
 
 // Lists are short: each entry can cost a call to the platform.
 const (
-	listDefault = 20
-	listMost    = 100
+	defaultListSize = 20
+	maxListSize     = 100
 )
 
 func listSize(r *http.Request) int {
 	n, err := strconv.Atoi(r.URL.Query().Get("n"))
 	if err != nil || n <= 0 {
-		return listDefault
+		return defaultListSize
 	}
-	return min(n, listMost)
+	return min(n, maxListSize)
 }
 
 func (a *Admin) proposals(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
-	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	ps, err := a.cfg.Revs.Proposals(ctx, listSize(r))
 	if err != nil {
-		return a.failLog(ctx, w, "", err)
+		return a.writeRevlogError(ctx, w, "", err)
 	}
-	return answer(w, http.StatusOK, ps)
+	return writeJSON(w, http.StatusOK, ps)
 }
 
 // history lists changes, newest first, of all items or of one. With a name it
 // looks through the changes one page at a time and returns where to go on.
 func (a *Admin) history(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
-	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	q := r.URL.Query()
 	before := a.cfg.Book().Rev() + 1
 	if text := q.Get("before"); text != "" {
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return badRequest(w, errors.Errorf("before=%q is no revision", text))
+			return writeBadRequest(w, errors.Errorf("before=%q is no revision", text))
 		}
 		before = min(before, ident.Revision(n))
 	}
 	cs, err := a.cfg.Revs.History(ctx, before, listSize(r))
 	if err != nil {
-		return a.failLog(ctx, w, "", err)
+		return a.writeRevlogError(ctx, w, "", err)
 	}
 	h := History{Changes: cs}
 	if len(cs) > 0 {
@@ -221,11 +221,11 @@
 	}
 	if name := q.Get("name"); name != "" {
 		h.Changes = slices.DeleteFunc(cs, func(c rules.Change) bool {
-			_, ok := document(c, rules.Kind(q.Get("kind")), name)
+			_, ok := itemDoc(c, rules.Kind(q.Get("kind")), name)
 			return !ok
 		})
 	}
-	return answer(w, http.StatusOK, h)
+	return writeJSON(w, http.StatusOK, h)
 }
 
 // History is a page of changes, newest first.
@@ -244,13 +244,13 @@
 	Kind rules.Kind `json:"kind,omitempty"`
 	Name string     `json:"name,omitempty"`
 	Note string     `json:"note,omitempty"`
-	// Second asks for a second operator, also where the profile does not.
-	Second bool `json:"second,omitempty"`
+	// RequireApproval asks for a second operator, also where the profile does not.
+	RequireApproval bool `json:"second,omitempty"`
 }
 
-// RollbackDone is a rollback that was accepted, or proposed where it needs a
+// RollbackResult is a rollback that was accepted, or proposed where it needs a
 // second operator.
-type RollbackDone struct {
+type RollbackResult struct {
 	Change   rules.Change     `json:"change,omitzero"`
 	Proposal *revlog.Proposal `json:"proposal,omitempty"`
 }
@@ -260,11 +260,11 @@
 func (a *Admin) rollback(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var rb Rollback
 	if err := decode(r, &rb); err != nil {
-		return badRequest(w, err)
+		return writeBadRequest(w, err)
 	}
 	old, err := a.cfg.Revs.Read(r.Context(), rb.To)
 	if err != nil {
-		return a.failLog(r.Context(), w, rb.ID, err)
+		return a.writeRevlogError(r.Context(), w, rb.ID, err)
 	}
 	items := slices.Clone(old.Items)
 	if rb.Name != "" {
@@ -272,35 +272,35 @@
 	}
 	if len(items) == 0 {
 		err := fmt.Errorf("%w: revision %d did not change %s %s; history shows those that did", revlog.ErrAbsent, rb.To, rb.Kind, rb.Name)
-		return a.failLog(r.Context(), w, rb.ID, err)
+		return a.writeRevlogError(r.Context(), w, rb.ID, err)
 	}
 	note := rb.Note
 	if note == "" {
 		note = fmt.Sprintf("rollback to revision %d", rb.To)
 	}
-	return a.restore(w, r, op, rb, rules.Change{ID: rb.ID, Base: rb.Base, Note: note, Items: items})
+	return a.applyRollback(w, r, op, rb, rules.Change{ID: rb.ID, Base: rb.Base, Note: note, Items: items})
 }
 
-// restore accepts or proposes the change of a rollback.
-func (a *Admin) restore(w http.ResponseWriter, r *http.Request, op ident.Operator, rb Rollback, c rules.Change) error {
-	book, ok := a.vet(w, r, op, &c)
+// applyRollback accepts or proposes the change of a rollback.
+func (a *Admin) applyRollback(w http.ResponseWriter, r *http.Request, op ident.Operator, rb Rollback, c rules.Change) error {
+	book, ok := a.prepareChange(w, r, op, &c)
 	if !ok {
 		return nil
 	}
-	if !rb.Second {
+	if !rb.RequireApproval {
 		done, err := a.append(r.Context(), book, c)
 		if err == nil {
-			return answer(w, http.StatusOK, RollbackDone{Change: done})
+			return writeJSON(w, http.StatusOK, RollbackResult{Change: done})
 		}
 		if !errors.Is(err, revlog.ErrNeedsApproval) {
-			return a.failLog(r.Context(), w, c.ID, err)
+			return a.writeRevlogError(r.Context(), w, c.ID, err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	p, err := a.cfg.Revs.Propose(ctx, c)
 	if err != nil {
-		return a.failLog(r.Context(), w, c.ID, err)
+		return a.writeRevlogError(r.Context(), w, c.ID, err)
 	}
-	return answer(w, http.StatusOK, RollbackDone{Proposal: &p})
+	return writeJSON(w, http.StatusOK, RollbackResult{Proposal: &p})
 }
--- a/internal/admin/fault.go
+++ b/internal/admin/fault.go
@@ -17,13 +17,13 @@
 
 // The kinds of faults.
 const (
-	KindConflict      FaultKind = "conflict"
-	KindUnknown       FaultKind = "unknown"
-	KindDown          FaultKind = "down"
-	KindNeedsApproval FaultKind = "needsApproval"
-	KindRefused       FaultKind = "refused"
-	KindNotFound      FaultKind = "notFound"
-	KindFaults        FaultKind = "faults"
+	KindConflict       FaultKind = "conflict"
+	KindOutcomeUnknown FaultKind = "unknown"
+	KindUnavailable    FaultKind = "down"
+	KindNeedsApproval  FaultKind = "needsApproval"
+	KindRefused        FaultKind = "refused"
+	KindNotFound       FaultKind = "notFound"
+	KindFaults         FaultKind = "faults"
 )
 
 // Fault is the answer to what was not done, or is not known to be done.
@@ -43,39 +43,39 @@
 	Kind rules.Kind     `json:"kind"`
 	Name string         `json:"name"`
 	Base ident.Revision `json:"base"`
-	// By is the change that the item has now.
-	By rules.Change `json:"by"`
-	// Was and Now are the documents at the base and now. Was is absent where
+	// ChangedBy is the change that the item has now.
+	ChangedBy rules.Change `json:"by"`
+	// BaseDoc and Now are the documents at the base and now. BaseDoc is absent where
 	// it is too long ago to look for.
-	Was json.RawMessage `json:"was,omitempty"`
-	Now json.RawMessage `json:"now,omitempty"`
+	BaseDoc    json.RawMessage `json:"was,omitempty"`
+	CurrentDoc json.RawMessage `json:"now,omitempty"`
 }
 
-func fail(w http.ResponseWriter, status int, f Fault) error { return answer(w, status, f) }
+func writeFault(w http.ResponseWriter, status int, f Fault) error { return writeJSON(w, status, f) }
 
-func badRequest(w http.ResponseWriter, err error) error {
-	return fail(w, http.StatusBadRequest, Fault{Message: err.Error(), Kind: KindRefused})
+func writeBadRequest(w http.ResponseWriter, err error) error {
+	return writeFault(w, http.StatusBadRequest, Fault{Message: err.Error(), Kind: KindRefused})
 }
 
-// outcomes maps the errors of the log to the answers for operators.
-var outcomes = []struct {
+// errorOutcomes maps the errors of the log to the answers for operators.
+var errorOutcomes = []struct {
 	err    error
 	kind   FaultKind
 	status int
 }{
 	{revlog.ErrConflict, KindConflict, http.StatusConflict},
-	{revlog.ErrUnknown, KindUnknown, http.StatusGatewayTimeout},
+	{revlog.ErrUnknown, KindOutcomeUnknown, http.StatusGatewayTimeout},
 	{revlog.ErrNeedsApproval, KindNeedsApproval, http.StatusForbidden},
 	{revlog.ErrSameOperator, KindNeedsApproval, http.StatusForbidden},
 	{revlog.ErrAbsent, KindNotFound, http.StatusNotFound},
 	{revlog.ErrRefused, KindRefused, http.StatusUnprocessableEntity},
 }
 
-// failLog answers with an error of the log.
-func (a *Admin) failLog(ctx context.Context, w http.ResponseWriter, id ident.ChangeID, err error) error {
-	f := Fault{Message: err.Error(), Kind: KindDown, Change: id}
+// writeRevlogError answers with an error of the log.
+func (a *Admin) writeRevlogError(ctx context.Context, w http.ResponseWriter, id ident.ChangeID, err error) error {
+	f := Fault{Message: err.Error(), Kind: KindUnavailable, Change: id}
 	status := http.StatusServiceUnavailable
-	for _, o := range outcomes {
+	for _, o := range errorOutcomes {
 		if errors.Is(err, o.err) {
 			f.Kind, status = o.kind, o.status
 			break
@@ -85,11 +85,11 @@
 	if errors.As(err, &conflict) {
 		f.Conflict = a.conflict(ctx, conflict)
 	}
-	return fail(w, status, f)
+	return writeFault(w, status, f)
 }
 
-// searchBack bounds the reads for the document that an operator started from.
-const searchBack = 64
+// maxRevisionsSearched bounds the reads for the document that an operator started from.
+const maxRevisionsSearched = 64
 
 // conflict finds the documents for a diff. What can't be read is left out: the
 // conflict itself is certain.
@@ -99,23 +99,23 @@
 	if err != nil {
 		return c
 	}
-	c.By = by
-	c.Now, _ = document(by, e.Kind, e.Name)
-	for rev := e.Base; rev > 0 && e.Base-rev < searchBack; rev-- {
+	c.ChangedBy = by
+	c.CurrentDoc, _ = itemDoc(by, e.Kind, e.Name)
+	for rev := e.Base; rev > 0 && e.Base-rev < maxRevisionsSearched; rev-- {
 		old, err := a.cfg.Revs.Read(ctx, rev)
 		if err != nil {
 			return c
 		}
-		if doc, ok := document(old, e.Kind, e.Name); ok {
-			c.Was = doc
+		if doc, ok := itemDoc(old, e.Kind, e.Name); ok {
+			c.BaseDoc = doc
 			return c
 		}
 	}
 	return c
 }
 
-// document returns what a change made of an item.
-func document(c rules.Change, kind rules.Kind, name string) (json.RawMessage, bool) {
+// itemDoc returns what a change made of an item.
+func itemDoc(c rules.Change, kind rules.Kind, name string) (json.RawMessage, bool) {
 	for _, it := range c.Items {
 		if it.Kind == kind && it.Name == name {
 			return it.Doc, true
--- a/internal/dev/demo/show.go
+++ b/internal/dev/demo/show.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	for _, c := range in.Centres {
-		fmt.Fprintf(s.cfg.Out, "%s has revision %d in force\n", c.DataCentre, c.Lowest)
+		fmt.Fprintf(s.cfg.Out, "%s has revision %d in force\n", c.DataCentre, c.LowestRevision)
 	}
 	return nil
 }
--- a/internal/opctl/accounts.go
+++ b/internal/opctl/accounts.go
@@ -24,7 +24,7 @@
   Example:
     verbctl accounts list
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			l, err := opts.client().Accounts(ctx, "")
 			if err != nil {
 				return err
@@ -39,7 +39,7 @@
 	for _, i := range l.Accounts {
 		c := i.Account
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\n",
-			c.Name, c.Home, profileNames(c), limit(c.RequestsPerMinute), limit(c.TokensPerMinute), i.Changed)
+			c.Name, c.Home, profileNames(c), formatLimit(c.RequestsPerMinute), formatLimit(c.TokensPerMinute), i.ChangedAt)
 	}
 }
 
@@ -54,7 +54,7 @@
 	return strings.Join(names, ",")
 }
 
-func limit(n ident.PerMinute) string {
+func formatLimit(n ident.PerMinute) string {
 	if n == 0 {
 		return "none"
 	}
@@ -63,14 +63,14 @@
 
 func accountsGet(opts *Options) *command {
 	return &command{
-		name: "get", synopsis: "print an account, ready to be edited", opts: opts, args: 1,
+		name: "get", synopsis: "print an account, ready to be edited", opts: opts, argCount: 1,
 		usage: `get NAME
   Prints the account with the revision that it was read at.
 
   Example:
     verbctl accounts get foundation > foundation.jsonc
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			l, err := opts.client().Accounts(ctx, args[0])
 			if err != nil {
 				return err
@@ -84,16 +84,16 @@
 }
 
 func accountsPut(opts *Options) *command {
-	s := &sender{opts: opts}
+	s := &changeSender{opts: opts}
 	return &command{
-		name: "put", synopsis: "create or change accounts", opts: opts, args: 1, flags: s.flags,
+		name: "put", synopsis: "create or change accounts", opts: opts, argCount: 1, flags: s.flags,
 		usage: `put [-wait 5s] [-note TEXT] FILE
   Sends an account, or an array of them, as one change.
 
   Example:
     verbctl accounts put -wait 5s foundation.jsonc
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			items, err := s.readDocs(args[0], rules.KindAccount)
 			if err != nil {
 				return err
@@ -113,7 +113,7 @@
   Example:
     verbctl accounts digest < key.txt
 `,
-		do: func(context.Context, []string) error {
+		run: func(context.Context, []string) error {
 			sc := bufio.NewScanner(os.Stdin)
 			if !sc.Scan() || strings.TrimSpace(sc.Text()) == "" {
 				return &usageError{text: "the standard input has no key; write it there as one line"}
--- a/internal/opctl/cmds.go
+++ b/internal/opctl/cmds.go
@@ -60,10 +60,10 @@
 	synopsis string
 	usage    string
 	opts     *Options
-	// args is the number of arguments; flags beyond -json are set by flags.
-	args  int
-	flags func(fs *flag.FlagSet)
-	do    func(ctx context.Context, args []string) error
+	// argCount is the number of arguments; flags beyond -json are set by flags.
+	argCount int
+	flags    func(fs *flag.FlagSet)
+	run      func(ctx context.Context, args []string) error
 }
 
 // Name returns the word that calls the command.
@@ -85,15 +85,15 @@
 
 // Execute runs the command and turns its error into the exit status.
 func (c *command) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if fs.NArg() != c.args {
-		fmt.Fprintf(c.opts.Err, "verbctl: %s takes %d arguments, not %d; -h shows examples\n", c.name, c.args, fs.NArg())
+	if fs.NArg() != c.argCount {
+		fmt.Fprintf(c.opts.Err, "verbctl: %s takes %d arguments, not %d; -h shows examples\n", c.name, c.argCount, fs.NArg())
 		return subcommands.ExitUsageError
 	}
-	return c.opts.exit(c.do(ctx, fs.Args()))
+	return c.opts.reportExit(c.run(ctx, fs.Args()))
 }
 
-// exit reports an error and returns its status.
-func (o *Options) exit(err error) subcommands.ExitStatus {
+// reportExit reports an error and returns its status.
+func (o *Options) reportExit(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
@@ -110,7 +110,7 @@
 	case errors.As(err, &usage):
 		return subcommands.ExitUsageError
 	case errors.As(err, &ce):
-		o.explain(ce.Fault)
+		o.printDetails(ce.Fault)
 		if ce.Fault.Kind == admin.KindConflict {
 			return exitConflict
 		}
@@ -118,8 +118,8 @@
 	return subcommands.ExitFailure
 }
 
-// explain prints what the entry host returned beside the message.
-func (o *Options) explain(f admin.Fault) {
+// printDetails prints what the entry host returned beside the message.
+func (o *Options) printDetails(f admin.Fault) {
 	for _, one := range f.Faults {
 		fmt.Fprintln(o.Err, " ", one)
 	}
@@ -193,14 +193,14 @@
 // explainCmd spells out a code.
 func explainCmd(opts *Options) *command {
 	return &command{
-		name: "explain", synopsis: "spell out a code", opts: opts, args: 1,
+		name: "explain", synopsis: "spell out a code", opts: opts, argCount: 1,
 		usage: `explain CODE
   Spells out a code of a refusal, a routing filter or a check.
 
   Example:
     verbctl explain VB1004
 `,
-		do: func(_ context.Context, args []string) error {
+		run: func(_ context.Context, args []string) error {
 			code, ok := codes.Find(codes.ID(args[0]))
 			if !ok {
 				return errors.Errorf("the code %q is not known; codes look like VB1004", args[0])
--- a/internal/opctl/config.go
+++ b/internal/opctl/config.go
@@ -23,7 +23,7 @@
 		name: "profiles", synopsis: "list and change profiles", opts: opts,
 		cmds: []subcommands.Command{
 			profilesList(opts), profilesGet(opts), profilesDiff(opts), profilesPropose(opts),
-			profilesWaiting(opts), profilesApprove(opts), profilesHistory(opts), profilesRollback(opts),
+			profilesProposals(opts), profilesApprove(opts), profilesHistory(opts), profilesRollback(opts),
 		},
 	}
 }
@@ -37,9 +37,9 @@
 }
 
 func applyCmd(opts *Options) *command {
-	s := &sender{opts: opts}
+	s := &changeSender{opts: opts}
 	return &command{
-		name: "apply", synopsis: "apply the items of a file as one change", opts: opts, args: 1, flags: s.flags,
+		name: "apply", synopsis: "apply the items of a file as one change", opts: opts, argCount: 1, flags: s.flags,
 		usage: `apply [-wait 5s] [-base REVISION] [-note TEXT] FILE
   Applies a JSON array of items, {"kind", "name", "doc"}, all or none of them.
   A null document deletes. The file may have comments.
@@ -48,9 +48,9 @@
     verbctl apply -wait 5s items.jsonc
     verbctl apply -id 5f1c -base 12 items.jsonc    send it again after exit status 5
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			var items []rules.Item
-			if err := s.read(args[0], &items); err != nil {
+			if err := s.readFile(args[0], &items); err != nil {
 				return err
 			}
 			return s.send(ctx, items, "apply", args[0])
@@ -67,7 +67,7 @@
   Example:
     verbctl profiles list
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			l, err := opts.client().Profiles(ctx, "")
 			if err != nil {
 				return err
@@ -86,7 +86,7 @@
 			operators = 2
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\n",
-			p.Name, serves(p), places(p), p.MaxCrossings, yesNo(p.Once), operators, i.Changed)
+			p.Name, serves(p), regionNames(p), p.MaxCrossings, yesNo(p.Once), operators, i.ChangedAt)
 	}
 }
 
@@ -101,7 +101,7 @@
 	return strings.Join(names, ",")
 }
 
-func places(p rules.Profile) string {
+func regionNames(p rules.Profile) string {
 	names := make([]string, 0, len(p.Regions)+1)
 	if p.HomeOnly {
 		names = append(names, "home")
@@ -124,7 +124,7 @@
 
 func profilesGet(opts *Options) *command {
 	return &command{
-		name: "get", synopsis: "print a profile, ready to be edited", opts: opts, args: 1,
+		name: "get", synopsis: "print a profile, ready to be edited", opts: opts, argCount: 1,
 		usage: `get NAME
   Prints the profile with the revision that it was read at. Edit it and send
   it with "propose", which takes the base from its first line.
@@ -132,8 +132,8 @@
   Example:
     verbctl profiles get obituary > obituary.jsonc
 `,
-		do: func(ctx context.Context, args []string) error {
-			p, rev, err := oneProfile(ctx, opts, args[0])
+		run: func(ctx context.Context, args []string) error {
+			p, rev, err := getProfile(ctx, opts, args[0])
 			if err != nil {
 				return err
 			}
@@ -142,7 +142,7 @@
 	}
 }
 
-func oneProfile(ctx context.Context, opts *Options, name string) (rules.Profile, ident.Revision, error) {
+func getProfile(ctx context.Context, opts *Options, name string) (rules.Profile, ident.Revision, error) {
 	l, err := opts.client().Profiles(ctx, name)
 	if err != nil {
 		return rules.Profile{}, 0, err
@@ -161,22 +161,22 @@
 }
 
 func profilesDiff(opts *Options) *command {
-	s := &sender{opts: opts}
+	s := &changeSender{opts: opts}
 	return &command{
-		name: "diff", synopsis: "compare a file with the profiles in force", opts: opts, args: 1,
+		name: "diff", synopsis: "compare a file with the profiles in force", opts: opts, argCount: 1,
 		usage: `diff FILE
   Shows what "propose" of the file would change.
 
   Example:
     verbctl profiles diff obituary.jsonc
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			items, err := s.readDocs(args[0], rules.KindProfile)
 			if err != nil {
 				return err
 			}
 			for _, it := range items {
-				if err := diffOne(ctx, opts, it); err != nil {
+				if err := diffItem(ctx, opts, it); err != nil {
 					return err
 				}
 			}
@@ -185,7 +185,7 @@
 	}
 }
 
-func diffOne(ctx context.Context, opts *Options, it rules.Item) error {
+func diffItem(ctx context.Context, opts *Options, it rules.Item) error {
 	l, err := opts.client().Profiles(ctx, it.Name)
 	if err != nil {
 		return err
@@ -208,9 +208,9 @@
 }
 
 func profilesPropose(opts *Options) *command {
-	s := &sender{opts: opts}
+	s := &changeSender{opts: opts}
 	return &command{
-		name: "propose", synopsis: "send profiles as one change", opts: opts, args: 1, flags: s.flags,
+		name: "propose", synopsis: "send profiles as one change", opts: opts, argCount: 1, flags: s.flags,
 		usage: `propose [-wait 5s] [-note TEXT] [-second] FILE
   Sends a profile, or an array of them, as one change. It is accepted at once,
   unless a profile asks for two operators: then it waits for the second.
@@ -219,7 +219,7 @@
     verbctl profiles propose -wait 5s -note "khovd may serve" obituary.jsonc
     verbctl profiles propose -second obituary.jsonc
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			items, err := s.readDocs(args[0], rules.KindProfile)
 			if err != nil {
 				return err
@@ -229,7 +229,7 @@
 	}
 }
 
-func profilesWaiting(opts *Options) *command {
+func profilesProposals(opts *Options) *command {
 	return &command{
 		name: "proposals", synopsis: "list the recent proposals", opts: opts,
 		usage: `proposals
@@ -238,7 +238,7 @@
   Example:
     verbctl profiles proposals
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			ps, err := opts.client().Proposals(ctx)
 			if err != nil {
 				return err
@@ -255,9 +255,9 @@
 }
 
 func profilesApprove(opts *Options) *command {
-	s := &sender{opts: opts}
+	s := &changeSender{opts: opts}
 	return &command{
-		name: "approve", synopsis: "approve a proposal as the second operator", opts: opts, args: 1,
+		name: "approve", synopsis: "approve a proposal as the second operator", opts: opts, argCount: 1,
 		flags: func(fs *flag.FlagSet) {
 			fs.DurationVar(&s.wait, "wait", 0, "wait until every data centre reports it in force")
 		},
@@ -268,13 +268,13 @@
   Example:
     verbctl profiles approve -wait 5s 5f1c0a
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			id := ident.ChangeID(args[0])
 			done, err := opts.client().Approve(ctx, id)
 			if err != nil {
-				return doubt(err, id, "verbctl profiles approve "+args[0])
+				return asUnknown(err, id, "verbctl profiles approve "+args[0])
 			}
-			return s.accepted(ctx, done)
+			return s.reportAccepted(ctx, done)
 		},
 	}
 }
@@ -299,7 +299,7 @@
     verbctl profiles history -name obituary
     verbctl profiles history -before 40
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			h, err := opts.client().History(ctx, rules.Kind(kind), name, ident.Revision(before), n)
 			if err != nil {
 				return err
@@ -320,14 +320,14 @@
 	}
 }
 
-// namesMost bounds the items that a table names.
-const namesMost = 3
+// maxItemNames bounds the items that a table names.
+const maxItemNames = 3
 
 func itemNames(c rules.Change) string {
-	names := make([]string, 0, namesMost+1)
+	names := make([]string, 0, maxItemNames+1)
 	for i, it := range c.Items {
-		if i == namesMost {
-			names = append(names, fmt.Sprintf("and %d more", len(c.Items)-namesMost))
+		if i == maxItemNames {
+			names = append(names, fmt.Sprintf("and %d more", len(c.Items)-maxItemNames))
 			break
 		}
 		names = append(names, it.Name)
@@ -336,10 +336,10 @@
 }
 
 func profilesRollback(opts *Options) *command {
-	s := &sender{opts: opts}
+	s := &changeSender{opts: opts}
 	var to uint64
 	return &command{
-		name: "rollback", synopsis: "give a profile the content again that it had", opts: opts, args: 1,
+		name: "rollback", synopsis: "give a profile the content again that it had", opts: opts, argCount: 1,
 		flags: func(fs *flag.FlagSet) {
 			s.flags(fs)
 			fs.Uint64Var(&to, "to", 0, "the revision that gave the profile the content, from history")
@@ -353,7 +353,7 @@
     verbctl profiles history -name obituary
     verbctl profiles rollback -to 7 -wait 5s obituary
 `,
-		do: func(ctx context.Context, args []string) error {
+		run: func(ctx context.Context, args []string) error {
 			if to == 0 {
 				return &usageError{text: "-to is missing; \"verbctl profiles history -name NAME\" shows the revisions"}
 			}
@@ -362,19 +362,19 @@
 	}
 }
 
-func (s *sender) rollback(ctx context.Context, name string, to ident.Revision) error {
-	c, err := s.change(ctx, nil)
+func (s *changeSender) rollback(ctx context.Context, name string, to ident.Revision) error {
+	c, err := s.newChange(ctx, nil)
 	if err != nil {
 		return err
 	}
 	again := fmt.Sprintf("verbctl profiles rollback -to %d -id %s -base %d %s", to, c.ID, c.Base, name)
-	rb := admin.Rollback{ID: c.ID, Base: c.Base, To: to, Kind: rules.KindProfile, Name: name, Note: s.note, Second: s.second}
+	rb := admin.Rollback{ID: c.ID, Base: c.Base, To: to, Kind: rules.KindProfile, Name: name, Note: s.note, RequireApproval: s.requireApproval}
 	res, err := s.opts.client().Rollback(ctx, rb)
 	if err != nil {
-		return doubt(err, c.ID, again)
+		return asUnknown(err, c.ID, again)
 	}
 	if res.Proposal != nil {
-		return s.proposed(*res.Proposal)
+		return s.printProposal(*res.Proposal)
 	}
-	return s.accepted(ctx, res.Change)
+	return s.reportAccepted(ctx, res.Change)
 }
--- a/internal/opctl/hosts.go
+++ b/internal/opctl/hosts.go
@@ -24,7 +24,7 @@
   Example:
     verbctl -entry http://127.1.1.1:9090 status
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			st, err := opts.client().Status(ctx)
 			if err != nil {
 				return err
@@ -40,7 +40,7 @@
 		ready = "not ready"
 	}
 	fmt.Fprintf(w, "entry host %s in %s, %s, revision %d, %d requests, platform answered %s ago\n\n",
-		st.Self.ID, st.Self.Place.DataCentre, ready, st.Revision, st.Requests, age(st.PlatformAge))
+		st.Self.ID, st.Self.Place.DataCentre, ready, st.Revision, st.Requests, formatAge(st.PlatformAge))
 	fmt.Fprintln(w, "DATA CENTRE\tREGION\tIN FORCE\tHOSTS\tSLOTS\tFREE\tAGE\tSTATE")
 	for _, c := range st.Centres {
 		slots, free := 0, 0
@@ -49,13 +49,13 @@
 			free += p.Free
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n",
-			c.Place.DataCentre, c.Place.Region, c.InForce, len(c.Hosts), slots, free, age(c.Age), centreState(c))
+			c.Place.DataCentre, c.Place.Region, c.InForce, len(c.Hosts), slots, free, formatAge(c.Age), centreState(c))
 	}
 	fmt.Fprintln(w, "\nTARGET\tKIND\tDATA CENTRE\tSLOTS\tRUNNING\tQUEUED\tSENT\tAGE\tSTATE")
 	for _, t := range st.Targets {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n",
 			t.Target.ID, t.Target.Kind, t.Target.Place.DataCentre, t.Load.Slots, t.Load.Running, t.Load.Queued,
-			t.Sent, age(t.LoadAge), targetState(t))
+			t.Sent, formatAge(t.LoadAge), targetState(t))
 	}
 }
 
@@ -76,7 +76,7 @@
 	return "ok"
 }
 
-func age(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
+func formatAge(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
 
 func routeCmd(opts *Options) *command {
 	var account, profile string
@@ -96,7 +96,7 @@
   Example:
     verbctl route -account foundation -profile obituary
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			if account == "" || profile == "" {
 				return &usageError{text: "-account and -profile are needed; -h shows an example"}
 			}
@@ -146,7 +146,7 @@
   Example:
     verbctl -entry http://127.1.1.1:9090 drain
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			if err := opts.client().Drain(ctx); err != nil {
 				return err
 			}
@@ -168,7 +168,7 @@
   Example:
     verbctl loglevel -set 1
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			if set != "" {
 				n, err := strconv.Atoi(set)
 				if err != nil {
--- a/internal/opctl/opctl.go
+++ b/internal/opctl/opctl.go
@@ -67,11 +67,11 @@
 // Unwrap returns what broke the call off.
 func (e *CallError) Unwrap() error { return e.cause }
 
-// unknown reports whether the call may have taken effect. A link that was
+// outcomeUnknown reports whether the call may have taken effect. A link that was
 // never made has carried nothing.
-func (e *CallError) unknown() bool {
+func (e *CallError) outcomeUnknown() bool {
 	if e.cause == nil {
-		return e.Fault.Kind == admin.KindUnknown
+		return e.Fault.Kind == admin.KindOutcomeUnknown
 	}
 	var op *net.OpError
 	unsent := errors.As(e.cause, &op) && op.Op == "dial"
@@ -100,8 +100,8 @@
 }
 
 // Rollback gives items an old content again, as a new change.
-func (c *Client) Rollback(ctx context.Context, rb admin.Rollback) (admin.RollbackDone, error) {
-	var done admin.RollbackDone
+func (c *Client) Rollback(ctx context.Context, rb admin.Rollback) (admin.RollbackResult, error) {
+	var done admin.RollbackResult
 	err := c.call(ctx, http.MethodPost, "/v1/rollback", rb, &done)
 	return done, err
 }
--- a/internal/opctl/opctl_test.go
+++ b/internal/opctl/opctl_test.go
@@ -199,13 +199,13 @@
 	h.srv.SetFaults(plat.Faults{Down: true})
 	cl := &Client{URL: "http://127.0.0.1:1", Token: "token-anu"}
 	_, err := cl.Change(context.Background(), rules.Change{ID: "c1"})
-	if got := doubt(err, "c1", ""); !errors.Is(got, err) || (&Options{Err: &bytes.Buffer{}}).exit(got) == exitUnknown {
+	if got := asUnknown(err, "c1", ""); !errors.Is(got, err) || (&Options{Err: &bytes.Buffer{}}).reportExit(got) == exitUnknown {
 		t.Errorf("a change that was never sent is reported as unknown: %v", got)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err = (&Client{URL: h.url, Token: "token-anu"}).Change(ctx, rules.Change{ID: "c1"})
-	if diff := cmp.Diff(exitUnknown, (&Options{Err: &bytes.Buffer{}}).exit(doubt(err, "c1", "again"))); diff != "" {
+	if diff := cmp.Diff(exitUnknown, (&Options{Err: &bytes.Buffer{}}).reportExit(asUnknown(err, "c1", "again"))); diff != "" {
 		t.Errorf("exit status of a call that broke off (-want +got):\n%s", diff)
 	}
 }
--- a/internal/opctl/send.go
+++ b/internal/opctl/send.go
@@ -23,24 +23,24 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// sender holds the flags of the commands that change something.
-type sender struct {
+// changeSender holds the flags of the commands that change something.
+type changeSender struct {
 	opts *Options
 	// base is noBase until it is known.
 	base int64
 	id   string
 	note string
 	wait time.Duration
-	// second asks for a second operator, also where the profile does not.
-	second bool
+	// requireApproval asks for a requireApproval operator, also where the profile does not.
+	requireApproval bool
 }
 
-func (s *sender) flags(fs *flag.FlagSet) {
+func (s *changeSender) flags(fs *flag.FlagSet) {
 	fs.Int64Var(&s.base, "base", noBase, "revision that the change is based on; else that of the file, else the one in force")
 	fs.StringVar(&s.id, "id", "", "id of a change to send again after an unknown outcome")
 	fs.StringVar(&s.note, "note", "", "why, for the history")
 	fs.DurationVar(&s.wait, "wait", 0, "wait until every data centre reports it in force")
-	fs.BoolVar(&s.second, "second", false, "ask for the approval by a second operator")
+	fs.BoolVar(&s.requireApproval, "second", false, "ask for the approval by a second operator")
 }
 
 // noBase stands for a base that the operator left out.
@@ -48,13 +48,13 @@
 
 // unknownError is a change of which nobody knows whether it was accepted.
 type unknownError struct {
-	id    ident.ChangeID
-	again string
-	cause error
+	id           ident.ChangeID
+	retryCommand string
+	cause        error
 }
 
 func (e *unknownError) Error() string {
-	return fmt.Sprintf("it is not known whether change %s was accepted (%v); ask again with: %s", e.id, e.cause, e.again)
+	return fmt.Sprintf("it is not known whether change %s was accepted (%v); ask again with: %s", e.id, e.cause, e.retryCommand)
 }
 
 // Unwrap returns the cause.
@@ -63,7 +63,7 @@
 // notInForceError names the data centres that lack a revision.
 type notInForceError struct {
 	rev     ident.Revision
-	lacking []ident.DataCentre
+	missing []ident.DataCentre
 	// cause is why the outcome is not known, where that is so.
 	cause error
 }
@@ -72,22 +72,22 @@
 	if e.cause != nil {
 		return fmt.Sprintf("revision %d is accepted, but where it is in force can't be seen: %v", e.rev, e.cause)
 	}
-	names := make([]string, 0, len(e.lacking))
-	for _, n := range e.lacking {
+	names := make([]string, 0, len(e.missing))
+	for _, n := range e.missing {
 		names = append(names, string(n))
 	}
 	return fmt.Sprintf("revision %d is accepted, but not yet in force in: %s", e.rev, strings.Join(names, ", "))
 }
 
 // send sends items as one change, or proposes it where it needs approval.
-func (s *sender) send(ctx context.Context, items []rules.Item, name, file string) error {
+func (s *changeSender) send(ctx context.Context, items []rules.Item, name, file string) error {
 	cl := s.opts.client()
-	c, err := s.change(ctx, items)
+	c, err := s.newChange(ctx, items)
 	if err != nil {
 		return err
 	}
 	again := fmt.Sprintf("verbctl %s -id %s -base %d %s", name, c.ID, c.Base, file)
-	if s.second {
+	if s.requireApproval {
 		return s.propose(ctx, c, again)
 	}
 	done, err := cl.Change(ctx, c)
@@ -96,13 +96,13 @@
 		return s.propose(ctx, c, again)
 	}
 	if err != nil {
-		return doubt(err, c.ID, again)
+		return asUnknown(err, c.ID, again)
 	}
-	return s.accepted(ctx, done)
+	return s.reportAccepted(ctx, done)
 }
 
-// change fills in what the operator left out.
-func (s *sender) change(ctx context.Context, items []rules.Item) (rules.Change, error) {
+// newChange fills in what the operator left out.
+func (s *changeSender) newChange(ctx context.Context, items []rules.Item) (rules.Change, error) {
 	c := rules.Change{ID: ident.ChangeID(s.id), Note: s.note, Items: items}
 	if s.base >= 0 {
 		c.Base = ident.Revision(s.base)
@@ -123,40 +123,40 @@
 	return c, err
 }
 
-// doubt turns an error of a call that may have taken effect.
-func doubt(err error, id ident.ChangeID, again string) error {
+// asUnknown turns an error of a call that may have taken effect.
+func asUnknown(err error, id ident.ChangeID, again string) error {
 	var ce *CallError
-	if errors.As(err, &ce) && ce.unknown() {
-		return &unknownError{id: id, again: again, cause: err}
+	if errors.As(err, &ce) && ce.outcomeUnknown() {
+		return &unknownError{id: id, retryCommand: again, cause: err}
 	}
 	return err
 }
 
-func (s *sender) propose(ctx context.Context, c rules.Change, again string) error {
+func (s *changeSender) propose(ctx context.Context, c rules.Change, again string) error {
 	p, err := s.opts.client().Propose(ctx, c)
 	if err != nil {
-		return doubt(err, c.ID, again)
+		return asUnknown(err, c.ID, again)
 	}
-	return s.proposed(p)
+	return s.printProposal(p)
 }
 
-func (s *sender) proposed(p revlog.Proposal) error {
+func (s *changeSender) printProposal(p revlog.Proposal) error {
 	return s.opts.print(p, func(w io.Writer) {
 		fmt.Fprintf(w, "proposed as %s; a second operator approves it with: verbctl profiles approve %s\n", p.Change.ID, p.Change.ID)
 	})
 }
 
-// accepted reports a change and follows it until it is in force.
-func (s *sender) accepted(ctx context.Context, done rules.Change) error {
+// reportAccepted reports a change and follows it until it is in force.
+func (s *changeSender) reportAccepted(ctx context.Context, done rules.Change) error {
 	err := s.opts.print(done, func(w io.Writer) {
 		fmt.Fprintf(w, "accepted as revision %d\n", done.Revision)
 	})
 	if err != nil || s.wait <= 0 {
 		return err
 	}
-	f, err := s.follow(ctx, done.Revision)
+	f, err := s.waitInForce(ctx, done.Revision)
 	if err != nil || !f.Everywhere {
-		return &notInForceError{rev: done.Revision, lacking: lacking(f), cause: err}
+		return &notInForceError{rev: done.Revision, missing: missingCentres(f), cause: err}
 	}
 	if !s.opts.JSON {
 		fmt.Fprintf(s.opts.Out, "in force in %d of %d data centres\n", len(f.Centres), len(f.Centres))
@@ -164,24 +164,24 @@
 	return nil
 }
 
-// followStep is the longest wait of one question.
-const followStep = 20 * time.Second
+// maxPollWait is the longest wait of one question.
+const maxPollWait = 20 * time.Second
 
-// follow asks until the revision is in force or the time is over.
-func (s *sender) follow(ctx context.Context, rev ident.Revision) (admin.InForce, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.wait+followStep)
+// waitInForce asks until the revision is in force or the time is over.
+func (s *changeSender) waitInForce(ctx context.Context, rev ident.Revision) (admin.InForce, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.wait+maxPollWait)
 	defer cancel()
 	end := time.Now().Add(s.wait)
 	for {
 		left := time.Until(end)
-		f, err := s.opts.client().InForce(ctx, rev, min(max(left, 0), followStep))
+		f, err := s.opts.client().InForce(ctx, rev, min(max(left, 0), maxPollWait))
 		if err != nil || f.Everywhere || time.Now().After(end) {
 			return f, err
 		}
 	}
 }
 
-func lacking(f admin.InForce) []ident.DataCentre {
+func missingCentres(f admin.InForce) []ident.DataCentre {
 	var names []ident.DataCentre
 	for _, c := range f.Centres {
 		if !c.InForce {
@@ -191,16 +191,16 @@
 	return names
 }
 
-// baseLine is the first line of a document that "get" printed.
-var baseLine = regexp.MustCompile(`(?m)^// base (\d+)$`)
+// baseComment is the first line of a document that "get" printed.
+var baseComment = regexp.MustCompile(`(?m)^// base (\d+)$`)
 
-// read reads a file of JSON with comments and takes the base from it.
-func (s *sender) read(path string, v any) error {
+// readFile reads a file of JSON with comments and takes the base from it.
+func (s *changeSender) readFile(path string, v any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "opctl: read")
 	}
-	if m := baseLine.FindSubmatch(text); m != nil && s.base < 0 {
+	if m := baseComment.FindSubmatch(text); m != nil && s.base < 0 {
 		s.base, err = strconv.ParseInt(string(m[1]), 10, 64)
 		if err != nil {
 			return errors.Wrapf(err, "opctl: %s: the base is no revision", path)
@@ -214,9 +214,9 @@
 }
 
 // readDocs reads one document or an array of them as items of a kind.
-func (s *sender) readDocs(path string, kind rules.Kind) ([]rules.Item, error) {
+func (s *changeSender) readDocs(path string, kind rules.Kind) ([]rules.Item, error) {
 	var raw json.RawMessage
-	if err := s.read(path, &raw); err != nil {
+	if err := s.readFile(path, &raw); err != nil {
 		return nil, err
 	}
 	docs := []json.RawMessage{raw}
@@ -267,9 +267,9 @@
 }
 
 func printConflict(w io.Writer, c admin.Conflict) {
-	if c.By.Revision == 0 {
+	if c.ChangedBy.Revision == 0 {
 		return
 	}
-	fmt.Fprintf(w, "%s %s was changed by %s in revision %d: %s\n", c.Kind, c.Name, c.By.Operator, c.By.Revision, c.By.Note)
-	fmt.Fprint(w, diff(fmt.Sprintf("revision %d", c.Base), fmt.Sprintf("revision %d", c.By.Revision), c.Was, c.Now))
+	fmt.Fprintf(w, "%s %s was changed by %s in revision %d: %s\n", c.Kind, c.Name, c.ChangedBy.Operator, c.ChangedBy.Revision, c.ChangedBy.Note)
+	fmt.Fprint(w, diff(fmt.Sprintf("revision %d", c.Base), fmt.Sprintf("revision %d", c.ChangedBy.Revision), c.BaseDoc, c.CurrentDoc))
 }
--- a/internal/proofs/change_test.go
+++ b/internal/proofs/change_test.go
@@ -80,7 +80,7 @@
 	if r.life != life {
 		return
 	}
-	r.seen[life] = append(r.seen[life], reading{time.Now(), list.Revision, p.Changed, p.Profile.DeadlineMs})
+	r.seen[life] = append(r.seen[life], reading{time.Now(), list.Revision, p.ChangedAt, p.Profile.DeadlineMs})
 }
 
 // restarted says that the process of the host is another from now on.
