--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,17 +1,17 @@
-// Package admin serves operators over HTTP, on an address apart from the
-// callers': health, status, profiles and their changes. docs/operators.md
-// describes it.
+// Package admin is the HTTP API for operators: health, status, profiles and
+// changes to them. It is served on an address of its own, apart from that for
+// callers. docs/operators.md describes it.
 //
 // # Usage
 //
-//	ad := admin.New(admin.Config{Loop: lp, Revs: revs, Book: book.Load, Operators: known})
+//	ad := admin.New(admin.Config{Loop: lp, Revs: revs, Book: book.Load, Operators: operators})
 //	srv := &http.Server{Handler: ad}
 //
-// An operator sends a token as "Authorization: Bearer TOKEN"; the settings
-// hold its digest. Reading needs a token too, since the accounts and the
-// places of targets are nobody else's business. Health, readiness and metrics
-// need none: they name no account and are asked by probes, which would
-// otherwise have to hold a token that may change profiles.
+// An operator authenticates with "Authorization: Bearer TOKEN"; the settings
+// hold the digest of the token. Reads need a token too, because accounts and
+// the locations of targets are confidential. Health, readiness and metrics
+// need none: they name no account, and the probes that request them would
+// otherwise hold a token that may change profiles.
 package admin
 
 import (
@@ -34,14 +34,14 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Config is what the operators' address needs.
+// Config holds the dependencies of the operators' API.
 type Config struct {
 	Loop  *loop.Loop
 	Clock *clock.Service
 	Log   logr.Logger
 	Level *logs.Level
 	Revs  *revlog.Log
-	// Book returns the configuration in force, nil before there is one.
+	// Book returns the configuration in force, or nil if none has been loaded.
 	Book      func() *rules.Book
 	Operators []config.Operator
 	Metrics   metrics.Registry
@@ -49,13 +49,13 @@
 	Drain func()
 }
 
-// Admin is the handler for operators.
+// Admin is the HTTP handler of the operators' API.
 type Admin struct {
 	cfg    Config
 	router *bunrouter.Router
 }
 
-// New returns a handler.
+// New returns a handler for the operators' API.
 func New(cfg Config) *Admin {
 	a := &Admin{cfg: cfg, router: bunrouter.New()}
 	a.router.GET("/healthz", a.health)
@@ -79,17 +79,16 @@
 	return a
 }
 
-// ServeHTTP serves one request.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
-// health says that the process lives. A host without a configuration or with
-// its platform away is healthy: a restart would mend nothing.
+// health is the liveness probe. It succeeds without a configuration and while
+// the platform is unreachable, since a restart would fix neither.
 func (a *Admin) health(w http.ResponseWriter, _ bunrouter.Request) error {
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
 
-// ready says that there is a configuration to serve by.
+// ready is the readiness probe. It succeeds once a configuration is in force.
 func (a *Admin) ready(w http.ResponseWriter, _ bunrouter.Request) error {
 	if a.cfg.Book().Rev() == 0 {
 		return writeFault(w, http.StatusServiceUnavailable, Fault{Message: "there is no configuration yet"})
@@ -113,13 +112,14 @@
 	return nil
 }
 
-// operatorHandler serves a request of a known operator.
+// operatorHandler serves a request of an authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, op ident.Operator) error
 
-// maxBodyBytes bounds what an operator sends.
+// maxBodyBytes limits the body of a request.
 const maxBodyBytes = 1 << 20
 
-// requireOperator lets only operators of the settings through and bounds the body.
+// requireOperator rejects requests without the token of an operator from the
+// settings, and limits the body.
 func (a *Admin) requireOperator(next operatorHandler) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		op, ok := a.authenticate(r.Request)
@@ -134,8 +134,9 @@
 	}
 }
 
-// authenticate finds the authenticate of a token. Every digest is compared, and each
-// in the same time, so that the time of an answer reveals nothing about them.
+// authenticate returns the operator whose token the request has. It compares
+// every digest in constant time, so that response times reveal nothing about
+// the digests.
 func (a *Admin) authenticate(r *http.Request) (ident.Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -151,8 +152,8 @@
 	return name, found
 }
 
-// decode reads a body. Unknown fields are faults, since a misspelt field would
-// silently do nothing.
+// decode parses a JSON body. It rejects unknown fields, since a misspelt field
+// would otherwise be ignored silently.
 func decode(r *http.Request, v any) error {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -25,29 +25,30 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// rig is the operators' address of a host that stands at a book.
-type rig struct {
+// testAdmin is the operators' API of a host that has a book in force.
+type testAdmin struct {
 	admin *Admin
 	book  *rules.Book
 	revs  *revlog.Log
-	drain int
+	// drains counts the calls of Config.Drain.
+	drains int
 }
 
-func newRig(t *testing.T) *rig {
+func newTestAdmin(t *testing.T) *testAdmin {
 	t.Helper()
-	r := &rig{}
+	r := &testAdmin{}
 	hs := httptest.NewServer(plat.New())
 	t.Cleanup(hs.Close)
 	r.revs = revlog.New(store.New(store.Config{URL: hs.URL}))
 	svc := clock.New()
 	t.Cleanup(svc.Stop)
-	lp := loop.New(loop.Config{Step: step, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
+	lp := loop.New(loop.Config{Step: answerStatus, Clock: svc, Log: logr.Discard(), Execute: func(event.Effect) {}})
 	t.Cleanup(lp.Stop)
 	reg := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("platform.get.ok", reg).Inc(7)
 	r.admin = New(Config{
 		Loop: lp, Clock: svc, Log: logr.Discard(), Level: logs.NewLevel(0), Revs: r.revs, Metrics: reg,
-		Book: func() *rules.Book { return r.book }, Drain: func() { r.drain++ },
+		Book: func() *rules.Book { return r.book }, Drain: func() { r.drains++ },
 		Operators: []config.Operator{
 			{Name: "anu", TokenDigest: strings.ToUpper(rules.Digest("token-anu"))},
 			{Name: "bold", TokenDigest: rules.Digest("token-bold")},
@@ -56,23 +57,23 @@
 	return r
 }
 
-// step answers with two data centres, of which one is behind for the first
-// looks.
-func step(now ident.Time, ev event.Event) []event.Effect {
+// answerStatus is a control thread that reports two data centres. One of them
+// gets revision 5 only after 300 ms, so that a waiting request polls first.
+func answerStatus(now ident.Time, ev event.Event) []event.Effect {
 	e, ok := ev.(event.StatusAsked)
 	if !ok {
 		return nil
 	}
-	late := ident.Revision(4)
+	khovdRev := ident.Revision(4)
 	if now > ident.Time(300*time.Millisecond) {
-		late = 5
+		khovdRev = 5
 	}
 	return []event.Effect{event.StatusAnswered{Ask: e.Ask, Centres: []event.CentreStatus{
-		{Place: event.Place{DataCentre: "uvs"}, InForce: 5}, {Place: event.Place{DataCentre: "khovd"}, InForce: late},
+		{Place: event.Place{DataCentre: "uvs"}, InForce: 5}, {Place: event.Place{DataCentre: "khovd"}, InForce: khovdRev},
 	}}}
 }
 
-func (r *rig) call(method, path, token, body string) *httptest.ResponseRecorder {
+func (r *testAdmin) call(method, path, token, body string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, strings.NewReader(body))
 	if token != "" {
 		req.Header.Set("Authorization", "Bearer "+token)
@@ -89,9 +90,11 @@
 	}
 }
 
-// A caller without a token, or with a revoked one, gets more than health, readiness and metrics.
-func TestOnlyOperators(t *testing.T) {
-	r := newRig(t)
+// Guards against a route registered without requireOperator: without a valid
+// token (none, an unknown or revoked one, or a digest in its place), only health,
+// readiness and metrics may be served.
+func TestOperatorTokenRequired(t *testing.T) {
+	r := newTestAdmin(t)
 	paths := []struct{ method, path string }{
 		{"GET", "/v1/status"},
 		{"GET", "/v1/inForce?revision=1"},
@@ -114,18 +117,20 @@
 			wantStatus(t, p.method+" "+p.path, http.StatusUnauthorized, r.call(p.method, p.path, token, "{}"))
 		}
 	}
-	if r.drain != 0 {
-		t.Error("a stranger started a drain")
+	if r.drains != 0 {
+		t.Error("a request without an operator's token started a drain")
 	}
 	wantStatus(t, "drain by an operator", http.StatusAccepted, r.call("POST", "/v1/drain", "token-anu", ""))
-	if diff := cmp.Diff(1, r.drain); diff != "" {
+	if diff := cmp.Diff(1, r.drains); diff != "" {
 		t.Errorf("drains (-want +got):\n%s", diff)
 	}
 }
 
-// A host that is not ready yet is restarted over and over by a liveness probe.
+// Guards against a health check that depends on readiness: a liveness probe would
+// then restart a host without a configuration over and over. Metrics need no
+// token either.
 func TestHealthIsNotReadiness(t *testing.T) {
-	r := newRig(t)
+	r := newTestAdmin(t)
 	wantStatus(t, "health", http.StatusNoContent, r.call("GET", "/healthz", "", ""))
 	wantStatus(t, "not ready", http.StatusServiceUnavailable, r.call("GET", "/readyz", "", ""))
 	r.book = &rules.Book{Revision: 1}
@@ -138,9 +143,10 @@
 	}
 }
 
-// A malformed change is accepted, or one that claims to be approved lets one operator count as two.
+// Guards against the acceptance of malformed changes, and of a change whose body
+// names an approver: one operator would then count as two.
 func TestBadChanges(t *testing.T) {
-	r := newRig(t)
+	r := newTestAdmin(t)
 	big := `{"id":"c","note":"` + strings.Repeat("x", maxBodyBytes) + `"}`
 	for _, c := range []struct {
 		name string
@@ -157,13 +163,15 @@
 	}
 	_, err := r.revs.Read(context.Background(), 1)
 	if err == nil {
-		t.Error("one of them is in the log")
+		t.Error("one of the changes was accepted into the log")
 	}
 }
 
-// An operator is not shown which data centre a change is still missing in.
+// Guards against a false report of which data centres still lack a revision: a
+// request must wait for a lagging data centre, and a revision that no data centre
+// has must not be reported as in force.
 func TestInForce(t *testing.T) {
-	r := newRig(t)
+	r := newTestAdmin(t)
 	w := r.call("GET", "/v1/inForce?revision=5&waitMs=20000", "token-bold", "")
 	wantStatus(t, "wait", http.StatusOK, w)
 	if !bytes.Contains(w.Body.Bytes(), []byte(`"everywhere":true`)) {
--- a/internal/admin/ask.go
+++ b/internal/admin/ask.go
@@ -12,11 +12,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times of the questions to the control thread.
 const (
+	// askTimeout limits one query to the control thread.
 	askTimeout = 2 * time.Second
-	// inForcePollInterval is the time between two looks at what is in force, and
-	// forceMost the longest wait of one request.
+	// inForcePollInterval is the time between two queries while a request
+	// waits for a revision, and maxInForceWait the longest such wait.
 	inForcePollInterval = 100 * time.Millisecond
 	maxInForceWait      = 30 * time.Second
 )
@@ -52,28 +52,29 @@
 	return writeJSON(w, http.StatusOK, st)
 }
 
-// InForce holds which data centres have a revision in force, as far as the
-// host that was asked knows.
+// InForce reports which data centres have a revision in force, as far as the
+// queried host knows.
 type InForce struct {
 	Revision ident.Revision `json:"revision"`
-	// Everywhere says that every known data centre has it.
+	// Everywhere is set if every known data centre has the revision in force.
 	Everywhere bool            `json:"everywhere"`
 	Centres    []CentreInForce `json:"centres"`
 }
 
-// CentreInForce is the lowest revision in force in a data centre.
+// CentreInForce reports whether a data centre has the revision in force.
+// LowestRevision is the lowest that any of its live hosts has in force.
 type CentreInForce struct {
 	DataCentre     ident.DataCentre `json:"dataCentre"`
 	Region         ident.Region     `json:"region"`
 	LowestRevision ident.Revision   `json:"lowest"`
 	InForce        bool             `json:"inForce"`
-	// Age is the age of the newest summary of the data centre.
+	// Age is the age of the newest summary from the data centre.
 	Age         time.Duration `json:"age"`
 	Unreachable bool          `json:"cutOff,omitempty"`
 }
 
-// inForce answers at once, or waits until the revision is in force everywhere
-// or waitMs is over.
+// inForce returns as soon as the revision is in force everywhere, and at the
+// latest after the query parameter waitMs (milliseconds, 0 by default).
 func (a *Admin) inForce(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	q := r.URL.Query()
 	rev, err := strconv.ParseUint(q.Get("revision"), 10, 64)
@@ -83,8 +84,8 @@
 	ms, _ := strconv.ParseInt(q.Get("waitMs"), 10, 64)
 	ctx, cancel := context.WithTimeout(r.Context(), min(max(0, time.Duration(ms)*time.Millisecond), maxInForceWait))
 	defer cancel()
-	step := a.cfg.Clock.Every(inForcePollInterval)
-	defer step.Close()
+	ticks := a.cfg.Clock.Every(inForcePollInterval)
+	defer ticks.Close()
 	for {
 		st, err := a.askStatus(r.Context())
 		if err != nil {
@@ -95,7 +96,7 @@
 			return writeJSON(w, http.StatusOK, f)
 		}
 		select {
-		case <-step.C():
+		case <-ticks.C():
 		case <-ctx.Done():
 			return writeJSON(w, http.StatusOK, f)
 		}
@@ -105,18 +106,18 @@
 func inForceAt(rev ident.Revision, st event.StatusAnswered) InForce {
 	f := InForce{Revision: rev, Everywhere: len(st.Centres) > 0}
 	for _, c := range st.Centres {
-		has := c.InForce >= rev
-		f.Everywhere = f.Everywhere && has
+		inForce := c.InForce >= rev
+		f.Everywhere = f.Everywhere && inForce
 		f.Centres = append(f.Centres, CentreInForce{
 			DataCentre: c.Place.DataCentre, Region: c.Place.Region, LowestRevision: c.InForce,
-			InForce: has, Age: c.Age, Unreachable: c.CutOff,
+			InForce: inForce, Age: c.Age, Unreachable: c.CutOff,
 		})
 	}
 	return f
 }
 
-// drain starts a graceful stop of this host. It answers at once; the host
-// ends when its last request has.
+// drain starts a graceful stop of this host. It responds immediately; the
+// process exits once its last request has ended.
 func (a *Admin) drain(w http.ResponseWriter, _ *http.Request, op ident.Operator) error {
 	a.cfg.Log.Info("drain asked", "operator", op)
 	a.cfg.Drain()
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// route answers where a request would go, without sending it.
+// route returns the routing decision for a request without sending it.
 func (a *Admin) route(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	var req event.Request
 	if err := decode(r, &req); err != nil {
@@ -142,7 +143,7 @@
 	Level int `json:"level"`
 }
 
-// maxLevel is the highest verbosity that is used.
+// maxLevel is the highest verbosity that any log line uses.
 const maxLevel = 4
 
 func (a *Admin) level(w http.ResponseWriter, _ *http.Request, _ ident.Operator) error {
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -15,7 +15,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// storeTimeout bounds a change with all its calls to the platform.
+// storeTimeout limits one operation on the revision log, with all its calls to
+// the platform.
 const storeTimeout = 10 * time.Second
 
 // ProfileInfo is a profile and the revision that last changed it.
@@ -24,7 +25,7 @@
 	ChangedAt ident.Revision `json:"changed"`
 }
 
-// ProfileList is the answer to a question for profiles.
+// ProfileList is the response to a request for profiles.
 type ProfileList struct {
 	Revision ident.Revision `json:"revision"`
 	Profiles []ProfileInfo  `json:"profiles"`
@@ -36,7 +37,7 @@
 	ChangedAt ident.Revision `json:"changed"`
 }
 
-// AccountList is the answer to a question for accounts.
+// AccountList is the response to a request for accounts.
 type AccountList struct {
 	Revision ident.Revision `json:"revision"`
 	Accounts []AccountInfo  `json:"accounts"`
@@ -46,7 +47,8 @@
 	return writeJSON(w, http.StatusOK, a.cfg.Book())
 }
 
-// profiles lists the profiles in force, or the one that is asked for.
+// profiles lists the profiles in force, or only the one that the query
+// parameter name selects.
 func (a *Admin) profiles(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	b := a.cfg.Book()
 	name := r.URL.Query().Get("name")
@@ -59,7 +61,8 @@
 	return writeJSON(w, http.StatusOK, list)
 }
 
-// accounts lists the accounts in force, or the one that is asked for.
+// accounts lists the accounts in force, or only the one that the query
+// parameter name selects.
 func (a *Admin) accounts(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	b := a.cfg.Book()
 	name := r.URL.Query().Get("name")
@@ -72,8 +75,8 @@
 	return writeJSON(w, http.StatusOK, list)
 }
 
-// change puts a change into the log. One that needs a second operator is
-// refused with KindNeedsApproval and is to be proposed.
+// change appends a change to the revision log. It refuses a change that needs
+// a second operator with KindNeedsApproval; the client proposes it instead.
 func (a *Admin) change(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var c rules.Change
 	if err := decode(r, &c); err != nil {
@@ -105,8 +108,10 @@
 	return done, nil
 }
 
-// prepareChange checks a change that an operator sent and sets what the operator may
-// not: who sent it, and that nobody has approved it.
+// prepareChange checks a change and overwrites the fields that the client must
+// not choose: the operator, the approver, the revision and the time. It returns
+// the book that the change applies to. If the change is invalid, it writes the
+// fault and returns false.
 func (a *Admin) prepareChange(w http.ResponseWriter, r *http.Request, op ident.Operator, c *rules.Change) (*rules.Book, bool) {
 	c.Operator = op
 	c.Approver = ""
@@ -128,8 +133,8 @@
 	return book, true
 }
 
-// baseBook returns the book to write on: the one in force, or that of the store
-// at a host that has just started.
+// baseBook returns the book that a change applies to: the one in force, or the
+// one in the store if this host has just started and has none yet.
 func (a *Admin) baseBook(ctx context.Context) (*rules.Book, error) {
 	if b := a.cfg.Book(); b != nil {
 		return b, nil
@@ -173,7 +178,7 @@
 	return writeJSON(w, http.StatusOK, done)
 }
 
-// Lists are short: each entry can cost a call to the platform.
+// Lists are short because each entry can cost a call to the platform.
 const (
 	defaultListSize = 20
 	maxListSize     = 100
@@ -197,8 +202,10 @@
 	return writeJSON(w, http.StatusOK, ps)
 }
 
-// history lists changes, newest first, of all items or of one. With a name it
-// looks through the changes one page at a time and returns where to go on.
+// history returns a page of changes, newest first. With the query parameter
+// name it drops the changes of the page that are not about that item, so that a
+// page can be empty although older changes match; History.Before is the start
+// of the next page.
 func (a *Admin) history(w http.ResponseWriter, r *http.Request, _ ident.Operator) error {
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
@@ -231,32 +238,34 @@
 // History is a page of changes, newest first.
 type History struct {
 	Changes []rules.Change `json:"changes"`
-	// Before is the revision to ask before for the next page; 1 is the end.
+	// Before is the query parameter for the next page; 1 means that this is the
+	// last page.
 	Before ident.Revision `json:"before"`
 }
 
-// Rollback asks to give items the content again that a revision gave them.
+// Rollback is a request to restore the content that items got in a revision.
 type Rollback struct {
 	ID   ident.ChangeID `json:"id"`
 	Base ident.Revision `json:"base"`
 	To   ident.Revision `json:"to"`
-	// Kind and Name choose one item; empty is all of the change.
+	// Kind and Name select one item. Without a name, all items of the change
+	// are restored.
 	Kind rules.Kind `json:"kind,omitempty"`
 	Name string     `json:"name,omitempty"`
 	Note string     `json:"note,omitempty"`
-	// RequireApproval asks for a second operator, also where the profile does not.
+	// RequireApproval requires a second operator even if the profile does not.
 	RequireApproval bool `json:"second,omitempty"`
 }
 
-// RollbackResult is a rollback that was accepted, or proposed where it needs a
-// second operator.
+// RollbackResult holds the accepted change of a rollback, or the proposal if the
+// rollback needs a second operator.
 type RollbackResult struct {
 	Change   rules.Change     `json:"change,omitzero"`
 	Proposal *revlog.Proposal `json:"proposal,omitempty"`
 }
 
-// rollback writes a new change with old content. The revision goes up: a host
-// that took an old revision again could not distinguish it from a stale one.
+// rollback appends a new change with old content. The revision increases, since
+// hosts could not distinguish a reused revision from a stale one.
 func (a *Admin) rollback(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var rb Rollback
 	if err := decode(r, &rb); err != nil {
@@ -281,7 +290,8 @@
 	return a.applyRollback(w, r, op, rb, rules.Change{ID: rb.ID, Base: rb.Base, Note: note, Items: items})
 }
 
-// applyRollback accepts or proposes the change of a rollback.
+// applyRollback appends the change of a rollback, or proposes it if it needs a
+// second operator.
 func (a *Admin) applyRollback(w http.ResponseWriter, r *http.Request, op ident.Operator, rb Rollback, c rules.Change) error {
 	book, ok := a.prepareChange(w, r, op, &c)
 	if !ok {
--- a/internal/admin/fault.go
+++ b/internal/admin/fault.go
@@ -12,10 +12,10 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// FaultKind is the outcome of an operator's request, for programs.
+// FaultKind is the machine-readable reason of a Fault.
 type FaultKind string
 
-// The kinds of faults.
+// The fault kinds.
 const (
 	KindConflict       FaultKind = "conflict"
 	KindOutcomeUnknown FaultKind = "unknown"
@@ -26,27 +26,28 @@
 	KindFaults         FaultKind = "faults"
 )
 
-// Fault is the answer to what was not done, or is not known to be done.
+// Fault is the response to a request that failed or whose outcome is unknown.
 type Fault struct {
 	Message string    `json:"message"`
 	Kind    FaultKind `json:"kind,omitempty"`
-	// Change is the id to send again after KindUnknown.
+	// Change is the id with which to retry after KindOutcomeUnknown.
 	Change ident.ChangeID `json:"change,omitempty"`
-	// Faults lists what the checks found.
+	// Faults lists the errors that validation of the change found.
 	Faults []rules.Fault `json:"faults,omitempty"`
-	// Conflict holds what changed since.
+	// Conflict describes the change that this one conflicts with.
 	Conflict *Conflict `json:"conflict,omitempty"`
 }
 
-// Conflict is an item that has changed since the operator read it.
+// Conflict describes an item that has changed since the operator read it.
 type Conflict struct {
 	Kind rules.Kind     `json:"kind"`
 	Name string         `json:"name"`
 	Base ident.Revision `json:"base"`
-	// ChangedBy is the change that the item has now.
+	// ChangedBy is the change that last modified the item.
 	ChangedBy rules.Change `json:"by"`
-	// BaseDoc and Now are the documents at the base and now. BaseDoc is absent where
-	// it is too long ago to look for.
+	// BaseDoc is the document at the base, CurrentDoc that of ChangedBy.
+	// BaseDoc is absent if it was not found in the last maxRevisionsSearched
+	// revisions up to the base.
 	BaseDoc    json.RawMessage `json:"was,omitempty"`
 	CurrentDoc json.RawMessage `json:"now,omitempty"`
 }
@@ -57,7 +58,7 @@
 	return writeFault(w, http.StatusBadRequest, Fault{Message: err.Error(), Kind: KindRefused})
 }
 
-// errorOutcomes maps the errors of the log to the answers for operators.
+// errorOutcomes maps errors of the revision log to fault kinds and HTTP statuses.
 var errorOutcomes = []struct {
 	err    error
 	kind   FaultKind
@@ -71,7 +72,8 @@
 	{revlog.ErrRefused, KindRefused, http.StatusUnprocessableEntity},
 }
 
-// writeRevlogError answers with an error of the log.
+// writeRevlogError writes an error of the revision log as a Fault. Errors that
+// errorOutcomes does not list become KindUnavailable.
 func (a *Admin) writeRevlogError(ctx context.Context, w http.ResponseWriter, id ident.ChangeID, err error) error {
 	f := Fault{Message: err.Error(), Kind: KindUnavailable, Change: id}
 	status := http.StatusServiceUnavailable
@@ -88,11 +90,12 @@
 	return writeFault(w, status, f)
 }
 
-// maxRevisionsSearched bounds the reads for the document that an operator started from.
+// maxRevisionsSearched limits the reads that look for the document at the base
+// of a conflicting change.
 const maxRevisionsSearched = 64
 
-// conflict finds the documents for a diff. What can't be read is left out: the
-// conflict itself is certain.
+// conflict reads the documents for a diff. Documents that can't be read are
+// left out: the conflict is known without them.
 func (a *Admin) conflict(ctx context.Context, e *rules.ConflictError) *Conflict {
 	c := &Conflict{Kind: e.Kind, Name: e.Name, Base: e.Base}
 	by, err := a.cfg.Revs.Read(ctx, e.Changed)
@@ -114,7 +117,8 @@
 	return c
 }
 
-// itemDoc returns what a change made of an item.
+// itemDoc returns the document that a change gave an item, and whether the
+// change contains the item.
 func itemDoc(c rules.Change, kind rules.Kind, name string) (json.RawMessage, bool) {
 	for _, it := range c.Items {
 		if it.Kind == kind && it.Name == name {
--- a/internal/opctl/accounts.go
+++ b/internal/opctl/accounts.go
@@ -107,8 +107,9 @@
 	return &command{
 		name: "digest", synopsis: "print the digest of an API key or token", opts: opts,
 		usage: `digest
-  Reads a key from the standard input and prints what the configuration holds
-  of it. The key is no argument, since other users of the host could see it.
+  Reads a key from the standard input and prints its digest for the
+  configuration. The key is not an argument, because other users of the machine
+  could see it.
 
   Example:
     verbctl accounts digest < key.txt
@@ -116,7 +117,7 @@
 		run: func(context.Context, []string) error {
 			sc := bufio.NewScanner(os.Stdin)
 			if !sc.Scan() || strings.TrimSpace(sc.Text()) == "" {
-				return &usageError{text: "the standard input has no key; write it there as one line"}
+				return &usageError{text: "the standard input has no key; write the key as one line"}
 			}
 			fmt.Fprintln(opts.Out, rules.Digest(strings.TrimSpace(sc.Text())))
 			return nil
--- a/internal/opctl/cmds.go
+++ b/internal/opctl/cmds.go
@@ -17,24 +17,24 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// The exit statuses beside those of package subcommands.
+// The exit statuses in addition to those of package subcommands.
 const (
 	exitConflict   subcommands.ExitStatus = 3
 	exitNotInForce subcommands.ExitStatus = 4
 	exitUnknown    subcommands.ExitStatus = 5
 )
 
-// Options are the flags that all commands share.
+// Options holds the flags and outputs that all commands share.
 type Options struct {
 	URL   string
 	Token string
 	JSON  bool
 	Out   io.Writer
-	// Err is where messages go; nil is the standard error output.
+	// Err receives messages; nil means the standard error output.
 	Err io.Writer
 }
 
-// Register adds every command.
+// Register adds all commands to the commander.
 func Register(cdr *subcommands.Commander, opts *Options) {
 	if opts.Err == nil {
 		opts.Err = os.Stderr
@@ -54,28 +54,29 @@
 	return &Client{URL: strings.TrimRight(o.URL, "/"), Token: o.Token}
 }
 
-// command is one command, with its text and what it does.
+// command implements subcommands.Command.
 type command struct {
 	name     string
 	synopsis string
 	usage    string
 	opts     *Options
-	// argCount is the number of arguments; flags beyond -json are set by flags.
+	// argCount is the exact number of arguments.
 	argCount int
-	flags    func(fs *flag.FlagSet)
-	run      func(ctx context.Context, args []string) error
+	// flags registers the flags other than -json; nil means there are none.
+	flags func(fs *flag.FlagSet)
+	run   func(ctx context.Context, args []string) error
 }
 
-// Name returns the word that calls the command.
+// Name returns the name of the command on the command line.
 func (c *command) Name() string { return c.name }
 
-// Synopsis returns one line.
+// Synopsis returns the description of the command in one line.
 func (c *command) Synopsis() string { return c.synopsis }
 
-// Usage returns the page that -h shows.
+// Usage returns the text that -h prints.
 func (c *command) Usage() string { return c.usage }
 
-// SetFlags sets the flags.
+// SetFlags registers -json and the flags of the command.
 func (c *command) SetFlags(fs *flag.FlagSet) {
 	fs.BoolVar(&c.opts.JSON, "json", c.opts.JSON, "print JSON instead of tables")
 	if c.flags != nil {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Execute runs the command and turns its error into the exit status.
+// Execute runs the command and returns the exit status for its error.
 func (c *command) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != c.argCount {
 		fmt.Fprintf(c.opts.Err, "verbctl: %s takes %d arguments, not %d; -h shows examples\n", c.name, c.argCount, fs.NArg())
@@ -92,20 +93,20 @@
 	return c.opts.reportExit(c.run(ctx, fs.Args()))
 }
 
-// reportExit reports an error and returns its status.
+// reportExit prints an error and returns the exit status for it.
 func (o *Options) reportExit(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
 	fmt.Fprintln(o.Err, "verbctl:", err)
 	var ce *CallError
-	var late *notInForceError
-	var unsure *unknownError
+	var notInForce *notInForceError
+	var unknown *unknownError
 	var usage *usageError
 	switch {
-	case errors.As(err, &unsure):
+	case errors.As(err, &unknown):
 		return exitUnknown
-	case errors.As(err, &late):
+	case errors.As(err, &notInForce):
 		return exitNotInForce
 	case errors.As(err, &usage):
 		return subcommands.ExitUsageError
@@ -118,41 +119,42 @@
 	return subcommands.ExitFailure
 }
 
-// printDetails prints what the entry host returned beside the message.
+// printDetails prints the validation errors and the conflict of a fault.
 func (o *Options) printDetails(f admin.Fault) {
-	for _, one := range f.Faults {
-		fmt.Fprintln(o.Err, " ", one)
+	for _, fault := range f.Faults {
+		fmt.Fprintln(o.Err, " ", fault)
 	}
 	if f.Conflict != nil {
 		printConflict(o.Err, *f.Conflict)
 	}
 }
 
-// usageError is a wrong flag or argument.
+// usageError reports an invalid flag or argument.
 type usageError struct{ text string }
 
 func (e *usageError) Error() string { return e.text }
 
-// print writes v as JSON, or as the table that the function makes.
+// print writes v as JSON with -json, otherwise as the table that the function
+// writes.
 func (o *Options) print(v any, table func(w io.Writer)) error {
 	if o.JSON {
 		return printJSON(o.Out, v)
 	}
 	tw := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', 0)
 	table(tw)
-	return errors.Wrap(tw.Flush(), "opctl: print")
+	return errors.Wrap(tw.Flush(), "opctl: print the table")
 }
 
 func printJSON(w io.Writer, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "opctl: encode")
+		return errors.Wrap(err, "opctl: encode the result")
 	}
 	fmt.Fprintf(w, "%s\n", text)
 	return nil
 }
 
-// group is a command that has commands of its own.
+// group is a command with subcommands.
 type group struct {
 	name     string
 	synopsis string
@@ -160,13 +162,13 @@
 	cmds     []subcommands.Command
 }
 
-// Name returns the word that calls the group.
+// Name returns the name of the group on the command line.
 func (g *group) Name() string { return g.name }
 
-// Synopsis returns one line.
+// Synopsis returns the description of the group in one line.
 func (g *group) Synopsis() string { return g.synopsis }
 
-// Usage lists the commands of the group.
+// Usage returns the list of the commands of the group.
 func (g *group) Usage() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s COMMAND: %s\n", g.name, g.synopsis)
@@ -177,10 +179,10 @@
 	return b.String()
 }
 
-// SetFlags sets none; each command has its own.
+// SetFlags registers no flags; each command of the group has its own.
 func (*group) SetFlags(*flag.FlagSet) {}
 
-// Execute runs one of the commands.
+// Execute runs the command of the group that the arguments name.
 func (g *group) Execute(ctx context.Context, fs *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	cdr := subcommands.NewCommander(fs, "verbctl "+g.name)
 	cdr.Output, cdr.Error = g.opts.Out, g.opts.Err
@@ -190,12 +192,11 @@
 	return cdr.Execute(ctx, args...)
 }
 
-// explainCmd spells out a code.
 func explainCmd(opts *Options) *command {
 	return &command{
-		name: "explain", synopsis: "spell out a code", opts: opts, argCount: 1,
+		name: "explain", synopsis: "explain a code", opts: opts, argCount: 1,
 		usage: `explain CODE
-  Spells out a code of a refusal, a routing filter or a check.
+  Explains a code of a refusal, a routing filter or a check.
 
   Example:
     verbctl explain VB1004
--- a/internal/opctl/config.go
+++ b/internal/opctl/config.go
@@ -17,7 +17,6 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// profilesCmd is the group of the commands for profiles.
 func profilesCmd(opts *Options) *group {
 	return &group{
 		name: "profiles", synopsis: "list and change profiles", opts: opts,
@@ -28,7 +27,6 @@
 	}
 }
 
-// accountsCmd is the group of the commands for accounts.
 func accountsCmd(opts *Options) *group {
 	return &group{
 		name: "accounts", synopsis: "list and change client accounts", opts: opts,
@@ -41,12 +39,12 @@
 	return &command{
 		name: "apply", synopsis: "apply the items of a file as one change", opts: opts, argCount: 1, flags: s.flags,
 		usage: `apply [-wait 5s] [-base REVISION] [-note TEXT] FILE
-  Applies a JSON array of items, {"kind", "name", "doc"}, all or none of them.
-  A null document deletes. The file may have comments.
+  Applies a JSON array of items, {"kind", "name", "doc"}, atomically. A null
+  document deletes the item. The file may have comments.
 
   Examples:
     verbctl apply -wait 5s items.jsonc
-    verbctl apply -id 5f1c -base 12 items.jsonc    send it again after exit status 5
+    verbctl apply -id 5f1c -base 12 items.jsonc    retry after exit status 5
 `,
 		run: func(ctx context.Context, args []string) error {
 			var items []rules.Item
@@ -190,20 +188,21 @@
 	if err != nil {
 		return err
 	}
-	var was json.RawMessage
+	var before json.RawMessage
 	if len(l.Profiles) > 0 {
-		if was, err = json.Marshal(l.Profiles[0].Profile); err != nil {
-			return errors.Wrap(err, "opctl: encode")
+		if before, err = json.Marshal(l.Profiles[0].Profile); err != nil {
+			return errors.Wrap(err, "opctl: encode the profile in force")
 		}
 	}
-	// Through the type, so that defaults that are spelt out make no difference.
-	now := it.Doc
+	// Decodes and encodes the document, so that explicit default values in the
+	// file are not reported as differences.
+	after := it.Doc
 	if p, err := it.Profile(); err == nil {
-		if now, err = json.Marshal(p); err != nil {
-			return errors.Wrap(err, "opctl: encode")
+		if after, err = json.Marshal(p); err != nil {
+			return errors.Wrap(err, "opctl: encode the profile in the file")
 		}
 	}
-	fmt.Fprint(opts.Out, diff(fmt.Sprintf("%s in force at revision %d", it.Name, l.Revision), it.Name+" in the file", was, now))
+	fmt.Fprint(opts.Out, diff(fmt.Sprintf("%s in force at revision %d", it.Name, l.Revision), it.Name+" in the file", before, after))
 	return nil
 }
 
@@ -213,7 +212,7 @@
 		name: "propose", synopsis: "send profiles as one change", opts: opts, argCount: 1, flags: s.flags,
 		usage: `propose [-wait 5s] [-note TEXT] [-second] FILE
   Sends a profile, or an array of them, as one change. It is accepted at once,
-  unless a profile asks for two operators: then it waits for the second.
+  unless a profile requires two operators: then it waits for the second.
 
   Examples:
     verbctl profiles propose -wait 5s -note "khovd may serve" obituary.jsonc
@@ -233,7 +232,7 @@
 	return &command{
 		name: "proposals", synopsis: "list the recent proposals", opts: opts,
 		usage: `proposals
-  Lists the proposals that wait for a second operator, and the last that did.
+  Lists the most recent proposals, both open and decided.
 
   Example:
     verbctl profiles proposals
@@ -262,8 +261,8 @@
 			fs.DurationVar(&s.wait, "wait", 0, "wait until every data centre reports it in force")
 		},
 		usage: `approve [-wait 5s] ID
-  Approves the proposal of another operator and puts it into force. Approving
-  twice does no harm.
+  Approves the proposal of another operator and puts it into force. Approval
+  is idempotent.
 
   Example:
     verbctl profiles approve -wait 5s 5f1c0a
@@ -288,12 +287,13 @@
 		name: "history", synopsis: "list the changes, newest first", opts: opts,
 		flags: func(fs *flag.FlagSet) {
 			fs.Uint64Var(&before, "before", 0, "list the changes before this revision")
-			fs.IntVar(&n, "n", 20, "how many changes to look through, at most 100")
+			fs.IntVar(&n, "n", 20, "how many changes to search, at most 100")
 			fs.StringVar(&kind, "kind", string(rules.KindProfile), "kind of the name: profile or account")
 			fs.StringVar(&name, "name", "", "only the changes of this item")
 		},
 		usage: `history [-name NAME] [-n 20] [-before REVISION]
-  Lists the changes with who made them, when by that host's clock, and why.
+  Lists the changes with operator, time and note. The time is by the clock of
+  the entry host that accepted the change.
 
   Examples:
     verbctl profiles history -name obituary
@@ -320,7 +320,7 @@
 	}
 }
 
-// maxItemNames bounds the items that a table names.
+// maxItemNames limits the item names in a table cell.
 const maxItemNames = 3
 
 func itemNames(c rules.Change) string {
@@ -346,8 +346,8 @@
 		},
 		usage: `rollback -to REVISION [-wait 5s] NAME
   Makes a new change with the content that an earlier one gave the profile.
-  The revision goes up as with any change, and a profile that asks for two
-  operators asks for them here too.
+  The revision increases as with any change, and a profile that requires two
+  operators requires them here too.
 
   Example:
     verbctl profiles history -name obituary
@@ -367,11 +367,11 @@
 	if err != nil {
 		return err
 	}
-	again := fmt.Sprintf("verbctl profiles rollback -to %d -id %s -base %d %s", to, c.ID, c.Base, name)
+	retryCommand := fmt.Sprintf("verbctl profiles rollback -to %d -id %s -base %d %s", to, c.ID, c.Base, name)
 	rb := admin.Rollback{ID: c.ID, Base: c.Base, To: to, Kind: rules.KindProfile, Name: name, Note: s.note, RequireApproval: s.requireApproval}
 	res, err := s.opts.client().Rollback(ctx, rb)
 	if err != nil {
-		return asUnknown(err, c.ID, again)
+		return asUnknown(err, c.ID, retryCommand)
 	}
 	if res.Proposal != nil {
 		return s.printProposal(*res.Proposal)
--- a/internal/opctl/hosts.go
+++ b/internal/opctl/hosts.go
@@ -18,8 +18,8 @@
 	return &command{
 		name: "status", synopsis: "show data centres and targets as the entry host knows them", opts: opts,
 		usage: `status [-json]
-  Shows each data centre with its entry hosts, what is in force there and how
-  old that word is, and the targets with their load.
+  Shows each data centre with its entry hosts, the revision in force there and
+  the age of that report, and the targets with their load.
 
   Example:
     verbctl -entry http://127.1.1.1:9090 status
@@ -80,18 +80,18 @@
 
 func routeCmd(opts *Options) *command {
 	var account, profile string
-	var prompt, most int64
+	var prompt, maxTokens int64
 	return &command{
 		name: "route", synopsis: "show where a request would go and why", opts: opts,
 		flags: func(fs *flag.FlagSet) {
 			fs.StringVar(&account, "account", "", "account of the caller")
 			fs.StringVar(&profile, "profile", "", "profile of the request")
 			fs.Int64Var(&prompt, "prompt", 500, "length of the prompt in tokens")
-			fs.Int64Var(&most, "maxTokens", 200, "most tokens to generate")
+			fs.Int64Var(&maxTokens, "maxTokens", 200, "maximum number of tokens to generate")
 		},
 		usage: `route -account ACCOUNT -profile PROFILE [-prompt 500] [-maxTokens 200]
-  Shows for a request which choices are ruled out, by which rule, and what the
-  others cost. Nothing is sent.
+  Shows which choices are ruled out for a request, by which rule, and the cost
+  of the others. No request is sent.
 
   Example:
     verbctl route -account foundation -profile obituary
@@ -102,7 +102,7 @@
 			}
 			ans, err := opts.client().Route(ctx, event.Request{
 				ID: "route", Account: ident.Account(account), Profile: ident.Profile(profile),
-				Prompt: ident.Tokens(prompt), MaxTokens: ident.Tokens(most),
+				Prompt: ident.Tokens(prompt), MaxTokens: ident.Tokens(maxTokens),
 			})
 			if err != nil {
 				return err
@@ -141,7 +141,7 @@
 	return &command{
 		name: "drain", synopsis: "stop the entry host gracefully", opts: opts,
 		usage: `drain
-  The host takes no new requests, finishes those that run, and ends.
+  The host refuses new requests, completes the running ones and exits.
 
   Example:
     verbctl -entry http://127.1.1.1:9090 drain
@@ -163,7 +163,7 @@
 		flags: func(fs *flag.FlagSet) { fs.StringVar(&set, "set", "", "new level: 0 for events, 1 for each request") },
 		usage: `loglevel [-set LEVEL]
   Shows the verbosity of the entry host's log, or changes it until the host
-  is started anew.
+  restarts.
 
   Example:
     verbctl loglevel -set 1
@@ -172,7 +172,7 @@
 			if set != "" {
 				n, err := strconv.Atoi(set)
 				if err != nil {
-					return &usageError{text: fmt.Sprintf("level %q is no number; write 0 or 1", set)}
+					return &usageError{text: fmt.Sprintf("level %q is not a number; write 0 or 1", set)}
 				}
 				if err := opts.client().SetLevel(ctx, admin.Level{Level: n}); err != nil {
 					return err
--- a/internal/opctl/opctl.go
+++ b/internal/opctl/opctl.go
@@ -6,9 +6,9 @@
 //	verbctl -entry http://127.1.1.1:9090 profiles propose -wait 5s draft.jsonc
 //	verbctl -entry http://127.1.1.1:9090 status -json
 //
-// The exit status is for scripts: 0 done, 1 failed, 2 wrong
-// usage, 3 conflict with another operator's change, 4 accepted but not in
-// force everywhere in time, 5 not known whether it was accepted.
+// Scripts can rely on the exit status: 0 success, 1 failure, 2 wrong usage,
+// 3 conflict with another operator's change, 4 change accepted but not in force
+// everywhere in time, 5 unknown whether the change was accepted.
 package opctl
 
 import (
@@ -33,30 +33,32 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Client calls the operators' address of one entry host.
+// Client calls the operators' API of one entry host.
 type Client struct {
 	URL   string
 	Token string
 	HTTP  *http.Client
 }
 
-// NewChangeID returns an id for a change, by which a repeat is recognised.
+// NewChangeID returns a random id for a change. A retry with the same id is
+// recognised as a duplicate.
 func NewChangeID() ident.ChangeID {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return ident.ChangeID(hex.EncodeToString(b[:]))
 }
 
-// CallError is a call that was not done, or is not known to be done.
+// CallError reports a call that failed or whose outcome is unknown.
 type CallError struct {
-	// Status is the HTTP status, zero where there was no answer.
+	// Status is the HTTP status, or zero if there was no response.
 	Status int
-	// Fault is the entry host's answer.
+	// Fault is the body of the response.
 	Fault admin.Fault
 	cause error
 }
 
-// Error returns the entry host's message or why there is none.
+// Error returns the message of the entry host, or the reason why there is no
+// response.
 func (e *CallError) Error() string {
 	if e.cause != nil {
 		return "the entry host gave no answer: " + e.cause.Error()
@@ -64,42 +66,42 @@
 	return fmt.Sprintf("the entry host answers %d: %s", e.Status, e.Fault.Message)
 }
 
-// Unwrap returns what broke the call off.
+// Unwrap returns the transport error, or nil if the entry host responded.
 func (e *CallError) Unwrap() error { return e.cause }
 
-// outcomeUnknown reports whether the call may have taken effect. A link that was
-// never made has carried nothing.
+// outcomeUnknown reports whether it is unknown if the call took effect. It is
+// known if the connection could not be established, since nothing was sent.
 func (e *CallError) outcomeUnknown() bool {
 	if e.cause == nil {
 		return e.Fault.Kind == admin.KindOutcomeUnknown
 	}
 	var op *net.OpError
-	unsent := errors.As(e.cause, &op) && op.Op == "dial"
-	return !unsent
+	neverSent := errors.As(e.cause, &op) && op.Op == "dial"
+	return !neverSent
 }
 
-// Change sends a change and returns it as accepted.
+// Change sends a change and returns the accepted change.
 func (c *Client) Change(ctx context.Context, ch rules.Change) (rules.Change, error) {
 	var done rules.Change
 	err := c.call(ctx, http.MethodPost, "/v1/changes", ch, &done)
 	return done, err
 }
 
-// Propose stores a change for the approval by a second operator.
+// Propose submits a change for approval by a second operator.
 func (c *Client) Propose(ctx context.Context, ch rules.Change) (revlog.Proposal, error) {
 	var p revlog.Proposal
 	err := c.call(ctx, http.MethodPost, "/v1/proposals", ch, &p)
 	return p, err
 }
 
-// Approve approves a proposal and returns its change as accepted.
+// Approve approves a proposal and returns the accepted change.
 func (c *Client) Approve(ctx context.Context, id ident.ChangeID) (rules.Change, error) {
 	var done rules.Change
 	err := c.call(ctx, http.MethodPost, "/v1/proposals/"+url.PathEscape(string(id))+"/approve", nil, &done)
 	return done, err
 }
 
-// Rollback gives items an old content again, as a new change.
+// Rollback restores old content of items with a new change.
 func (c *Client) Rollback(ctx context.Context, rb admin.Rollback) (admin.RollbackResult, error) {
 	var done admin.RollbackResult
 	err := c.call(ctx, http.MethodPost, "/v1/rollback", rb, &done)
@@ -113,7 +115,8 @@
 	return ps, err
 }
 
-// History lists the changes before a revision, of one item where name is set.
+// History returns the changes among the n newest before a revision, only those of
+// one item if name is set. Before 0, it starts with the newest change.
 func (c *Client) History(ctx context.Context, kind rules.Kind, name string, before ident.Revision, n int) (admin.History, error) {
 	q := url.Values{"n": {fmt.Sprint(n)}}
 	if before > 0 {
@@ -128,28 +131,30 @@
 	return h, err
 }
 
-// Profiles lists the profiles in force, or the one of the given name.
+// Profiles lists the profiles in force, only the named one if name is set.
 func (c *Client) Profiles(ctx context.Context, name string) (admin.ProfileList, error) {
 	var l admin.ProfileList
 	err := c.call(ctx, http.MethodGet, "/v1/profiles?name="+url.QueryEscape(name), nil, &l)
 	return l, err
 }
 
-// Accounts lists the accounts in force, or the one of the given name.
+// Accounts lists the accounts in force, only the named one if name is set.
 func (c *Client) Accounts(ctx context.Context, name string) (admin.AccountList, error) {
 	var l admin.AccountList
 	err := c.call(ctx, http.MethodGet, "/v1/accounts?name="+url.QueryEscape(name), nil, &l)
 	return l, err
 }
 
-// Status returns the state as the entry host knows it.
+// Status returns the state of the data centres and targets as the entry host
+// knows it.
 func (c *Client) Status(ctx context.Context) (event.StatusAnswered, error) {
 	var st event.StatusAnswered
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, &st)
 	return st, err
 }
 
-// InForce returns which data centres have a revision, waiting up to a time.
+// InForce returns which data centres have a revision in force. It waits up to
+// wait for all of them to have it.
 func (c *Client) InForce(ctx context.Context, rev ident.Revision, wait time.Duration) (admin.InForce, error) {
 	var f admin.InForce
 	path := fmt.Sprintf("/v1/inForce?revision=%d&waitMs=%d", rev, wait.Milliseconds())
@@ -157,7 +162,7 @@
 	return f, err
 }
 
-// Route returns where a request would go.
+// Route returns the routing decision for a request without sending it.
 func (c *Client) Route(ctx context.Context, r event.Request) (event.RouteAnswered, error) {
 	var ans event.RouteAnswered
 	err := c.call(ctx, http.MethodPost, "/v1/route", r, &ans)
@@ -181,15 +186,15 @@
 	return c.call(ctx, http.MethodPut, "/v1/logLevel", l, nil)
 }
 
-// call sends a request and reads the answer into out, where out is not nil.
+// call sends a request and decodes the response into out unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return errors.Wrap(err, "opctl: encode")
+		return errors.Wrap(err, "opctl: encode the request")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "opctl: request")
+		return errors.Wrap(err, "opctl: create the request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Token)
 	cl := c.HTTP
@@ -215,5 +220,5 @@
 	if out == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(b, out), "opctl: the answer can't be read")
+	return errors.Wrap(json.Unmarshal(b, out), "opctl: the response can't be decoded")
 }
--- a/internal/opctl/opctl_test.go
+++ b/internal/opctl/opctl_test.go
@@ -36,32 +36,32 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// host is the operators' address of an entry host with a platform behind it.
-// Its control thread is a plain function that answers questions.
-type host struct {
-	srv     *plat.Server
-	revs    *revlog.Log
-	book    atomic.Pointer[rules.Book]
-	drained atomic.Int32
-	url     string
-	// platform is the address of the stand-in.
-	platform string
+// testHost is the operators' API of an entry host with a simulated platform. Its
+// control thread is the method step, which answers queries only.
+type testHost struct {
+	platform    *plat.Server
+	revs        *revlog.Log
+	book        atomic.Pointer[rules.Book]
+	drained     atomic.Int32
+	url         string
+	platformURL string
 }
 
-// linkFault is how the system words a broken link, which differs by moment.
-var linkFault = regexp.MustCompile(`Get "(http://PLATFORM[^"]*)": [^)\n]*`)
+// connError matches a connection error of the platform, whose text depends on
+// when the connection breaks.
+var connError = regexp.MustCompile(`Get "(http://PLATFORM[^"]*)": [^)\n]*`)
 
 var operators = []config.Operator{
 	{Name: "anu", TokenDigest: rules.Digest("token-anu")},
 	{Name: "bold", TokenDigest: rules.Digest("token-bold")},
 }
 
-func newHost(t *testing.T) *host {
+func newTestHost(t *testing.T) *testHost {
 	t.Helper()
-	h := &host{srv: plat.New()}
-	pl := httptest.NewServer(h.srv)
+	h := &testHost{platform: plat.New()}
+	pl := httptest.NewServer(h.platform)
 	t.Cleanup(pl.Close)
-	h.platform = pl.URL
+	h.platformURL = pl.URL
 	h.revs = revlog.New(store.New(store.Config{URL: pl.URL}))
 	h.revs.Now = func() time.Time { return time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC) }
 	svc := clock.New()
@@ -77,9 +77,10 @@
 	return h
 }
 
-// step answers for three data centres, of which khovd is cut off at revision 1.
-func (h *host) step(_ ident.Time, ev event.Event) []event.Effect {
-	h.catchUp()
+// step answers queries with three data centres, of which khovd is unreachable and
+// stays at revision 1.
+func (h *testHost) step(_ ident.Time, ev event.Event) []event.Effect {
+	h.syncBook()
 	rev := h.book.Load().Rev()
 	at := func(dc ident.DataCentre, in ident.Revision) event.CentreStatus {
 		return event.CentreStatus{Place: event.Place{DataCentre: dc, Region: ident.Region(dc)}, InForce: in}
@@ -107,16 +108,17 @@
 	return nil
 }
 
-// catchUp puts what the log holds into force at the host.
-func (h *host) catchUp() {
+// syncBook puts the newest revision of the log into force at the host.
+func (h *testHost) syncBook() {
 	book, err := h.revs.Load(context.Background())
 	if err == nil && book.Rev() > h.book.Load().Rev() {
 		h.book.Store(book)
 	}
 }
 
-// run runs one command line and writes what it prints and its exit status.
-func (h *host) run(out *bytes.Buffer, dir, line string) {
+// run executes one command line and writes its output and exit status to out. The
+// prefix "bold:" runs it as the other operator.
+func (h *testHost) run(out *bytes.Buffer, dir, line string) {
 	args := strings.Fields(line)
 	token := "token-anu"
 	if args[0] == "bold:" {
@@ -136,10 +138,12 @@
 	_ = top.Parse(args)
 	code := cdr.Execute(context.Background())
 	fmt.Fprintf(out, "exit %d\n\n", code)
-	h.catchUp()
+	h.syncBook()
 }
 
-// A command of verbctl prints something else than its golden script; a line with ! sets a fault.
+// Guards against changed output or exit statuses of the commands of verbctl, which
+// scripts read. Each testdata folder has a script and its golden output; a line
+// that begins with "!" sets the faults of the simulated platform.
 func TestScripts(t *testing.T) {
 	dirs, err := filepath.Glob("testdata/*")
 	if err != nil || len(dirs) == 0 {
@@ -155,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newHost(t)
+	h := newTestHost(t)
 	var out bytes.Buffer
 	for line := range strings.Lines(string(script)) {
 		line = strings.TrimSpace(line)
@@ -165,14 +169,14 @@
 			if err := json.Unmarshal([]byte(text), &f); err != nil {
 				t.Fatal(err)
 			}
-			h.srv.SetFaults(f)
+			h.platform.SetFaults(f)
 			continue
 		}
 		h.run(&out, dir, line)
 	}
 	got := strings.ReplaceAll(out.String(), dir+string(filepath.Separator), "")
-	got = strings.ReplaceAll(got, h.platform, "http://PLATFORM")
-	got = linkFault.ReplaceAllString(got, `Get "$1": the link broke`)
+	got = strings.ReplaceAll(got, h.platformURL, "http://PLATFORM")
+	got = connError.ReplaceAllString(got, `Get "$1": the link broke`)
 	golden(t, filepath.Join(dir, "want.txt"), got)
 }
 
@@ -193,10 +197,12 @@
 	}
 }
 
-// The client claims to know the outcome of a change whose host died while answering.
-func TestHostDies(t *testing.T) {
-	h := newHost(t)
-	h.srv.SetFaults(plat.Faults{Down: true})
+// Guards against a false report of the outcome of a change: it is unknown if the
+// call is aborted, since the host may have received it, and known if the host
+// could not be dialled.
+func TestOutcomeAfterConnectionError(t *testing.T) {
+	h := newTestHost(t)
+	h.platform.SetFaults(plat.Faults{Down: true})
 	cl := &Client{URL: "http://127.0.0.1:1", Token: "token-anu"}
 	_, err := cl.Change(context.Background(), rules.Change{ID: "c1"})
 	if got := asUnknown(err, "c1", ""); !errors.Is(got, err) || (&Options{Err: &bytes.Buffer{}}).reportExit(got) == exitUnknown {
@@ -206,11 +212,11 @@
 	cancel()
 	_, err = (&Client{URL: h.url, Token: "token-anu"}).Change(ctx, rules.Change{ID: "c1"})
 	if diff := cmp.Diff(exitUnknown, (&Options{Err: &bytes.Buffer{}}).reportExit(asUnknown(err, "c1", "again"))); diff != "" {
-		t.Errorf("exit status of a call that broke off (-want +got):\n%s", diff)
+		t.Errorf("exit status of an aborted call (-want +got):\n%s", diff)
 	}
 }
 
-// A command explains itself without an example.
+// Guards against a command whose usage text has no example.
 func TestEveryCommandHasAnExample(t *testing.T) {
 	opts := &Options{Out: &bytes.Buffer{}, Err: &bytes.Buffer{}}
 	cdr := subcommands.NewCommander(flag.NewFlagSet("verbctl", flag.ContinueOnError), "verbctl")
@@ -231,6 +237,6 @@
 		}
 	})
 	if n < 20 {
-		t.Errorf("only %d commands were looked at", n)
+		t.Errorf("only %d commands were checked", n)
 	}
 }
--- a/internal/opctl/send.go
+++ b/internal/opctl/send.go
@@ -23,30 +23,30 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// changeSender holds the flags of the commands that change something.
+// changeSender sends changes. It holds the flags of the commands that do so.
 type changeSender struct {
 	opts *Options
-	// base is noBase until it is known.
+	// base is the revision that the change is based on, noBase until it is known.
 	base int64
 	id   string
 	note string
 	wait time.Duration
-	// requireApproval asks for a requireApproval operator, also where the profile does not.
+	// requireApproval requires a second operator even if the profile does not.
 	requireApproval bool
 }
 
 func (s *changeSender) flags(fs *flag.FlagSet) {
-	fs.Int64Var(&s.base, "base", noBase, "revision that the change is based on; else that of the file, else the one in force")
-	fs.StringVar(&s.id, "id", "", "id of a change to send again after an unknown outcome")
-	fs.StringVar(&s.note, "note", "", "why, for the history")
+	fs.Int64Var(&s.base, "base", noBase, "revision that the change is based on; defaults to that of the file, or else the one in force")
+	fs.StringVar(&s.id, "id", "", "id of the change to retry after an unknown outcome")
+	fs.StringVar(&s.note, "note", "", "reason for the change, shown in the history")
 	fs.DurationVar(&s.wait, "wait", 0, "wait until every data centre reports it in force")
-	fs.BoolVar(&s.requireApproval, "second", false, "ask for the approval by a second operator")
+	fs.BoolVar(&s.requireApproval, "second", false, "require approval by a second operator")
 }
 
-// noBase stands for a base that the operator left out.
+// noBase means that the operator gave no base.
 const noBase = -1
 
-// unknownError is a change of which nobody knows whether it was accepted.
+// unknownError reports a change that may or may not have been accepted.
 type unknownError struct {
 	id           ident.ChangeID
 	retryCommand string
@@ -57,20 +57,20 @@
 	return fmt.Sprintf("it is not known whether change %s was accepted (%v); ask again with: %s", e.id, e.cause, e.retryCommand)
 }
 
-// Unwrap returns the cause.
 func (e *unknownError) Unwrap() error { return e.cause }
 
-// notInForceError names the data centres that lack a revision.
+// notInForceError reports an accepted change that is not, or not known to be, in
+// force in every data centre.
 type notInForceError struct {
 	rev     ident.Revision
 	missing []ident.DataCentre
-	// cause is why the outcome is not known, where that is so.
+	// cause is set if the query for the state of the data centres failed.
 	cause error
 }
 
 func (e *notInForceError) Error() string {
 	if e.cause != nil {
-		return fmt.Sprintf("revision %d is accepted, but where it is in force can't be seen: %v", e.rev, e.cause)
+		return fmt.Sprintf("revision %d is accepted, but it is not known where it is in force: %v", e.rev, e.cause)
 	}
 	names := make([]string, 0, len(e.missing))
 	for _, n := range e.missing {
@@ -79,37 +79,39 @@
 	return fmt.Sprintf("revision %d is accepted, but not yet in force in: %s", e.rev, strings.Join(names, ", "))
 }
 
-// send sends items as one change, or proposes it where it needs approval.
+// send sends items as one change, and proposes the change if it needs approval.
 func (s *changeSender) send(ctx context.Context, items []rules.Item, name, file string) error {
 	cl := s.opts.client()
 	c, err := s.newChange(ctx, items)
 	if err != nil {
 		return err
 	}
-	again := fmt.Sprintf("verbctl %s -id %s -base %d %s", name, c.ID, c.Base, file)
+	retryCommand := fmt.Sprintf("verbctl %s -id %s -base %d %s", name, c.ID, c.Base, file)
 	if s.requireApproval {
-		return s.propose(ctx, c, again)
+		return s.propose(ctx, c, retryCommand)
 	}
 	done, err := cl.Change(ctx, c)
 	var ce *CallError
 	if errors.As(err, &ce) && ce.Fault.Kind == admin.KindNeedsApproval {
-		return s.propose(ctx, c, again)
+		return s.propose(ctx, c, retryCommand)
 	}
 	if err != nil {
-		return asUnknown(err, c.ID, again)
+		return asUnknown(err, c.ID, retryCommand)
 	}
 	return s.reportAccepted(ctx, done)
 }
 
-// newChange fills in what the operator left out.
+// newChange returns a change with the given items. If the operator gave no id,
+// it generates one. If neither the operator nor the file gave a base, the base
+// is the revision in force.
 func (s *changeSender) newChange(ctx context.Context, items []rules.Item) (rules.Change, error) {
 	c := rules.Change{ID: ident.ChangeID(s.id), Note: s.note, Items: items}
 	if s.base >= 0 {
 		c.Base = ident.Revision(s.base)
 	}
 	if s.id != "" && s.base < 0 {
-		// With the revision in force as its base, a change that was accepted
-		// would not be recognised and would be made a second time.
+		// A retry with the revision in force as its base would not be
+		// recognised as a duplicate, and the change would be applied twice.
 		return c, &usageError{text: "-id needs the -base that the change had; both stand in the message that said to ask again"}
 	}
 	if s.id == "" {
@@ -123,19 +125,20 @@
 	return c, err
 }
 
-// asUnknown turns an error of a call that may have taken effect.
-func asUnknown(err error, id ident.ChangeID, again string) error {
+// asUnknown returns an unknownError if the failed call may have taken effect,
+// otherwise err.
+func asUnknown(err error, id ident.ChangeID, retryCommand string) error {
 	var ce *CallError
 	if errors.As(err, &ce) && ce.outcomeUnknown() {
-		return &unknownError{id: id, retryCommand: again, cause: err}
+		return &unknownError{id: id, retryCommand: retryCommand, cause: err}
 	}
 	return err
 }
 
-func (s *changeSender) propose(ctx context.Context, c rules.Change, again string) error {
+func (s *changeSender) propose(ctx context.Context, c rules.Change, retryCommand string) error {
 	p, err := s.opts.client().Propose(ctx, c)
 	if err != nil {
-		return asUnknown(err, c.ID, again)
+		return asUnknown(err, c.ID, retryCommand)
 	}
 	return s.printProposal(p)
 }
@@ -146,7 +149,8 @@
 	})
 }
 
-// reportAccepted reports a change and follows it until it is in force.
+// reportAccepted prints an accepted change and, with -wait, waits until it is in
+// force in every data centre.
 func (s *changeSender) reportAccepted(ctx context.Context, done rules.Change) error {
 	err := s.opts.print(done, func(w io.Writer) {
 		fmt.Fprintf(w, "accepted as revision %d\n", done.Revision)
@@ -164,18 +168,20 @@
 	return nil
 }
 
-// maxPollWait is the longest wait of one question.
+// maxPollWait is the longest wait of one InForce call, and how much longer than
+// the operator's time limit the client waits for the last response.
 const maxPollWait = 20 * time.Second
 
-// waitInForce asks until the revision is in force or the time is over.
+// waitInForce polls until the revision is in force everywhere or s.wait has
+// elapsed. It returns the last state.
 func (s *changeSender) waitInForce(ctx context.Context, rev ident.Revision) (admin.InForce, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.wait+maxPollWait)
 	defer cancel()
-	end := time.Now().Add(s.wait)
+	deadline := time.Now().Add(s.wait)
 	for {
-		left := time.Until(end)
-		f, err := s.opts.client().InForce(ctx, rev, min(max(left, 0), maxPollWait))
-		if err != nil || f.Everywhere || time.Now().After(end) {
+		remaining := time.Until(deadline)
+		f, err := s.opts.client().InForce(ctx, rev, min(max(remaining, 0), maxPollWait))
+		if err != nil || f.Everywhere || time.Now().After(deadline) {
 			return f, err
 		}
 	}
@@ -191,10 +197,12 @@
 	return names
 }
 
-// baseComment is the first line of a document that "get" printed.
+// baseComment matches the comment line with the revision that the commands "get"
+// print before a document.
 var baseComment = regexp.MustCompile(`(?m)^// base (\d+)$`)
 
-// readFile reads a file of JSON with comments and takes the base from it.
+// readFile decodes a file of JSON with comments. It takes the base from the
+// comment that "get" writes, unless the operator gave one.
 func (s *changeSender) readFile(path string, v any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -203,7 +211,7 @@
 	if m := baseComment.FindSubmatch(text); m != nil && s.base < 0 {
 		s.base, err = strconv.ParseInt(string(m[1]), 10, 64)
 		if err != nil {
-			return errors.Wrapf(err, "opctl: %s: the base is no revision", path)
+			return errors.Wrapf(err, "opctl: %s: the base is not a revision", path)
 		}
 	}
 	std, err := hujson.Standardize(text)
@@ -213,7 +221,8 @@
 	return errors.Wrapf(json.Unmarshal(std, v), "opctl: %s", path)
 }
 
-// readDocs reads one document or an array of them as items of a kind.
+// readDocs reads a file with one document or an array of documents, and returns
+// them as items of the given kind.
 func (s *changeSender) readDocs(path string, kind rules.Kind) ([]rules.Item, error) {
 	var raw json.RawMessage
 	if err := s.readFile(path, &raw); err != nil {
@@ -228,13 +237,13 @@
 	}
 	items := make([]rules.Item, 0, len(docs))
 	for _, doc := range docs {
-		var head struct {
+		var named struct {
 			Name string `json:"name"`
 		}
-		if err := json.Unmarshal(doc, &head); err != nil {
+		if err := json.Unmarshal(doc, &named); err != nil {
 			return nil, errors.Wrapf(err, "opctl: %s", path)
 		}
-		items = append(items, rules.Item{Kind: kind, Name: head.Name, Doc: doc})
+		items = append(items, rules.Item{Kind: kind, Name: named.Name, Doc: doc})
 	}
 	return items, nil
 }
@@ -242,10 +251,10 @@
 // diffContext is the number of unchanged lines around a difference.
 const diffContext = 3
 
-// diff returns a unified diff of two documents, empty for equal ones.
-func diff(from, to string, was, now json.RawMessage) string {
+// diff returns a unified diff of two documents; it is empty if they are equal.
+func diff(from, to string, before, after json.RawMessage) string {
 	text, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
-		A: docLines(was), B: docLines(now), FromFile: from, ToFile: to, Context: diffContext,
+		A: docLines(before), B: docLines(after), FromFile: from, ToFile: to, Context: diffContext,
 	})
 	if err != nil {
 		return err.Error()
@@ -253,7 +262,7 @@
 	return text
 }
 
-// docLines is a document with one field a line and its keys in order.
+// docLines returns the lines of an indented document with sorted keys.
 func docLines(doc json.RawMessage) []string {
 	var v any
 	if err := json.Unmarshal(doc, &v); err != nil || v == nil {
