--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,17 +1,17 @@
-// Package admin serves operators over HTTP, on an address apart from the
-// callers': health, status, profiles and their changes. docs/operators.md
-// describes it.
+// Package admin is the HTTP API for operators: health, status, profiles and
+// changes to them. It is served on an address of its own, apart from that for
+// callers. docs/operators.md describes it.
 //
 // # Usage
 //
-//	ad := admin.New(admin.Config{Loop: lp, Revs: revs, Book: book.Load, Operators: known})
+//	ad := admin.New(admin.Config{Loop: lp, Revs: revs, Book: book.Load, Operators: operators})
 //	srv := &http.Server{Handler: ad}
 //
-// An operator sends a token as "Authorization: Bearer TOKEN"; the settings
-// hold its digest. Reading needs a token too, since the accounts and the
-// places of targets are nobody else's business. Health, readiness and metrics
-// need none: they name no account and are asked by probes, which would
-// otherwise have to hold a token that may change profiles.
+// An operator authenticates with "Authorization: Bearer TOKEN"; the settings
+// hold the digest of the token. Reads need a token too, because accounts and
+// the locations of targets are confidential. Health, readiness and metrics
+// need none: they name no account, and the probes that request them would
+// otherwise hold a token that may change profiles.
 package admin
 
 import (
@@ -34,14 +34,14 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Config is what the operators' address needs.
+// Config holds the dependencies of the operators' API.
 type Config struct {
 	Loop  *loop.Loop
 	Clock *clock.Service
 	Log   logr.Logger
 	Level *logs.Level
 	Revs  *revlog.Log
-	// Book returns the configuration in force, nil before there is one.
+	// Book returns the configuration in force, or nil if none has been loaded.
 	Book      func() *rules.Book
 	Operators []config.Operator
 	Metrics   metrics.Registry
@@ -49,50 +49,49 @@
 	Drain func()
 }
 
-// Admin is the handler for operators.
+// Admin is the HTTP handler of the operators' API.
 type Admin struct {
 	cfg    Config
 	router *bunrouter.Router
 }
 
-// New returns a handler.
+// New returns a handler for the operators' API.
 func New(cfg Config) *Admin {
 	a := &Admin{cfg: cfg, router: bunrouter.New()}
 	a.router.GET("/healthz", a.health)
 	a.router.GET("/readyz", a.ready)
 	a.router.GET("/metrics", a.metrics)
-	a.router.GET("/v1/status", a.known(a.status))
-	a.router.GET("/v1/inForce", a.known(a.inForce))
-	a.router.GET("/v1/book", a.known(a.book))
-	a.router.GET("/v1/profiles", a.known(a.profiles))
-	a.router.GET("/v1/accounts", a.known(a.accounts))
-	a.router.POST("/v1/changes", a.known(a.change))
-	a.router.GET("/v1/proposals", a.known(a.proposals))
-	a.router.POST("/v1/proposals", a.known(a.propose))
-	a.router.POST("/v1/proposals/:id/approve", a.known(a.approve))
-	a.router.GET("/v1/history", a.known(a.history))
-	a.router.POST("/v1/rollback", a.known(a.rollback))
-	a.router.POST("/v1/drain", a.known(a.drain))
-	a.router.POST("/v1/route", a.known(a.route))
-	a.router.GET("/v1/logLevel", a.known(a.level))
-	a.router.PUT("/v1/logLevel", a.known(a.setLevel))
+	a.router.GET("/v1/status", a.requireOperator(a.status))
+	a.router.GET("/v1/inForce", a.requireOperator(a.inForce))
+	a.router.GET("/v1/book", a.requireOperator(a.book))
+	a.router.GET("/v1/profiles", a.requireOperator(a.profiles))
+	a.router.GET("/v1/accounts", a.requireOperator(a.accounts))
+	a.router.POST("/v1/changes", a.requireOperator(a.change))
+	a.router.GET("/v1/proposals", a.requireOperator(a.proposals))
+	a.router.POST("/v1/proposals", a.requireOperator(a.propose))
+	a.router.POST("/v1/proposals/:id/approve", a.requireOperator(a.approve))
+	a.router.GET("/v1/history", a.requireOperator(a.history))
+	a.router.POST("/v1/rollback", a.requireOperator(a.rollback))
+	a.router.POST("/v1/drain", a.requireOperator(a.drain))
+	a.router.POST("/v1/route", a.requireOperator(a.route))
+	a.router.GET("/v1/logLevel", a.requireOperator(a.level))
+	a.router.PUT("/v1/logLevel", a.requireOperator(a.setLevel))
 	return a
 }
 
-// ServeHTTP serves one request.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
-// health says that the process lives. A host without a configuration or with
-// its platform away is healthy: a restart would mend nothing.
+// health is the liveness probe. It succeeds without a configuration and while
+// the platform is unreachable, since a restart would fix neither.
 func (a *Admin) health(w http.ResponseWriter, _ bunrouter.Request) error {
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
 
-// ready says that there is a configuration to serve by.
+// ready is the readiness probe. It succeeds once a configuration is in force.
 func (a *Admin) ready(w http.ResponseWriter, _ bunrouter.Request) error {
 	if a.cfg.Book().Rev() == 0 {
-		return fail(w, http.StatusServiceUnavailable, Fault{Message: "there is no configuration yet"})
+		return writeFault(w, http.StatusServiceUnavailable, Fault{Message: "there is no configuration yet"})
 	}
 	w.WriteHeader(http.StatusNoContent)
 	return nil
@@ -113,20 +112,21 @@
 	return nil
 }
 
-// handler serves a request of a known operator.
-type handler func(w http.ResponseWriter, r *http.Request, op ident.Operator) error
+// operatorHandler serves a request of an authenticated operator.
+type operatorHandler func(w http.ResponseWriter, r *http.Request, op ident.Operator) error
 
-// maxBody bounds what an operator sends.
-const maxBody = 1 << 20
+// maxBodyBytes limits the body of a request.
+const maxBodyBytes = 1 << 20
 
-// known lets only operators of the settings through and bounds the body.
-func (a *Admin) known(next handler) bunrouter.HandlerFunc {
+// requireOperator rejects requests without the token of an operator from the
+// settings, and limits the body.
+func (a *Admin) requireOperator(next operatorHandler) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
-		op, ok := a.operator(r.Request)
+		op, ok := a.authenticate(r.Request)
 		if !ok {
-			return fail(w, http.StatusUnauthorized, Fault{Message: "the operator's token is not known; give it with -token or VERBCTL_TOKEN"})
+			return writeFault(w, http.StatusUnauthorized, Fault{Message: "the operator's token is not known; give it with -token or VERBCTL_TOKEN"})
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		for name, v := range r.Params().Map() {
 			r.SetPathValue(name, v)
 		}
@@ -134,9 +134,10 @@
 	}
 }
 
-// operator finds the operator of a token. Every digest is compared, and each
-// in the same time, so that the time of an answer reveals nothing about them.
-func (a *Admin) operator(r *http.Request) (ident.Operator, bool) {
+// authenticate returns the operator whose token the request has. It compares
+// every digest in constant time, so that response times reveal nothing about
+// the digests.
+func (a *Admin) authenticate(r *http.Request) (ident.Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return "", false
@@ -151,15 +152,15 @@
 	return name, found
 }
 
-// decode reads a body. Unknown fields are faults, since a misspelt field would
-// silently do nothing.
+// decode parses a JSON body. It rejects unknown fields, since a misspelt field
+// would otherwise be ignored silently.
 func decode(r *http.Request, v any) error {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
 	return errors.Wrap(dec.Decode(v), "admin: the body can't be read")
 }
 
-func answer(w http.ResponseWriter, status int, v any) error {
+func writeJSON(w http.ResponseWriter, status int, v any) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	return json.NewEncoder(w).Encode(v)
--- a/internal/admin/fault.go
+++ b/internal/admin/fault.go
@@ -12,70 +12,72 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// FaultKind is the outcome of an operator's request, for programs.
+// FaultKind is the machine-readable reason of a Fault.
 type FaultKind string
 
-// The kinds of faults.
+// The fault kinds.
 const (
-	KindConflict      FaultKind = "conflict"
-	KindUnknown       FaultKind = "unknown"
-	KindDown          FaultKind = "down"
-	KindNeedsApproval FaultKind = "needsApproval"
-	KindRefused       FaultKind = "refused"
-	KindNotFound      FaultKind = "notFound"
-	KindFaults        FaultKind = "faults"
+	KindConflict       FaultKind = "conflict"
+	KindOutcomeUnknown FaultKind = "unknown"
+	KindUnavailable    FaultKind = "down"
+	KindNeedsApproval  FaultKind = "needsApproval"
+	KindRefused        FaultKind = "refused"
+	KindNotFound       FaultKind = "notFound"
+	KindFaults         FaultKind = "faults"
 )
 
-// Fault is the answer to what was not done, or is not known to be done.
+// Fault is the response to a request that failed or whose outcome is unknown.
 type Fault struct {
 	Message string    `json:"message"`
 	Kind    FaultKind `json:"kind,omitempty"`
-	// Change is the id to send again after KindUnknown.
+	// Change is the id with which to retry after KindOutcomeUnknown.
 	Change ident.ChangeID `json:"change,omitempty"`
-	// Faults lists what the checks found.
+	// Faults lists the errors that validation of the change found.
 	Faults []rules.Fault `json:"faults,omitempty"`
-	// Conflict holds what changed since.
+	// Conflict describes the change that this one conflicts with.
 	Conflict *Conflict `json:"conflict,omitempty"`
 }
 
-// Conflict is an item that has changed since the operator read it.
+// Conflict describes an item that has changed since the operator read it.
 type Conflict struct {
 	Kind rules.Kind     `json:"kind"`
 	Name string         `json:"name"`
 	Base ident.Revision `json:"base"`
-	// By is the change that the item has now.
-	By rules.Change `json:"by"`
-	// Was and Now are the documents at the base and now. Was is absent where
-	// it is too long ago to look for.
-	Was json.RawMessage `json:"was,omitempty"`
-	Now json.RawMessage `json:"now,omitempty"`
+	// ChangedBy is the change that last modified the item.
+	ChangedBy rules.Change `json:"by"`
+	// BaseDoc is the document at the base, CurrentDoc that of ChangedBy.
+	// BaseDoc is absent if it was not found in the last maxRevisionsSearched
+	// revisions up to the base.
+	BaseDoc    json.RawMessage `json:"was,omitempty"`
+	CurrentDoc json.RawMessage `json:"now,omitempty"`
 }
 
-func fail(w http.ResponseWriter, status int, f Fault) error { return answer(w, status, f) }
+func writeFault(w http.ResponseWriter, status int, f Fault) error { return writeJSON(w, status, f) }
 
-func badRequest(w http.ResponseWriter, err error) error {
-	return fail(w, http.StatusBadRequest, Fault{Message: err.Error(), Kind: KindRefused})
+func writeBadRequest(w http.ResponseWriter, err error) error {
+	return writeFault(w, http.StatusBadRequest, Fault{Message: err.Error(), Kind: KindRefused})
 }
 
-// outcomes maps the errors of the log to the answers for operators.
-var outcomes = []struct {
+// errorOutcomes maps errors of the revision log to fault kinds and HTTP statuses.
+var errorOutcomes = []struct {
 	err    error
 	kind   FaultKind
 	status int
 }{
 	{revlog.ErrConflict, KindConflict, http.StatusConflict},
-	{revlog.ErrUnknown, KindUnknown, http.StatusGatewayTimeout},
+	{revlog.ErrUnknown, KindOutcomeUnknown, http.StatusGatewayTimeout},
 	{revlog.ErrNeedsApproval, KindNeedsApproval, http.StatusForbidden},
 	{revlog.ErrSameOperator, KindNeedsApproval, http.StatusForbidden},
 	{revlog.ErrNotFound, KindNotFound, http.StatusNotFound},
 	{revlog.ErrRefused, KindRefused, http.StatusUnprocessableEntity},
 }
 
-// failLog answers with an error of the log.
-func (a *Admin) failLog(ctx context.Context, w http.ResponseWriter, id ident.ChangeID, err error) error {
-	f := Fault{Message: err.Error(), Kind: KindDown, Change: id}
+// writeRevlogError writes an error of the revision log as a Fault. Errors that
+// errorOutcomes does not list become KindUnavailable.
+func (a *Admin) writeRevlogError(ctx context.Context, w http.ResponseWriter, id ident.ChangeID, err error) error {
+	f := Fault{Message: err.Error(), Kind: KindUnavailable, Change: id}
 	status := http.StatusServiceUnavailable
-	for _, o := range outcomes {
+	for _, o := range errorOutcomes {
 		if errors.Is(err, o.err) {
 			f.Kind, status = o.kind, o.status
 			break
@@ -85,37 +87,39 @@
 	if errors.As(err, &conflict) {
 		f.Conflict = a.conflict(ctx, conflict)
 	}
-	return fail(w, status, f)
+	return writeFault(w, status, f)
 }
 
-// searchBack bounds the reads for the document that an operator started from.
-const searchBack = 64
+// maxRevisionsSearched limits the reads that look for the document at the base
+// of a conflicting change.
+const maxRevisionsSearched = 64
 
-// conflict finds the documents for a diff. What can't be read is left out: the
-// conflict itself is certain.
+// conflict reads the documents for a diff. Documents that can't be read are
+// left out: the conflict is known without them.
 func (a *Admin) conflict(ctx context.Context, e *rules.ConflictError) *Conflict {
 	c := &Conflict{Kind: e.Kind, Name: e.Name, Base: e.Base}
 	by, err := a.cfg.Revs.Read(ctx, e.Changed)
 	if err != nil {
 		return c
 	}
-	c.By = by
-	c.Now, _ = document(by, e.Kind, e.Name)
-	for rev := e.Base; rev > 0 && e.Base-rev < searchBack; rev-- {
+	c.ChangedBy = by
+	c.CurrentDoc, _ = itemDoc(by, e.Kind, e.Name)
+	for rev := e.Base; rev > 0 && e.Base-rev < maxRevisionsSearched; rev-- {
 		old, err := a.cfg.Revs.Read(ctx, rev)
 		if err != nil {
 			return c
 		}
-		if doc, ok := document(old, e.Kind, e.Name); ok {
-			c.Was = doc
+		if doc, ok := itemDoc(old, e.Kind, e.Name); ok {
+			c.BaseDoc = doc
 			return c
 		}
 	}
 	return c
 }
 
-// document returns what a change made of an item.
-func document(c rules.Change, kind rules.Kind, name string) (json.RawMessage, bool) {
+// itemDoc returns the document that a change gave an item, and whether the
+// change contains the item.
+func itemDoc(c rules.Change, kind rules.Kind, name string) (json.RawMessage, bool) {
 	for _, it := range c.Items {
 		if it.Kind == kind && it.Name == name {
 			return it.Doc, true
