--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -56,8 +56,8 @@
 	// hosts may send it in a second.
 	ColdOvershoot float64 `json:"coldOvershoot"`
 	ColdSlack     float64 `json:"coldSlack"`
-	// LeaseLeastMs is the shortest lease that the platform grants.
-	LeaseLeastMs int64 `json:"leaseLeastMs"`
+	// MinLeaseMs is the shortest lease that the platform grants.
+	MinLeaseMs int64 `json:"leaseLeastMs"`
 }
 
 // FleetPlace is one data centre and its region.
@@ -130,8 +130,8 @@
 	MaxHeaderBytes int         `json:"maxHeaderBytes"`
 	MaxConnections int         `json:"maxConnections"`
 	MaxRequests    int         `json:"maxRequests"`
-	// MaxHeldBytes bounds the memory of all bodies and held answers together.
-	MaxHeldBytes ident.Bytes `json:"maxHeldBytes"`
+	// MaxBufferedBytes bounds the memory of all bodies and held answers together.
+	MaxBufferedBytes ident.Bytes `json:"maxHeldBytes"`
 	// HeaderMs and BodyMs are how long the headers and the body of a request
 	// may take to arrive, WriteMs how long a caller may take to accept a piece
 	// of its answer, IdleMs how long a connection may wait for a request.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -19,19 +19,19 @@
 
 // Defaults of the settings.
 const (
-	defaultTimeoutMs   = 1500
-	defaultCalls       = 20
-	defaultBody        = 8 << 20
-	defaultHeader      = 32 << 10
-	defaultConnections = 4096
-	defaultRequests    = 2048
-	defaultHeaderMs    = 5000
-	defaultHeld        = 256 << 20
-	defaultBodyMs      = 30000
-	defaultWriteMs     = 30000
-	defaultIdleMs      = 120000
-	defaultGrace       = 10
-	defaultLease       = 1000
+	defaultTimeoutMs        = 1500
+	defaultCallsPerSecond   = 20
+	defaultMaxBodyBytes     = 8 << 20
+	defaultMaxHeaderBytes   = 32 << 10
+	defaultMaxConnections   = 4096
+	defaultMaxRequests      = 2048
+	defaultHeaderMs         = 5000
+	defaultMaxBufferedBytes = 256 << 20
+	defaultBodyMs           = 30000
+	defaultWriteMs          = 30000
+	defaultIdleMs           = 120000
+	defaultGraceSeconds     = 10
+	defaultMinLeaseMs       = 1000
 )
 
 // Fault is one fault of a settings file.
@@ -68,15 +68,15 @@
 	if err != nil {
 		return Settings{}, []Fault{{Code: codes.SettingSyntax.ID, Path: "file", Line: syntaxLine(err), Message: err.Error()}}
 	}
-	s := &shape{text: text, lines: map[string]int{}, bad: map[string]bool{}}
+	s := &structure{text: text, lines: map[string]int{}, rejected: map[string]bool{}}
 	set := Defaults()
-	if s.value(&val, reflect.TypeFor[Settings](), "") {
+	if s.walkValue(&val, reflect.TypeFor[Settings](), "") {
 		val.Standardize()
 		if err := json.Unmarshal(val.Pack(), &set); err != nil {
-			s.fault(codes.SettingType, "file", 1, "%s", err)
+			s.addFault(codes.SettingType, "file", 1, "%s", err)
 		}
 	}
-	(&checker{shape: s, set: set}).check()
+	(&checker{structure: s, set: set}).check()
 	set.Callers.URL = set.Callers.BaseURL()
 	slices.SortStableFunc(s.faults, func(a, b Fault) int { return a.Line - b.Line })
 	return set, s.faults
@@ -104,19 +104,19 @@
 // Defaults returns the settings that hold where a file names none.
 func Defaults() Settings {
 	return Settings{
-		Platform: Platform{TimeoutMs: defaultTimeoutMs, CallsPerSecond: defaultCalls},
+		Platform: Platform{TimeoutMs: defaultTimeoutMs, CallsPerSecond: defaultCallsPerSecond},
 		Limits: Limits{
-			MaxBodyBytes:   defaultBody,
-			MaxHeaderBytes: defaultHeader,
-			MaxConnections: defaultConnections,
-			MaxRequests:    defaultRequests,
-			MaxHeldBytes:   defaultHeld,
-			HeaderMs:       defaultHeaderMs,
-			BodyMs:         defaultBodyMs,
-			WriteMs:        defaultWriteMs,
-			IdleMs:         defaultIdleMs,
+			MaxBodyBytes:     defaultMaxBodyBytes,
+			MaxHeaderBytes:   defaultMaxHeaderBytes,
+			MaxConnections:   defaultMaxConnections,
+			MaxRequests:      defaultMaxRequests,
+			MaxBufferedBytes: defaultMaxBufferedBytes,
+			HeaderMs:         defaultHeaderMs,
+			BodyMs:           defaultBodyMs,
+			WriteMs:          defaultWriteMs,
+			IdleMs:           defaultIdleMs,
 		},
 		Traces: Traces{Exporter: "none", Ratio: 1},
-		Fleet:  Fleet{GraceSeconds: defaultGrace, LeaseLeastMs: defaultLease},
+		Fleet:  Fleet{GraceSeconds: defaultGraceSeconds, MinLeaseMs: defaultMinLeaseMs},
 	}
 }
--- a/internal/config/pages.go
+++ b/internal/config/pages.go
@@ -24,14 +24,14 @@
 |---|---|---|---|---|
 `)
 	for _, f := range Fields {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", f.Path, f.Text, f.Write, f.standard(), f.code.ID)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", f.Path, f.Text, f.Accepts, f.defaultText(), f.code.ID)
 	}
 	b.WriteString("\nTowards callers `certFile` and `keyFile` go together. Towards other entry hosts\n`certFile`, `keyFile` and `caFile` do, or `plain` stands alone for development.\n")
 	return b.String()
 }
 
-// standard returns the default of a field in words.
-func (f Field) standard() string {
+// defaultText returns the default of a field in words.
+func (f Field) defaultText() string {
 	if f.Required {
 		return "required"
 	}
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -12,44 +12,44 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// shape walks a parsed file beside the type of the settings. It finds unknown
+// structure walks a parsed file beside the type of the settings. It finds unknown
 // fields, fields that stand twice and values of another type, takes them out of
 // the tree so that the rest can still be read and checked, and notes the line
 // of each field.
-type shape struct {
+type structure struct {
 	text   []byte
 	lines  map[string]int
 	faults []Fault
-	// bad holds the paths that are out of the tree.
-	bad map[string]bool
+	// rejected holds the paths that are out of the tree.
+	rejected map[string]bool
 }
 
-func (s *shape) line(offset int) int {
+func (s *structure) lineAt(offset int) int {
 	return 1 + bytes.Count(s.text[:min(offset, len(s.text))], []byte("\n"))
 }
 
-func (s *shape) fault(c codes.Code, path string, line int, format string, args ...any) {
-	s.bad[path] = true
+func (s *structure) addFault(c codes.Code, path string, line int, format string, args ...any) {
+	s.rejected[path] = true
 	if path == "" {
 		path = "file"
 	}
 	s.faults = append(s.faults, Fault{Code: c.ID, Path: path, Line: line, Message: fmt.Sprintf(format, args...)})
 }
 
-// value walks one value and reports whether it may stay.
-func (s *shape) value(v *hujson.Value, t reflect.Type, path string) bool {
-	line := s.line(v.StartOffset)
+// walkValue walks one walkValue and reports whether it may stay.
+func (s *structure) walkValue(v *hujson.Value, t reflect.Type, path string) bool {
+	line := s.lineAt(v.StartOffset)
 	s.lines[path] = line
-	if want := typeName(t); !fits(v, t) {
-		s.fault(codes.SettingType, path, line, "write %s", want)
+	if want := typeName(t); !matchesType(v, t) {
+		s.addFault(codes.SettingType, path, line, "write %s", want)
 		return false
 	}
 	switch x := v.Value.(type) {
 	case *hujson.Object:
-		s.object(x, t, path)
+		s.walkObject(x, t, path)
 	case *hujson.Array:
 		for i := range x.Elements {
-			if !s.value(&x.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i)) {
+			if !s.walkValue(&x.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i)) {
 				x.Elements[i].Value = hujson.Literal("null")
 			}
 		}
@@ -57,21 +57,21 @@
 	return true
 }
 
-func (s *shape) object(o *hujson.Object, t reflect.Type, path string) {
+func (s *structure) walkObject(o *hujson.Object, t reflect.Type, path string) {
 	names := fieldNames(t)
 	seen := map[string]bool{}
 	keep := o.Members[:0]
 	for _, m := range o.Members {
 		name := m.Name.Value.(hujson.Literal).String()
 		at := join(path, name)
-		line := s.line(m.Name.StartOffset)
+		line := s.lineAt(m.Name.StartOffset)
 		f, ok := names[name]
 		switch {
 		case !ok:
-			s.fault(codes.SettingUnknown, at, line, "%s", nearest(name, names))
+			s.addFault(codes.SettingUnknown, at, line, "%s", suggestName(name, names))
 		case seen[name]:
-			s.fault(codes.SettingTwice, at, line, "leave one of the two out")
-		case s.value(&m.Value, f.Type, at):
+			s.addFault(codes.SettingTwice, at, line, "leave one of the two out")
+		case s.walkValue(&m.Value, f.Type, at):
 			keep = append(keep, m)
 		}
 		seen[name] = true
@@ -112,7 +112,7 @@
 	return "a whole number"
 }
 
-func fits(v *hujson.Value, t reflect.Type) bool {
+func matchesType(v *hujson.Value, t reflect.Type) bool {
 	k := v.Value.Kind()
 	switch t.Kind() {
 	case reflect.Struct:
@@ -132,8 +132,8 @@
 // maxDigits keeps whole numbers within 64 bits.
 const maxDigits = 19
 
-// nearest says what to write in place of an unknown field.
-func nearest(name string, names map[string]reflect.StructField) string {
+// suggestName says what to write in place of an unknown field.
+func suggestName(name string, names map[string]reflect.StructField) string {
 	best, least := "", len(name)/2+1
 	known := make([]string, 0, len(names))
 	for n := range names {
@@ -141,7 +141,7 @@
 	}
 	slices.Sort(known)
 	for _, n := range known {
-		if d := distance(strings.ToLower(name), strings.ToLower(n)); d < least {
+		if d := editDistance(strings.ToLower(name), strings.ToLower(n)); d < least {
 			best, least = n, d
 		}
 	}
@@ -151,8 +151,8 @@
 	return "leave it out; the fields here are " + strings.Join(known, ", ")
 }
 
-// distance is the number of letters to insert, drop or change.
-func distance(a, b string) int {
+// editDistance is the number of letters to insert, drop or change.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -45,7 +45,7 @@
 	set, srv := d.cfg.Settings.Callers, d.callerServer()
 	if set.CertFile != "" {
 		cert := &callerCert{certFile: set.CertFile, keyFile: set.KeyFile, log: d.cfg.Log}
-		if err := cert.open(); err != nil {
+		if err := cert.load(); err != nil {
 			return err
 		}
 		srv.TLSConfig = &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: cert.get}
--- a/internal/daemon/carry.go
+++ b/internal/daemon/carry.go
@@ -8,17 +8,17 @@
 	"verbenadale.example/verbenadale/internal/trail"
 )
 
-// loadWait is how long a load report may take.
-const loadWait = time.Second
+// loadTimeout is how long a load report may take.
+const loadTimeout = time.Second
 
-// carry takes an effect from the control thread and must not block it.
-func (d *Daemon) carry(eff event.Effect) {
+// execute takes an effect from the control thread and must not block it.
+func (d *Daemon) execute(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.InForceNow:
 		d.book.Store(e.Book)
 		d.cfg.Log.Info("configuration in force", "revision", e.Book.Revision)
 	case event.ForgetOutcome:
-		d.outs.Delete(e.Request)
+		d.answers.Delete(e.Request)
 	case event.Note:
 		trail.LogNote(d.cfg.Log, e)
 	case event.DropLinks:
@@ -26,7 +26,7 @@
 	case event.Drained:
 		d.halt.MarkDrained()
 	default:
-		if !d.platform.carry(eff) && !d.mesh.Send(eff) {
+		if !d.platform.execute(eff) && !d.mesh.Send(eff) {
 			d.enqueue(eff)
 		}
 	}
@@ -48,21 +48,21 @@
 	for {
 		select {
 		case eff := <-d.work:
-			d.do(ctx, eff)
+			d.process(ctx, eff)
 		case <-d.t.Dying():
 			return nil
 		}
 	}
 }
 
-func (d *Daemon) do(ctx context.Context, eff event.Effect) {
+func (d *Daemon) process(ctx context.Context, eff event.Effect) {
 	if e, ok := eff.(event.PollLoad); ok {
 		d.poll(ctx, e)
 	}
 }
 
 func (d *Daemon) poll(ctx context.Context, e event.PollLoad) {
-	ctx, cancel := context.WithTimeout(ctx, loadWait)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	ld, err := d.targets.Load(ctx, e.Target)
 	if err != nil {
--- a/internal/daemon/cert.go
+++ b/internal/daemon/cert.go
@@ -18,12 +18,12 @@
 	log               logr.Logger
 
 	mu   sync.Mutex
-	text [2][]byte
+	pem  [2][]byte
 	cert *tls.Certificate
 }
 
-// open reads the files for the first time.
-func (c *callerCert) open() error {
+// load reads the files for the first time.
+func (c *callerCert) load() error {
 	if _, err := c.get(nil); err != nil {
 		return errors.Wrap(err, "daemon: certificate towards callers")
 	}
@@ -36,8 +36,8 @@
 func (c *callerCert) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	text, err := c.read()
-	if err == nil && c.cert != nil && bytes.Equal(text[0], c.text[0]) && bytes.Equal(text[1], c.text[1]) {
+	text, err := c.readFiles()
+	if err == nil && c.cert != nil && bytes.Equal(text[0], c.pem[0]) && bytes.Equal(text[1], c.pem[1]) {
 		return c.cert, nil
 	}
 	var next tls.Certificate
@@ -51,12 +51,12 @@
 		c.log.V(1).Info("certificate towards callers not taken over", "reason", err.Error())
 		return c.cert, nil
 	}
-	c.text, c.cert = text, &next
+	c.pem, c.cert = text, &next
 	c.log.Info("certificate towards callers taken over", "certFile", c.certFile)
 	return c.cert, nil
 }
 
-func (c *callerCert) read() ([2][]byte, error) {
+func (c *callerCert) readFiles() ([2][]byte, error) {
 	var text [2][]byte
 	for i, name := range []string{c.certFile, c.keyFile} {
 		b, err := os.ReadFile(name)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,9 +51,9 @@
 	// Record, where set, gets the own host and returns what sees each
 	// event and its effects, for replay.
 	Record func(self event.Host) func(now ident.Time, ev event.Event, effs []event.Effect)
-	// Before, where set, is called with the reducer before each of its steps,
+	// BeforeStep, where set, is called with the reducer before each of its steps,
 	// on the control thread; it may change the router's policy.
-	Before func(red *core.Reducer)
+	BeforeStep func(red *core.Reducer)
 }
 
 // Daemon is a running entry host.
@@ -70,7 +70,7 @@
 	platform *platform
 	metrics  metrics.Registry
 	book     atomic.Pointer[rules.Book]
-	outs     *serve.AnswerCache
+	answers  *serve.AnswerCache
 	mesh     *peer.Mesh
 	work     chan event.Effect
 	conns    *conns.Tracker
@@ -84,23 +84,23 @@
 // Sizes of the worker pool that carries out effects towards the platform and
 // the load reports.
 const (
-	workQueue = 1024
-	workers   = 8
+	workQueueSize = 1024
+	workers       = 8
 )
 
 // Start starts an entry host and returns when it listens.
 func Start(cfg Config) (*Daemon, error) {
 	set := cfg.Settings
 	d := &Daemon{
-		cfg: cfg, self: self(set), clock: clock.New(),
-		targets: target.New(), outs: &serve.AnswerCache{}, metrics: cfg.Metrics,
-		work: make(chan event.Effect, workQueue),
+		cfg: cfg, self: hostFromSettings(set), clock: clock.New(),
+		targets: target.New(), answers: &serve.AnswerCache{}, metrics: cfg.Metrics,
+		work: make(chan event.Effect, workQueueSize),
 	}
 	if d.metrics == nil {
 		d.metrics = metrics.NewRegistry()
 	}
-	d.conns = conns.New(conns.Config{Clock: d.clock, IdleTimeout: noLimit, Metrics: d.metrics})
-	d.halt = &halt.Sequence{Clock: d.clock, Log: cfg.Log, FinalTimeout: lastAnswers, Running: d.Requests, Post: d.post, Conns: d.conns}
+	d.conns = conns.New(conns.Config{Clock: d.clock, IdleTimeout: noIdleTimeout, Metrics: d.metrics})
+	d.halt = &halt.Sequence{Clock: d.clock, Log: cfg.Log, FinalTimeout: finalTimeout, Running: d.Requests, Post: d.post, Conns: d.conns}
 	var err error
 	if d.trace, err = newTracer(set); err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	d.mesh = mesh
-	lcfg := loop.Config{Step: d.stepper(), Clock: d.clock, Log: cfg.Log, Execute: d.carry}
+	lcfg := loop.Config{Step: d.stepFunc(), Clock: d.clock, Log: cfg.Log, Execute: d.execute}
 	if cfg.Record != nil {
 		lcfg.Record = cfg.Record(d.self)
 	}
@@ -137,25 +137,25 @@
 
 func (d *Daemon) post(ev event.Event) { d.loop.Post(ev) }
 
-// noLimit leaves idle connections to the servers, whose settings bound them.
-func noLimit() time.Duration { return 0 }
+// noIdleTimeout leaves idle connections to the servers, whose settings bound them.
+func noIdleTimeout() time.Duration { return 0 }
 
-// stepper returns what steps the reducer.
-func (d *Daemon) stepper() func(ident.Time, event.Event) []event.Effect {
+// stepFunc returns what steps the reducer.
+func (d *Daemon) stepFunc() func(ident.Time, event.Event) []event.Effect {
 	if d.cfg.Step != nil {
 		return d.cfg.Step
 	}
 	red := core.New(d.self)
-	if d.cfg.Before == nil {
+	if d.cfg.BeforeStep == nil {
 		return red.Step
 	}
 	return func(now ident.Time, ev event.Event) []event.Effect {
-		d.cfg.Before(red)
+		d.cfg.BeforeStep(red)
 		return red.Step(now, ev)
 	}
 }
 
-func self(set config.Settings) event.Host {
+func hostFromSettings(set config.Settings) event.Host {
 	peerAddr := set.Peers.Advertise
 	if peerAddr == "" {
 		peerAddr = set.Peers.Listen
@@ -169,15 +169,15 @@
 	}
 }
 
-// maxAnswer bounds an answer that is held until it is whole.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds an answer that is held until it is whole.
+const maxAnswerBytes = 16 << 20
 
 func (d *Daemon) listen() error {
 	lim := d.cfg.Settings.Limits
-	d.budget = serve.NewBudget(lim.MaxHeldBytes)
+	d.budget = serve.NewBudget(lim.MaxBufferedBytes)
 	d.runner = &serve.Runner{
 		Loop: d.loop, Clock: d.clock, Log: d.cfg.Log, Targets: d.targets, Forward: d.forward,
-		Answers: d.outs, MaxAnswer: maxAnswer, Budget: d.budget, Trace: d.trace,
+		Answers: d.answers, MaxAnswer: maxAnswerBytes, Budget: d.budget, Trace: d.trace,
 	}
 	ad := admin.New(admin.Config{
 		Loop: d.loop, Clock: d.clock, Log: d.cfg.Log, Level: d.cfg.Level, Revs: d.revs,
@@ -185,7 +185,7 @@
 		Metrics: d.metrics, Drain: d.Drain,
 	})
 	ops := &http.Server{Handler: ad, ReadHeaderTimeout: config.Millis(lim.HeaderMs)}
-	if err := d.mesh.Start(d.loop.Post, d.runPassed); err != nil {
+	if err := d.mesh.Start(d.loop.Post, d.runForwarded); err != nil {
 		return errors.Wrap(err, "daemon: peers")
 	}
 	if err := d.serveCallers(); err != nil {
@@ -223,16 +223,16 @@
 // Drained is closed when the last request has ended after Drain.
 func (d *Daemon) Drained() <-chan struct{} { return d.halt.Done() }
 
-// lastAnswers bounds the time for the last answers to leave, and again for connections to end;
-// stopWait that for the links to other hosts.
+// finalTimeout bounds the time for the last answers to leave, and again for connections to end;
+// stopTimeout that for the links to other hosts.
 const (
-	lastAnswers = 2 * time.Second
-	stopWait    = 5 * time.Second
+	finalTimeout = 2 * time.Second
+	stopTimeout  = 5 * time.Second
 )
 
 // Stop ends the host.
 func (d *Daemon) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWait)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	d.halt.Close(d.servers...)
 	d.mesh.Stop(ctx)
--- a/internal/daemon/forward_test.go
+++ b/internal/daemon/forward_test.go
@@ -25,7 +25,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // relay is a reducer that passes each request of a caller on to its one peer
 // and gives each of a peer to its one engine.
@@ -56,14 +56,14 @@
 	case event.DrainAsked:
 		r.draining = true
 	}
-	return r.rest()
+	return r.drainEffects()
 }
 
 func (r *relay) arrive(now ident.Time, req event.Request) event.Effect {
 	r.number++
 	a := ident.Attempt{Entry: r.self.ID, Incarnation: r.self.Incarnation, Number: r.number}
 	r.attempts[a] = req.ID
-	deadline := now.Add(waitLimit)
+	deadline := now.Add(testTimeout)
 	if _, passed := req.Envelope.Get(); passed {
 		return event.Dispatch{Request: req.ID, Serve: rules.Serve{Model: "draft"}, Attempt: a, Target: r.engine, Deadline: deadline}
 	}
@@ -75,12 +75,12 @@
 	id := r.attempts[e.Attempt]
 	delete(r.attempts, e.Attempt)
 	if e.Result != event.ResultDone {
-		return append(r.rest(), event.Refuse{Request: id, Code: codes.TargetFailed.ID, Outcome: event.Unknown})
+		return append(r.drainEffects(), event.Refuse{Request: id, Code: codes.TargetFailed.ID, Outcome: event.Unknown})
 	}
-	return append([]event.Effect{event.Finish{Request: id, Outcome: event.Done}}, r.rest()...)
+	return append([]event.Effect{event.Finish{Request: id, Outcome: event.Done}}, r.drainEffects()...)
 }
 
-func (r *relay) rest() []event.Effect {
+func (r *relay) drainEffects() []event.Effect {
 	if r.draining && len(r.attempts) == 0 {
 		return []event.Effect{event.Drained{}}
 	}
@@ -93,7 +93,7 @@
 	return len(r.attempts)
 }
 
-func someBook(t *testing.T) *rules.Book {
+func testBook(t *testing.T) *rules.Book {
 	t.Helper()
 	item := func(kind rules.Kind, name string, doc any) rules.Item {
 		b, err := json.Marshal(doc)
@@ -124,7 +124,7 @@
 	set.Callers.Listen, set.Operators.Listen = ports.Next(), ports.Next()
 	set.Peers = config.Peers{Listen: ports.Next(), Seeds: seeds, CertFile: fs.Cert, KeyFile: fs.Key, CAFile: fs.CA}
 	r.attempts = make(map[ident.Attempt]ident.RequestID)
-	r.book = someBook(t)
+	r.book = testBook(t)
 	d, err := Start(Config{Settings: set, Log: logr.Discard(), Level: logs.NewLevel(0), Step: r.step})
 	if err != nil {
 		t.Fatal(err)
@@ -138,10 +138,10 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -150,10 +150,10 @@
 // twoEntries starts a host for callers and, behind it, one with an engine.
 func twoEntries(t *testing.T, tokenTime time.Duration) (x, y *Daemon, ry *relay) {
 	t.Helper()
-	return twoEntriesBefore(t, engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: tokenTime}))
+	return twoEntriesWith(t, engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: tokenTime}))
 }
 
-func twoEntriesBefore(t *testing.T, h http.Handler) (x, y *Daemon, ry *relay) {
+func twoEntriesWith(t *testing.T, h http.Handler) (x, y *Daemon, ry *relay) {
 	t.Helper()
 	eng := httptest.NewServer(h)
 	t.Cleanup(eng.Close)
@@ -172,7 +172,7 @@
 	return x, y, ry
 }
 
-func ask(t *testing.T, d *Daemon, stream bool, tokens int) string {
+func sendChat(t *testing.T, d *Daemon, stream bool, tokens int) string {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"obituary","stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, stream, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.cfg.Settings.Callers.Listen+"/v1/chat/completions", strings.NewReader(body))
@@ -201,11 +201,11 @@
 // A request that only another entry host can serve is not streamed through it whole.
 func TestForwardedRequest(t *testing.T) {
 	x, _, _ := twoEntries(t, 0)
-	stream := ask(t, x, true, 20)
+	stream := sendChat(t, x, true, 20)
 	if n := strings.Count(stream, "chat.completion.chunk"); n != 20 || !strings.HasSuffix(stream, "data: [DONE]\n\n") {
 		t.Errorf("%d tokens in %s", n, stream)
 	}
-	if whole := ask(t, x, false, 20); !strings.Contains(whole, `"completion_tokens":20`) {
+	if whole := sendChat(t, x, false, 20); !strings.Contains(whole, `"completion_tokens":20`) {
 		t.Errorf("answer %s", whole)
 	}
 }
@@ -213,23 +213,23 @@
 // A draining host closes its peer links under a request that it serves for another host.
 func TestDrainKeepsForwardedAnswersWhole(t *testing.T) {
 	x, y, ry := twoEntries(t, 10*time.Millisecond)
-	s := &stopper{d: y, r: ry, done: make(chan struct{})}
+	s := &drainer{d: y, r: ry, done: make(chan struct{})}
 	go s.run()
-	stream := ask(t, x, true, 50)
+	stream := sendChat(t, x, true, 50)
 	if n := strings.Count(stream, "chat.completion.chunk"); n != 50 || !strings.HasSuffix(stream, "data: [DONE]\n\n") {
 		t.Errorf("%d tokens in %s", n, stream)
 	}
 	eventually(t, "the host stops", s.stopped)
 }
 
-// stopper stops a host once a request runs there.
-type stopper struct {
+// drainer stops a host once a request runs there.
+type drainer struct {
 	d    *Daemon
 	r    *relay
 	done chan struct{}
 }
 
-func (s *stopper) stopped() bool {
+func (s *drainer) stopped() bool {
 	select {
 	case <-s.done:
 		return true
@@ -238,7 +238,7 @@
 	}
 }
 
-func (s *stopper) run() {
+func (s *drainer) run() {
 	for s.r.running() == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/daemon/mesh.go
+++ b/internal/daemon/mesh.go
@@ -43,10 +43,10 @@
 // the operators' address as peers.crossings.
 func (d *Daemon) forward(ctx context.Context, p serve.ForwardedRequest, sent func(), out serve.Relay) event.AttemptEnded {
 	if p.Forward.To.Place.Region != d.self.Place.Region {
-		metrics.GetOrRegisterCounter(crossingsName, d.metrics).Inc(1)
+		metrics.GetOrRegisterCounter(crossingsMetric, d.metrics).Inc(1)
 	}
 	return d.mesh.Forward(ctx, p, sent, out)
 }
 
-// crossingsName is the counter of attempts at hosts of other regions.
-const crossingsName = "peers.crossings"
+// crossingsMetric is the counter of attempts at hosts of other regions.
+const crossingsMetric = "peers.crossings"
--- a/internal/daemon/passed.go
+++ b/internal/daemon/passed.go
@@ -10,10 +10,10 @@
 // traceHeaders carry the trace from one entry host to another.
 var traceHeaders = []string{"Traceparent", "Tracestate"}
 
-// runPassed runs a request that another entry host has passed on, as a hop of
+// runForwarded runs a request that another entry host has passed on, as a hop of
 // the same trace. Its headers of the trace end here: the target gets those of
 // the hop to it.
-func (d *Daemon) runPassed(ctx context.Context, call serve.Call, req event.Request, sink serve.Sink) {
+func (d *Daemon) runForwarded(ctx context.Context, call serve.Call, req event.Request, sink serve.Sink) {
 	ctx, span := d.trace.Serve(ctx, call.Header, "passed")
 	defer span.End()
 	for _, name := range traceHeaders {
--- a/internal/daemon/passed_test.go
+++ b/internal/daemon/passed_test.go
@@ -10,15 +10,15 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// traced keeps the trace of the last request to an engine.
-type traced struct {
+// traceRecorder keeps the trace of the last request to an engine.
+type traceRecorder struct {
 	*engine.Engine
 	mu     sync.Mutex
 	parent string
 }
 
 // ServeHTTP serves one call.
-func (e *traced) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *traceRecorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		e.mu.Lock()
 		e.parent = r.Header.Get("Traceparent")
@@ -29,8 +29,8 @@
 
 // A trace ends at the first entry host, without the slow part in another data centre.
 func TestTraceCrossesEntryHosts(t *testing.T) {
-	eng := &traced{Engine: engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8})}
-	x, _, _ := twoEntriesBefore(t, eng)
+	eng := &traceRecorder{Engine: engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8})}
+	x, _, _ := twoEntriesWith(t, eng)
 	const id = "4bf92f3577b34da6a3ce929d0e0e4736"
 	req, err := http.NewRequest(http.MethodPost, "http://"+x.cfg.Settings.Callers.Listen+"/v1/completions",
 		strings.NewReader(`{"model":"obituary","max_tokens":2,"prompt":"hello"}`))
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -13,19 +13,19 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// watchWait is how long one watch waits, and snapshotWait how long a host may
+// watchTimeout is how long one watch waits, and snapshotTimeout how long a host may
 // take to read the whole configuration.
 const (
-	watchWait    = 20 * time.Second
-	snapshotWait = 15 * time.Second
+	watchTimeout    = 20 * time.Second
+	snapshotTimeout = 15 * time.Second
 )
 
 // Sizes of the pool that waits for the platform. It is apart from the one that
 // polls targets: while the platform is slow, each of its calls takes the whole
 // timeout, and load reports must not wait behind them.
 const (
-	platformQueue   = 1024
-	platformWorkers = 8
+	platformQueueSize = 1024
+	platformWorkers   = 8
 )
 
 // platform carries out the effects that call the platform's service.
@@ -37,9 +37,9 @@
 }
 
 func newPlatform(d *Daemon) *platform {
-	p := &platform{d: d, work: make(chan event.Effect, platformQueue)}
-	p.watch = &watcher{d: d, poke: make(chan struct{}, 1)}
-	p.reg = &registrar{d: d, left: make(chan struct{})}
+	p := &platform{d: d, work: make(chan event.Effect, platformQueueSize)}
+	p.watch = &watcher{d: d, wakeup: make(chan struct{}, 1)}
+	p.reg = &registrar{d: d, draining: make(chan struct{})}
 	return p
 }
 
@@ -52,12 +52,12 @@
 	p.d.t.Go(p.reg.run)
 }
 
-// carry takes an effect from the control thread, or reports false for one that
+// execute takes an effect from the control thread, or reports false for one that
 // is none of the platform's. It does not block.
-func (p *platform) carry(eff event.Effect) bool {
+func (p *platform) execute(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.WatchChange:
-		p.watch.set(e)
+		p.watch.replace(e)
 	case event.StopWatch:
 		p.watch.stop()
 	case event.ReadSnapshot, event.ReadHosts, event.ClaimKey:
@@ -83,14 +83,14 @@
 	for {
 		select {
 		case eff := <-p.work:
-			p.do(ctx, eff)
+			p.process(ctx, eff)
 		case <-p.d.t.Dying():
 			return nil
 		}
 	}
 }
 
-func (p *platform) do(ctx context.Context, eff event.Effect) {
+func (p *platform) process(ctx context.Context, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.ReadHosts:
 		p.readHosts(ctx)
@@ -111,7 +111,7 @@
 }
 
 func (p *platform) readSnapshot(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, snapshotWait)
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	book, err := p.d.revs.Load(ctx)
 	if err != nil {
@@ -132,23 +132,23 @@
 // watcher holds the one watch of the host. A new one takes the place of the
 // one that waits, so that a host never has two watches that count as calls.
 type watcher struct {
-	d    *Daemon
-	poke chan struct{}
+	d      *Daemon
+	wakeup chan struct{}
 
-	mu     sync.Mutex
-	want   bool
-	after  event.WatchChange
-	cancel context.CancelFunc
+	mu      sync.Mutex
+	pending bool
+	next    event.WatchChange
+	cancel  context.CancelFunc
 }
 
-func (w *watcher) set(e event.WatchChange) {
+func (w *watcher) replace(e event.WatchChange) {
 	w.mu.Lock()
-	w.want = true
-	w.after = e
+	w.pending = true
+	w.next = e
 	w.abort()
 	w.mu.Unlock()
 	select {
-	case w.poke <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -156,7 +156,7 @@
 func (w *watcher) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.want = false
+	w.pending = false
 	w.abort()
 }
 
@@ -175,25 +175,25 @@
 	w.cancel = nil
 }
 
-// take returns the watch that is wanted next.
-func (w *watcher) take(ctx context.Context) (context.Context, event.WatchChange, bool) {
+// takePending returns the watch that is wanted next.
+func (w *watcher) takePending(ctx context.Context) (context.Context, event.WatchChange, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.want {
+	if !w.pending {
 		return ctx, event.WatchChange{}, false
 	}
-	w.want = false
+	w.pending = false
 	ctx, w.cancel = context.WithCancel(ctx)
-	return ctx, w.after, true
+	return ctx, w.next, true
 }
 
 func (w *watcher) run() error {
 	ctx := w.d.t.Context(context.Background())
 	for {
 		select {
-		case <-w.poke:
-			if one, e, ok := w.take(ctx); ok {
-				w.wait(one, e)
+		case <-w.wakeup:
+			if one, e, ok := w.takePending(ctx); ok {
+				w.watch(one, e)
 				w.release()
 			}
 		case <-w.d.t.Dying():
@@ -202,8 +202,8 @@
 	}
 }
 
-func (w *watcher) wait(ctx context.Context, e event.WatchChange) {
-	c, err := w.d.revs.Next(ctx, e.After, watchWait)
+func (w *watcher) watch(ctx context.Context, e event.WatchChange) {
+	c, err := w.d.revs.Next(ctx, e.After, watchTimeout)
 	if ctx.Err() != nil {
 		// Another watch has taken its place, or the host stops watching.
 		return
@@ -223,21 +223,21 @@
 // hosts to about four a second. A host that died without a word stays listed
 // for as long, and callers try the next.
 const (
-	registerTTL   = 5 * time.Minute
-	registerEvery = registerTTL / 3
-	registerRetry = 10 * time.Second
+	registerTTL        = 5 * time.Minute
+	registerInterval   = registerTTL / 3
+	registerRetryDelay = 10 * time.Second
 )
 
 // registrar keeps the host in the directory for clients until it drains.
 type registrar struct {
-	d     *Daemon
-	lease *store.Lease
-	once  sync.Once
-	left  chan struct{}
+	d        *Daemon
+	lease    *store.Lease
+	once     sync.Once
+	draining chan struct{}
 }
 
 // drain takes the host out of the directory.
-func (g *registrar) drain() { g.once.Do(func() { close(g.left) }) }
+func (g *registrar) drain() { g.once.Do(func() { close(g.draining) }) }
 
 func (g *registrar) run() error {
 	ctx := g.d.t.Context(context.Background())
@@ -246,9 +246,9 @@
 	for {
 		select {
 		case now := <-at.C():
-			at.Reset(now.Add(g.step(ctx)))
-		case <-g.left:
-			g.leave()
+			at.Reset(now.Add(g.renew(ctx)))
+		case <-g.draining:
+			g.deregister()
 			return nil
 		case <-g.d.t.Dying():
 			return nil
@@ -256,39 +256,39 @@
 	}
 }
 
-// step keeps the lease alive, or takes a new one and registers under it. It
-// returns the wait until the next step.
-func (g *registrar) step(ctx context.Context) time.Duration {
+// renew keeps the lease alive, or takes a new one and registers under it. It
+// returns the wait until the next renew.
+func (g *registrar) renew(ctx context.Context) time.Duration {
 	if g.lease.Holds(g.d.clock.Now()) {
 		err := g.d.store.KeepAlive(ctx, g.lease)
 		if err == nil {
-			return registerEvery
+			return registerInterval
 		}
 		if !errors.Is(err, store.ErrLapsed) {
-			return registerRetry
+			return registerRetryDelay
 		}
 	}
 	l, err := g.d.store.Grant(ctx, registerTTL)
 	if err != nil {
-		return registerRetry
+		return registerRetryDelay
 	}
 	listing := store.Listing{Entry: g.d.self.ID, Place: g.d.self.Place, CallerURL: g.d.self.CallerURL}
 	if err := g.d.store.Register(ctx, l, listing); err != nil {
 		g.d.cfg.Log.Info("not registered in the directory", "error", err.Error())
-		return registerRetry
+		return registerRetryDelay
 	}
 	g.lease = l
-	return registerEvery
+	return registerInterval
 }
 
-// leaveWait bounds the last call of a host that drains.
-const leaveWait = 2 * time.Second
+// deregisterTimeout bounds the last call of a host that drains.
+const deregisterTimeout = 2 * time.Second
 
-func (g *registrar) leave() {
+func (g *registrar) deregister() {
 	if g.lease == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	_ = g.d.store.Revoke(ctx, g.lease)
 }
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -20,16 +20,16 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// rig is a daemon whose reducer only notes the events.
-type rig struct {
+// testDaemon is a daemon whose reducer only notes the events.
+type testDaemon struct {
 	*Daemon
 	srv    *plat.Server
 	events chan event.Event
 }
 
-func newRig(t *testing.T) *rig {
+func newTestDaemon(t *testing.T) *testDaemon {
 	t.Helper()
-	r := &rig{srv: plat.New(), events: make(chan event.Event, 1024)}
+	r := &testDaemon{srv: plat.New(), events: make(chan event.Event, 1024)}
 	hs := httptest.NewServer(r.srv)
 	t.Cleanup(hs.Close)
 	const local = "127.0.0.1:0"
@@ -50,7 +50,7 @@
 	return r
 }
 
-func (r *rig) step(_ ident.Time, ev event.Event) []event.Effect {
+func (r *testDaemon) step(_ ident.Time, ev event.Event) []event.Effect {
 	if _, tick := ev.(event.Tick); !tick {
 		r.events <- ev
 	}
@@ -58,7 +58,7 @@
 }
 
 // next waits for the next event of the platform.
-func (r *rig) next(t *testing.T) event.Event {
+func (r *testDaemon) next(t *testing.T) event.Event {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *rig) append(t *testing.T, id ident.ChangeID, base ident.Revision) rules.Change {
+func (r *testDaemon) append(t *testing.T, id ident.ChangeID, base ident.Revision) rules.Change {
 	t.Helper()
 	doc := json.RawMessage(`{"models":[{"model":"draft"}],"maxCrossings":0}`)
 	c := rules.Change{ID: id, Base: base, Operator: "anu", Items: []rules.Item{{Kind: rules.KindProfile, Name: "p", Doc: doc}}}
@@ -93,8 +93,8 @@
 	}
 }
 
-// until waits until ok reports true.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits waitUntil ok reports true.
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); {
 		if time.Now().After(end) {
@@ -105,26 +105,26 @@
 
 // A second watch beside a waiting one counts as a call and delivers changes twice.
 func TestOneWatch(t *testing.T) {
-	r := newRig(t)
-	r.carry(event.WatchChange{After: 0})
-	r.carry(event.WatchChange{After: 0})
+	r := newTestDaemon(t)
+	r.execute(event.WatchChange{After: 0})
+	r.execute(event.WatchChange{After: 0})
 	c := r.append(t, "c1", 0)
 	wantSame(t, "first change", event.Event(event.ChangesReceived{Changes: []rules.Change{c}}), r.next(t))
 
-	r.carry(event.WatchChange{After: 1})
-	until(t, "the watch waits", func() bool { return r.srv.Counts()["watch"] >= 2 })
-	r.carry(event.StopWatch{})
+	r.execute(event.WatchChange{After: 1})
+	waitUntil(t, "the watch waits", func() bool { return r.srv.Counts()["watch"] >= 2 })
+	r.execute(event.StopWatch{})
 	c = r.append(t, "c2", 1)
-	r.carry(event.ReadHosts{})
+	r.execute(event.ReadHosts{})
 	wantSame(t, "after StopWatch only the list comes", "hostsRead", event.TypeName(r.next(t)))
-	r.carry(event.WatchChange{After: 1})
+	r.execute(event.WatchChange{After: 1})
 	wantSame(t, "a new watch", event.Event(event.ChangesReceived{Changes: []rules.Change{c}}), r.next(t))
 	wantSame(t, "watches counted as failures", int64(0), metrics.GetOrRegisterCounter("platform.watch.down", r.metrics).Count())
 }
 
 // An effect that waits for the store is never answered while the store is down.
 func TestPlatformDown(t *testing.T) {
-	r := newRig(t)
+	r := newTestDaemon(t)
 	r.srv.SetFaults(plat.Faults{Down: true})
 	for _, c := range []struct {
 		eff  event.Effect
@@ -139,14 +139,14 @@
 		},
 		{event.ClaimKey{Request: "r2", Key: "k"}, event.KeyClaimed{Request: "r2", Claim: event.ClaimFailed}},
 	} {
-		r.carry(c.eff)
+		r.execute(c.eff)
 		wantSame(t, event.TypeName(c.eff), c.want, r.next(t))
 	}
 }
 
 // A draining host stays in the directory, and new callers begin at it.
 func TestDirectory(t *testing.T) {
-	r := newRig(t)
+	r := newTestDaemon(t)
 	listed := func() []store.Listing {
 		ls, err := r.store.Directory(context.Background())
 		if err != nil {
@@ -154,9 +154,9 @@
 		}
 		return ls
 	}
-	until(t, "listed", func() bool { return len(listed()) == 1 })
+	waitUntil(t, "listed", func() bool { return len(listed()) == 1 })
 	wantSame(t, "caller URL", "http://callers", listed()[0].CallerURL)
 	r.Drain()
 	r.Drain()
-	until(t, "gone", func() bool { return len(listed()) == 0 })
+	waitUntil(t, "gone", func() bool { return len(listed()) == 0 })
 }
--- a/internal/dev/cmds/entry.go
+++ b/internal/dev/cmds/entry.go
@@ -57,7 +57,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	h := &compared{}
 	h.policy.Store(&c.policy)
-	d, err := daemon.Start(daemon.Config{Settings: set, Log: logs.New(os.Stderr, lvl), Level: lvl, Before: h.before})
+	d, err := daemon.Start(daemon.Config{Settings: set, Log: logs.New(os.Stderr, lvl), Level: lvl, BeforeStep: h.before})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "verbdev:", err)
 		return subcommands.ExitFailure
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -38,12 +38,12 @@
 
 // New returns a logger that writes lines to w.
 func New(w io.Writer, l *Level) logr.Logger {
-	return logr.FromSlogHandler(slog.NewTextHandler(w, &slog.HandlerOptions{Level: &l.v, ReplaceAttr: plain}))
+	return logr.FromSlogHandler(slog.NewTextHandler(w, &slog.HandlerOptions{Level: &l.v, ReplaceAttr: replaceAttr}))
 }
 
-// plain writes the level of a line as operators set it, where the handler would
+// replaceAttr writes the level of a line as operators set it, where the handler would
 // write DEBUG+3 for level 1, and an error without the stack that it carries.
-func plain(groups []string, a slog.Attr) slog.Attr {
+func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		return slog.String(a.Key, err.Error())
 	}
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -11,11 +11,11 @@
 
 // Bounds of a Writer.
 const (
-	// queueBytes is what may wait to be written: some seconds of lines at a
+	// maxQueueBytes is what may wait to be written: some seconds of lines at a
 	// few hundred a second.
-	queueBytes = 256 << 10
-	// lineFormat reports the lines that were left out.
-	lineFormat = "level=0 msg=\"log lines left out\" lines=%d reason=\"the output is slower than the lines come\"\n"
+	maxQueueBytes = 256 << 10
+	// droppedLinesFormat reports the lines that were left out.
+	droppedLinesFormat = "level=0 msg=\"log lines left out\" lines=%d reason=\"the output is slower than the lines come\"\n"
 )
 
 // Writer passes lines on to another writer without ever making the caller wait.
@@ -25,18 +25,18 @@
 // that find no room are left out and counted, and the count is written as soon
 // as there is room again.
 type Writer struct {
-	t    tomb.Tomb
-	out  io.Writer
-	poke chan struct{}
+	t      tomb.Tomb
+	out    io.Writer
+	wakeup chan struct{}
 
 	mu      sync.Mutex
-	waiting bytes.Buffer
-	lost    int
+	queue   bytes.Buffer
+	dropped int
 }
 
 // NewWriter returns a running writer.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, poke: make(chan struct{}, 1)}
+	w := &Writer{out: out, wakeup: make(chan struct{}, 1)}
 	w.t.Go(w.run)
 	return w
 }
@@ -44,14 +44,14 @@
 // Write queues one line.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if w.waiting.Len()+len(line) > queueBytes {
-		w.lost++
+	if w.queue.Len()+len(line) > maxQueueBytes {
+		w.dropped++
 	} else {
-		w.waiting.Write(line)
+		w.queue.Write(line)
 	}
 	w.mu.Unlock()
 	select {
-	case w.poke <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 	return len(line), nil
@@ -66,7 +66,7 @@
 func (w *Writer) run() error {
 	for {
 		select {
-		case <-w.poke:
+		case <-w.wakeup:
 			w.flush()
 		case <-w.t.Dying():
 			w.flush()
@@ -77,12 +77,12 @@
 
 func (w *Writer) flush() {
 	w.mu.Lock()
-	if w.lost > 0 {
-		fmt.Fprintf(&w.waiting, lineFormat, w.lost)
-		w.lost = 0
+	if w.dropped > 0 {
+		fmt.Fprintf(&w.queue, droppedLinesFormat, w.dropped)
+		w.dropped = 0
 	}
-	lines := bytes.Clone(w.waiting.Bytes())
-	w.waiting.Reset()
+	lines := bytes.Clone(w.queue.Bytes())
+	w.queue.Reset()
 	w.mu.Unlock()
 	if len(lines) > 0 {
 		// There is no other place to report this error.
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// stuck is an output that nobody reads until it is let go.
-type stuck struct {
+// blockedOutput is an output that nobody reads until it is let go.
+type blockedOutput struct {
 	gate chan struct{}
 	mu   sync.Mutex
 	got  strings.Builder
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedOutput) Write(b []byte) (int, error) {
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,7 +23,7 @@
 
 // A log that nobody reads blocks whoever writes to it.
 func TestWriterNeverBlocks(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedOutput{gate: make(chan struct{})}
 	w := NewWriter(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	began := time.Now()
@@ -41,13 +41,13 @@
 	if !strings.Contains(text, "log lines left out") {
 		t.Error("nothing counts the lines that were left out")
 	}
-	if n := strings.Count(text, "\n"); n < 100 || n > 2*queueBytes/len(line)+10 {
+	if n := strings.Count(text, "\n"); n < 100 || n > 2*maxQueueBytes/len(line)+10 {
 		t.Errorf("%d lines were written", n)
 	}
 }
 
 func TestWriterKeepsTheOrder(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedOutput{gate: make(chan struct{})}
 	close(out.gate)
 	w := NewWriter(out)
 	for _, l := range []string{"a\n", "b\n", "c\n"} {
--- a/internal/proofs/flood_test.go
+++ b/internal/proofs/flood_test.go
@@ -24,7 +24,7 @@
 
 // floodLimits are small, so that a flood reaches them.
 var floodLimits = config.Limits{
-	MaxHeldBytes: 16 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 600,
+	MaxBufferedBytes: 16 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 600,
 	MaxRequests: 500, HeaderMs: 2000, BodyMs: 4000, WriteMs: 5000, IdleMs: 5000,
 }
 
--- a/internal/proofs/proc_test.go
+++ b/internal/proofs/proc_test.go
@@ -146,7 +146,7 @@
 func (e *entry) operators() string { return "http://" + e.set.Operators.Listen }
 
 // testLimits are the bounds of the entry hosts of the tests.
-var testLimits = config.Limits{MaxHeldBytes: 64 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 1000, MaxRequests: 500, HeaderMs: 5000, BodyMs: 5000}
+var testLimits = config.Limits{MaxBufferedBytes: 64 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 1000, MaxRequests: 500, HeaderMs: 5000, BodyMs: 5000}
 
 const operatorToken = "operator-token"
 
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -16,7 +16,7 @@
 
 // crowdLimits are bounds that thousands of streams at once fit into.
 var crowdLimits = config.Limits{
-	MaxHeldBytes: 256 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 8000,
+	MaxBufferedBytes: 256 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 8000,
 	MaxRequests: 4000, HeaderMs: 20_000, BodyMs: 20_000,
 }
 
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -59,15 +59,15 @@
 	a.Loop.Post(event.AttemptSent{Attempt: a.id})
 }
 
-func (a *attempt) newOrder(d event.Dispatch) target.Order {
+func (a *attempt) newOrder(d event.Dispatch) target.AttemptRequest {
 	body := a.call.Body
 	if a.call.Engine {
 		body = withModel(body, d.Serve.Model)
 	}
-	return target.Order{
+	return target.AttemptRequest{
 		Target: d.Target, Attempt: d.Attempt, Request: a.call.AnswerID, Serve: d.Serve,
 		Method: a.call.Method, Path: a.call.Path, Header: a.call.Header, Body: body,
-		Priority: d.Priority, Resume: max(d.Resume, a.delivered), Left: a.remaining(d.Deadline), Once: d.Once,
+		Priority: d.Priority, Resume: max(d.Resume, a.delivered), Remaining: a.remaining(d.Deadline), AtMostOnce: d.Once,
 		CopyFrom: d.CopyFrom.URL,
 	}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -90,7 +90,7 @@
 	Log     logr.Logger
 	Targets *target.Client
 	// Send, if set, sends attempts in place of Targets.
-	Send func(ctx context.Context, o target.Order, sent func()) (*http.Response, error)
+	Send func(ctx context.Context, o target.AttemptRequest, sent func()) (*http.Response, error)
 	// Forward runs an attempt at another entry host. It calls sent before the first byte can reach
 	// that host.
 	Forward func(ctx context.Context, p ForwardedRequest, sent func(), out Relay) event.AttemptEnded
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -20,40 +20,40 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ErrCrossed says that what came was the answer to another request.
-var ErrCrossed = errors.New("target: the answer belongs to another request")
+// ErrWrongAnswer says that what came was the answer to another request.
+var ErrWrongAnswer = errors.New("target: the answer belongs to another request")
 
 // Times and bounds of a pool.
 const (
-	// poolDial bounds the time to connect. Targets stand in the own region, a
+	// poolDialTimeout bounds the time to connect. Targets stand in the own region, a
 	// few milliseconds away; one without power never answers.
-	poolDial = time.Second
-	// poolIdle is how long an idle connection is kept where the target does
+	poolDialTimeout = time.Second
+	// poolIdleTimeout is how long an idle connection is kept where the target does
 	// not say how long it keeps it.
-	poolIdle = 20 * time.Second
-	// poolEarly is how much earlier than the target says a connection is no
+	poolIdleTimeout = 20 * time.Second
+	// poolIdleMargin is how much earlier than the target says a connection is no
 	// longer used, so that a request does not cross the target's close.
-	poolEarly = 700 * time.Millisecond
-	// poolMost bounds the idle connections to one target.
-	poolMost = 64
-	// writeRest is how long an answer that is whole waits for the last write of its
+	poolIdleMargin = 700 * time.Millisecond
+	// poolMaxIdle bounds the idle connections to one target.
+	poolMaxIdle = 64
+	// finalWriteTimeout is how long an answer that is whole waits for the last write of its
 	// request, at most connBuffer bytes. It is a hundred times what a goroutine waits
 	// for its turn on a busy machine, and far less than callers notice.
-	writeRest = 20 * time.Millisecond
-	// poolSweep is the time between two looks for connections kept too long.
-	poolSweep = time.Second
+	finalWriteTimeout = 20 * time.Millisecond
+	// poolSweepInterval is the time between two looks for connections kept too long.
+	poolSweepInterval = time.Second
 	// userTimeout is how long the kernel waits for sent bytes to be confirmed,
 	// and roughly how long a silent connection stands with its probes. A
 	// connection may go silent while new ones work; without this a request on
 	// it would wait until its deadline.
-	userTimeout  = 1500 * time.Millisecond
-	probeIdle    = time.Second
-	probeCount   = 2
-	tcpUserLimit = 18 // TCP_USER_TIMEOUT of Linux
-	// skipMost bounds the answers to other requests that are read past, and
+	userTimeout       = 1500 * time.Millisecond
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	tcpUserTimeout    = 18 // TCP_USER_TIMEOUT of Linux
+	// maxAnswersRead bounds the answers to other requests that are read past, and
 	// skipBytes the body of each.
-	skipMost  = 2
-	skipBytes = 1 << 20
+	maxAnswersRead  = 2
+	maxSkippedBytes = 1 << 20
 )
 
 // Pool sends requests on connections that it keeps, one at a time on each. It
@@ -80,14 +80,14 @@
 	p    *Pool
 	addr string
 	br   *bufio.Reader
-	// until is when it is no longer used.
-	until ident.Time
-	w     *writer
+	// expires is when it is no longer used.
+	expires ident.Time
+	w       *writer
 }
 
 // NewPool returns an empty pool.
 func NewPool(svc *clock.Service) *Pool {
-	p := &Pool{clock: svc, idle: make(map[string][]*conn), dial: NewDialer(poolDial)}
+	p := &Pool{clock: svc, idle: make(map[string][]*conn), dial: NewDialer(poolDialTimeout)}
 	p.t.Go(p.run)
 	return p
 }
@@ -97,11 +97,11 @@
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
 				// Where the system has no such limit the probes remain.
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserLimit, int(userTimeout.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -134,32 +134,32 @@
 // before the first byte can leave. Closing the body before its end closes the
 // connection.
 func (p *Pool) Do(ctx context.Context, addr string, req *http.Request, own func(*http.Response) bool, sent func()) (*http.Response, error) {
-	c, err := p.take(ctx, addr)
+	c, err := p.acquire(ctx, addr)
 	if err != nil {
-		return nil, errors.Wrap(ErrLink, err.Error())
+		return nil, errors.Wrap(ErrConnection, err.Error())
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	sent()
 	c.w = &writer{c: c, req: req}
 	c.w.t.Go(c.w.run)
-	res, err := c.answer(req, own)
+	res, err := c.readAnswer(req, own)
 	if err != nil {
 		stop()
 		_ = c.Close()
 		return nil, err
 	}
-	res.Body = &body{ReadCloser: res.Body, c: c, stop: stop, keep: keeps(res), most: keepFor(res.Header)}
+	res.Body = &body{ReadCloser: res.Body, c: c, stop: stop, reusable: keepsAlive(res), idleTimeout: idleTimeoutFrom(res.Header)}
 	return res, nil
 }
 
-// take returns a kept connection that still stands, or a new one.
-func (p *Pool) take(ctx context.Context, addr string) (*conn, error) {
+// acquire returns a kept connection that still stands, or a new one.
+func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	for {
-		c := p.pop(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			break
 		}
-		if c.fresh(p.clock.Now()) {
+		if c.isReusable(p.clock.Now()) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -171,10 +171,10 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &conn{Conn: raw, p: p, addr: addr, br: bufio.NewReaderSize(raw, connBuffer)}, nil
+	return &conn{Conn: raw, p: p, addr: addr, br: bufio.NewReaderSize(raw, connBufferBytes)}, nil
 }
 
-func (p *Pool) pop(addr string) *conn {
+func (p *Pool) popIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := p.idle[addr]
@@ -186,11 +186,11 @@
 	return c
 }
 
-// fresh reports whether an idle connection may be used: it has not been kept
+// isReusable reports whether an idle connection may be used: it has not been kept
 // too long, the other side has not closed it, and nothing has come on it that
 // nobody asked for.
-func (c *conn) fresh(now ident.Time) bool {
-	if now >= c.until || c.br.Buffered() > 0 {
+func (c *conn) isReusable(now ident.Time) bool {
+	if now >= c.expires || c.br.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.Conn.(syscall.Conn)
@@ -218,40 +218,40 @@
 	t   tomb.Tomb
 	c   *conn
 	req *http.Request
-	// read says that the whole request has been read from its caller: what is
+	// requestRead says that the whole request has been requestRead from its caller: what is
 	// left is in the buffer.
-	read atomic.Bool
+	requestRead atomic.Bool
 }
 
 func (w *writer) run() error {
-	bw := bufio.NewWriterSize(w.c, connBuffer)
+	bw := bufio.NewWriterSize(w.c, connBufferBytes)
 	if err := w.req.Write(bw); err != nil {
-		return errors.Wrap(ErrLink, err.Error())
+		return errors.Wrap(ErrConnection, err.Error())
 	}
-	w.read.Store(true)
+	w.requestRead.Store(true)
 	return errors.Wrap(bw.Flush(), "target: write")
 }
 
-// done reports whether the whole request has been written. The target may have answered before
-// this goroutine runs again after its last write, so that done waits for that write, for
+// awaitWritten reports whether the whole request has been written. The target may have answered before
+// this goroutine runs again after its last write, so that awaitWritten waits for that write, for
 // writeRest at the most.
-func (w *writer) done() bool {
-	if !w.read.Load() {
+func (w *writer) awaitWritten() bool {
+	if !w.requestRead.Load() {
 		return false
 	}
-	if err := w.c.SetWriteDeadline(time.Now().Add(writeRest)); err != nil {
+	if err := w.c.SetWriteDeadline(time.Now().Add(finalWriteTimeout)); err != nil {
 		return false
 	}
 	<-w.t.Dead()
 	return w.t.Err() == nil && w.c.SetWriteDeadline(time.Time{}) == nil
 }
 
-// answer reads answers up to the one to this request.
-func (c *conn) answer(req *http.Request, own func(*http.Response) bool) (*http.Response, error) {
-	for range skipMost {
+// readAnswer reads answers up to the one to this request.
+func (c *conn) readAnswer(req *http.Request, own func(*http.Response) bool) (*http.Response, error) {
+	for range maxAnswersRead {
 		res, err := http.ReadResponse(c.br, req)
 		if err != nil {
-			return nil, errors.Wrap(ErrLink, err.Error())
+			return nil, errors.Wrap(ErrConnection, err.Error())
 		}
 		if res.StatusCode < http.StatusOK {
 			continue
@@ -259,62 +259,62 @@
 		if own(res) {
 			return res, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, skipBytes))
-		if err != nil || n == skipBytes || res.Close {
-			return nil, ErrCrossed
+		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxSkippedBytes))
+		if err != nil || n == maxSkippedBytes || res.Close {
+			return nil, ErrWrongAnswer
 		}
 	}
-	return nil, ErrCrossed
+	return nil, ErrWrongAnswer
 }
 
-func keeps(res *http.Response) bool { return !res.Close }
+func keepsAlive(res *http.Response) bool { return !res.Close }
 
-// keepFor returns how long the target keeps the connection idle.
-func keepFor(h http.Header) time.Duration {
+// idleTimeoutFrom returns how long the target keeps the connection idle.
+func idleTimeoutFrom(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		val, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		n, err := strconv.Atoi(val)
-		if err == nil && n >= 0 && n < int(poolIdle/time.Second) {
-			return max(time.Duration(n)*time.Second-poolEarly, 0)
+		if err == nil && n >= 0 && n < int(poolIdleTimeout/time.Second) {
+			return max(time.Duration(n)*time.Second-poolIdleMargin, 0)
 		}
 	}
-	return poolIdle
+	return poolIdleTimeout
 }
 
 // body gives the connection back when the answer has been read to its end.
 type body struct {
 	io.ReadCloser
-	c    *conn
-	stop func() bool
-	keep bool
-	most time.Duration
-	once sync.Once
+	c           *conn
+	stop        func() bool
+	reusable    bool
+	idleTimeout time.Duration
+	once        sync.Once
 }
 
 func (b *body) Read(buf []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buf)
 	if errors.Is(err, io.EOF) {
-		b.end(b.keep)
+		b.finish(b.reusable)
 	} else if err != nil {
-		b.end(false)
+		b.finish(false)
 	}
 	return n, err
 }
 
 func (b *body) Close() error {
-	b.end(false)
+	b.finish(false)
 	return nil
 }
 
-func (b *body) end(keep bool) {
+func (b *body) finish(keep bool) {
 	b.once.Do(func() {
 		// Where the context has ended meanwhile the deadline of the connection
 		// is past, and it is of no use.
-		keep = b.stop() && keep && b.c.w.done()
-		if !keep || !b.c.p.put(b.c, b.most) {
+		keep = b.stop() && keep && b.c.w.awaitWritten()
+		if !keep || !b.c.p.putIdle(b.c, b.idleTimeout) {
 			_ = b.c.Close()
 		}
 	})
@@ -332,11 +332,11 @@
 	}
 }
 
-func (p *Pool) put(c *conn, most time.Duration) bool {
-	c.until = p.clock.Now().Add(most)
+func (p *Pool) putIdle(c *conn, most time.Duration) bool {
+	c.expires = p.clock.Now().Add(most)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.t.Alive() || len(p.idle[c.addr]) >= poolMost {
+	if !p.t.Alive() || len(p.idle[c.addr]) >= poolMaxIdle {
 		return false
 	}
 	p.idle[c.addr] = append(p.idle[c.addr], c)
@@ -345,12 +345,12 @@
 
 // run closes connections that were kept too long.
 func (p *Pool) run() error {
-	tick := p.clock.Every(poolSweep)
+	tick := p.clock.Every(poolSweepInterval)
 	defer tick.Close()
 	for {
 		select {
 		case now := <-tick.C():
-			for _, c := range p.old(now) {
+			for _, c := range p.takeExpired(now) {
 				_ = c.Close()
 			}
 		case <-p.t.Dying():
@@ -359,14 +359,14 @@
 	}
 }
 
-func (p *Pool) old(now ident.Time) []*conn {
+func (p *Pool) takeExpired(now ident.Time) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var olds []*conn
 	for addr, cs := range p.idle {
 		kept := cs[:0]
 		for _, c := range cs {
-			if now >= c.until {
+			if now >= c.expires {
 				olds = append(olds, c)
 				continue
 			}
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -18,22 +18,22 @@
 	"verbenadale.example/verbenadale/internal/clock"
 )
 
-const waitMost = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// peer is the other side of each connection, as a function of the bytes.
-type peer struct {
+// testServer is the other side of each connection, as a function of the bytes.
+type testServer struct {
 	ln    net.Listener
 	conns atomic.Int32
 }
 
-func newPeer(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) *peer {
+func newTestServer(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	p := &peer{ln: ln}
+	p := &testServer{ln: ln}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -78,10 +78,10 @@
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
 }
 
-// tellConn answers each request with the number of its connection.
-func tellConn(n int, c net.Conn, br *bufio.Reader) {
+// serveConnNumber answers each request with the number of its connection.
+func serveConnNumber(n int, c net.Conn, br *bufio.Reader) {
 	for {
-		r, ok := next(br)
+		r, ok := readRequest(br)
 		if !ok {
 			return
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-func next(br *bufio.Reader) (*http.Request, bool) {
+func readRequest(br *bufio.Reader) (*http.Request, bool) {
 	r, err := http.ReadRequest(br)
 	if err != nil {
 		return nil, false
@@ -99,7 +99,7 @@
 }
 
 func TestPoolKeepsConnections(t *testing.T) {
-	peer := newPeer(t, tellConn)
+	peer := newTestServer(t, serveConnNumber)
 	p := newTestPool(t)
 	for i := range 5 {
 		got, err := call(t.Context(), p, peer.ln.Addr().String(), fmt.Sprint(i), "body")
@@ -114,16 +114,16 @@
 
 // A connection is dropped because its writer has not run again yet.
 func TestPoolKeepsConnectionsOfSlowWriters(t *testing.T) {
-	peer := newPeer(t, tellConn)
+	peer := newTestServer(t, serveConnNumber)
 	p := newTestPool(t)
 	raw, err := net.Dial("tcp", peer.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow := &slowWrites{Conn: raw}
+	slow := &slowWriteConn{Conn: raw}
 	addr := peer.ln.Addr().String()
-	c := &conn{Conn: slow, p: p, addr: addr, br: bufio.NewReaderSize(raw, connBuffer)}
-	if !p.put(c, time.Minute) {
+	c := &conn{Conn: slow, p: p, addr: addr, br: bufio.NewReaderSize(raw, connBufferBytes)}
+	if !p.putIdle(c, time.Minute) {
 		t.Fatal("the pool takes no connection")
 	}
 	for i := range 3 {
@@ -136,13 +136,13 @@
 
 // A target that reads no more holds up the end of an answer.
 func TestPoolWaitsBrieflyForTheRestOfARequest(t *testing.T) {
-	peer := newPeer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
 		reply(c, r.Header.Get("Id"), "early")
-		time.Sleep(waitMost)
+		time.Sleep(testTimeout)
 	})
 	p := newTestPool(t)
 	began := time.Now()
@@ -150,20 +150,20 @@
 	if diff := cmp.Diff("early", got); diff != "" || err != nil {
 		t.Fatalf("%v (-want +got):\n%s", err, diff)
 	}
-	if took := time.Since(began); took > waitMost/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("the end of the answer came after %v", took)
 	}
-	if c := p.pop(peer.ln.Addr().String()); c != nil {
+	if c := p.popIdle(peer.ln.Addr().String()); c != nil {
 		t.Error("a connection with a part of a request left was kept")
 	}
 }
 
-// slowWrites returns from a write long after its bytes have gone.
-type slowWrites struct{ net.Conn }
+// slowWriteConn returns from a write long after its bytes have gone.
+type slowWriteConn struct{ net.Conn }
 
-func (s *slowWrites) Write(b []byte) (int, error) {
+func (s *slowWriteConn) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
-	time.Sleep(writeRest / 4)
+	time.Sleep(finalWriteTimeout / 4)
 	return n, err
 }
 
@@ -171,9 +171,9 @@
 func TestExtraAnswersReachNobody(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "before the next": true} {
 		t.Run(name, func(t *testing.T) {
-			peer := newPeer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+			peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 				for first := true; ; first = false {
-					r, ok := next(br)
+					r, ok := readRequest(br)
 					if !ok {
 						return
 					}
@@ -201,8 +201,8 @@
 // A request is sent on a connection that the target has closed.
 func TestClosedConnectionsAreNotUsed(t *testing.T) {
 	var seen atomic.Int32
-	peer := newPeer(t, func(_ int, c net.Conn, br *bufio.Reader) {
-		r, ok := next(br)
+	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+		r, ok := readRequest(br)
 		if !ok {
 			return
 		}
@@ -224,9 +224,9 @@
 // The pool repeats a request after a reset.
 func TestPoolSendsOnce(t *testing.T) {
 	var seen atomic.Int32
-	peer := newPeer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		for {
-			r, ok := next(br)
+			r, ok := readRequest(br)
 			if !ok {
 				return
 			}
@@ -251,7 +251,7 @@
 // The next request is read as the rest of a body.
 func TestEarlyAnswer(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
-	peer := newPeer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -278,8 +278,8 @@
 func TestUnframedAnswers(t *testing.T) {
 	for name, reset := range map[string]bool{"whole": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
-			peer := newPeer(t, func(_ int, c net.Conn, br *bufio.Reader) {
-				r, ok := next(br)
+			peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+				r, ok := readRequest(br)
 				if !ok {
 					return
 				}
@@ -301,8 +301,8 @@
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	began := make(chan struct{})
-	peer := newPeer(t, func(_ int, _ net.Conn, br *bufio.Reader) {
-		if _, ok := next(br); !ok {
+	peer := newTestServer(t, func(_ int, _ net.Conn, br *bufio.Reader) {
+		if _, ok := readRequest(br); !ok {
 			return
 		}
 		close(began)
@@ -316,16 +316,16 @@
 	}
 	select {
 	case <-closed:
-	case <-time.After(waitMost):
+	case <-time.After(testTimeout):
 		t.Error("the target does not notice")
 	}
 }
 
 func TestKeepAliveIsRespected(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"timeout=5": 5*time.Second - poolEarly, "max=3, timeout=2": 2*time.Second - poolEarly, "timeout=0": 0, "": poolIdle, "timeout=x": poolIdle,
+		"timeout=5": 5*time.Second - poolIdleMargin, "max=3, timeout=2": 2*time.Second - poolIdleMargin, "timeout=0": 0, "": poolIdleTimeout, "timeout=x": poolIdleTimeout,
 	} {
-		if diff := cmp.Diff(want, keepFor(http.Header{"Keep-Alive": {text}})); diff != "" {
+		if diff := cmp.Diff(want, idleTimeoutFrom(http.Header{"Keep-Alive": {text}})); diff != "" {
 			t.Errorf("%q (-want +got):\n%s", text, diff)
 		}
 	}
--- a/internal/target/report.go
+++ b/internal/target/report.go
@@ -13,22 +13,22 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ErrReport says that a target gave no report that can be read.
-var ErrReport = errors.New("target: no readable report")
+// ErrBadReport says that a target gave no report that can be read.
+var ErrBadReport = errors.New("target: no readable report")
 
-// maxReport bounds a report.
-const maxReport = 1 << 20
+// maxReportBytes bounds a report.
+const maxReportBytes = 1 << 20
 
 // Load reads the load report of a target. A report of another target says
 // that the address was given to somebody else since the host list was read;
 // taken in, it would make a dead target look alive.
 func (c *Client) Load(ctx context.Context, t event.Target) (event.Load, error) {
 	var ld event.Load
-	if _, err := c.report(ctx, t.URL+"/load", &ld); err != nil {
+	if _, err := c.getReport(ctx, t.URL+"/load", &ld); err != nil {
 		return event.Load{}, err
 	}
 	if ld.Target != "" && ld.Target != t.ID {
-		return event.Load{}, errors.Wrapf(ErrReport, "the address of %s answers as %s", t.ID, ld.Target)
+		return event.Load{}, errors.Wrapf(ErrBadReport, "the address of %s answers as %s", t.ID, ld.Target)
 	}
 	ld.Target = t.ID
 	return ld, nil
@@ -51,7 +51,7 @@
 // that has none answers 404, which is no failure.
 func (c *Client) Cache(ctx context.Context, t event.Target, after uint64) ([]event.CacheChanged, error) {
 	var rep CacheReport
-	status, err := c.report(ctx, t.URL+"/cache?after="+strconv.FormatUint(after, 10), &rep)
+	status, err := c.getReport(ctx, t.URL+"/cache?after="+strconv.FormatUint(after, 10), &rep)
 	if status == http.StatusNotFound {
 		return nil, nil
 	}
@@ -67,25 +67,25 @@
 	return evs, nil
 }
 
-func (c *Client) report(ctx context.Context, url string, v any) (int, error) {
+func (c *Client) getReport(ctx context.Context, url string, v any) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return 0, errors.Wrap(ErrLink, err.Error())
+		return 0, errors.Wrap(ErrConnection, err.Error())
 	}
 	// The name of the library would be a quarter of the bytes of a poll.
 	req.Header["User-Agent"] = nil
-	res, err := c.reuse.Do(req)
+	res, err := c.pooled.Do(req)
 	if err != nil {
-		return 0, errors.Wrap(ErrLink, err.Error())
+		return 0, errors.Wrap(ErrConnection, err.Error())
 	}
 	defer res.Body.Close()
 	// A body that is read to its end leaves its connection for the next call.
-	defer func() { _, _ = io.CopyN(io.Discard, res.Body, maxReport) }()
+	defer func() { _, _ = io.CopyN(io.Discard, res.Body, maxReportBytes) }()
 	if res.StatusCode != http.StatusOK {
-		return res.StatusCode, errors.Wrapf(ErrReport, "status %d", res.StatusCode)
+		return res.StatusCode, errors.Wrapf(ErrBadReport, "status %d", res.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxReport)).Decode(v); err != nil {
-		return res.StatusCode, errors.Wrap(ErrReport, err.Error())
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxReportBytes)).Decode(v); err != nil {
+		return res.StatusCode, errors.Wrap(ErrBadReport, err.Error())
 	}
 	return res.StatusCode, nil
 }
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -60,30 +60,30 @@
 	NotRunDraining = "leaving"
 )
 
-// ErrLink says that the target was not reached or the link broke.
-var ErrLink = errors.New("target: the link broke")
+// ErrConnection says that the target was not reached or the link broke.
+var ErrConnection = errors.New("target: the link broke")
 
 // Client sends attempts to targets.
 type Client struct {
-	reuse *http.Client
-	fresh *http.Client
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
-// Order is one attempt.
-type Order struct {
-	Target   event.Target
-	Attempt  ident.Attempt
-	Request  ident.RequestID
-	Serve    rules.Serve
-	Method   string
-	Path     string
-	Header   http.Header
-	Body     []byte
-	Priority int
-	Resume   ident.Tokens
-	Left     time.Duration
-	// Once says that the call must not be sent a second time.
-	Once bool
+// AttemptRequest is one attempt.
+type AttemptRequest struct {
+	Target    event.Target
+	Attempt   ident.Attempt
+	Request   ident.RequestID
+	Serve     rules.Serve
+	Method    string
+	Path      string
+	Header    http.Header
+	Body      []byte
+	Priority  int
+	Resume    ident.Tokens
+	Remaining time.Duration
+	// AtMostOnce says that the call must not be sent a second time.
+	AtMostOnce bool
 	// CopyFrom is the address of a target that probably caches a prefix of the prompt,
 	// empty for none.
 	CopyFrom string
@@ -92,27 +92,27 @@
 // Bounds of the connections to targets. The time to connect is that within a
 // data centre; idle connections are kept for the bursts of a peak.
 const (
-	dialTimeout   = 2 * time.Second
-	idleTimeout   = 90 * time.Second
-	idlePerTarget = 64
-	maxHead       = 64 << 10
-	connBuffer    = 1 << 10
+	dialTimeout      = 2 * time.Second
+	idleTimeout      = 90 * time.Second
+	maxIdlePerTarget = 64
+	maxHeaderBytes   = 64 << 10
+	connBufferBytes  = 1 << 10
 )
 
 // New returns a client.
 func New() *Client {
 	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
 	return &Client{
-		reuse: &http.Client{Transport: &http.Transport{
-			DialContext: dial, MaxIdleConnsPerHost: idlePerTarget, IdleConnTimeout: idleTimeout, DisableCompression: true,
-			MaxResponseHeaderBytes: maxHead, WriteBufferSize: connBuffer, ReadBufferSize: connBuffer,
+		pooled: &http.Client{Transport: &http.Transport{
+			DialContext: dial, MaxIdleConnsPerHost: maxIdlePerTarget, IdleConnTimeout: idleTimeout, DisableCompression: true,
+			MaxResponseHeaderBytes: maxHeaderBytes, WriteBufferSize: connBufferBytes, ReadBufferSize: connBufferBytes,
 		}, CheckRedirect: noRedirect},
 		// The library repeats a request by itself when a reused connection turns out
 		// to be closed, even a POST with an Idempotency-Key. Calls that are not
 		// idempotent therefore get a new connection each.
-		fresh: &http.Client{Transport: &http.Transport{
-			DialContext: dial, DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: maxHead,
-			WriteBufferSize: connBuffer, ReadBufferSize: connBuffer,
+		unpooled: &http.Client{Transport: &http.Transport{
+			DialContext: dial, DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
+			WriteBufferSize: connBufferBytes, ReadBufferSize: connBufferBytes,
 		}, CheckRedirect: noRedirect},
 	}
 }
@@ -122,34 +122,34 @@
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Send sends an attempt and returns once the head of the answer has come.
-func (c *Client) Send(ctx context.Context, o Order, sent func()) (*http.Response, error) {
+func (c *Client) Send(ctx context.Context, o AttemptRequest, sent func()) (*http.Response, error) {
 	hook := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent() }}
 	ctx = httptrace.WithClientTrace(ctx, hook)
 	req, err := http.NewRequestWithContext(ctx, o.Method, o.Target.URL+o.Path, bytes.NewReader(o.Body))
 	if err != nil {
-		return nil, errors.Wrap(ErrLink, err.Error())
+		return nil, errors.Wrap(ErrConnection, err.Error())
 	}
-	o.fill(req.Header)
+	o.setHeaders(req.Header)
 	trace.Inject(ctx, req.Header)
-	cl := c.reuse
-	if o.Once {
-		cl = c.fresh
+	cl := c.pooled
+	if o.AtMostOnce {
+		cl = c.unpooled
 	}
 	res, err := cl.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(ErrLink, err.Error())
+		return nil, errors.Wrap(ErrConnection, err.Error())
 	}
 	return res, nil
 }
 
-func (o Order) fill(h http.Header) {
+func (o AttemptRequest) setHeaders(h http.Header) {
 	for k, vs := range o.Header {
 		h[k] = vs
 	}
 	h.Set(HeaderAttempt, o.Attempt.String())
 	h.Set(HeaderRequest, string(o.Request))
 	h.Set(HeaderPriority, strconv.Itoa(o.Priority))
-	h.Set(HeaderDeadline, strconv.FormatInt(o.Left.Milliseconds(), 10))
+	h.Set(HeaderDeadline, strconv.FormatInt(o.Remaining.Milliseconds(), 10))
 	setNonEmpty(h, HeaderModel, string(o.Serve.Model))
 	setNonEmpty(h, HeaderVersion, string(o.Serve.Version))
 	setNonEmpty(h, HeaderAdapter, string(o.Serve.Adapter))
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -14,11 +14,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func order(url string, once bool) Order {
-	return Order{
+func testRequest(url string, once bool) AttemptRequest {
+	return AttemptRequest{
 		Target: event.Target{ID: "uvs-p1", URL: url}, Attempt: ident.Attempt{Entry: "uvs-1", Incarnation: 1, Number: 1},
 		Request: "req-1", Method: http.MethodPost, Path: "/notices", Body: []byte("a notice"),
-		Header: http.Header{"Idempotency-Key": {"k"}}, Once: once,
+		Header: http.Header{"Idempotency-Key": {"k"}}, AtMostOnce: once,
 	}
 }
 
@@ -34,7 +34,7 @@
 	}))
 	defer srv.Close()
 	cl := New()
-	warm := order(srv.URL, false)
+	warm := testRequest(srv.URL, false)
 	warm.Path = "/load"
 	res, err := cl.Send(context.Background(), warm, func() {})
 	if err != nil {
@@ -42,8 +42,8 @@
 	}
 	res.Body.Close()
 	sent := false
-	if _, err := cl.Send(context.Background(), order(srv.URL, true), func() { sent = true }); !errors.Is(err, ErrLink) {
-		t.Errorf("error %v, want %v", err, ErrLink)
+	if _, err := cl.Send(context.Background(), testRequest(srv.URL, true), func() { sent = true }); !errors.Is(err, ErrConnection) {
+		t.Errorf("error %v, want %v", err, ErrConnection)
 	}
 	if diff := cmp.Diff(int32(1), calls.Load()); diff != "" || !sent {
 		t.Errorf("sent %v, calls at the service (-want +got):\n%s", sent, diff)
@@ -56,8 +56,8 @@
 	url := srv.URL
 	srv.Close()
 	sent := false
-	_, err := New().Send(context.Background(), order(url, true), func() { sent = true })
-	if !errors.Is(err, ErrLink) || sent {
+	_, err := New().Send(context.Background(), testRequest(url, true), func() { sent = true })
+	if !errors.Is(err, ErrConnection) || sent {
 		t.Errorf("error %v, sent %v", err, sent)
 	}
 }
@@ -70,7 +70,7 @@
 	srv := httptest.NewServer(http.RedirectHandler(other.URL, http.StatusTemporaryRedirect))
 	defer srv.Close()
 	for _, once := range []bool{false, true} {
-		res, err := New().Send(context.Background(), order(srv.URL, once), func() {})
+		res, err := New().Send(context.Background(), testRequest(srv.URL, once), func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -138,13 +138,13 @@
 	}
 }
 
-// carrier reads and writes the headers traceparent and tracestate.
-var carrier propagation.TraceContext
+// propagator reads and writes the headers traceparent and tracestate.
+var propagator propagation.TraceContext
 
 // Serve starts the span of a request that came in with the given headers.
 func (t *Tracer) Serve(ctx context.Context, h http.Header, name string) (context.Context, Span) {
 	if h.Get("Traceparent") != "" {
-		ctx = carrier.Extract(ctx, propagation.HeaderCarrier(h))
+		ctx = propagator.Extract(ctx, propagation.HeaderCarrier(h))
 	}
 	return t.start(ctx, name, oteltrace.SpanKindServer)
 }
@@ -170,7 +170,7 @@
 // goes out.
 func Inject(ctx context.Context, h http.Header) {
 	if oteltrace.SpanContextFromContext(ctx).IsValid() {
-		carrier.Inject(ctx, propagation.HeaderCarrier(h))
+		propagator.Inject(ctx, propagation.HeaderCarrier(h))
 	}
 }
 
@@ -187,5 +187,5 @@
 	if parent == "" {
 		return ctx
 	}
-	return carrier.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
+	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
