--- a/cmd/verbdev/main.go
+++ b/cmd/verbdev/main.go
@@ -1,4 +1,4 @@
-// Verbdev runs stand-ins for development.
+// Verbdev runs simulated services and test tools for development.
 package main
 
 import (
--- a/internal/cmds/check.go
+++ b/internal/cmds/check.go
@@ -32,7 +32,7 @@
 
 func (*checkCmd) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != 1 {
-		fmt.Fprintln(os.Stderr, "verbenadale: check takes one settings file")
+		fmt.Fprintln(os.Stderr, "verbenadale: check needs exactly one settings file")
 		return subcommands.ExitUsageError
 	}
 	_, faults, err := config.Load(fs.Arg(0))
@@ -49,11 +49,11 @@
 	return subcommands.ExitSuccess
 }
 
-// explainCmd spells out a code.
+// explainCmd prints the explanation of a code.
 type explainCmd struct{}
 
 func (*explainCmd) Name() string           { return "explain" }
-func (*explainCmd) Synopsis() string       { return "spell out a code" }
+func (*explainCmd) Synopsis() string       { return "explain a code" }
 func (*explainCmd) SetFlags(*flag.FlagSet) {}
 
 func (*explainCmd) Usage() string {
@@ -68,18 +68,18 @@
 func (*explainCmd) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	c, ok := codes.Find(codes.ID(fs.Arg(0)))
 	if !ok {
-		fmt.Fprintf(os.Stderr, "verbenadale: code %q is not known; docs/codes.md lists all\n", fs.Arg(0))
+		fmt.Fprintf(os.Stderr, "verbenadale: unknown code %q; docs/codes.md lists all codes\n", fs.Arg(0))
 		return subcommands.ExitFailure
 	}
 	fmt.Fprintf(os.Stdout, "%s (%s, since %s): %s\n\n%s\n", c.ID, c.Severity, c.Since, c.Title, c.Text)
 	return subcommands.ExitSuccess
 }
 
-// docsCmd writes the pages that are made from declarations.
+// docsCmd writes the pages that are generated from declarations.
 type docsCmd struct{ dir string }
 
 func (*docsCmd) Name() string     { return "docs" }
-func (*docsCmd) Synopsis() string { return "write the pages of settings and codes" }
+func (*docsCmd) Synopsis() string { return "generate the pages of settings and codes" }
 
 func (*docsCmd) Usage() string {
 	return `docs [-dir DIR]
@@ -91,7 +91,7 @@
 }
 
 func (c *docsCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.dir, "dir", "docs", "folder of the pages")
+	fs.StringVar(&c.dir, "dir", "docs", "directory of the pages")
 }
 
 func (c *docsCmd) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
--- a/internal/cmds/serve.go
+++ b/internal/cmds/serve.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of the daemon's program.
+// Package cmds implements the commands of the verbenadale program.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 	"verbenadale.example/verbenadale/internal/logs"
 )
 
-// Register adds every command.
+// Register registers every command.
 func Register(cdr *subcommands.Commander) {
 	cdr.Register(cdr.HelpCommand(), "")
 	cdr.Register(&serveCmd{}, "")
@@ -39,8 +39,8 @@
 
 func (*serveCmd) Usage() string {
 	return `serve -settings FILE
-  Runs an entry host until SIGTERM, which drains it. A second signal ends it
-  at once.
+  Runs an entry host until SIGTERM, which drains it. A second signal stops it
+  immediately.
 
   Example:
     verbenadale serve -settings entry.jsonc
@@ -78,7 +78,7 @@
 		log.Info("draining")
 		d.Drain()
 	case <-d.Drained():
-		// An operator asked for it, and the last request has ended.
+		// An operator drained the host, and its last request has ended.
 	}
 	select {
 	case <-d.Drained():
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// checker checks the values of settings whose shape has been walked.
+// checker checks the values of settings whose structure has been checked.
 type checker struct {
 	*structure
 	set Settings
@@ -28,7 +28,8 @@
 	c.checkNames()
 }
 
-// checkField goes down the path of a field, through every element of a list.
+// checkField follows the path of a field through every element of a list and checks
+// each value found.
 func (c *checker) checkField(v reflect.Value, at, path string, f Field) {
 	if c.rejected[at] {
 		return
@@ -53,7 +54,7 @@
 	}
 }
 
-// checkValue checks checkValue value. An empty string stands for a field that was left out.
+// checkValue checks one value. An empty string means that the field is absent.
 func (c *checker) checkValue(v reflect.Value, at string, f Field) {
 	if c.rejected[at] {
 		return
@@ -69,7 +70,8 @@
 	}
 }
 
-// nearestLine returns the line of a field, or of what it should stand in.
+// nearestLine returns the line of a field, or of the nearest enclosing object if
+// the field is absent.
 func (c *checker) nearestLine(at string) int {
 	for at != "" {
 		if n, ok := c.lines[at]; ok {
@@ -94,12 +96,12 @@
 			n++
 		}
 	}
-	const trio = 3
+	const tlsFiles = 3
 	switch {
 	case c.rejected["peers"] || c.rejected["peers.plain"]:
 	case p.Plain && n > 0:
 		c.addFault(codes.SettingTLS, "peers", c.nearestLine("peers"), "write either plain or certFile, keyFile and caFile")
-	case !p.Plain && n < trio:
+	case !p.Plain && n < tlsFiles:
 		c.addFault(codes.SettingTLS, "peers", c.nearestLine("peers"), "write certFile, keyFile and caFile, or plain for development")
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config reads and checks the settings of an entry host: what a
-// process learns from its own file and not from the platform.
+// Package config reads and checks the settings of an entry host, which
+// come from its own file and not from the platform.
 //
 // # Usage
 //
-//	set, faults := config.Load("entry.jsonc")
+//	set, faults, err := config.Load("entry.jsonc")
 //	for _, f := range faults {
 //		fmt.Println(f)
 //	}
@@ -32,28 +32,28 @@
 	Fleet      Fleet            `json:"fleet"`
 }
 
-// Fleet is what a host needs to know where the platform names routes, targets
-// and the entry hosts to use. It is empty elsewhere.
+// Fleet holds the settings of a deployment whose platform supplies the routes,
+// the targets and the entry hosts to use. It is empty in other deployments.
 type Fleet struct {
-	// Directory is the address that callers ask which hosts to use, Ready the
-	// one where the platform asks whether this host is ready, and Metrics the
-	// one that gives out counters.
+	// Directory is the address where callers look up the hosts to use, Ready
+	// the one for the platform's readiness checks, and Metrics the one that
+	// serves counters.
 	Directory string `json:"directory"`
 	Ready     string `json:"ready"`
 	Metrics   string `json:"metrics"`
 	// Seeds are the addresses of hosts to try before the platform's list is
 	// known.
 	Seeds []string `json:"seeds"`
-	// Places are all data centres of the deployment.
+	// Places lists all data centres of the deployment.
 	Places []FleetPlace `json:"places"`
 	// GraceSeconds is the time from SIGTERM to the end of the process.
 	GraceSeconds float64 `json:"graceSeconds"`
-	// RetryRatio and RetryFloor bound the second tries at a service over all
-	// hosts in ten seconds.
+	// RetryRatio and RetryFloor bound the retries at a service over all hosts in
+	// ten seconds.
 	RetryRatio float64 `json:"retryRatio"`
 	RetryFloor int64   `json:"retryFloor"`
-	// ColdOvershoot and ColdSlack widen the rate of a cold target to what all
-	// hosts may send it in a second.
+	// ColdOvershoot and ColdSlack turn the rate of a cold target into the limit of
+	// what all hosts may send it in a second.
 	ColdOvershoot float64 `json:"coldOvershoot"`
 	ColdSlack     float64 `json:"coldSlack"`
 	// MinLeaseMs is the shortest lease that the platform grants.
@@ -66,27 +66,28 @@
 	Region     ident.Region     `json:"region"`
 }
 
-// Callers is the address towards callers.
+// Callers is the listener for callers.
 type Callers struct {
-	// Listen is host:port, with an IP number as the host.
+	// Listen is host:port, with an IP address as the host.
 	Listen string `json:"listen"`
-	// URL is the base URL for callers; empty stands for http://LISTEN.
+	// URL is the base URL for callers; empty means https://LISTEN with
+	// a certificate and http://LISTEN without one.
 	URL string `json:"url"`
-	// CertFile and KeyFile turn on TLS towards callers.
+	// CertFile and KeyFile turn on TLS for callers.
 	CertFile string `json:"certFile"`
 	KeyFile  string `json:"keyFile"`
 }
 
-// Peers is the address towards other entry hosts.
+// Peers is the listener for other entry hosts and the TLS keys of the links.
 type Peers struct {
-	// Listen is host:port. Links to other hosts come from its IP number too.
+	// Listen is host:port. Links to other hosts are dialled from its IP address too.
 	Listen string `json:"listen"`
-	// Advertise is the address that other hosts dial; empty stands for Listen.
+	// Advertise is the address that other hosts dial; empty means Listen.
 	Advertise string `json:"advertise"`
 	// Seeds are hosts to try before the platform's list is known.
 	Seeds []Seed `json:"seeds"`
-	// CertFile, KeyFile and CAFile hold the keys for mutual TLS. They are
-	// read again when they change.
+	// CertFile, KeyFile and CAFile are the files for mutual TLS. They are
+	// reloaded when they change.
 	CertFile string `json:"certFile"`
 	KeyFile  string `json:"keyFile"`
 	CAFile   string `json:"caFile"`
@@ -102,7 +103,7 @@
 	Region     ident.Region     `json:"region"`
 }
 
-// Operators is the address towards operators.
+// Operators is the listener for operators.
 type Operators struct {
 	Listen string     `json:"listen"`
 	Known  []Operator `json:"known"`
@@ -115,25 +116,27 @@
 	TokenDigest string `json:"tokenDigest"`
 }
 
-// Platform is the platform's service.
+// Platform locates the platform's service and limits the calls to it.
 type Platform struct {
 	URL string `json:"url"`
-	// TimeoutMs bounds each call but the watch.
+	// TimeoutMs bounds each call except the watch.
 	TimeoutMs int64 `json:"timeoutMs"`
-	// CallsPerSecond bounds the calls of this host, with bursts of as many.
+	// CallsPerSecond bounds the calls of this host; bursts may be as
+	// large as one second of calls.
 	CallsPerSecond float64 `json:"callsPerSecond"`
 }
 
-// Limits bound what one sender can take up.
+// Limits bounds the resources that callers can use.
 type Limits struct {
 	MaxBodyBytes   ident.Bytes `json:"maxBodyBytes"`
 	MaxHeaderBytes int         `json:"maxHeaderBytes"`
 	MaxConnections int         `json:"maxConnections"`
 	MaxRequests    int         `json:"maxRequests"`
-	// MaxBufferedBytes bounds the memory of all bodies and held answers together.
+	// MaxBufferedBytes bounds the memory of all bodies and buffered
+	// answers together.
 	MaxBufferedBytes ident.Bytes `json:"maxHeldBytes"`
 	// HeaderMs and BodyMs are how long the headers and the body of a request
-	// may take to arrive, WriteMs how long a caller may take to accept a piece
+	// may take to arrive, WriteMs how long a caller may take to accept a part
 	// of its answer, IdleMs how long a connection may wait for a request.
 	HeaderMs int64 `json:"headerMs"`
 	BodyMs   int64 `json:"bodyMs"`
@@ -141,7 +144,7 @@
 	IdleMs   int64 `json:"idleMs"`
 }
 
-// Traces says where spans go.
+// Traces configures the export of spans.
 type Traces struct {
 	// Exporter is none, stdout or otlp.
 	Exporter string  `json:"exporter"`
@@ -149,11 +152,11 @@
 	Ratio    float64 `json:"ratio"`
 }
 
-// Logs says what is logged.
+// Logs configures logging.
 type Logs struct {
 	// Level is a logr verbosity: 0 for events, 1 for each request.
 	Level int `json:"level"`
 }
 
-// Millis turns a number of milliseconds into a duration.
+// Millis converts milliseconds to a duration.
 func Millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// A fault of a settings file is missed, or shown only one at a time.
+// A fault of a settings file is not reported, or only the first of several is.
 func TestFaults(t *testing.T) {
 	dirs, err := filepath.Glob("testdata/*/in.jsonc")
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	for _, c := range codes.Settings {
 		if !strings.Contains(all, string(c.ID)) {
-			t.Errorf("no folder brings about %s", c.ID)
+			t.Errorf("no case in testdata reports code %s", c.ID)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// A settings field is read without a declaration, or declared and never read.
+// A settings field is in the Settings type but not in Fields, or the reverse.
 func TestFieldsDeclared(t *testing.T) {
 	declared := map[string]bool{}
 	for _, f := range Fields {
@@ -86,8 +86,8 @@
 	return map[string]bool{path: true}
 }
 
-// Whatever stands in a settings file, it is shown as a fault or accepted, and the
-// host that reads it does not fall over.
+// Parse panics on some input, accepts settings without their required fields, or
+// reports a fault without a code or message.
 func FuzzParse(f *testing.F) {
 	files, err := filepath.Glob("testdata/*/in.jsonc")
 	if err != nil {
@@ -103,7 +103,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		set, faults := Parse(text)
 		if len(faults) == 0 && (set.Entry == "" || set.Callers.Listen == "") {
-			t.Errorf("taken without its required fields: %q", text)
+			t.Errorf("accepted without required fields: %q", text)
 		}
 		for _, f := range faults {
 			if f.Message == "" || f.Code == "" {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -12,21 +12,21 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// Field is one declared field of the settings. The checks and the page of the
-// settings are both made from it.
+// Field declares one field of the settings. The checks and the settings page
+// are both generated from it.
 type Field struct {
-	// Path names the field; [] stands for each element of a list.
+	// Path names the field; [] denotes each element of a list.
 	Path string
-	// Text says what the field is for.
+	// Text describes the purpose of the field.
 	Text     string
 	Required bool
-	// Accepts says what to write, and code which fault another value is.
+	// Accepts describes the accepted values; code is the fault of any other value.
 	Accepts string
 	code    codes.Code
 	ok      func(v reflect.Value) bool
 }
 
-// rule is how a value is checked.
+// rule describes and checks the accepted values of a field.
 type rule struct {
 	code    codes.Code
 	accepts string
@@ -61,53 +61,53 @@
 // Fields is the table of the declared fields.
 var Fields = []Field{
 	required("entry", "the name of this entry host", nameRule),
-	required("dataCentre", "the data centre that the host stands in", nameRule),
-	required("region", "the region of the data centre, which residency rules name", nameRule),
-	required("callers.listen", "the address towards callers", addrRule),
-	optional("callers.url", "the base URL for callers; the listen address where empty", urlRule),
-	optional("callers.certFile", "the certificate towards callers; turns TLS on", fileRule),
-	optional("callers.keyFile", "the key of the certificate towards callers", fileRule),
-	required("peers.listen", "the address towards other entry hosts", addrRule),
-	optional("peers.advertise", "the address that other entry hosts dial; the listen address where empty", addrRule),
+	required("dataCentre", "the data centre of this entry host", nameRule),
+	required("region", "the region of the data centre, as named in residency rules", nameRule),
+	required("callers.listen", "the address to listen on for callers", addrRule),
+	optional("callers.url", "the base URL for callers; the listen address if empty", urlRule),
+	optional("callers.certFile", "the TLS certificate for callers; turns TLS on", fileRule),
+	optional("callers.keyFile", "the key of the TLS certificate for callers", fileRule),
+	required("peers.listen", "the address to listen on for other entry hosts", addrRule),
+	optional("peers.advertise", "the address that other entry hosts dial; the listen address if empty", addrRule),
 	required("peers.seeds[].entry", "the name of a host to try before the platform's list is known", nameRule),
-	required("peers.seeds[].addr", "the address of the seed towards other entry hosts", addrRule),
+	required("peers.seeds[].addr", "the address on which the seed listens for other entry hosts", addrRule),
 	required("peers.seeds[].dataCentre", "the data centre of the seed", nameRule),
 	required("peers.seeds[].region", "the region of the seed", nameRule),
-	optional("peers.certFile", "the certificate of this host towards other entry hosts", fileRule),
-	optional("peers.keyFile", "the key of the certificate towards other entry hosts", fileRule),
-	optional("peers.caFile", "the certificate that signs those of entry hosts", fileRule),
+	optional("peers.certFile", "the TLS certificate of this host for links to other entry hosts", fileRule),
+	optional("peers.keyFile", "the key of the certificate for links to other entry hosts", fileRule),
+	optional("peers.caFile", "the CA certificate that signs the certificates of entry hosts", fileRule),
 	optional("peers.plain", "turns TLS between entry hosts off, for development", boolRule),
-	required("operators.listen", "the address towards operators", addrRule),
+	required("operators.listen", "the address to listen on for operators", addrRule),
 	required("operators.known[].name", "the name of an operator", nameRule),
 	required("operators.known[].tokenDigest", "the SHA-256 digest of the operator's token", digestRule),
 	required("platform.url", "the base URL of the platform's service", urlRule),
-	optional("platform.timeoutMs", "the time for each call but the watch, in milliseconds", inRange(10, 60_000)),
-	optional("platform.callsPerSecond", "the most calls a second, with bursts of as many", inRange(0.1, 1000)),
-	optional("limits.maxBodyBytes", "the longest body of a request", inRange(1<<10, 1<<30)),
-	optional("limits.maxHeaderBytes", "the longest headers of a request", inRange(1<<10, 1<<20)),
-	optional("limits.maxConnections", "the most connections of callers", inRange(1, 1<<20)),
-	optional("limits.maxRequests", "the most requests in flight", inRange(1, 1<<20)),
-	optional("limits.maxHeldBytes", "the memory of all bodies and held answers together; 0 is no bound", inRange(0, 1<<40)),
-	optional("limits.headerMs", "the time for the headers of a request to arrive, in milliseconds", inRange(10, 600_000)),
-	optional("limits.bodyMs", "the time for the body of a request to arrive, in milliseconds", inRange(10, 3_600_000)),
-	optional("limits.writeMs", "the time for a caller to accept a piece of its answer, in milliseconds; 0 is no bound", inRange(0, 3_600_000)),
-	optional("limits.idleMs", "the time that a connection may wait for a request, in milliseconds; 0 is no bound", inRange(0, 3_600_000)),
-	optional("traces.exporter", "where spans go", exporterRule),
+	optional("platform.timeoutMs", "the timeout of each call except the watch, in milliseconds", inRange(10, 60_000)),
+	optional("platform.callsPerSecond", "the maximum number of calls a second, and of calls in a burst", inRange(0.1, 1000)),
+	optional("limits.maxBodyBytes", "the maximum size of a request body, in bytes", inRange(1<<10, 1<<30)),
+	optional("limits.maxHeaderBytes", "the maximum size of the request headers, in bytes", inRange(1<<10, 1<<20)),
+	optional("limits.maxConnections", "the maximum number of connections of callers", inRange(1, 1<<20)),
+	optional("limits.maxRequests", "the maximum number of requests in flight", inRange(1, 1<<20)),
+	optional("limits.maxHeldBytes", "the maximum memory of all bodies and buffered answers together, in bytes; 0 means no limit", inRange(0, 1<<40)),
+	optional("limits.headerMs", "the timeout for the headers of a request to arrive, in milliseconds", inRange(10, 600_000)),
+	optional("limits.bodyMs", "the timeout for the body of a request to arrive, in milliseconds", inRange(10, 3_600_000)),
+	optional("limits.writeMs", "the timeout for a caller to accept a part of its answer, in milliseconds; 0 means no limit", inRange(0, 3_600_000)),
+	optional("limits.idleMs", "the timeout of idle connections, in milliseconds; 0 means no limit", inRange(0, 3_600_000)),
+	optional("traces.exporter", "the exporter of spans", exporterRule),
 	optional("traces.endpoint", "the base URL of the collector, for otlp", urlRule),
-	optional("traces.ratio", "the share of requests that get spans", inRange(0, 1)),
-	optional("fleet.directory", "the address that callers ask which entry hosts to use, where the platform names routes and targets", addrRule),
-	optional("fleet.ready", "the address where the platform asks whether this host is ready", addrRule),
-	optional("fleet.metrics", "the address that gives out counters and histograms as text", addrRule),
+	optional("traces.ratio", "the share of requests that are traced", inRange(0, 1)),
+	optional("fleet.directory", "the address where callers look up the entry hosts to use, if the platform supplies routes and targets", addrRule),
+	optional("fleet.ready", "the address for the platform's readiness checks", addrRule),
+	optional("fleet.metrics", "the address that serves counters and histograms as text", addrRule),
 	optional("fleet.seeds[]", "the address of a host to try before the platform's list is known", addrRule),
 	required("fleet.places[].dataCentre", "a data centre of the deployment", nameRule),
 	required("fleet.places[].region", "the region of that data centre", nameRule),
-	optional("fleet.graceSeconds", "the time from SIGTERM to the end of the process, in seconds; 0 stands for 10", inRange(0, 600)),
-	optional("fleet.retryRatio", "the most second tries at a service for each of its requests, over all hosts", inRange(0, 10)),
-	optional("fleet.retryFloor", "the second tries at a service in ten seconds that need no requests, over all hosts", inRange(0, 1e6)),
-	optional("fleet.coldOvershoot", "how many times its rate a cold target may be sent", inRange(0, 100)),
+	optional("fleet.graceSeconds", "the time from SIGTERM to the end of the process, in seconds; 0 means 10", inRange(0, 600)),
+	optional("fleet.retryRatio", "the maximum number of retries at a service per request to it, over all hosts", inRange(0, 10)),
+	optional("fleet.retryFloor", "the number of retries at a service in ten seconds that are allowed regardless of its requests, over all hosts", inRange(0, 1e6)),
+	optional("fleet.coldOvershoot", "the factor by which the requests to a cold target may exceed its rate", inRange(0, 100)),
 	optional("fleet.coldSlack", "the requests a second that a cold target may be sent beside", inRange(0, 1e6)),
 	optional("fleet.leaseLeastMs", "the shortest lease that the platform grants, in milliseconds", inRange(0, 600_000)),
-	optional("logs.level", "what is logged: 0 for events, 1 for each request too", inRange(0, 9)),
+	optional("logs.level", "the log verbosity: 0 for events, 1 for each request too", inRange(0, 9)),
 }
 
 func onString(ok func(s string) bool) func(v reflect.Value) bool {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -14,8 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// ErrRead says that the settings file can't be read.
-var ErrRead = errors.New("config: the settings file can't be read")
+// ErrRead is returned if the settings file cannot be read.
+var ErrRead = errors.New("config: cannot read the settings file")
 
 // Defaults of the settings.
 const (
@@ -39,20 +39,20 @@
 	Code codes.ID `json:"code"`
 	// Path names the field, such as callers.listen.
 	Path string `json:"path"`
-	// Line counts from 1; zero is unknown.
+	// Line counts from 1; 0 means unknown.
 	Line int `json:"line"`
-	// Message says what to write instead.
+	// Message describes what to write instead.
 	Message string `json:"message"`
 }
 
-// String writes the fault in one line.
+// String formats the fault as one line.
 func (f Fault) String() string {
 	c, _ := codes.Find(f.Code)
 	return fmt.Sprintf("line %d: %s: %s: %s (%s)", f.Line, f.Path, c.Title, f.Message, f.Code)
 }
 
-// Load reads and checks a settings file. The settings are of use only without
-// faults.
+// Load reads and checks a settings file. The settings are valid only if there
+// are no faults. It fails with ErrRead if the file cannot be read.
 func Load(path string) (Settings, []Fault, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return set, faults, nil
 }
 
-// Parse reads and checks the text of a settings file. It lists every fault.
+// Parse reads and checks the text of a settings file. It returns every fault.
 func Parse(text []byte) (Settings, []Fault) {
 	val, err := hujson.Parse(bytes.Clone(text))
 	if err != nil {
@@ -101,7 +101,7 @@
 	return "http://" + c.Listen
 }
 
-// Defaults returns the settings that hold where a file names none.
+// Defaults returns the settings that apply if a file does not set them.
 func Defaults() Settings {
 	return Settings{
 		Platform: Platform{TimeoutMs: defaultTimeoutMs, CallsPerSecond: defaultCallsPerSecond},
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -12,15 +12,15 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// structure walks a parsed file beside the type of the settings. It finds unknown
-// fields, fields that stand twice and values of another type, takes them out of
-// the tree so that the rest can still be read and checked, and notes the line
-// of each field.
+// structure checks a parsed file against the type of the settings. It reports
+// unknown fields, duplicate fields and values of the wrong type, removes them
+// from the tree so that the rest can still be read and checked, and records the
+// line of each field.
 type structure struct {
 	text   []byte
 	lines  map[string]int
 	faults []Fault
-	// rejected holds the paths that are out of the tree.
+	// rejected holds the paths that are faulty, most of which were removed from the tree.
 	rejected map[string]bool
 }
 
@@ -36,7 +36,8 @@
 	s.faults = append(s.faults, Fault{Code: c.ID, Path: path, Line: line, Message: fmt.Sprintf(format, args...)})
 }
 
-// walkValue walks one walkValue and reports whether it may stay.
+// walkValue checks a value and those within it, and reports whether it stays in
+// the tree.
 func (s *structure) walkValue(v *hujson.Value, t reflect.Type, path string) bool {
 	line := s.lineAt(v.StartOffset)
 	s.lines[path] = line
@@ -95,7 +96,7 @@
 	return names
 }
 
-// typeName names what a field takes.
+// typeName describes the values of a type, for the message of a fault.
 func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -129,20 +130,20 @@
 	return k == '0' && !strings.ContainsAny(string(v.Value.(hujson.Literal)), ".eE") && len(v.Value.(hujson.Literal)) < maxDigits
 }
 
-// maxDigits keeps whole numbers within 64 bits.
+// maxDigits bounds the length of whole numbers, so that they fit 64 bits.
 const maxDigits = 19
 
-// suggestName says what to write in place of an unknown field.
+// suggestName suggests a replacement for an unknown field.
 func suggestName(name string, names map[string]reflect.StructField) string {
-	best, least := "", len(name)/2+1
+	best, minDistance := "", len(name)/2+1
 	known := make([]string, 0, len(names))
 	for n := range names {
 		known = append(known, n)
 	}
 	slices.Sort(known)
 	for _, n := range known {
-		if d := editDistance(strings.ToLower(name), strings.ToLower(n)); d < least {
-			best, least = n, d
+		if d := editDistance(strings.ToLower(name), strings.ToLower(n)); d < minDistance {
+			best, minDistance = n, d
 		}
 	}
 	if best != "" {
@@ -151,7 +152,8 @@
 	return "leave it out; the fields here are " + strings.Join(known, ", ")
 }
 
-// editDistance is the number of letters to insert, drop or change.
+// editDistance returns the number of bytes to insert, delete or replace to turn
+// a into b.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// callerServer returns the server towards callers.
+// callerServer returns the HTTP server for callers.
 func (d *Daemon) callerServer() *http.Server {
 	lim := d.cfg.Settings.Limits
 	fr := front.New(front.Config{
@@ -39,7 +39,7 @@
 	}
 }
 
-// serveCallers listens for callers, with TLS where the settings name a
+// serveCallers listens for callers, with TLS if the settings name a
 // certificate.
 func (d *Daemon) serveCallers() error {
 	set, srv := d.cfg.Settings.Callers, d.callerServer()
@@ -54,15 +54,14 @@
 	if err != nil {
 		return errors.Wrap(err, "daemon: listen for callers")
 	}
-	if most := d.cfg.Settings.Limits.MaxConnections; most > 0 {
-		// Connections above the limit wait in the kernel, where they cost
-		// this process nothing.
-		ln = netutil.LimitListener(ln, most)
+	if maxConns := d.cfg.Settings.Limits.MaxConnections; maxConns > 0 {
+		// Connections above the limit wait in the kernel's accept queue, where
+		// they cost this process nothing.
+		ln = netutil.LimitListener(ln, maxConns)
 	}
 	d.serve(&httpsv.Listener{Server: srv, Net: ln})
 	return nil
 }
 
-// Requests returns the number of requests that have not had their final
-// answer.
+// Requests returns the number of requests whose final answer is outstanding.
 func (d *Daemon) Requests() int { return d.runner.Running() }
--- a/internal/daemon/carry.go
+++ b/internal/daemon/carry.go
@@ -8,10 +8,11 @@
 	"verbenadale.example/verbenadale/internal/trail"
 )
 
-// loadTimeout is how long a load report may take.
+// loadTimeout bounds the time to read a load report and the cache events of a target.
 const loadTimeout = time.Second
 
-// execute takes an effect from the control thread and must not block it.
+// execute is called by the loop with each effect. It runs on the control thread and
+// must not block.
 func (d *Daemon) execute(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.InForceNow:
@@ -22,7 +23,7 @@
 	case event.Note:
 		trail.LogNote(d.cfg.Log, e)
 	case event.DropLinks:
-		// The library of the engines' client finds out by itself.
+		// net/http detects closed connections to targets itself.
 	case event.Drained:
 		d.halt.MarkDrained()
 	default:
@@ -36,13 +37,13 @@
 	select {
 	case d.work <- eff:
 	default:
-		// The platform or the targets are slower than the effects come. The
-		// reducer asks again; blocking here would stop its decisions.
-		d.cfg.Log.Info("effect dropped, workers are busy", "effect", event.TypeName(eff))
+		// Effects arrive faster than the workers can execute them. The reducer
+		// repeats the effect later; blocking here would stop its decisions.
+		d.cfg.Log.Info("effect dropped: all workers are busy", "effect", event.TypeName(eff))
 	}
 }
 
-// run carries out effects that wait for the network.
+// run executes queued effects, which block on the network.
 func (d *Daemon) run() error {
 	ctx := d.t.Context(context.Background())
 	for {
@@ -75,8 +76,8 @@
 	}
 	evs, err := d.targets.Cache(ctx, e.Target, e.After)
 	if err != nil {
-		// Cache events are hints. Without them an engine looks cold and is
-		// used all the same.
+		// Cache events are hints. Without them the engine counts as having an
+		// empty cache, and is still used.
 		return
 	}
 	for _, ev := range evs {
--- a/internal/daemon/cert.go
+++ b/internal/daemon/cert.go
@@ -10,9 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// callerCert is the certificate towards callers. It is read again when its
-// files change, so that a renewal needs no restart, which would end the streams
-// that run.
+// callerCert is the TLS certificate that callers see. It is reloaded when its
+// files change: a renewal by restart would abort the streams in progress.
 type callerCert struct {
 	certFile, keyFile string
 	log               logr.Logger
@@ -25,45 +24,45 @@
 // load reads the files for the first time.
 func (c *callerCert) load() error {
 	if _, err := c.get(nil); err != nil {
-		return errors.Wrap(err, "daemon: certificate towards callers")
+		return errors.Wrap(err, "daemon: load certificate for callers")
 	}
 	return nil
 }
 
-// get returns the newest certificate that fits its key. Files that are half
-// replaced leave the old one in force: a host that refused every handshake in
-// the meantime would look dead to its callers.
+// get returns the newest certificate that matches its key. While the files do
+// not match, as in the middle of a renewal, it returns the previous certificate:
+// a host that refused every handshake would look dead to its callers.
 func (c *callerCert) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	text, err := c.readFiles()
-	if err == nil && c.cert != nil && bytes.Equal(text[0], c.pem[0]) && bytes.Equal(text[1], c.pem[1]) {
+	files, err := c.readFiles()
+	if err == nil && c.cert != nil && bytes.Equal(files[0], c.pem[0]) && bytes.Equal(files[1], c.pem[1]) {
 		return c.cert, nil
 	}
 	var next tls.Certificate
 	if err == nil {
-		next, err = tls.X509KeyPair(text[0], text[1])
+		next, err = tls.X509KeyPair(files[0], files[1])
 	}
 	if err != nil {
 		if c.cert == nil {
 			return nil, err
 		}
-		c.log.V(1).Info("certificate towards callers not taken over", "reason", err.Error())
+		c.log.V(1).Info("certificate for callers not reloaded, keeping the previous one", "reason", err.Error())
 		return c.cert, nil
 	}
-	c.pem, c.cert = text, &next
-	c.log.Info("certificate towards callers taken over", "certFile", c.certFile)
+	c.pem, c.cert = files, &next
+	c.log.Info("certificate for callers loaded", "certFile", c.certFile)
 	return c.cert, nil
 }
 
 func (c *callerCert) readFiles() ([2][]byte, error) {
-	var text [2][]byte
+	var files [2][]byte
 	for i, name := range []string{c.certFile, c.keyFile} {
 		b, err := os.ReadFile(name)
 		if err != nil {
-			return text, err
+			return files, err
 		}
-		text[i] = b
+		files[i] = b
 	}
-	return text, nil
+	return files, nil
 }
--- a/internal/daemon/cert_test.go
+++ b/internal/daemon/cert_test.go
@@ -16,8 +16,8 @@
 	"verbenadale.example/verbenadale/internal/logs"
 )
 
-// serialOf makes a handshake with a host and returns the serial number of the
-// certificate that it shows.
+// serialOf connects to a host with TLS and returns the serial number of the
+// certificate that the host presents.
 func serialOf(t *testing.T, addr string, pool *x509.CertPool) string {
 	t.Helper()
 	conn, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: pool, ServerName: "uvs-1", MinVersion: tls.VersionTLS12})
@@ -28,7 +28,8 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
 }
 
-// Handshakes fail while the files of a renewed certificate do not match, or the old one stays in use.
+// Handshakes fail while the files of a certificate that is being renewed do not match, or the
+// previous certificate stays in use after the renewal.
 func TestCallerCertificateIsRenewed(t *testing.T) {
 	ca, err := certs.New()
 	if err != nil {
@@ -61,13 +62,13 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(first, serialOf(t, set.Callers.Listen, pool)); diff != "" {
-		t.Errorf("serial number while the files do not fit (-want +got):\n%s", diff)
+		t.Errorf("serial number while the files do not match (-want +got):\n%s", diff)
 	}
 	if _, err := ca.Issue(dir, "uvs-1"); err != nil {
 		t.Fatal(err)
 	}
 	if second := serialOf(t, set.Callers.Listen, pool); second == first {
-		t.Error("the old certificate is shown after the renewal")
+		t.Error("the previous certificate is presented after the renewal")
 	}
 	cl := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: "uvs-1", MinVersion: tls.VersionTLS12}}}
 	res, err := cl.Get("https://" + set.Callers.Listen + "/v1/models")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of an entry host together and runs them.
+// Package daemon assembles and runs the parts of an entry host.
 //
 // # Usage
 //
@@ -38,20 +38,20 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Config is what a daemon needs.
+// Config configures a daemon.
 type Config struct {
 	Settings config.Settings
 	Log      logr.Logger
 	Level    *logs.Level
-	// Metrics is where counters go, which the operators' address gives out;
-	// nil is a registry of the daemon's own.
+	// Metrics is the registry of the counters, which the operators' address
+	// serves; nil means a registry of the daemon's own.
 	Metrics metrics.Registry
-	// Step, where set, replaces the reducer, for comparisons.
+	// Step, if set, replaces the reducer, for comparisons.
 	Step func(now ident.Time, ev event.Event) []event.Effect
-	// Record, where set, gets the own host and returns what sees each
-	// event and its effects, for replay.
+	// Record, if set, is called with this host and returns a function that is
+	// called with each event and its effects, for replay.
 	Record func(self event.Host) func(now ident.Time, ev event.Event, effs []event.Effect)
-	// BeforeStep, where set, is called with the reducer before each of its steps,
+	// BeforeStep, if set, is called with the reducer before each of its steps,
 	// on the control thread; it may change the router's policy.
 	BeforeStep func(red *core.Reducer)
 }
@@ -66,7 +66,7 @@
 	store   *store.Client
 	revs    *revlog.Log
 	targets *target.Client
-	// platform is set before the loop starts, which calls it.
+	// platform is set before the loop starts, because the loop calls it.
 	platform *platform
 	metrics  metrics.Registry
 	book     atomic.Pointer[rules.Book]
@@ -81,14 +81,13 @@
 	trace    *trace.Tracer
 }
 
-// Sizes of the worker pool that carries out effects towards the platform and
-// the load reports.
+// Sizes of the worker pool that polls the targets for load reports.
 const (
 	workQueueSize = 1024
 	workers       = 8
 )
 
-// Start starts an entry host and returns when it listens.
+// Start starts an entry host and returns once it listens.
 func Start(cfg Config) (*Daemon, error) {
 	set := cfg.Settings
 	d := &Daemon{
@@ -137,10 +136,11 @@
 
 func (d *Daemon) post(ev event.Event) { d.loop.Post(ev) }
 
-// noIdleTimeout leaves idle connections to the servers, whose settings bound them.
+// noIdleTimeout disables the idle limit of the connection tracker; the HTTP servers
+// bound idle connections themselves.
 func noIdleTimeout() time.Duration { return 0 }
 
-// stepFunc returns what steps the reducer.
+// stepFunc returns the function that applies an event to the reducer.
 func (d *Daemon) stepFunc() func(ident.Time, event.Event) []event.Effect {
 	if d.cfg.Step != nil {
 		return d.cfg.Step
@@ -169,7 +169,7 @@
 	}
 }
 
-// maxAnswerBytes bounds an answer that is held until it is whole.
+// maxAnswerBytes bounds an answer that is buffered until it is complete.
 const maxAnswerBytes = 16 << 20
 
 func (d *Daemon) listen() error {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// serve has the keeper know the connections of a server and runs it.
+// serve registers a server with the connection tracker and runs it.
 func (d *Daemon) serve(l *httpsv.Listener) {
 	l.Server.ConnState, l.Server.ConnContext = d.conns.ConnState, d.conns.ConnContext
 	l.Net = d.conns.Listener(l.Net)
@@ -207,7 +207,7 @@
 	d.t.Go(l.Run)
 }
 
-// Drain starts a graceful stop.
+// Drain starts a graceful stop; Drained reports its end.
 func (d *Daemon) Drain() {
 	d.platform.reg.drain()
 	d.mesh.SetDraining()
@@ -220,17 +220,17 @@
 	return nil
 }
 
-// Drained is closed when the last request has ended after Drain.
+// Drained returns a channel that is closed once the last request after Drain has ended.
 func (d *Daemon) Drained() <-chan struct{} { return d.halt.Done() }
 
-// finalTimeout bounds the time for the last answers to leave, and again for connections to end;
-// stopTimeout that for the links to other hosts.
+// finalTimeout bounds the time to send the last answers, and again the time for connections to end;
+// stopTimeout bounds the time to close the links to other hosts and to flush spans.
 const (
 	finalTimeout = 2 * time.Second
 	stopTimeout  = 5 * time.Second
 )
 
-// Stop ends the host.
+// Stop closes the servers and peer links and waits for all goroutines to end.
 func (d *Daemon) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/daemon/forward_test.go
+++ b/internal/daemon/forward_test.go
@@ -27,8 +27,8 @@
 
 const testTimeout = 20 * time.Second
 
-// relay is a reducer that passes each request of a caller on to its one peer
-// and gives each of a peer to its one engine.
+// relay is a reducer that forwards each request of a caller to its only peer and
+// dispatches each forwarded request to its only engine.
 type relay struct {
 	book   *rules.Book
 	engine event.Target
@@ -64,7 +64,7 @@
 	a := ident.Attempt{Entry: r.self.ID, Incarnation: r.self.Incarnation, Number: r.number}
 	r.attempts[a] = req.ID
 	deadline := now.Add(testTimeout)
-	if _, passed := req.Envelope.Get(); passed {
+	if _, forwarded := req.Envelope.Get(); forwarded {
 		return event.Dispatch{Request: req.ID, Serve: rules.Serve{Model: "draft"}, Attempt: a, Target: r.engine, Deadline: deadline}
 	}
 	env := event.Envelope{Attempt: a, To: r.peer.Incarnation, Seen: []ident.EntryID{r.self.ID}}
@@ -112,7 +112,7 @@
 	return book
 }
 
-// startEntry starts an entry host with keys of its own.
+// startEntry starts an entry host with its own TLS keys.
 func startEntry(t *testing.T, id ident.EntryID, ca *certs.Authority, r *relay, seeds ...config.Seed) *Daemon {
 	t.Helper()
 	fs, err := ca.Issue(t.TempDir(), string(id))
@@ -141,13 +141,14 @@
 	deadline := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("not reached within %v: %s", testTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// twoEntries starts a host for callers and, behind it, one with an engine.
+// twoEntries starts host x, which serves callers, and host y, which has an engine
+// and gets the requests that x forwards.
 func twoEntries(t *testing.T, tokenTime time.Duration) (x, y *Daemon, ry *relay) {
 	t.Helper()
 	return twoEntriesWith(t, engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: tokenTime}))
@@ -198,20 +199,22 @@
 	return string(b)
 }
 
-// A request that only another entry host can serve is not streamed through it whole.
+// The answer to a request that only another entry host can serve reaches the caller
+// incomplete.
 func TestForwardedRequest(t *testing.T) {
 	x, _, _ := twoEntries(t, 0)
 	stream := sendChat(t, x, true, 20)
 	if n := strings.Count(stream, "chat.completion.chunk"); n != 20 || !strings.HasSuffix(stream, "data: [DONE]\n\n") {
 		t.Errorf("%d tokens in %s", n, stream)
 	}
-	if whole := sendChat(t, x, false, 20); !strings.Contains(whole, `"completion_tokens":20`) {
-		t.Errorf("answer %s", whole)
+	if answer := sendChat(t, x, false, 20); !strings.Contains(answer, `"completion_tokens":20`) {
+		t.Errorf("answer %s", answer)
 	}
 }
 
-// A draining host closes its peer links under a request that it serves for another host.
-func TestDrainKeepsForwardedAnswersWhole(t *testing.T) {
+// A draining host closes its peer links while it still serves a request of another
+// host, whose caller gets an incomplete answer.
+func TestDrainCompletesForwardedAnswers(t *testing.T) {
 	x, y, ry := twoEntries(t, 10*time.Millisecond)
 	s := &drainer{d: y, r: ry, done: make(chan struct{})}
 	go s.run()
@@ -222,7 +225,7 @@
 	eventually(t, "the host stops", s.stopped)
 }
 
-// drainer stops a host once a request runs there.
+// drainer drains and stops a host once it serves a request.
 type drainer struct {
 	d    *Daemon
 	r    *relay
--- a/internal/daemon/mesh.go
+++ b/internal/daemon/mesh.go
@@ -13,7 +13,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// newMesh returns the links to the other entry hosts, not yet started.
+// newMesh returns the links to the other entry hosts without starting them.
 func newMesh(cfg Config, self event.Host, svc *clock.Service, confined func(ident.Profile) bool) (*peer.Mesh, error) {
 	set := cfg.Settings
 	var keys *peer.Keys
@@ -32,15 +32,15 @@
 	}), nil
 }
 
-// confined reports whether the data of a profile is bound to some places. A
-// profile that this host does not know is taken to be.
+// confined reports whether residency rules confine the data of a profile to
+// certain places. A profile that is unknown to this host counts as confined.
 func (d *Daemon) confined(name ident.Profile) bool {
 	p, ok := d.book.Load().Profile(name)
 	return !ok || p.Confined()
 }
 
-// forward passes a request on and counts it if it goes to another region, on
-// the operators' address as peers.crossings.
+// forward forwards a request to another entry host and counts it in
+// peers.crossings if that host is in another region.
 func (d *Daemon) forward(ctx context.Context, p serve.ForwardedRequest, sent func(), out serve.Relay) event.AttemptEnded {
 	if p.Forward.To.Place.Region != d.self.Place.Region {
 		metrics.GetOrRegisterCounter(crossingsMetric, d.metrics).Inc(1)
@@ -48,5 +48,5 @@
 	return d.mesh.Forward(ctx, p, sent, out)
 }
 
-// crossingsMetric is the counter of attempts at hosts of other regions.
+// crossingsMetric is the counter of attempts forwarded to hosts in other regions.
 const crossingsMetric = "peers.crossings"
--- a/internal/daemon/passed.go
+++ b/internal/daemon/passed.go
@@ -7,12 +7,12 @@
 	"verbenadale.example/verbenadale/internal/serve"
 )
 
-// traceHeaders carry the trace from one entry host to another.
+// traceHeaders carry the trace context from one entry host to another.
 var traceHeaders = []string{"Traceparent", "Tracestate"}
 
-// runForwarded runs a request that another entry host has passed on, as a hop of
-// the same trace. Its headers of the trace end here: the target gets those of
-// the hop to it.
+// runForwarded runs a request that another entry host has forwarded, as a hop of
+// the same trace. It removes the received trace headers: the target gets those
+// of its own hop.
 func (d *Daemon) runForwarded(ctx context.Context, call serve.Call, req event.Request, sink serve.Sink) {
 	ctx, span := d.trace.Serve(ctx, call.Header, "passed")
 	defer span.End()
--- a/internal/daemon/passed_test.go
+++ b/internal/daemon/passed_test.go
@@ -10,14 +10,14 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// traceRecorder keeps the trace of the last request to an engine.
+// traceRecorder is an engine that records the trace context of the last request.
 type traceRecorder struct {
 	*engine.Engine
 	mu     sync.Mutex
 	parent string
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP records the trace context of a POST request and serves the call.
 func (e *traceRecorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		e.mu.Lock()
@@ -27,7 +27,8 @@
 	e.Engine.ServeHTTP(w, r)
 }
 
-// A trace ends at the first entry host, without the slow part in another data centre.
+// A trace ends at the first entry host and lacks the hops in the other data centre,
+// because the trace context is not forwarded.
 func TestTraceCrossesEntryHosts(t *testing.T) {
 	eng := &traceRecorder{Engine: engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8})}
 	x, _, _ := twoEntriesWith(t, eng)
@@ -47,6 +48,6 @@
 	eng.mu.Lock()
 	defer eng.mu.Unlock()
 	if res.StatusCode != http.StatusOK || !strings.Contains(eng.parent, id) {
-		t.Errorf("status %d, and the engine gets the trace %q, not %s", res.StatusCode, eng.parent, id)
+		t.Errorf("status %d, the engine got trace %q, want %s", res.StatusCode, eng.parent, id)
 	}
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -13,22 +13,22 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// watchTimeout is how long one watch waits, and snapshotTimeout how long a host may
-// take to read the whole configuration.
+// watchTimeout is how long one watch call waits for a change, and snapshotTimeout how
+// long the host may take to read the whole configuration.
 const (
 	watchTimeout    = 20 * time.Second
 	snapshotTimeout = 15 * time.Second
 )
 
-// Sizes of the pool that waits for the platform. It is apart from the one that
-// polls targets: while the platform is slow, each of its calls takes the whole
-// timeout, and load reports must not wait behind them.
+// Sizes of the worker pool that calls the platform. It is separate from the one
+// that polls targets: while the platform is slow, each call to it takes the whole
+// timeout, and load reports must not wait behind such calls.
 const (
 	platformQueueSize = 1024
 	platformWorkers   = 8
 )
 
-// platform carries out the effects that call the platform's service.
+// platform executes the effects that call the platform's service.
 type platform struct {
 	d     *Daemon
 	work  chan event.Effect
@@ -43,7 +43,7 @@
 	return p
 }
 
-// start starts the goroutines, which need the loop.
+// start starts the goroutines. The loop must exist, since they post events to it.
 func (p *platform) start() {
 	for range platformWorkers {
 		p.d.t.Go(p.run)
@@ -52,8 +52,8 @@
 	p.d.t.Go(p.reg.run)
 }
 
-// execute takes an effect from the control thread, or reports false for one that
-// is none of the platform's. It does not block.
+// execute takes an effect if it is one for the platform, and reports whether it is.
+// It runs on the control thread and does not block.
 func (p *platform) execute(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.WatchChange:
@@ -72,9 +72,9 @@
 	select {
 	case p.work <- eff:
 	default:
-		// The reducer asks again, and a claim ends with its deadline as one
-		// that failed; blocking here would stop the host's decisions.
-		p.d.cfg.Log.Info("effect dropped, the platform is slow", "effect", event.TypeName(eff))
+		// The reducer repeats the effect later, and a claim fails at its
+		// deadline; blocking here would stop the host's decisions.
+		p.d.cfg.Log.Info("effect dropped: all platform workers are busy", "effect", event.TypeName(eff))
 	}
 }
 
@@ -121,7 +121,7 @@
 	p.d.loop.Post(event.SnapshotReceived{Book: book})
 }
 
-// claimKey records an idempotency key before the first send.
+// claimKey claims an idempotency key in the store, before the first attempt is sent.
 func (p *platform) claimKey(ctx context.Context, e event.ClaimKey) {
 	ctx, cancel := context.WithTimeout(ctx, e.Deadline.Sub(p.d.clock.Now()))
 	defer cancel()
@@ -129,8 +129,8 @@
 	p.d.loop.Post(event.KeyClaimed{Request: e.Request, Claim: claim, Owner: owner})
 }
 
-// watcher holds the one watch of the host. A new one takes the place of the
-// one that waits, so that a host never has two watches that count as calls.
+// watcher runs the only watch of the host. A new watch replaces the running
+// one, so that a host never has two watches that count as calls.
 type watcher struct {
 	d      *Daemon
 	wakeup chan struct{}
@@ -160,14 +160,14 @@
 	w.abort()
 }
 
-// abort ends the watch that waits. The caller holds the lock.
+// abort cancels the running watch. The caller holds the lock.
 func (w *watcher) abort() {
 	if w.cancel != nil {
 		w.cancel()
 	}
 }
 
-// release frees the context of a watch that has ended.
+// release cancels the context of a watch that has ended, to free its resources.
 func (w *watcher) release() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -175,7 +175,7 @@
 	w.cancel = nil
 }
 
-// takePending returns the watch that is wanted next.
+// takePending returns the pending watch and its context, and false if there is none.
 func (w *watcher) takePending(ctx context.Context) (context.Context, event.WatchChange, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -192,8 +192,8 @@
 	for {
 		select {
 		case <-w.wakeup:
-			if one, e, ok := w.takePending(ctx); ok {
-				w.watch(one, e)
+			if watchCtx, e, ok := w.takePending(ctx); ok {
+				w.watch(watchCtx, e)
 				w.release()
 			}
 		case <-w.d.t.Dying():
@@ -205,7 +205,7 @@
 func (w *watcher) watch(ctx context.Context, e event.WatchChange) {
 	c, err := w.d.revs.Next(ctx, e.After, watchTimeout)
 	if ctx.Err() != nil {
-		// Another watch has taken its place, or the host stops watching.
+		// Another watch has replaced this one, or the host stops watching.
 		return
 	}
 	switch {
@@ -218,10 +218,10 @@
 	}
 }
 
-// Times of the registration in the directory for clients. The lease is long:
-// each host keeps its own alive, so that the calls grow with the fleet, at 370
-// hosts to about four a second. A host that died without a word stays listed
-// for as long, and callers try the next.
+// Timing of the registration in the directory for clients. The lease is long
+// because each host renews its own, so that the calls grow with the fleet: about
+// four a second at 370 hosts. A host that crashed stays listed until its lease
+// expires, and callers try the next host.
 const (
 	registerTTL        = 5 * time.Minute
 	registerInterval   = registerTTL / 3
@@ -236,7 +236,7 @@
 	draining chan struct{}
 }
 
-// drain takes the host out of the directory.
+// drain removes the host from the directory.
 func (g *registrar) drain() { g.once.Do(func() { close(g.draining) }) }
 
 func (g *registrar) run() error {
@@ -256,8 +256,8 @@
 	}
 }
 
-// renew keeps the lease alive, or takes a new one and registers under it. It
-// returns the wait until the next renew.
+// renew keeps the lease alive, or takes a new one and registers the host under
+// it. It returns the delay until the next call.
 func (g *registrar) renew(ctx context.Context) time.Duration {
 	if g.lease.Holds(g.d.clock.Now()) {
 		err := g.d.store.KeepAlive(ctx, g.lease)
@@ -274,14 +274,14 @@
 	}
 	listing := store.Listing{Entry: g.d.self.ID, Place: g.d.self.Place, CallerURL: g.d.self.CallerURL}
 	if err := g.d.store.Register(ctx, l, listing); err != nil {
-		g.d.cfg.Log.Info("not registered in the directory", "error", err.Error())
+		g.d.cfg.Log.Info("registration in the directory failed", "error", err.Error())
 		return registerRetryDelay
 	}
 	g.lease = l
 	return registerInterval
 }
 
-// deregisterTimeout bounds the last call of a host that drains.
+// deregisterTimeout bounds the call that revokes the lease of a draining host.
 const deregisterTimeout = 2 * time.Second
 
 func (g *registrar) deregister() {
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -20,7 +20,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// testDaemon is a daemon whose reducer only notes the events.
+// testDaemon is a daemon whose reducer only records the events.
 type testDaemon struct {
 	*Daemon
 	srv    *plat.Server
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// next waits for the next event of the platform.
+// next waits for the next event other than a tick.
 func (r *testDaemon) next(t *testing.T) event.Event {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -66,7 +66,7 @@
 	case ev := <-r.events:
 		return ev
 	case <-ctx.Done():
-		t.Fatal("no event came")
+		t.Fatal("timed out waiting for an event")
 		return nil
 	}
 }
@@ -93,17 +93,17 @@
 	}
 }
 
-// waitUntil waits waitUntil ok reports true.
+// waitUntil waits until ok reports true.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); {
 		if time.Now().After(end) {
-			t.Fatal("not in time: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// A second watch beside a waiting one counts as a call and delivers changes twice.
+// A second watch runs beside the first, counts as a call and delivers changes twice.
 func TestOneWatch(t *testing.T) {
 	r := newTestDaemon(t)
 	r.execute(event.WatchChange{After: 0})
@@ -122,7 +122,8 @@
 	wantSame(t, "watches counted as failures", int64(0), metrics.GetOrRegisterCounter("platform.watch.down", r.metrics).Count())
 }
 
-// An effect that waits for the store is never answered while the store is down.
+// An effect that calls the store gets no event in reply while the store is down, and
+// the reducer waits for ever.
 func TestPlatformDown(t *testing.T) {
 	r := newTestDaemon(t)
 	r.srv.SetFaults(plat.Faults{Down: true})
@@ -144,7 +145,7 @@
 	}
 }
 
-// A draining host stays in the directory, and new callers begin at it.
+// A draining host stays in the directory, and new callers are directed to it.
 func TestDirectory(t *testing.T) {
 	r := newTestDaemon(t)
 	listed := func() []store.Listing {
--- a/internal/httpsv/httpsv.go
+++ b/internal/httpsv/httpsv.go
@@ -5,8 +5,7 @@
 //	l, err := httpsv.Listen(addr, &http.Server{Handler: h})
 //	t.Go(l.Run)
 //
-// A server that was shut down, or whose listener was closed, has not failed: Run returns nil
-// for it.
+// Run returns nil if the server was shut down or its listener was closed.
 package httpsv
 
 import (
@@ -17,14 +16,14 @@
 	"github.com/pkg/errors"
 )
 
-// ErrListen says that the address can't be listened on, ErrServe that the server
-// ended by itself.
+// ErrListen is returned if the server cannot listen on its address, ErrServe if it
+// stopped without being shut down.
 var (
 	ErrListen = errors.New("httpsv: listen")
 	ErrServe  = errors.New("httpsv: serve")
 )
 
-// Listener is a server with the listener that it serves.
+// Listener is an HTTP server with the network listener that it serves.
 type Listener struct {
 	Server *http.Server
 	Net    net.Listener
@@ -32,13 +31,13 @@
 	closed atomic.Bool
 }
 
-// Close takes no more connections and leaves the open ones alone.
+// Close stops accepting connections and leaves the open ones as they are.
 func (l *Listener) Close() error {
 	l.closed.Store(true)
 	return errors.Wrap(l.Net.Close(), "httpsv: close")
 }
 
-// Listen listens on an address.
+// Listen listens on a TCP address. It fails with ErrListen.
 func Listen(addr string, srv *http.Server) (*Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -47,8 +46,8 @@
 	return &Listener{Server: srv, Net: ln}, nil
 }
 
-// Run serves until the server is shut down, with TLS where the server has a
-// configuration for it.
+// Run serves until the server is shut down, with TLS if the server has a
+// TLS configuration.
 func (l *Listener) Run() error {
 	err := l.serve()
 	if errors.Is(err, http.ErrServerClosed) || l.closed.Load() {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs makes the loggers of the programs: one line of key=value pairs
+// Package logs creates the loggers of the programs: one line of key=value pairs
 // for each event, at a level that an operator can change while the program
 // runs.
 //
@@ -9,8 +9,8 @@
 //	log.Info("peer is up", "entry", id)
 //	lvl.Set(1)
 //
-// Level 0 is for events of the system, level 1 for a line a request. No line
-// holds the text of a prompt or an answer.
+// Level 0 is for events of the system, level 1 adds a line for each request. No
+// line contains the text of a prompt or an answer.
 package logs
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/go-logr/logr"
 )
 
-// Level is the verbosity that is logged, changeable at any time.
+// Level is the log verbosity. It can be changed at any time.
 type Level struct{ v slog.LevelVar }
 
 // NewLevel returns a level of the given verbosity.
@@ -41,8 +41,8 @@
 	return logr.FromSlogHandler(slog.NewTextHandler(w, &slog.HandlerOptions{Level: &l.v, ReplaceAttr: replaceAttr}))
 }
 
-// replaceAttr writes the level of a line as operators set it, where the handler would
-// write DEBUG+3 for level 1, and an error without the stack that it carries.
+// replaceAttr writes the level of a line as operators set it, where the handler
+// would write DEBUG+3 for level 1, and an error without its stack trace.
 func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		return slog.String(a.Key, err.Error())
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestLines(t *testing.T) {
+func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	lvl := NewLevel(0)
 	log := New(&out, lvl)
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -11,19 +11,19 @@
 
 // Bounds of a Writer.
 const (
-	// maxQueueBytes is what may wait to be written: some seconds of lines at a
-	// few hundred a second.
+	// maxQueueBytes bounds the queued lines; it holds some seconds of lines at
+	// a few hundred a second.
 	maxQueueBytes = 256 << 10
-	// droppedLinesFormat reports the lines that were left out.
+	// droppedLinesFormat is the line that reports dropped lines.
 	droppedLinesFormat = "level=0 msg=\"log lines left out\" lines=%d reason=\"the output is slower than the lines come\"\n"
 )
 
-// Writer passes lines on to another writer without ever making the caller wait.
+// Writer writes lines to another writer without ever blocking the caller.
 //
-// Standard output is often a pipe. When nobody reads it a write blocks, and
-// with it whoever logs: a host would stop serving because of its log. Lines
-// that find no room are left out and counted, and the count is written as soon
-// as there is room again.
+// Standard output is often a pipe. If nobody reads it, a write blocks and with it
+// the goroutine that logs: a host would stop serving because of its log. Lines
+// that do not fit the queue are dropped and counted, and the count is logged with
+// the next lines that are written.
 type Writer struct {
 	t      tomb.Tomb
 	out    io.Writer
@@ -34,14 +34,14 @@
 	dropped int
 }
 
-// NewWriter returns a running writer.
+// NewWriter returns a running writer. Stop ends it.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wakeup: make(chan struct{}, 1)}
 	w.t.Go(w.run)
 	return w
 }
 
-// Write queues one line.
+// Write queues one line, or drops it if the queue is full. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.queue.Len()+len(line) > maxQueueBytes {
@@ -57,7 +57,7 @@
 	return len(line), nil
 }
 
-// Stop writes what waits and ends the writer.
+// Stop writes the queued lines and ends the writer.
 func (w *Writer) Stop() {
 	w.t.Kill(nil)
 	_ = w.t.Wait()
@@ -85,7 +85,7 @@
 	w.queue.Reset()
 	w.mu.Unlock()
 	if len(lines) > 0 {
-		// There is no other place to report this error.
+		// The error is ignored, since the log is the only place to report it.
 		_, _ = w.out.Write(lines)
 	}
 }
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// blockedOutput is an output that nobody reads until it is let go.
+// blockedOutput is an output whose writes block until gate is closed.
 type blockedOutput struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -21,7 +21,7 @@
 	return s.got.Write(b)
 }
 
-// A log that nobody reads blocks whoever writes to it.
+// A goroutine that logs blocks because nobody reads the output.
 func TestWriterNeverBlocks(t *testing.T) {
 	out := &blockedOutput{gate: make(chan struct{})}
 	w := NewWriter(out)
@@ -33,13 +33,13 @@
 		}
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it took %s to log to an output that is stuck", took)
+		t.Errorf("logging to a blocked output took %s", took)
 	}
 	close(out.gate)
 	w.Stop()
 	text := out.got.String()
 	if !strings.Contains(text, "log lines left out") {
-		t.Error("nothing counts the lines that were left out")
+		t.Error("no line reports the number of dropped lines")
 	}
 	if n := strings.Count(text, "\n"); n < 100 || n > 2*maxQueueBytes/len(line)+10 {
 		t.Errorf("%d lines were written", n)
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -20,49 +20,49 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ErrWrongAnswer says that what came was the answer to another request.
+// ErrWrongAnswer is returned if the target answered another request instead.
 var ErrWrongAnswer = errors.New("target: the answer belongs to another request")
 
-// Times and bounds of a pool.
+// Timeouts and limits of a pool.
 const (
-	// poolDialTimeout bounds the time to connect. Targets stand in the own region, a
-	// few milliseconds away; one without power never answers.
+	// poolDialTimeout bounds the time to connect. Targets are in this host's region,
+	// a few milliseconds away; one without power never answers.
 	poolDialTimeout = time.Second
-	// poolIdleTimeout is how long an idle connection is kept where the target does
-	// not say how long it keeps it.
+	// poolIdleTimeout is how long an idle connection is kept if the target's
+	// Keep-Alive header names no timeout.
 	poolIdleTimeout = 20 * time.Second
-	// poolIdleMargin is how much earlier than the target says a connection is no
-	// longer used, so that a request does not cross the target's close.
+	// poolIdleMargin is subtracted from the timeout in the target's Keep-Alive
+	// header, so that no request is sent while the target closes the connection.
 	poolIdleMargin = 700 * time.Millisecond
 	// poolMaxIdle bounds the idle connections to one target.
 	poolMaxIdle = 64
-	// finalWriteTimeout is how long an answer that is whole waits for the last write of its
-	// request, at most connBuffer bytes. It is a hundred times what a goroutine waits
-	// for its turn on a busy machine, and far less than callers notice.
+	// finalWriteTimeout is how long a complete answer waits for the last write of
+	// its request, at most connBufferBytes. It is a hundred times the scheduling delay
+	// of a goroutine on a busy machine, and too short for callers to notice.
 	finalWriteTimeout = 20 * time.Millisecond
-	// poolSweepInterval is the time between two looks for connections kept too long.
+	// poolSweepInterval is the interval at which expired idle connections are closed.
 	poolSweepInterval = time.Second
-	// userTimeout is how long the kernel waits for sent bytes to be confirmed,
-	// and roughly how long a silent connection stands with its probes. A
-	// connection may go silent while new ones work; without this a request on
-	// it would wait until its deadline.
+	// userTimeout is how long the kernel waits for sent bytes to be acknowledged,
+	// and roughly how long an unresponsive connection survives its keep-alive probes.
+	// A connection may stop responding while new ones work; without this limit a
+	// request on it would wait until its deadline.
 	userTimeout       = 1500 * time.Millisecond
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
 	tcpUserTimeout    = 18 // TCP_USER_TIMEOUT of Linux
-	// maxAnswersRead bounds the answers to other requests that are read past, and
-	// skipBytes the body of each.
+	// maxAnswersRead bounds the answers that are read for one request, interim (1xx)
+	// answers included, and maxSkippedBytes the body of each that is skipped.
 	maxAnswersRead  = 2
 	maxSkippedBytes = 1 << 20
 )
 
-// Pool sends requests on connections that it keeps, one at a time on each. It
-// never sends a request a second time by itself, which net/http does for some
-// when a kept connection turns out to be closed: whether a request may be
-// repeated is not known here.
+// Pool sends requests on persistent connections, one at a time on each. It
+// never retries a request, which net/http does for some requests when a reused
+// connection turns out to be closed: the pool does not know whether a request
+// may be repeated.
 //
 //	p := target.NewPool(svc)
-//	res, err := p.Do(ctx, addr, req, own, sent)
+//	res, err := p.Do(ctx, addr, req, isOwn, onSend)
 type Pool struct {
 	t     tomb.Tomb
 	clock *clock.Service
@@ -70,7 +70,7 @@
 
 	mu   sync.Mutex
 	idle map[string][]*conn
-	// opened counts the connections that were made.
+	// opened counts the connections opened since the start.
 	opened int64
 }
 
@@ -80,7 +80,7 @@
 	p    *Pool
 	addr string
 	br   *bufio.Reader
-	// expires is when it is no longer used.
+	// expires is the time from which the idle connection is no longer used.
 	expires ident.Time
 	w       *writer
 }
@@ -92,22 +92,22 @@
 	return p
 }
 
-// NewDialer returns a dialer whose connections end when the other side falls
-// silent, though nobody closes them.
+// NewDialer returns a dialer whose connections fail when the remote side stops
+// responding without closing them.
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// Where the system has no such limit the probes remain.
+				// If the system lacks this option, the keep-alive probes still apply.
 				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 			})
 		},
 	}
 }
 
-// Stop closes the idle connections.
+// Stop stops the pool and closes its idle connections.
 func (p *Pool) Stop() {
 	p.t.Kill(nil)
 	_ = p.t.Wait()
@@ -121,28 +121,31 @@
 	clear(p.idle)
 }
 
-// Opened returns how many connections were made.
+// Opened returns the number of connections opened since the start.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Do sends a request and returns once the head of its answer has come. own
-// reports whether an answer is the one to this request: a target may send one
-// more answer to an earlier request, where the next is expected. sent is called
+// Do sends a request and returns once the headers of its answer have arrived.
+// isOwn reports whether an answer belongs to this request: a target may send an
+// extra answer to an earlier request on the same connection. onSend is called
 // before the first byte can leave. Closing the body before its end closes the
 // connection.
-func (p *Pool) Do(ctx context.Context, addr string, req *http.Request, own func(*http.Response) bool, sent func()) (*http.Response, error) {
+//
+// It fails with ErrConnection if the connection failed and with ErrWrongAnswer
+// if the target answered another request.
+func (p *Pool) Do(ctx context.Context, addr string, req *http.Request, isOwn func(*http.Response) bool, onSend func()) (*http.Response, error) {
 	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return nil, errors.Wrap(ErrConnection, err.Error())
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	sent()
+	onSend()
 	c.w = &writer{c: c, req: req}
 	c.w.t.Go(c.w.run)
-	res, err := c.readAnswer(req, own)
+	res, err := c.readAnswer(req, isOwn)
 	if err != nil {
 		stop()
 		_ = c.Close()
@@ -152,7 +155,7 @@
 	return res, nil
 }
 
-// acquire returns a kept connection that still stands, or a new one.
+// acquire returns an idle connection that can be reused, or a new one.
 func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	for {
 		c := p.popIdle(addr)
@@ -186,9 +189,8 @@
 	return c
 }
 
-// isReusable reports whether an idle connection may be used: it has not been kept
-// too long, the other side has not closed it, and nothing has come on it that
-// nobody asked for.
+// isReusable reports whether an idle connection can be used: it has not expired,
+// the target has not closed it, and no unsolicited bytes have arrived on it.
 func (c *conn) isReusable(now ident.Time) bool {
 	if now >= c.expires || c.br.Buffered() > 0 {
 		return false
@@ -211,15 +213,15 @@
 	return err == nil && got <= 0 && errors.Is(readErr, syscall.EAGAIN)
 }
 
-// writer writes the request beside the reading of its answer: a target may
-// answer before it has read a long body, and neither side would go on if this
-// one wrote first and read then.
+// writer writes a request while its answer is read: a target may answer before
+// it has read a long body, and writing first and reading afterwards would
+// deadlock both sides.
 type writer struct {
 	t   tomb.Tomb
 	c   *conn
 	req *http.Request
-	// requestRead says that the whole request has been requestRead from its caller: what is
-	// left is in the buffer.
+	// requestRead is set once the whole request has been read from its caller;
+	// bytes not yet written are in the buffer.
 	requestRead atomic.Bool
 }
 
@@ -232,9 +234,9 @@
 	return errors.Wrap(bw.Flush(), "target: write")
 }
 
-// awaitWritten reports whether the whole request has been written. The target may have answered before
-// this goroutine runs again after its last write, so that awaitWritten waits for that write, for
-// writeRest at the most.
+// awaitWritten reports whether the whole request has been written. The target may have answered
+// before the writer's goroutine returns from its last write, so awaitWritten waits for it, for at
+// most finalWriteTimeout.
 func (w *writer) awaitWritten() bool {
 	if !w.requestRead.Load() {
 		return false
@@ -246,8 +248,8 @@
 	return w.t.Err() == nil && w.c.SetWriteDeadline(time.Time{}) == nil
 }
 
-// readAnswer reads answers up to the one to this request.
-func (c *conn) readAnswer(req *http.Request, own func(*http.Response) bool) (*http.Response, error) {
+// readAnswer reads answers until it reaches the one to this request.
+func (c *conn) readAnswer(req *http.Request, isOwn func(*http.Response) bool) (*http.Response, error) {
 	for range maxAnswersRead {
 		res, err := http.ReadResponse(c.br, req)
 		if err != nil {
@@ -256,7 +258,7 @@
 		if res.StatusCode < http.StatusOK {
 			continue
 		}
-		if own(res) {
+		if isOwn(res) {
 			return res, nil
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxSkippedBytes))
@@ -269,7 +271,8 @@
 
 func keepsAlive(res *http.Response) bool { return !res.Close }
 
-// idleTimeoutFrom returns how long the target keeps the connection idle.
+// idleTimeoutFrom returns how long a connection may stay idle by the target's
+// Keep-Alive header, poolIdleTimeout if it names no shorter timeout.
 func idleTimeoutFrom(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		val, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -284,7 +287,7 @@
 	return poolIdleTimeout
 }
 
-// body gives the connection back when the answer has been read to its end.
+// body returns the connection to the pool when the answer has been read to its end.
 type body struct {
 	io.ReadCloser
 	c           *conn
@@ -311,8 +314,8 @@
 
 func (b *body) finish(keep bool) {
 	b.once.Do(func() {
-		// Where the context has ended meanwhile the deadline of the connection
-		// is past, and it is of no use.
+		// If the context has ended, the connection's deadline has passed and it
+		// cannot be reused.
 		keep = b.stop() && keep && b.c.w.awaitWritten()
 		if !keep || !b.c.p.putIdle(b.c, b.idleTimeout) {
 			_ = b.c.Close()
@@ -320,8 +323,8 @@
 	})
 }
 
-// Drop closes the idle connections to an address, as after a restart of the target behind a
-// partition, which closes none of them.
+// Drop closes the idle connections to an address. It is for targets that restarted behind a
+// network partition, where this side never saw their connections close.
 func (p *Pool) Drop(addr string) {
 	p.mu.Lock()
 	cs := p.idle[addr]
@@ -332,8 +335,8 @@
 	}
 }
 
-func (p *Pool) putIdle(c *conn, most time.Duration) bool {
-	c.expires = p.clock.Now().Add(most)
+func (p *Pool) putIdle(c *conn, idleTimeout time.Duration) bool {
+	c.expires = p.clock.Now().Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.t.Alive() || len(p.idle[c.addr]) >= poolMaxIdle {
@@ -343,7 +346,7 @@
 	return true
 }
 
-// run closes connections that were kept too long.
+// run closes expired idle connections until the pool stops.
 func (p *Pool) run() error {
 	tick := p.clock.Every(poolSweepInterval)
 	defer tick.Close()
@@ -362,12 +365,12 @@
 func (p *Pool) takeExpired(now ident.Time) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var olds []*conn
+	var expired []*conn
 	for addr, cs := range p.idle {
 		kept := cs[:0]
 		for _, c := range cs {
 			if now >= c.expires {
-				olds = append(olds, c)
+				expired = append(expired, c)
 				continue
 			}
 			kept = append(kept, c)
@@ -378,5 +381,5 @@
 		}
 		p.idle[addr] = kept
 	}
-	return olds
+	return expired
 }
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -20,7 +20,8 @@
 
 const testTimeout = 10 * time.Second
 
-// testServer is the other side of each connection, as a function of the bytes.
+// testServer accepts connections and runs a function on each, which reads and
+// writes raw bytes.
 type testServer struct {
 	ln    net.Listener
 	conns atomic.Int32
@@ -98,11 +99,11 @@
 	return r, err == nil
 }
 
-func TestPoolKeepsConnections(t *testing.T) {
-	peer := newTestServer(t, serveConnNumber)
+func TestPoolReusesConnections(t *testing.T) {
+	srv := newTestServer(t, serveConnNumber)
 	p := newTestPool(t)
 	for i := range 5 {
-		got, err := call(t.Context(), p, peer.ln.Addr().String(), fmt.Sprint(i), "body")
+		got, err := call(t.Context(), p, srv.ln.Addr().String(), fmt.Sprint(i), "body")
 		if diff := cmp.Diff("conn 1", got); diff != "" || err != nil {
 			t.Fatalf("answer %d, %v (-want +got):\n%s", i, err, diff)
 		}
@@ -112,19 +113,20 @@
 	}
 }
 
-// A connection is dropped because its writer has not run again yet.
-func TestPoolKeepsConnectionsOfSlowWriters(t *testing.T) {
-	peer := newTestServer(t, serveConnNumber)
+// A connection is closed instead of reused because its last write has not returned
+// when the answer is complete.
+func TestPoolReusesConnectionsOfSlowWriters(t *testing.T) {
+	srv := newTestServer(t, serveConnNumber)
 	p := newTestPool(t)
-	raw, err := net.Dial("tcp", peer.ln.Addr().String())
+	raw, err := net.Dial("tcp", srv.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	slow := &slowWriteConn{Conn: raw}
-	addr := peer.ln.Addr().String()
+	addr := srv.ln.Addr().String()
 	c := &conn{Conn: slow, p: p, addr: addr, br: bufio.NewReaderSize(raw, connBufferBytes)}
 	if !p.putIdle(c, time.Minute) {
-		t.Fatal("the pool takes no connection")
+		t.Fatal("the pool does not accept the connection")
 	}
 	for i := range 3 {
 		got, err := call(t.Context(), p, addr, fmt.Sprint(i), "body")
@@ -134,9 +136,10 @@
 	}
 }
 
-// A target that reads no more holds up the end of an answer.
-func TestPoolWaitsBrieflyForTheRestOfARequest(t *testing.T) {
-	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+// A target that answers early and stops reading the request delays the end of its
+// answer, because the pool waits for the write without a limit.
+func TestPoolBoundsWaitForRequestWrite(t *testing.T) {
+	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -146,19 +149,19 @@
 	})
 	p := newTestPool(t)
 	began := time.Now()
-	got, err := call(t.Context(), p, peer.ln.Addr().String(), "0", strings.Repeat("x", 64<<20))
+	got, err := call(t.Context(), p, srv.ln.Addr().String(), "0", strings.Repeat("x", 64<<20))
 	if diff := cmp.Diff("early", got); diff != "" || err != nil {
 		t.Fatalf("%v (-want +got):\n%s", err, diff)
 	}
 	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("the end of the answer came after %v", took)
 	}
-	if c := p.popIdle(peer.ln.Addr().String()); c != nil {
-		t.Error("a connection with a part of a request left was kept")
+	if c := p.popIdle(srv.ln.Addr().String()); c != nil {
+		t.Error("a connection with a partly written request was kept")
 	}
 }
 
-// slowWriteConn returns from a write long after its bytes have gone.
+// slowWriteConn returns from a write long after its bytes were sent.
 type slowWriteConn struct{ net.Conn }
 
 func (s *slowWriteConn) Write(b []byte) (int, error) {
@@ -167,11 +170,12 @@
 	return n, err
 }
 
-// An extra answer of a target reaches the next caller.
-func TestExtraAnswersReachNobody(t *testing.T) {
+// An extra answer of a target to an earlier request is delivered to the next caller
+// on the same connection.
+func TestExtraAnswersAreDiscarded(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "before the next": true} {
 		t.Run(name, func(t *testing.T) {
-			peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 				for first := true; ; first = false {
 					r, ok := readRequest(br)
 					if !ok {
@@ -188,7 +192,7 @@
 			})
 			p := newTestPool(t)
 			for i := range 4 {
-				got, err := call(t.Context(), p, peer.ln.Addr().String(), fmt.Sprint(i), "")
+				got, err := call(t.Context(), p, srv.ln.Addr().String(), fmt.Sprint(i), "")
 				if diff := cmp.Diff("mine", got); diff != "" || err != nil {
 					t.Fatalf("answer %d, %v (-want +got):\n%s", i, err, diff)
 				}
@@ -198,10 +202,10 @@
 	}
 }
 
-// A request is sent on a connection that the target has closed.
+// A request is sent on an idle connection that the target has closed, and fails.
 func TestClosedConnectionsAreNotUsed(t *testing.T) {
 	var seen atomic.Int32
-	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		r, ok := readRequest(br)
 		if !ok {
 			return
@@ -211,7 +215,7 @@
 	})
 	p := newTestPool(t)
 	for i := range 3 {
-		if _, err := call(t.Context(), p, peer.ln.Addr().String(), fmt.Sprint(i), "b"); err != nil {
+		if _, err := call(t.Context(), p, srv.ln.Addr().String(), fmt.Sprint(i), "b"); err != nil {
 			t.Fatalf("call %d: %v", i, err)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -221,10 +225,10 @@
 	}
 }
 
-// The pool repeats a request after a reset.
+// The pool retries a request whose connection was closed without an answer.
 func TestPoolSendsOnce(t *testing.T) {
 	var seen atomic.Int32
-	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		for {
 			r, ok := readRequest(br)
 			if !ok {
@@ -237,21 +241,22 @@
 		}
 	})
 	p := newTestPool(t)
-	if _, err := call(t.Context(), p, peer.ln.Addr().String(), "a", ""); err != nil {
+	if _, err := call(t.Context(), p, srv.ln.Addr().String(), "a", ""); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := call(t.Context(), p, peer.ln.Addr().String(), "b", ""); err == nil {
-		t.Error("a lost answer is no failure")
+	if _, err := call(t.Context(), p, srv.ln.Addr().String(), "b", ""); err == nil {
+		t.Error("a lost answer is not reported as an error")
 	}
 	if seen.Load() != 2 {
 		t.Errorf("%d requests were sent for two calls", seen.Load())
 	}
 }
 
-// The next request is read as the rest of a body.
+// A target answers before it has read the body. If the connection were reused at
+// once, the target would read the next request as a part of that body.
 func TestEarlyAnswer(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
-	peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -261,24 +266,24 @@
 			time.Sleep(50 * time.Millisecond)
 			b, _ := io.ReadAll(r.Body)
 			if strings.Trim(string(b), "x") != "" {
-				t.Error("another request stands in the body")
+				t.Error("the body contains another request")
 			}
 		}
 	})
 	p := newTestPool(t)
 	for i := range 3 {
-		got, err := call(t.Context(), p, peer.ln.Addr().String(), fmt.Sprint(i), long)
+		got, err := call(t.Context(), p, srv.ln.Addr().String(), fmt.Sprint(i), long)
 		if diff := cmp.Diff("early", got); diff != "" || err != nil {
 			t.Fatalf("answer %d, %v (-want +got):\n%s", i, err, diff)
 		}
 	}
 }
 
-// An answer without a length that was reset looks whole.
+// An answer without a length whose connection was reset is treated as complete.
 func TestUnframedAnswers(t *testing.T) {
 	for name, reset := range map[string]bool{"whole": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
-			peer := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 				r, ok := readRequest(br)
 				if !ok {
 					return
@@ -289,7 +294,7 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			got, err := call(t.Context(), newTestPool(t), peer.ln.Addr().String(), "a", "")
+			got, err := call(t.Context(), newTestPool(t), srv.ln.Addr().String(), "a", "")
 			if reset != (err != nil) {
 				t.Errorf("%q, %v", got, err)
 			}
@@ -297,11 +302,12 @@
 	}
 }
 
-// The caller of a request leaves. The target sees its connection close.
+// The connection to the target stays open after the caller has disconnected, and
+// the target keeps working on the request.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	began := make(chan struct{})
-	peer := newTestServer(t, func(_ int, _ net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(_ int, _ net.Conn, br *bufio.Reader) {
 		if _, ok := readRequest(br); !ok {
 			return
 		}
@@ -311,13 +317,13 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-began; cancel() }()
-	if _, err := call(ctx, newTestPool(t), peer.ln.Addr().String(), "a", ""); err == nil {
-		t.Error("an answer came from nowhere")
+	if _, err := call(ctx, newTestPool(t), srv.ln.Addr().String(), "a", ""); err == nil {
+		t.Error("a cancelled request got an answer")
 	}
 	select {
 	case <-closed:
 	case <-time.After(testTimeout):
-		t.Error("the target does not notice")
+		t.Error("the target's connection stays open after the cancellation")
 	}
 }
 
--- a/internal/target/report.go
+++ b/internal/target/report.go
@@ -13,42 +13,42 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ErrBadReport says that a target gave no report that can be read.
-var ErrBadReport = errors.New("target: no readable report")
+// ErrBadReport is returned if a target sent no valid report.
+var ErrBadReport = errors.New("target: no valid report")
 
-// maxReportBytes bounds a report.
+// maxReportBytes bounds the body of a report.
 const maxReportBytes = 1 << 20
 
-// Load reads the load report of a target. A report of another target says
-// that the address was given to somebody else since the host list was read;
-// taken in, it would make a dead target look alive.
+// Load reads the load report of a target. If another target answers at the
+// address, the address was reassigned after the host list was read, and Load
+// fails with ErrBadReport: accepting the report would make a dead target look alive.
 func (c *Client) Load(ctx context.Context, t event.Target) (event.Load, error) {
 	var ld event.Load
 	if _, err := c.getReport(ctx, t.URL+"/load", &ld); err != nil {
 		return event.Load{}, err
 	}
 	if ld.Target != "" && ld.Target != t.ID {
-		return event.Load{}, errors.Wrapf(ErrBadReport, "the address of %s answers as %s", t.ID, ld.Target)
+		return event.Load{}, errors.Wrapf(ErrBadReport, "address of target %s is answered by target %s", t.ID, ld.Target)
 	}
 	ld.Target = t.ID
 	return ld, nil
 }
 
-// CacheReport is the form of GET /cache.
+// CacheReport is the body of an answer to GET /cache.
 type CacheReport struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Events      []CacheEvent      `json:"events"`
 }
 
-// CacheEvent says which prefixes an engine stored and dropped.
+// CacheEvent lists the prefixes that an engine stored and dropped.
 type CacheEvent struct {
 	Seq     uint64   `json:"seq"`
 	Stored  []uint64 `json:"stored,omitempty"`
 	Dropped []uint64 `json:"dropped,omitempty"`
 }
 
-// Cache reads the cache events of an engine after a sequence number. A target
-// that has none answers 404, which is no failure.
+// Cache reads the cache events of an engine that follow a sequence number. A
+// target without cache events answers 404, and Cache returns none without an error.
 func (c *Client) Cache(ctx context.Context, t event.Target, after uint64) ([]event.CacheChanged, error) {
 	var rep CacheReport
 	status, err := c.getReport(ctx, t.URL+"/cache?after="+strconv.FormatUint(after, 10), &rep)
@@ -72,14 +72,14 @@
 	if err != nil {
 		return 0, errors.Wrap(ErrConnection, err.Error())
 	}
-	// The name of the library would be a quarter of the bytes of a poll.
+	// The library's default User-Agent would be a quarter of the bytes of a poll.
 	req.Header["User-Agent"] = nil
 	res, err := c.pooled.Do(req)
 	if err != nil {
 		return 0, errors.Wrap(ErrConnection, err.Error())
 	}
 	defer res.Body.Close()
-	// A body that is read to its end leaves its connection for the next call.
+	// The connection is reused only if the body is read to its end.
 	defer func() { _, _ = io.CopyN(io.Discard, res.Body, maxReportBytes) }()
 	if res.StatusCode != http.StatusOK {
 		return res.StatusCode, errors.Wrapf(ErrBadReport, "status %d", res.StatusCode)
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,15 +1,15 @@
 // Package target is the client of the targets: model engines and plain
-// services. It sends one attempt to one target and reports what is certain
-// about it. docs/targets.md describes the protocol.
+// services. It sends one attempt to one target and reports whether the attempt
+// can have reached it. docs/targets.md describes the protocol.
 //
 // # Usage
 //
 //	cl := target.New()
-//	ans, err := cl.Send(ctx, target.Order{Target: t, Attempt: a, ...}, sent)
+//	ans, err := cl.Send(ctx, target.AttemptRequest{Target: t, Attempt: a, ...}, onSend)
 //
-// The function sent is called before the first byte can reach the target.
-// When Send fails without having called it, the request was not run; after it,
-// a failure proves nothing.
+// Send calls onSend before the first byte can reach the target. If Send fails
+// without having called it, the target has not run the request; after the call,
+// a failure does not show whether the target ran it.
 package target
 
 import (
@@ -31,24 +31,24 @@
 
 // The headers between an entry host and a target.
 const (
-	// HeaderAttempt names the attempt. A target echoes it, so that a crossed
-	// answer is noticed.
+	// HeaderAttempt names the attempt. The target echoes it, so that an answer
+	// to another attempt is detected.
 	HeaderAttempt = "Verbenadale-Attempt"
-	// HeaderRequest is the id that an engine gives its answer.
+	// HeaderRequest is the id that an engine puts into its answer.
 	HeaderRequest = "X-Request-Id"
-	// HeaderResume asks an engine to go on after that many tokens, which is
-	// the id of the last event that was received.
+	// HeaderResume asks an engine to continue after this number of tokens, the
+	// id of the last event that was received.
 	HeaderResume = "Last-Event-Id"
 	// HeaderPriority is the priority, higher first.
 	HeaderPriority = "Verbenadale-Priority"
 	// HeaderDeadline is the remaining time in milliseconds.
 	HeaderDeadline = "Verbenadale-Deadline-Ms"
-	// HeaderModel, HeaderVersion and HeaderAdapter name what an engine is
-	// asked to run. The body names the profile, as the caller wrote it.
+	// HeaderModel, HeaderVersion and HeaderAdapter name the model that
+	// an engine is to run. The body still names the profile, as the caller sent it.
 	HeaderModel   = "Verbenadale-Model"
 	HeaderVersion = "Verbenadale-Model-Version"
 	HeaderAdapter = "Verbenadale-Adapter"
-	// HeaderNotRun on an answer says that the target has not run the request
+	// HeaderNotRun on an answer states that the target has not run the request
 	// and never will.
 	HeaderNotRun = "Verbenadale-Not-Run"
 )
@@ -56,12 +56,12 @@
 // The values of HeaderNotRun.
 const (
 	NotRunTrue = "true"
-	// NotRunDraining says that the target is about to stop.
+	// NotRunDraining means that the target is draining and about to stop.
 	NotRunDraining = "leaving"
 )
 
-// ErrConnection says that the target was not reached or the link broke.
-var ErrConnection = errors.New("target: the link broke")
+// ErrConnection is returned if the target was not reached or the connection failed.
+var ErrConnection = errors.New("target: connection failed")
 
 // Client sends attempts to targets.
 type Client struct {
@@ -69,7 +69,7 @@
 	unpooled *http.Client
 }
 
-// AttemptRequest is one attempt.
+// AttemptRequest is one attempt to be sent to a target.
 type AttemptRequest struct {
 	Target    event.Target
 	Attempt   ident.Attempt
@@ -82,15 +82,15 @@
 	Priority  int
 	Resume    ident.Tokens
 	Remaining time.Duration
-	// AtMostOnce says that the call must not be sent a second time.
+	// AtMostOnce is set if the call must not be sent a second time.
 	AtMostOnce bool
-	// CopyFrom is the address of a target that probably caches a prefix of the prompt,
-	// empty for none.
+	// CopyFrom is the address of a target that probably caches a prefix of the prompt;
+	// empty if there is none.
 	CopyFrom string
 }
 
-// Bounds of the connections to targets. The time to connect is that within a
-// data centre; idle connections are kept for the bursts of a peak.
+// Limits of the connections to targets. dialTimeout fits targets in the same
+// data centre; idle connections are kept to serve bursts at peak load.
 const (
 	dialTimeout      = 2 * time.Second
 	idleTimeout      = 90 * time.Second
@@ -99,7 +99,7 @@
 	connBufferBytes  = 1 << 10
 )
 
-// New returns a client.
+// New returns a client with its own connection pools.
 func New() *Client {
 	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
 	return &Client{
@@ -107,8 +107,8 @@
 			DialContext: dial, MaxIdleConnsPerHost: maxIdlePerTarget, IdleConnTimeout: idleTimeout, DisableCompression: true,
 			MaxResponseHeaderBytes: maxHeaderBytes, WriteBufferSize: connBufferBytes, ReadBufferSize: connBufferBytes,
 		}, CheckRedirect: noRedirect},
-		// The library repeats a request by itself when a reused connection turns out
-		// to be closed, even a POST with an Idempotency-Key. Calls that are not
+		// net/http retries a request when a reused connection turns out to be
+		// closed, even a POST with an Idempotency-Key. Calls that are not
 		// idempotent therefore get a new connection each.
 		unpooled: &http.Client{Transport: &http.Transport{
 			DialContext: dial, DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
@@ -118,12 +118,14 @@
 }
 
 // noRedirect returns the redirect to the caller: following it would send the
-// request a second time, to a place that no filter has allowed.
+// request a second time, to an address that no routing filter has allowed.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Send sends an attempt and returns once the head of the answer has come.
-func (c *Client) Send(ctx context.Context, o AttemptRequest, sent func()) (*http.Response, error) {
-	hook := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent() }}
+// Send sends an attempt and returns once the headers of the answer have
+// arrived. It calls onSend before the first byte can reach the target, and fails
+// with ErrConnection if the target was not reached or the connection failed.
+func (c *Client) Send(ctx context.Context, o AttemptRequest, onSend func()) (*http.Response, error) {
+	hook := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { onSend() }}
 	ctx = httptrace.WithClientTrace(ctx, hook)
 	req, err := http.NewRequestWithContext(ctx, o.Method, o.Target.URL+o.Path, bytes.NewReader(o.Body))
 	if err != nil {
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -14,15 +14,16 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func testRequest(url string, once bool) AttemptRequest {
+func testRequest(url string, atMostOnce bool) AttemptRequest {
 	return AttemptRequest{
 		Target: event.Target{ID: "uvs-p1", URL: url}, Attempt: ident.Attempt{Entry: "uvs-1", Incarnation: 1, Number: 1},
 		Request: "req-1", Method: http.MethodPost, Path: "/notices", Body: []byte("a notice"),
-		Header: http.Header{"Idempotency-Key": {"k"}}, AtMostOnce: once,
+		Header: http.Header{"Idempotency-Key": {"k"}}, AtMostOnce: atMostOnce,
 	}
 }
 
-// The HTTP library repeats a call that is not idempotent.
+// net/http retries a call that is not idempotent on a new connection, because the
+// reused one was closed without an answer.
 func TestOnceCallIsSentOnce(t *testing.T) {
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// A request that was never sent counts as sent.
+// A request is reported as sent although the connection was refused.
 func TestNothingSentToAClosedPort(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	url := srv.URL
@@ -62,21 +63,21 @@
 	}
 }
 
-// A redirect moves a call to a place that no filter has allowed.
+// The client follows a redirect to an address that no routing filter has allowed.
 func TestRedirectsAreNotFollowed(t *testing.T) {
 	var elsewhere atomic.Int32
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
 	defer other.Close()
 	srv := httptest.NewServer(http.RedirectHandler(other.URL, http.StatusTemporaryRedirect))
 	defer srv.Close()
-	for _, once := range []bool{false, true} {
-		res, err := New().Send(context.Background(), testRequest(srv.URL, once), func() {})
+	for _, atMostOnce := range []bool{false, true} {
+		res, err := New().Send(context.Background(), testRequest(srv.URL, atMostOnce), func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
 		if res.StatusCode != http.StatusTemporaryRedirect || elsewhere.Load() != 0 {
-			t.Errorf("once %v: status %d, %d calls elsewhere", once, res.StatusCode, elsewhere.Load())
+			t.Errorf("atMostOnce %v: status %d, %d calls elsewhere", atMostOnce, res.StatusCode, elsewhere.Load())
 		}
 	}
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace makes a span for each hop of a request: from the caller to an
+// Package trace records a span for each hop of a request: from the caller to an
 // entry host, from an entry host to another, and from an entry host to a
 // target. The context travels in the headers of W3C trace context.
 //
@@ -7,17 +7,17 @@
 //	tr, err := trace.New(trace.Config{Exporter: trace.Stdout, Ratio: 0.1, Entry: "uvs-1"})
 //	defer tr.Stop(ctx)
 //
-//	ctx, span := tr.Serve(r.Context(), r.Header, "chat")    // a request comes in
+//	ctx, span := tr.Serve(r.Context(), r.Header, "chat")    // incoming request
 //	defer span.End()
 //
-//	ctx, span := tr.Hop(ctx, "target")                      // a request goes out
+//	ctx, span := tr.Hop(ctx, "target")                      // outgoing request
 //	defer span.End()
 //	trace.Inject(ctx, req.Header)
 //
-// A nil Tracer makes no spans and still passes on the context that a caller
-// sent, so that the spans of caller and target stay joined where this host
-// exports none. Spans hold ids, sizes and outcomes, and never the text of a
-// prompt or an answer: they leave for a place that no residency rule covers.
+// A nil Tracer records no spans but still propagates the context that a caller
+// sent, so that the spans of caller and target stay in one trace even if this
+// host exports none. Spans contain ids, sizes and outcomes, and never the text of
+// a prompt or an answer: they are sent to a place that no residency rule covers.
 package trace
 
 import (
@@ -37,7 +37,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Exporter names where spans go.
+// Exporter names a destination of spans.
 type Exporter string
 
 // The exporters.
@@ -47,30 +47,30 @@
 	OTLP   Exporter = "otlp"
 )
 
-// ErrExporter says that the exporter can't be made.
-var ErrExporter = errors.New("trace: the exporter can't be made")
+// ErrExporter is returned if the exporter cannot be created.
+var ErrExporter = errors.New("trace: cannot create the exporter")
 
-// Config says where spans go.
+// Config configures a tracer.
 type Config struct {
 	Exporter Exporter
 	// Endpoint is the URL of the collector, for OTLP over HTTP.
 	Endpoint string
-	// Ratio is the share of requests that get spans, where the caller has not
-	// decided it already.
+	// Ratio is the share of requests that are sampled, if the caller has not
+	// made the sampling decision.
 	Ratio float64
 	Entry ident.EntryID
-	// Out takes the spans of Stdout; nil is the standard output.
+	// Out receives the spans of Stdout; nil means the standard output.
 	Out io.Writer
 }
 
-// Tracer makes spans. A nil Tracer makes none.
+// Tracer records spans. A nil Tracer records none.
 type Tracer struct {
 	provider *sdk.TracerProvider
 	tracer   oteltrace.Tracer
 	entry    ident.EntryID
 }
 
-// New returns a tracer, nil for the exporter None.
+// New returns a tracer, nil for the exporter None. It fails with ErrExporter.
 func New(cfg Config) (*Tracer, error) {
 	exp, err := exporter(cfg)
 	if err != nil {
@@ -103,10 +103,10 @@
 	case None, "":
 		return nil, nil
 	}
-	return nil, errors.Errorf("exporter %q is none of none, stdout and otlp", cfg.Exporter)
+	return nil, errors.Errorf("unknown exporter %q: must be none, stdout or otlp", cfg.Exporter)
 }
 
-// Stop sends out the spans that wait and ends the tracer.
+// Stop exports the pending spans and ends the tracer.
 func (t *Tracer) Stop(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -124,14 +124,14 @@
 	}
 }
 
-// Set notes a value, which must hold no text of a request.
+// Set records an attribute. Its value must not contain text of a request.
 func (s Span) Set(key, val string) {
 	if s.s != nil {
 		s.s.SetAttributes(attribute.String(key, val))
 	}
 }
 
-// SetInt notes a number.
+// SetInt records a numeric attribute.
 func (s Span) SetInt(key string, n int) {
 	if s.s != nil {
 		s.s.SetAttributes(attribute.Int(key, n))
@@ -141,7 +141,7 @@
 // propagator reads and writes the headers traceparent and tracestate.
 var propagator propagation.TraceContext
 
-// Serve starts the span of a request that came in with the given headers.
+// Serve starts the span of an incoming request with the given headers.
 func (t *Tracer) Serve(ctx context.Context, h http.Header, name string) (context.Context, Span) {
 	if h.Get("Traceparent") != "" {
 		ctx = propagator.Extract(ctx, propagation.HeaderCarrier(h))
@@ -149,7 +149,7 @@
 	return t.start(ctx, name, oteltrace.SpanKindServer)
 }
 
-// Hop starts the span of a request that goes out.
+// Hop starts the span of an outgoing request.
 func (t *Tracer) Hop(ctx context.Context, name string) (context.Context, Span) {
 	return t.start(ctx, name, oteltrace.SpanKindClient)
 }
@@ -166,23 +166,23 @@
 	return ctx, Span{s}
 }
 
-// Inject writes the trace context of ctx into the headers of a request that
-// goes out.
+// Inject writes the trace context of ctx into the headers of an outgoing
+// request.
 func Inject(ctx context.Context, h http.Header) {
 	if oteltrace.SpanContextFromContext(ctx).IsValid() {
 		propagator.Inject(ctx, propagation.HeaderCarrier(h))
 	}
 }
 
-// Parent returns the trace context of ctx in the form of a traceparent header,
-// empty for none, for links that carry no HTTP headers.
+// Parent returns the trace context of ctx as a traceparent header, empty if
+// there is none. It is for links that carry no HTTP headers.
 func Parent(ctx context.Context) string {
 	h := http.Header{}
 	Inject(ctx, h)
 	return h.Get("Traceparent")
 }
 
-// WithParent returns a context that goes on the trace of a traceparent.
+// WithParent returns a context that continues the trace of a traceparent.
 func WithParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A hop of a request is missing from the caller's trace, or stands under the wrong one.
+// A hop of a request is missing from the caller's trace, or has the wrong parent span.
 func TestHops(t *testing.T) {
 	exp := tracetest.NewInMemoryExporter()
 	tr := newTracer(Config{Ratio: 0, Entry: "e"}, sdk.NewSimpleSpanProcessor(exp))
@@ -36,21 +36,21 @@
 		s.End()
 	}
 	var names []string
-	above := "b7ad6b7169203331"
+	parentSpan := "b7ad6b7169203331"
 	spans := exp.GetSpans()
 	for i := len(spans) - 1; i >= 0; i-- {
 		s := spans[i]
 		names = append(names, s.Name)
 		check(t, "trace of "+s.Name, "0af7651916cd43dd8448eb211c80319c", s.SpanContext.TraceID().String())
-		check(t, "parent of "+s.Name, above, s.Parent.SpanID().String())
-		above = s.SpanContext.SpanID().String()
+		check(t, "parent of "+s.Name, parentSpan, s.Parent.SpanID().String())
+		parentSpan = s.SpanContext.SpanID().String()
 	}
 	check(t, "spans", []string{"chat", "entry", "passed", "target"}, names)
 	check(t, "out", true, strings.HasPrefix(h.Get("Traceparent"), "00-0af7651916cd43dd8448eb211c80319c-"))
 }
 
-// A host that exports no spans cuts the caller's trace in two.
-func TestOffPassesOn(t *testing.T) {
+// A host that exports no spans drops the trace context, which splits the caller's trace.
+func TestDisabledTracerPropagatesContext(t *testing.T) {
 	tr, err := New(Config{Exporter: None})
 	if err != nil {
 		t.Fatal(err)
@@ -62,10 +62,10 @@
 	span.End()
 	check(t, "out", parent, Parent(ctx))
 	check(t, "stop", nil, tr.Stop(t.Context()))
-	check(t, "no trace to pass on", "", Parent(t.Context()))
+	check(t, "no trace to propagate", "", Parent(t.Context()))
 }
 
-// Spans that wait are sent out when the host stops.
+// Spans that are still queued are lost when the host stops.
 func TestStdout(t *testing.T) {
 	var out bytes.Buffer
 	tr, err := New(Config{Exporter: Stdout, Ratio: 1, Out: &out})
@@ -80,7 +80,7 @@
 	check(t, "span", true, strings.Contains(out.String(), `"Name":"chat"`))
 }
 
-// An exporter that is not known is a fault, and not silence.
+// An unknown exporter is accepted and silently exports nothing.
 func TestUnknownExporter(t *testing.T) {
 	_, err := New(Config{Exporter: "file"})
 	check(t, "fault", true, err != nil)
