--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -14,24 +14,24 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// ErrRead says that the settings file can't be read.
-var ErrRead = errors.New("config: the settings file can't be read")
+// ErrRead is returned if the settings file cannot be read.
+var ErrRead = errors.New("config: cannot read the settings file")
 
 // Defaults of the settings.
 const (
-	defaultTimeoutMs   = 1500
-	defaultCalls       = 20
-	defaultBody        = 8 << 20
-	defaultHeader      = 32 << 10
-	defaultConnections = 4096
-	defaultRequests    = 2048
-	defaultHeaderMs    = 5000
-	defaultHeld        = 256 << 20
-	defaultBodyMs      = 30000
-	defaultWriteMs     = 30000
-	defaultIdleMs      = 120000
-	defaultGrace       = 10
-	defaultLease       = 1000
+	defaultTimeoutMs        = 1500
+	defaultCallsPerSecond   = 20
+	defaultMaxBodyBytes     = 8 << 20
+	defaultMaxHeaderBytes   = 32 << 10
+	defaultMaxConnections   = 4096
+	defaultMaxRequests      = 2048
+	defaultHeaderMs         = 5000
+	defaultMaxBufferedBytes = 256 << 20
+	defaultBodyMs           = 30000
+	defaultWriteMs          = 30000
+	defaultIdleMs           = 120000
+	defaultGraceSeconds     = 10
+	defaultMinLeaseMs       = 1000
 )
 
 // Fault is one fault of a settings file.
@@ -39,20 +39,20 @@
 	Code codes.ID `json:"code"`
 	// Path names the field, such as callers.listen.
 	Path string `json:"path"`
-	// Line counts from 1; zero is unknown.
+	// Line counts from 1; 0 means unknown.
 	Line int `json:"line"`
-	// Message says what to write instead.
+	// Message describes what to write instead.
 	Message string `json:"message"`
 }
 
-// String writes the fault in one line.
+// String formats the fault as one line.
 func (f Fault) String() string {
 	c, _ := codes.Find(f.Code)
 	return fmt.Sprintf("line %d: %s: %s: %s (%s)", f.Line, f.Path, c.Title, f.Message, f.Code)
 }
 
-// Load reads and checks a settings file. The settings are of use only without
-// faults.
+// Load reads and checks a settings file. The settings are valid only if there
+// are no faults. It fails with ErrRead if the file cannot be read.
 func Load(path string) (Settings, []Fault, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -62,21 +62,21 @@
 	return set, faults, nil
 }
 
-// Parse reads and checks the text of a settings file. It lists every fault.
+// Parse reads and checks the text of a settings file. It returns every fault.
 func Parse(text []byte) (Settings, []Fault) {
 	val, err := hujson.Parse(bytes.Clone(text))
 	if err != nil {
 		return Settings{}, []Fault{{Code: codes.SettingSyntax.ID, Path: "file", Line: syntaxLine(err), Message: err.Error()}}
 	}
-	s := &shape{text: text, lines: map[string]int{}, bad: map[string]bool{}}
+	s := &structure{text: text, lines: map[string]int{}, rejected: map[string]bool{}}
 	set := Defaults()
-	if s.value(&val, reflect.TypeFor[Settings](), "") {
+	if s.walkValue(&val, reflect.TypeFor[Settings](), "") {
 		val.Standardize()
 		if err := json.Unmarshal(val.Pack(), &set); err != nil {
-			s.fault(codes.SettingType, "file", 1, "%s", err)
+			s.addFault(codes.SettingType, "file", 1, "%s", err)
 		}
 	}
-	(&checker{shape: s, set: set}).check()
+	(&checker{structure: s, set: set}).check()
 	set.Callers.URL = set.Callers.BaseURL()
 	slices.SortStableFunc(s.faults, func(a, b Fault) int { return a.Line - b.Line })
 	return set, s.faults
@@ -101,22 +101,22 @@
 	return "http://" + c.Listen
 }
 
-// Defaults returns the settings that hold where a file names none.
+// Defaults returns the settings that apply if a file does not set them.
 func Defaults() Settings {
 	return Settings{
-		Platform: Platform{TimeoutMs: defaultTimeoutMs, CallsPerSecond: defaultCalls},
+		Platform: Platform{TimeoutMs: defaultTimeoutMs, CallsPerSecond: defaultCallsPerSecond},
 		Limits: Limits{
-			MaxBodyBytes:   defaultBody,
-			MaxHeaderBytes: defaultHeader,
-			MaxConnections: defaultConnections,
-			MaxRequests:    defaultRequests,
-			MaxHeldBytes:   defaultHeld,
-			HeaderMs:       defaultHeaderMs,
-			BodyMs:         defaultBodyMs,
-			WriteMs:        defaultWriteMs,
-			IdleMs:         defaultIdleMs,
+			MaxBodyBytes:     defaultMaxBodyBytes,
+			MaxHeaderBytes:   defaultMaxHeaderBytes,
+			MaxConnections:   defaultMaxConnections,
+			MaxRequests:      defaultMaxRequests,
+			MaxBufferedBytes: defaultMaxBufferedBytes,
+			HeaderMs:         defaultHeaderMs,
+			BodyMs:           defaultBodyMs,
+			WriteMs:          defaultWriteMs,
+			IdleMs:           defaultIdleMs,
 		},
 		Traces: Traces{Exporter: "none", Ratio: 1},
-		Fleet:  Fleet{GraceSeconds: defaultGrace, LeaseLeastMs: defaultLease},
+		Fleet:  Fleet{GraceSeconds: defaultGraceSeconds, MinLeaseMs: defaultMinLeaseMs},
 	}
 }
--- a/internal/daemon/carry.go
+++ b/internal/daemon/carry.go
@@ -8,25 +8,26 @@
 	"verbenadale.example/verbenadale/internal/trail"
 )
 
-// loadWait is how long a load report may take.
-const loadWait = time.Second
+// loadTimeout bounds the time to read a load report and the cache events of a target.
+const loadTimeout = time.Second
 
-// carry takes an effect from the control thread and must not block it.
-func (d *Daemon) carry(eff event.Effect) {
+// execute is called by the loop with each effect. It runs on the control thread and
+// must not block.
+func (d *Daemon) execute(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.InForceNow:
 		d.book.Store(e.Book)
 		d.cfg.Log.Info("configuration in force", "revision", e.Book.Revision)
 	case event.ForgetOutcome:
-		d.outs.Delete(e.Request)
+		d.answers.Delete(e.Request)
 	case event.Note:
 		trail.LogNote(d.cfg.Log, e)
 	case event.DropLinks:
-		// The library of the engines' client finds out by itself.
+		// net/http detects closed connections to targets itself.
 	case event.Drained:
 		d.halt.MarkDrained()
 	default:
-		if !d.platform.carry(eff) && !d.mesh.Send(eff) {
+		if !d.platform.execute(eff) && !d.mesh.Send(eff) {
 			d.enqueue(eff)
 		}
 	}
@@ -36,33 +37,33 @@
 	select {
 	case d.work <- eff:
 	default:
-		// The platform or the targets are slower than the effects come. The
-		// reducer asks again; blocking here would stop its decisions.
-		d.cfg.Log.Info("effect dropped, workers are busy", "effect", event.TypeName(eff))
+		// Effects arrive faster than the workers can execute them. The reducer
+		// repeats the effect later; blocking here would stop its decisions.
+		d.cfg.Log.Info("effect dropped: all workers are busy", "effect", event.TypeName(eff))
 	}
 }
 
-// run carries out effects that wait for the network.
+// run executes queued effects, which block on the network.
 func (d *Daemon) run() error {
 	ctx := d.t.Context(context.Background())
 	for {
 		select {
 		case eff := <-d.work:
-			d.do(ctx, eff)
+			d.process(ctx, eff)
 		case <-d.t.Dying():
 			return nil
 		}
 	}
 }
 
-func (d *Daemon) do(ctx context.Context, eff event.Effect) {
+func (d *Daemon) process(ctx context.Context, eff event.Effect) {
 	if e, ok := eff.(event.PollLoad); ok {
 		d.poll(ctx, e)
 	}
 }
 
 func (d *Daemon) poll(ctx context.Context, e event.PollLoad) {
-	ctx, cancel := context.WithTimeout(ctx, loadWait)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	ld, err := d.targets.Load(ctx, e.Target)
 	if err != nil {
@@ -75,8 +76,8 @@
 	}
 	evs, err := d.targets.Cache(ctx, e.Target, e.After)
 	if err != nil {
-		// Cache events are hints. Without them an engine looks cold and is
-		// used all the same.
+		// Cache events are hints. Without them the engine counts as having an
+		// empty cache, and is still used.
 		return
 	}
 	for _, ev := range evs {
--- a/internal/daemon/passed_test.go
+++ b/internal/daemon/passed_test.go
@@ -10,15 +10,15 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// traced keeps the trace of the last request to an engine.
-type traced struct {
+// traceRecorder is an engine that records the trace context of the last request.
+type traceRecorder struct {
 	*engine.Engine
 	mu     sync.Mutex
 	parent string
 }
 
-// ServeHTTP serves one call.
-func (e *traced) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP records the trace context of a POST request and serves the call.
+func (e *traceRecorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		e.mu.Lock()
 		e.parent = r.Header.Get("Traceparent")
@@ -27,10 +27,11 @@
 	e.Engine.ServeHTTP(w, r)
 }
 
-// A trace ends at the first entry host, without the slow part in another data centre.
+// A trace ends at the first entry host and lacks the hops in the other data centre,
+// because the trace context is not forwarded.
 func TestTraceCrossesEntryHosts(t *testing.T) {
-	eng := &traced{Engine: engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8})}
-	x, _, _ := twoEntriesBefore(t, eng)
+	eng := &traceRecorder{Engine: engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8})}
+	x, _, _ := twoEntriesWith(t, eng)
 	const id = "4bf92f3577b34da6a3ce929d0e0e4736"
 	req, err := http.NewRequest(http.MethodPost, "http://"+x.cfg.Settings.Callers.Listen+"/v1/completions",
 		strings.NewReader(`{"model":"obituary","max_tokens":2,"prompt":"hello"}`))
@@ -47,6 +48,6 @@
 	eng.mu.Lock()
 	defer eng.mu.Unlock()
 	if res.StatusCode != http.StatusOK || !strings.Contains(eng.parent, id) {
-		t.Errorf("status %d, and the engine gets the trace %q, not %s", res.StatusCode, eng.parent, id)
+		t.Errorf("status %d, the engine got trace %q, want %s", res.StatusCode, eng.parent, id)
 	}
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -13,22 +13,22 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// watchWait is how long one watch waits, and snapshotWait how long a host may
-// take to read the whole configuration.
+// watchTimeout is how long one watch call waits for a change, and snapshotTimeout how
+// long the host may take to read the whole configuration.
 const (
-	watchWait    = 20 * time.Second
-	snapshotWait = 15 * time.Second
+	watchTimeout    = 20 * time.Second
+	snapshotTimeout = 15 * time.Second
 )
 
-// Sizes of the pool that waits for the platform. It is apart from the one that
-// polls targets: while the platform is slow, each of its calls takes the whole
-// timeout, and load reports must not wait behind them.
+// Sizes of the worker pool that calls the platform. It is separate from the one
+// that polls targets: while the platform is slow, each call to it takes the whole
+// timeout, and load reports must not wait behind such calls.
 const (
-	platformQueue   = 1024
-	platformWorkers = 8
+	platformQueueSize = 1024
+	platformWorkers   = 8
 )
 
-// platform carries out the effects that call the platform's service.
+// platform executes the effects that call the platform's service.
 type platform struct {
 	d     *Daemon
 	work  chan event.Effect
@@ -37,13 +37,13 @@
 }
 
 func newPlatform(d *Daemon) *platform {
-	p := &platform{d: d, work: make(chan event.Effect, platformQueue)}
-	p.watch = &watcher{d: d, poke: make(chan struct{}, 1)}
-	p.reg = &registrar{d: d, left: make(chan struct{})}
+	p := &platform{d: d, work: make(chan event.Effect, platformQueueSize)}
+	p.watch = &watcher{d: d, wakeup: make(chan struct{}, 1)}
+	p.reg = &registrar{d: d, draining: make(chan struct{})}
 	return p
 }
 
-// start starts the goroutines, which need the loop.
+// start starts the goroutines. The loop must exist, since they post events to it.
 func (p *platform) start() {
 	for range platformWorkers {
 		p.d.t.Go(p.run)
@@ -52,12 +52,12 @@
 	p.d.t.Go(p.reg.run)
 }
 
-// carry takes an effect from the control thread, or reports false for one that
-// is none of the platform's. It does not block.
-func (p *platform) carry(eff event.Effect) bool {
+// execute takes an effect if it is one for the platform, and reports whether it is.
+// It runs on the control thread and does not block.
+func (p *platform) execute(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.WatchChange:
-		p.watch.set(e)
+		p.watch.replace(e)
 	case event.StopWatch:
 		p.watch.stop()
 	case event.ReadSnapshot, event.ReadHosts, event.ClaimKey:
@@ -72,9 +72,9 @@
 	select {
 	case p.work <- eff:
 	default:
-		// The reducer asks again, and a claim ends with its deadline as one
-		// that failed; blocking here would stop the host's decisions.
-		p.d.cfg.Log.Info("effect dropped, the platform is slow", "effect", event.TypeName(eff))
+		// The reducer repeats the effect later, and a claim fails at its
+		// deadline; blocking here would stop the host's decisions.
+		p.d.cfg.Log.Info("effect dropped: all platform workers are busy", "effect", event.TypeName(eff))
 	}
 }
 
@@ -83,14 +83,14 @@
 	for {
 		select {
 		case eff := <-p.work:
-			p.do(ctx, eff)
+			p.process(ctx, eff)
 		case <-p.d.t.Dying():
 			return nil
 		}
 	}
 }
 
-func (p *platform) do(ctx context.Context, eff event.Effect) {
+func (p *platform) process(ctx context.Context, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.ReadHosts:
 		p.readHosts(ctx)
@@ -111,7 +111,7 @@
 }
 
 func (p *platform) readSnapshot(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, snapshotWait)
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	book, err := p.d.revs.Load(ctx)
 	if err != nil {
@@ -121,7 +121,7 @@
 	p.d.loop.Post(event.SnapshotReceived{Book: book})
 }
 
-// claimKey records an idempotency key before the first send.
+// claimKey claims an idempotency key in the store, before the first attempt is sent.
 func (p *platform) claimKey(ctx context.Context, e event.ClaimKey) {
 	ctx, cancel := context.WithTimeout(ctx, e.Deadline.Sub(p.d.clock.Now()))
 	defer cancel()
@@ -129,26 +129,26 @@
 	p.d.loop.Post(event.KeyClaimed{Request: e.Request, Claim: claim, Owner: owner})
 }
 
-// watcher holds the one watch of the host. A new one takes the place of the
-// one that waits, so that a host never has two watches that count as calls.
+// watcher runs the only watch of the host. A new watch replaces the running
+// one, so that a host never has two watches that count as calls.
 type watcher struct {
-	d    *Daemon
-	poke chan struct{}
+	d      *Daemon
+	wakeup chan struct{}
 
-	mu     sync.Mutex
-	want   bool
-	after  event.WatchChange
-	cancel context.CancelFunc
+	mu      sync.Mutex
+	pending bool
+	next    event.WatchChange
+	cancel  context.CancelFunc
 }
 
-func (w *watcher) set(e event.WatchChange) {
+func (w *watcher) replace(e event.WatchChange) {
 	w.mu.Lock()
-	w.want = true
-	w.after = e
+	w.pending = true
+	w.next = e
 	w.abort()
 	w.mu.Unlock()
 	select {
-	case w.poke <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -156,18 +156,18 @@
 func (w *watcher) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.want = false
+	w.pending = false
 	w.abort()
 }
 
-// abort ends the watch that waits. The caller holds the lock.
+// abort cancels the running watch. The caller holds the lock.
 func (w *watcher) abort() {
 	if w.cancel != nil {
 		w.cancel()
 	}
 }
 
-// release frees the context of a watch that has ended.
+// release cancels the context of a watch that has ended, to free its resources.
 func (w *watcher) release() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -175,25 +175,25 @@
 	w.cancel = nil
 }
 
-// take returns the watch that is wanted next.
-func (w *watcher) take(ctx context.Context) (context.Context, event.WatchChange, bool) {
+// takePending returns the pending watch and its context, and false if there is none.
+func (w *watcher) takePending(ctx context.Context) (context.Context, event.WatchChange, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.want {
+	if !w.pending {
 		return ctx, event.WatchChange{}, false
 	}
-	w.want = false
+	w.pending = false
 	ctx, w.cancel = context.WithCancel(ctx)
-	return ctx, w.after, true
+	return ctx, w.next, true
 }
 
 func (w *watcher) run() error {
 	ctx := w.d.t.Context(context.Background())
 	for {
 		select {
-		case <-w.poke:
-			if one, e, ok := w.take(ctx); ok {
-				w.wait(one, e)
+		case <-w.wakeup:
+			if watchCtx, e, ok := w.takePending(ctx); ok {
+				w.watch(watchCtx, e)
 				w.release()
 			}
 		case <-w.d.t.Dying():
@@ -202,10 +202,10 @@
 	}
 }
 
-func (w *watcher) wait(ctx context.Context, e event.WatchChange) {
-	c, err := w.d.revs.Next(ctx, e.After, watchWait)
+func (w *watcher) watch(ctx context.Context, e event.WatchChange) {
+	c, err := w.d.revs.Next(ctx, e.After, watchTimeout)
 	if ctx.Err() != nil {
-		// Another watch has taken its place, or the host stops watching.
+		// Another watch has replaced this one, or the host stops watching.
 		return
 	}
 	switch {
@@ -218,26 +218,26 @@
 	}
 }
 
-// Times of the registration in the directory for clients. The lease is long:
-// each host keeps its own alive, so that the calls grow with the fleet, at 370
-// hosts to about four a second. A host that died without a word stays listed
-// for as long, and callers try the next.
+// Timing of the registration in the directory for clients. The lease is long
+// because each host renews its own, so that the calls grow with the fleet: about
+// four a second at 370 hosts. A host that crashed stays listed until its lease
+// expires, and callers try the next host.
 const (
-	registerTTL   = 5 * time.Minute
-	registerEvery = registerTTL / 3
-	registerRetry = 10 * time.Second
+	registerTTL        = 5 * time.Minute
+	registerInterval   = registerTTL / 3
+	registerRetryDelay = 10 * time.Second
 )
 
 // registrar keeps the host in the directory for clients until it drains.
 type registrar struct {
-	d     *Daemon
-	lease *store.Lease
-	once  sync.Once
-	left  chan struct{}
+	d        *Daemon
+	lease    *store.Lease
+	once     sync.Once
+	draining chan struct{}
 }
 
-// drain takes the host out of the directory.
-func (g *registrar) drain() { g.once.Do(func() { close(g.left) }) }
+// drain removes the host from the directory.
+func (g *registrar) drain() { g.once.Do(func() { close(g.draining) }) }
 
 func (g *registrar) run() error {
 	ctx := g.d.t.Context(context.Background())
@@ -246,9 +246,9 @@
 	for {
 		select {
 		case now := <-at.C():
-			at.Reset(now.Add(g.step(ctx)))
-		case <-g.left:
-			g.leave()
+			at.Reset(now.Add(g.renew(ctx)))
+		case <-g.draining:
+			g.deregister()
 			return nil
 		case <-g.d.t.Dying():
 			return nil
@@ -256,39 +256,39 @@
 	}
 }
 
-// step keeps the lease alive, or takes a new one and registers under it. It
-// returns the wait until the next step.
-func (g *registrar) step(ctx context.Context) time.Duration {
+// renew keeps the lease alive, or takes a new one and registers the host under
+// it. It returns the delay until the next call.
+func (g *registrar) renew(ctx context.Context) time.Duration {
 	if g.lease.Holds(g.d.clock.Now()) {
 		err := g.d.store.KeepAlive(ctx, g.lease)
 		if err == nil {
-			return registerEvery
+			return registerInterval
 		}
 		if !errors.Is(err, store.ErrLapsed) {
-			return registerRetry
+			return registerRetryDelay
 		}
 	}
 	l, err := g.d.store.Grant(ctx, registerTTL)
 	if err != nil {
-		return registerRetry
+		return registerRetryDelay
 	}
 	listing := store.Listing{Entry: g.d.self.ID, Place: g.d.self.Place, CallerURL: g.d.self.CallerURL}
 	if err := g.d.store.Register(ctx, l, listing); err != nil {
-		g.d.cfg.Log.Info("not registered in the directory", "error", err.Error())
-		return registerRetry
+		g.d.cfg.Log.Info("registration in the directory failed", "error", err.Error())
+		return registerRetryDelay
 	}
 	g.lease = l
-	return registerEvery
+	return registerInterval
 }
 
-// leaveWait bounds the last call of a host that drains.
-const leaveWait = 2 * time.Second
+// deregisterTimeout bounds the call that revokes the lease of a draining host.
+const deregisterTimeout = 2 * time.Second
 
-func (g *registrar) leave() {
+func (g *registrar) deregister() {
 	if g.lease == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	_ = g.d.store.Revoke(ctx, g.lease)
 }
