--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -259,12 +259,12 @@
 // step keeps the lease alive, or takes a new one and registers under it. It
 // returns the wait until the next step.
 func (g *registrar) step(ctx context.Context) time.Duration {
-	if g.lease.Holds(g.d.clock.Now()) {
+	if g.lease.Valid(g.d.clock.Now()) {
 		err := g.d.store.KeepAlive(ctx, g.lease)
 		if err == nil {
 			return registerEvery
 		}
-		if !errors.Is(err, store.ErrLapsed) {
+		if !errors.Is(err, store.ErrLeaseExpired) {
 			return registerRetry
 		}
 	}
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -91,7 +91,7 @@
 		return c, nil
 	}
 	v, err := l.cl.Watch(ctx, changeKey(after+1), store.Absent, wait)
-	if errors.Is(err, store.ErrIdle) {
+	if errors.Is(err, store.ErrNoChange) {
 		return rules.Change{}, ErrIdle
 	}
 	if err != nil {
--- a/internal/store/claim.go
+++ b/internal/store/claim.go
@@ -10,8 +10,8 @@
 	"verbenadale.example/verbenadale/internal/event"
 )
 
-// claimTries bounds the writes of one claim.
-const claimTries = 3
+// maxClaimAttempts bounds the writes of one claim.
+const maxClaimAttempts = 3
 
 // KeyPath is the key of the store that holds the record of an idempotency key,
 // given by its digest.
@@ -32,9 +32,9 @@
 	if err != nil {
 		return event.ClaimFailed, event.KeyRecord{}
 	}
-	for range claimTries {
+	for range maxClaimAttempts {
 		_, err = c.put(ctx, request{
-			op: opClaim, method: http.MethodPut, path: expectPath(KeyPath(digest), Absent), body: body, hasty: true,
+			op: opClaim, method: http.MethodPut, path: expectPath(KeyPath(digest), Absent), body: body, failFast: true,
 		})
 		if err == nil {
 			return event.ClaimWon, rec
@@ -54,7 +54,7 @@
 // yet: the write was lost or has not landed, and writing the same record again
 // does no harm.
 func (c *Client) readClaim(ctx context.Context, digest string, rec event.KeyRecord) (event.Claim, event.KeyRecord, bool) {
-	v, err := c.read(ctx, request{op: opClaim, method: http.MethodGet, path: kvPath(KeyPath(digest)), hasty: true})
+	v, err := c.read(ctx, request{op: opClaim, method: http.MethodGet, path: kvPath(KeyPath(digest)), failFast: true})
 	if errors.Is(err, ErrAbsent) {
 		return event.ClaimFailed, event.KeyRecord{}, true
 	}
--- a/internal/store/kv.go
+++ b/internal/store/kv.go
@@ -32,9 +32,9 @@
 	return c.put(ctx, request{op: opPut, method: http.MethodPut, path: expectPath(key, expect), body: body})
 }
 
-// PutUnder is Put of a key that is gone when the lease lapses. The service
+// PutWithLease is Put of a key that is gone when the lease lapses. The service
 // refuses a lapsed lease with ErrLapsed.
-func (c *Client) PutUnder(ctx context.Context, l *Lease, key string, body []byte, expect Version) (Version, error) {
+func (c *Client) PutWithLease(ctx context.Context, l *Lease, key string, body []byte, expect Version) (Version, error) {
 	path := expectPath(key, expect) + "&lease=" + url.QueryEscape(string(l.ID))
 	return c.put(ctx, request{op: opPut, method: http.MethodPut, path: path, body: body})
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -23,30 +23,30 @@
 	Fence ident.Fence
 	TTL   time.Duration
 
-	// until is the end of the lease as the holder may rely on it, in
+	// expiry is the end of the lease as the holder may rely on it, in
 	// nanoseconds of the holder's monotonic clock; zero is lapsed.
-	until atomic.Int64
+	expiry atomic.Int64
 }
 
-// marginShare is the part of its time that a holder gives up at the end, for
+// marginDivisor is the part of its time that a holder gives up at the end, for
 // clocks that run at unequal speeds and for the way of the use itself.
-const marginShare = 8
+const marginDivisor = 8
 
-// Holds reports whether the lease may be relied on at now.
+// Valid reports whether the lease may be relied on at now.
 //
 // A holder that is paused wakes in the middle of its work and knows nothing of
 // the pause: it would go on as the owner while another one is. It is noticed
 // as an order under two fencing numbers at once. The monotonic clock goes on
 // during a pause, so a check right before each use sees that time has run out.
-func (l *Lease) Holds(now ident.Time) bool {
-	return l != nil && now < ident.Time(l.until.Load())
+func (l *Lease) Valid(now ident.Time) bool {
+	return l != nil && now < ident.Time(l.expiry.Load())
 }
 
 // extend moves the end to that of a grant which was asked for at asked. The
 // service counts from a later moment, when it answered, so the holder's end
 // comes first.
 func (l *Lease) extend(asked ident.Time) {
-	l.until.Store(int64(asked.Add(l.TTL - l.TTL/marginShare)))
+	l.expiry.Store(int64(asked.Add(l.TTL - l.TTL/marginDivisor)))
 }
 
 // grant is the service's answer to a grant.
@@ -74,8 +74,8 @@
 func (c *Client) KeepAlive(ctx context.Context, l *Lease) error {
 	asked := c.cfg.Now()
 	err := c.do(ctx, request{op: opKeepAlive, method: http.MethodPut, path: leasePath(l)}, nil)
-	if errors.Is(err, ErrLapsed) {
-		l.until.Store(0)
+	if errors.Is(err, ErrLeaseExpired) {
+		l.expiry.Store(0)
 		return err
 	}
 	if err != nil {
@@ -89,7 +89,7 @@
 // Revoke ends a lease and all that stands under it. The holder relies on it
 // no more, whatever becomes of the call.
 func (c *Client) Revoke(ctx context.Context, l *Lease) error {
-	l.until.Store(0)
+	l.expiry.Store(0)
 	return c.do(ctx, request{op: opRevoke, method: http.MethodDelete, path: leasePath(l)}, nil)
 }
 
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -33,11 +33,11 @@
 	{ErrAbsent, "absent"},
 	{ErrConflict, "conflict"},
 	{ErrUnknown, "unknown"},
-	{ErrIdle, "idle"},
+	{ErrNoChange, "idle"},
 	{ErrBudget, "budget"},
-	{ErrLapsed, "lapsed"},
+	{ErrLeaseExpired, "lapsed"},
 	{ErrTooLarge, "tooLarge"},
-	{ErrDown, "down"},
+	{ErrUnavailable, "down"},
 }
 
 // resultCancelled is the result of a call that its caller broke off, such as a
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -52,20 +52,20 @@
 	ErrConflict = errors.New("store: the key has another version")
 	// ErrUnknown says that a write may or may not have taken effect.
 	ErrUnknown = errors.New("store: the outcome of the write is not known")
-	// ErrDown says that the service gave no answer and nothing was written.
-	ErrDown = errors.New("store: the service does not answer")
-	// ErrIdle says that a watch ended without a change.
-	ErrIdle = errors.New("store: no change")
+	// ErrUnavailable says that the service gave no answer and nothing was written.
+	ErrUnavailable = errors.New("store: the service does not answer")
+	// ErrNoChange says that a watch ended without a change.
+	ErrNoChange = errors.New("store: no change")
 	// ErrBudget says that the rate budget is used up; nothing was sent.
 	ErrBudget = errors.New("store: the call budget is used up")
-	// ErrLapsed says that the lease no longer stands; nothing was written.
-	ErrLapsed = errors.New("store: the lease has lapsed")
+	// ErrLeaseExpired says that the lease no longer stands; nothing was written.
+	ErrLeaseExpired = errors.New("store: the lease has lapsed")
 	// ErrTooLarge says that the value is longer than the service holds.
 	ErrTooLarge = errors.New("store: the value is longer than one megabyte")
 )
 
-// turn makes an error of this layer from one below, which is kept as text only.
-func turn(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
+// wrapAs makes an error of this layer from one below, which is kept as text only.
+func wrapAs(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
 
 // MaxValue is the longest value that the service holds.
 const MaxValue = 1 << 20
@@ -92,10 +92,10 @@
 
 // Client calls the platform's service. It is safe for several goroutines.
 type Client struct {
-	cfg    Config
-	http   *http.Client
-	budget *rate.Limiter
-	claims *rate.Limiter
+	cfg         Config
+	http        *http.Client
+	budget      *rate.Limiter
+	claimBudget *rate.Limiter
 }
 
 // New returns a client.
@@ -110,17 +110,17 @@
 		cfg.Now = sinceStart(time.Now())
 	}
 	return &Client{
-		cfg:    cfg,
-		http:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
-		budget: limiter(cfg.CallsPerSecond),
-		claims: limiter(cfg.CallsPerSecond / claimShare),
+		cfg:         cfg,
+		http:        &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
+		budget:      limiter(cfg.CallsPerSecond),
+		claimBudget: limiter(cfg.CallsPerSecond / claimDivisor),
 	}
 }
 
-// claimShare is what the calls a second are divided by for the claims. They
+// claimDivisor is what the calls a second are divided by for the claims. They
 // come at the rate of the callers' requests. With one common budget a burst of
 // claims would hold up the watch, and a change would not come into force.
-const claimShare = 2
+const claimDivisor = 2
 
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
@@ -144,8 +144,8 @@
 	body   []byte
 	// wait is how long the service may take beyond the timeout of a call.
 	wait time.Duration
-	// hasty fails at once where the budget is used up, and does not wait.
-	hasty bool
+	// failFast fails at once where the budget is used up, and does not wait.
+	failFast bool
 }
 
 // writes reports whether the call may change something.
@@ -156,7 +156,7 @@
 func (c *Client) do(caller context.Context, q request, out any) error {
 	ctx, cancel := context.WithTimeout(caller, q.wait+c.cfg.Timeout)
 	defer cancel()
-	if err := c.spend(ctx, q); err != nil {
+	if err := c.takeBudget(ctx, q); err != nil {
 		c.meter(q.op, resultName(caller, err), 0)
 		return err
 	}
@@ -166,18 +166,18 @@
 	return err
 }
 
-// spend takes one call from the budget. Control calls wait for their turn as
+// takeBudget takes one call from the budget. Control calls wait for their turn as
 // long as their deadline lets them; a claim stands between a caller and its
 // answer and is refused at once.
-func (c *Client) spend(ctx context.Context, q request) error {
-	if q.hasty {
-		if !c.claims.Allow() {
+func (c *Client) takeBudget(ctx context.Context, q request) error {
+	if q.failFast {
+		if !c.claimBudget.Allow() {
 			return ErrBudget
 		}
 		return nil
 	}
 	if err := c.budget.Wait(ctx); err != nil {
-		return turn(ErrBudget, err)
+		return wrapAs(ErrBudget, err)
 	}
 	return nil
 }
@@ -185,55 +185,55 @@
 func (c *Client) send(ctx context.Context, q request, out any) error {
 	req, err := http.NewRequestWithContext(ctx, q.method, c.cfg.URL+q.path, bytes.NewReader(q.body))
 	if err != nil {
-		return turn(ErrDown, err)
+		return wrapAs(ErrUnavailable, err)
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return lost(q, err)
+		return noAnswerError(q, err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return fromStatus(q, res.StatusCode)
+		return statusError(q, res.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxAnswer)).Decode(out); err != nil {
-		return lost(q, err)
+		return noAnswerError(q, err)
 	}
 	return nil
 }
 
-// lost returns what a call without an answer means. A write may have reached the
+// noAnswerError returns what a call without an answer means. A write may have reached the
 // service before the link broke, so it may stand, and only a read of the key
 // can know. A link that was never made has carried nothing.
-func lost(q request, err error) error {
+func noAnswerError(q request, err error) error {
 	var op *net.OpError
 	unsent := errors.As(err, &op) && op.Op == "dial"
 	if unsent || !q.writes() {
-		return turn(ErrDown, err)
+		return wrapAs(ErrUnavailable, err)
 	}
-	return turn(ErrUnknown, err)
+	return wrapAs(ErrUnknown, err)
 }
 
-func fromStatus(q request, status int) error {
+func statusError(q request, status int) error {
 	switch status {
 	case http.StatusNotFound:
 		return ErrAbsent
 	case http.StatusNoContent:
-		return ErrIdle
+		return ErrNoChange
 	case http.StatusConflict:
 		return ErrConflict
 	case http.StatusGone:
-		return ErrLapsed
+		return ErrLeaseExpired
 	case http.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case http.StatusServiceUnavailable:
 		// The service says that it has not taken the call.
-		return turn(ErrDown, errors.New("the service refused the call"))
+		return wrapAs(ErrUnavailable, errors.New("the service refused the call"))
 	}
 	if q.writes() {
-		return turn(ErrUnknown, errors.Errorf("status %d", status))
+		return wrapAs(ErrUnknown, errors.Errorf("status %d", status))
 	}
-	return turn(ErrDown, errors.Errorf("status %d", status))
+	return wrapAs(ErrUnavailable, errors.Errorf("status %d", status))
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -78,7 +78,7 @@
 func TestPutNotSent(t *testing.T) {
 	cl := store.New(store.Config{URL: "http://127.0.0.1:1"})
 	_, err := cl.Put(context.Background(), "k", nil, store.Absent)
-	wantErr(t, "refused connection", store.ErrDown, err)
+	wantErr(t, "refused connection", store.ErrUnavailable, err)
 	if errors.Is(err, store.ErrUnknown) {
 		t.Error("a write that was never sent is reported as unknown")
 	}
@@ -181,28 +181,28 @@
 	f := newFixture(t, store.Config{})
 	first, err := f.cl.Grant(ctx, time.Minute)
 	wantErr(t, "grant", nil, err)
-	_, err = f.cl.PutUnder(ctx, first, "duty", []byte("first"), store.Absent)
+	_, err = f.cl.PutWithLease(ctx, first, "duty", []byte("first"), store.Absent)
 	wantErr(t, "take the duty", nil, err)
-	wantSame(t, "holds at first", true, first.Holds(ident.Time(f.now)))
+	wantSame(t, "holds at first", true, first.Valid(ident.Time(f.now)))
 
 	f.now = 55 * time.Second
-	wantSame(t, "gives up before the service does", false, first.Holds(ident.Time(f.now)))
+	wantSame(t, "gives up before the service does", false, first.Valid(ident.Time(f.now)))
 	_, err = f.cl.Get(ctx, "duty")
 	wantErr(t, "the service still counts it as held", nil, err)
 
 	f.now = 61 * time.Second
 	second, err := f.cl.Grant(ctx, time.Minute)
 	wantErr(t, "second grant", nil, err)
-	_, err = f.cl.PutUnder(ctx, second, "duty", []byte("second"), store.Absent)
+	_, err = f.cl.PutWithLease(ctx, second, "duty", []byte("second"), store.Absent)
 	wantErr(t, "the next holder takes the duty", nil, err)
 	if second.Fence <= first.Fence {
 		t.Errorf("fencing number %d of the next holder is not above %d", second.Fence, first.Fence)
 	}
-	wantErr(t, "the first can't wake it", store.ErrLapsed, f.cl.KeepAlive(ctx, first))
-	wantSame(t, "and knows", false, first.Holds(0))
-	_, err = f.cl.PutUnder(ctx, first, "other", nil, store.Absent)
-	wantErr(t, "nor write under it", store.ErrLapsed, err)
-	wantSame(t, "a lease that nobody has", false, (*store.Lease)(nil).Holds(0))
+	wantErr(t, "the first can't wake it", store.ErrLeaseExpired, f.cl.KeepAlive(ctx, first))
+	wantSame(t, "and knows", false, first.Valid(0))
+	_, err = f.cl.PutWithLease(ctx, first, "other", nil, store.Absent)
+	wantErr(t, "nor write under it", store.ErrLeaseExpired, err)
+	wantSame(t, "a lease that nobody has", false, (*store.Lease)(nil).Valid(0))
 }
 
 // The stand-in's list of hosts does not lag as the platform's does.
@@ -239,7 +239,7 @@
 	got, err = f.cl.Directory(ctx)
 	wantErr(t, "directory", nil, err)
 	wantSame(t, "gone", []store.Listing{}, got)
-	wantErr(t, "register again", store.ErrLapsed, f.cl.Register(ctx, l, ls))
+	wantErr(t, "register again", store.ErrLeaseExpired, f.cl.Register(ctx, l, ls))
 }
 
 // A watch that waits is one call to the platform's rates, however long.
@@ -247,6 +247,6 @@
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
 	_, err := f.cl.Watch(ctx, "k", store.Absent, 50*time.Millisecond)
-	wantErr(t, "nothing came", store.ErrIdle, err)
+	wantErr(t, "nothing came", store.ErrNoChange, err)
 	wantSame(t, "calls", plat.Counts{"watch": 1}, f.srv.Counts())
 }
