--- a/internal/store/claim.go
+++ b/internal/store/claim.go
@@ -10,23 +10,22 @@
 	"verbenadale.example/verbenadale/internal/event"
 )
 
-// maxClaimAttempts bounds the writes of one claim.
+// maxClaimAttempts limits the writes of one claim.
 const maxClaimAttempts = 3
 
-// KeyPath is the key of the store that holds the record of an idempotency key,
-// given by its digest.
+// KeyPath returns the store key of the record of an idempotency key, which is given by its
+// digest.
 func KeyPath(digest string) string { return "verbenadale/keys/" + digest }
 
-// Claim makes the record of an idempotency key, unless there is one. It
-// answers ClaimWon only where the store holds this very record, ClaimTaken
-// with the record of another, and ClaimFailed where nothing is known.
+// Claim creates the record of an idempotency key unless one exists. It returns ClaimWon only if
+// the store has exactly this record, ClaimTaken with the record of another request, and
+// ClaimFailed if the state is unknown.
 //
-// A lost reply leaves open whether the record stands. Running the request
-// without knowing could run it twice, as a second publication of one notice
-// would show; refusing it although the record stands could block the key for
-// good. So the record is read back. A write that lands after ClaimFailed makes
-// a record for a request that was not run: the owner's registry of runs, which
-// a repeat is sent to by the record, says so and lets the repeat run.
+// After a lost reply the record may or may not exist. Running the request anyway could run it
+// twice, for example publish one notice twice; refusing it although the record exists could block
+// the key forever. The record is therefore read back. A write that lands after ClaimFailed leaves
+// a record of a request that was not run. A repeat is directed by the record to the owner, whose
+// registry of runs shows that the request was not run, so that the repeat may run.
 func (c *Client) Claim(ctx context.Context, digest string, rec event.KeyRecord) (event.Claim, event.KeyRecord) {
 	body, err := json.Marshal(rec)
 	if err != nil {
@@ -50,9 +49,9 @@
 	return event.ClaimFailed, event.KeyRecord{}
 }
 
-// readClaim reads the record back. It asks to try again where there is none
-// yet: the write was lost or has not landed, and writing the same record again
-// does no harm.
+// readClaim reads the record back. Its last result is set if the caller should write again
+// because there is no record: the write was lost or has not landed yet, and repeating it is
+// harmless.
 func (c *Client) readClaim(ctx context.Context, digest string, rec event.KeyRecord) (event.Claim, event.KeyRecord, bool) {
 	v, err := c.read(ctx, request{op: opClaim, method: http.MethodGet, path: kvPath(KeyPath(digest)), failFast: true})
 	if errors.Is(err, ErrAbsent) {
--- a/internal/store/hosts.go
+++ b/internal/store/hosts.go
@@ -12,7 +12,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Hosts is the platform's list of hosts. It lags.
+// Hosts is the platform's list of hosts, which lags behind the actual state.
 type Hosts struct {
 	Version uint64         `json:"version"`
 	Hosts   []event.Host   `json:"hosts"`
@@ -26,16 +26,16 @@
 	return hs, err
 }
 
-// Listing is one entry host in the directory for clients: where a caller that
-// knows no entry host begins.
+// Listing is one entry host in the directory for clients, from which a caller that knows no entry
+// host gets its first address.
 type Listing struct {
 	Entry     ident.EntryID `json:"entry"`
 	Place     event.Place   `json:"place"`
 	CallerURL string        `json:"callerURL"`
 }
 
-// Register puts an entry host into the directory for as long as the lease
-// stands. A repeat replaces the listing.
+// Register adds an entry host to the directory until the lease expires. A repeated call replaces
+// the listing.
 func (c *Client) Register(ctx context.Context, l *Lease, ls Listing) error {
 	body, err := json.Marshal(ls)
 	if err != nil {
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -13,51 +13,50 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// LeaseID names a lease of the service.
+// LeaseID identifies a lease of the service.
 type LeaseID string
 
-// Lease is a promise of the service, for a time. Its fencing number is higher
+// Lease is a lease that the service has granted for a limited time. Its fencing number is higher
 // than that of every lease granted before.
 type Lease struct {
 	ID    LeaseID
 	Fence ident.Fence
 	TTL   time.Duration
 
-	// expiry is the end of the lease as the holder may rely on it, in
-	// nanoseconds of the holder's monotonic clock; zero is lapsed.
+	// expiry is the time until which the holder may rely on the lease, in nanoseconds of its
+	// monotonic clock; zero means expired.
 	expiry atomic.Int64
 }
 
-// marginDivisor is the part of its time that a holder gives up at the end, for
-// clocks that run at unequal speeds and for the way of the use itself.
+// marginDivisor is the divisor of the TTL that yields the safety margin at its end. The margin
+// covers clocks that run at different rates and the latency of the protected operation.
 const marginDivisor = 8
 
-// Valid reports whether the lease may be relied on at now.
+// Valid reports whether the holder may rely on the lease at now.
 //
-// A holder that is paused wakes in the middle of its work and knows nothing of
-// the pause: it would go on as the owner while another one is. It is noticed
-// as an order under two fencing numbers at once. The monotonic clock goes on
-// during a pause, so a check right before each use sees that time has run out.
+// A paused process that holds a lease resumes in the middle of its work without noticing the
+// pause, and would continue as owner while another host is. The effect is an order under two
+// fencing numbers at once. The monotonic clock advances during a pause, so a check right before
+// each use detects the expiry.
 func (l *Lease) Valid(now ident.Time) bool {
 	return l != nil && now < ident.Time(l.expiry.Load())
 }
 
-// extend moves the end to that of a grant which was asked for at asked. The
-// service counts from a later moment, when it answered, so the holder's end
-// comes first.
+// extend sets the expiry for a grant that was requested at asked. The service counts from the
+// later time of its answer, so the lease expires first at the holder.
 func (l *Lease) extend(asked ident.Time) {
 	l.expiry.Store(int64(asked.Add(l.TTL - l.TTL/marginDivisor)))
 }
 
-// grant is the service's answer to a grant.
+// grant is the answer of the service to Grant.
 type grant struct {
 	ID    LeaseID     `json:"id"`
 	Fence ident.Fence `json:"fence"`
 	TTLMs int64       `json:"ttlMs"`
 }
 
-// Grant asks for a lease. After ErrUnknown a lease may stand that nobody
-// holds; it lapses by itself.
+// Grant requests a lease. After ErrUnknown the service may have granted a lease that has no
+// holder; it expires by itself.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (*Lease, error) {
 	asked := c.cfg.Now()
 	var g grant
@@ -70,7 +69,8 @@
 	return l, nil
 }
 
-// KeepAlive extends a lease. A lapsed one stays lapsed: ErrLapsed.
+// KeepAlive extends a lease. It returns ErrLeaseExpired for an expired lease, which can't be
+// renewed.
 func (c *Client) KeepAlive(ctx context.Context, l *Lease) error {
 	asked := c.cfg.Now()
 	err := c.do(ctx, request{op: opKeepAlive, method: http.MethodPut, path: leasePath(l)}, nil)
@@ -79,15 +79,15 @@
 		return err
 	}
 	if err != nil {
-		// Whether it was extended is not known; the old end still holds.
+		// The lease may or may not have been extended; the previous expiry is still valid.
 		return err
 	}
 	l.extend(asked)
 	return nil
 }
 
-// Revoke ends a lease and all that stands under it. The holder relies on it
-// no more, whatever becomes of the call.
+// Revoke ends a lease and removes everything registered under it. The lease is invalid for its
+// holder from then on, even if the call fails.
 func (c *Client) Revoke(ctx context.Context, l *Lease) error {
 	l.expiry.Store(0)
 	return c.do(ctx, request{op: opRevoke, method: http.MethodDelete, path: leasePath(l)}, nil)
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -8,7 +8,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// op names an operation in the metrics.
+// op is the name of an operation in metrics.
 type op string
 
 const (
@@ -25,7 +25,7 @@
 	opClaim     op = "claim"
 )
 
-// results names the errors in the metrics, in the order of the search.
+// results maps errors to result names in metrics; the first match is used.
 var results = []struct {
 	err  error
 	name string
@@ -40,9 +40,8 @@
 	{ErrUnavailable, "down"},
 }
 
-// resultCancelled is the result of a call that its caller broke off, such as a
-// watch that another host takes over. As "down" it would raise an alarm about a
-// platform that is well.
+// resultCancelled is the result of a call that its caller cancelled, such as a watch that another
+// host takes over. Counting it as "down" would raise a false alarm about the platform.
 const resultCancelled = "cancelled"
 
 func resultName(caller context.Context, err error) string {
@@ -60,7 +59,7 @@
 	return "other"
 }
 
-// meter counts a call by operation and result, and times it where it was sent.
+// meter counts a call by operation and result, and records its duration if it was sent.
 func (c *Client) meter(o op, result string, took time.Duration) {
 	name := "platform." + string(o)
 	metrics.GetOrRegisterCounter(name+"."+result, c.cfg.Metrics).Inc(1)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
 // Package store is the client of the platform's key-value service: get,
-// create or swap by version, watch, leases, the list of hosts and the
+// compare-and-swap by version, watch, leases, the list of hosts and the
 // directory for clients. docs/platform.md describes the service.
 //
 // # Usage
@@ -8,15 +8,15 @@
 //	v, err := cl.Get(ctx, "verbenadale/changes/7")
 //	ver, err := cl.Put(ctx, "verbenadale/changes/8", body, store.Absent)
 //
-// Every call has a deadline, takes from a rate budget and is counted and timed
-// by operation and result. A call whose reply is lost may have taken effect:
-// Put then returns ErrUnknown and never claims either way. The caller reads
-// the key back before it believes anything.
+// Every call has a deadline, counts against a rate budget, and is counted and
+// timed by operation and result. A write whose reply is lost may have taken
+// effect: Put then returns ErrUnknown, and the caller must read the key back to
+// find out.
 //
-// A lease is checked by its holder before each use, by the monotonic clock:
+// The holder of a lease checks it against the monotonic clock before each use:
 //
 //	l, err := cl.Grant(ctx, time.Minute)
-//	if !l.Holds(now) { ... }
+//	if !l.Valid(now) { ... }
 package store
 
 import (
@@ -36,61 +36,61 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Version grows with every write to the service. A key that was deleted and
-// made again has a higher version than before, so that a writer with an old
-// version never succeeds by chance.
+// Version increases with every write to the service. A key that was deleted and created again has
+// a higher version than before, so a writer with an old version never succeeds by accident.
 type Version uint64
 
 // Absent is the version of a key without a value.
 const Absent Version = 0
 
-// The errors of this layer.
+// Errors of this package.
 var (
-	// ErrAbsent says that the key has no value.
+	// ErrAbsent means that the key has no value.
 	ErrAbsent = errors.New("store: the key has no value")
-	// ErrConflict says that the key has another version; nothing was written.
+	// ErrConflict means that the key has another version; nothing was written.
 	ErrConflict = errors.New("store: the key has another version")
-	// ErrUnknown says that a write may or may not have taken effect.
-	ErrUnknown = errors.New("store: the outcome of the write is not known")
-	// ErrUnavailable says that the service gave no answer and nothing was written.
+	// ErrUnknown means that a write may or may not have taken effect.
+	ErrUnknown = errors.New("store: the outcome of the write is unknown")
+	// ErrUnavailable means that the service did not answer and nothing was written.
 	ErrUnavailable = errors.New("store: the service does not answer")
-	// ErrNoChange says that a watch ended without a change.
+	// ErrNoChange means that a watch ended without a change.
 	ErrNoChange = errors.New("store: no change")
-	// ErrBudget says that the rate budget is used up; nothing was sent.
-	ErrBudget = errors.New("store: the call budget is used up")
-	// ErrLeaseExpired says that the lease no longer stands; nothing was written.
-	ErrLeaseExpired = errors.New("store: the lease has lapsed")
-	// ErrTooLarge says that the value is longer than the service holds.
+	// ErrBudget means that the rate budget is exhausted; nothing was sent.
+	ErrBudget = errors.New("store: the call budget is exhausted")
+	// ErrLeaseExpired means that the lease has expired; nothing was written.
+	ErrLeaseExpired = errors.New("store: the lease has expired")
+	// ErrTooLarge means that the value exceeds the maximum of the service.
 	ErrTooLarge = errors.New("store: the value is longer than one megabyte")
 )
 
-// wrapAs makes an error of this layer from one below, which is kept as text only.
+// wrapAs returns an error of this package with the text of the underlying error, which is not
+// wrapped itself.
 func wrapAs(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
 
-// MaxValue is the longest value that the service holds.
+// MaxValue is the maximum length of a value, in bytes.
 const MaxValue = 1 << 20
 
-// maxAnswer bounds an answer, with room for a value in base64 and for a list of
-// hosts of the target size.
+// maxAnswer limits an answer, with room for a value in base64 and for a list of hosts of the
+// intended fleet size.
 const maxAnswer = 8 << 20
 
-// defaultTimeout bounds a call where the configuration names no timeout.
+// defaultTimeout is the timeout of a call if the configuration sets none.
 const defaultTimeout = 1500 * time.Millisecond
 
-// Config is what a client needs. Zero fields stand for defaults.
+// Config configures a client. Zero fields mean defaults.
 type Config struct {
 	URL     string
 	Timeout time.Duration
-	// CallsPerSecond bounds the calls, with bursts of as many; zero is no
-	// bound. Claims of idempotency keys may use half of it in addition.
+	// CallsPerSecond limits the calls, with bursts of the same number; zero means no limit.
+	// Claims of idempotency keys may use half of it in addition.
 	CallsPerSecond float64
-	// Metrics receives platform.OP.RESULT counters and platform.OP timers.
+	// Metrics registers platform.OP.RESULT counters and platform.OP timers.
 	Metrics metrics.Registry
-	// Now reads the monotonic clock that leases are measured by.
+	// Now returns the monotonic time that leases are checked against.
 	Now func() ident.Time
 }
 
-// Client calls the platform's service. It is safe for several goroutines.
+// Client is a client of the platform's service. It is safe for concurrent use.
 type Client struct {
 	cfg         Config
 	http        *http.Client
@@ -117,9 +117,9 @@
 	}
 }
 
-// claimDivisor is what the calls a second are divided by for the claims. They
-// come at the rate of the callers' requests. With one common budget a burst of
-// claims would hold up the watch, and a change would not come into force.
+// claimDivisor divides CallsPerSecond for claims, which arrive at the rate of the callers'
+// requests. With one common budget a burst of claims would block the watch, and configuration
+// changes would not take effect.
 const claimDivisor = 2
 
 func limiter(perSecond float64) *rate.Limiter {
@@ -133,7 +133,7 @@
 	return func() ident.Time { return ident.Time(time.Since(start)) }
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // request is one call of the service.
@@ -142,17 +142,17 @@
 	method string
 	path   string
 	body   []byte
-	// wait is how long the service may take beyond the timeout of a call.
+	// wait is how long the service may take in addition to the timeout of a call.
 	wait time.Duration
-	// failFast fails at once where the budget is used up, and does not wait.
+	// failFast is set if the call fails with ErrBudget instead of waiting while the budget is
+	// exhausted.
 	failFast bool
 }
 
-// writes reports whether the call may change something.
+// writes reports whether the call may change data.
 func (q request) writes() bool { return q.method != http.MethodGet }
 
-// do sends a request, reads the answer into out, where out is not nil, and
-// meters the call.
+// do sends a request, decodes the answer into out unless out is nil, and records metrics.
 func (c *Client) do(caller context.Context, q request, out any) error {
 	ctx, cancel := context.WithTimeout(caller, q.wait+c.cfg.Timeout)
 	defer cancel()
@@ -166,9 +166,8 @@
 	return err
 }
 
-// takeBudget takes one call from the budget. Control calls wait for their turn as
-// long as their deadline lets them; a claim stands between a caller and its
-// answer and is refused at once.
+// takeBudget takes one call from the rate budget. Control calls wait for their turn until their
+// deadline; a claim delays the answer to a caller and is refused immediately.
 func (c *Client) takeBudget(ctx context.Context, q request) error {
 	if q.failFast {
 		if !c.claimBudget.Allow() {
@@ -204,9 +203,9 @@
 	return nil
 }
 
-// noAnswerError returns what a call without an answer means. A write may have reached the
-// service before the link broke, so it may stand, and only a read of the key
-// can know. A link that was never made has carried nothing.
+// noAnswerError returns the error of a call without an answer. A write may have reached the
+// service before the connection broke, so it may have taken effect; only reading the key can show
+// it. If the connection was never established, nothing was sent.
 func noAnswerError(q request, err error) error {
 	var op *net.OpError
 	unsent := errors.As(err, &op) && op.Op == "dial"
@@ -229,7 +228,7 @@
 	case http.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case http.StatusServiceUnavailable:
-		// The service says that it has not taken the call.
+		// 503 means that the service has not executed the call.
 		return wrapAs(ErrUnavailable, errors.New("the service refused the call"))
 	}
 	if q.writes() {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,8 +16,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// fixture is a stand-in and a client of it, both on a clock that the test
-// moves.
+// fixture is a stub of the service and a client, both on a clock that the test sets.
 type fixture struct {
 	srv *plat.Server
 	cl  *store.Client
@@ -51,14 +50,14 @@
 	}
 }
 
-func wantSame(t *testing.T, what string, want, got any) {
+func wantEqual(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("%s (-want +got):\n%s", what, diff)
 	}
 }
 
-// A write whose reply is lost is reported as failed or done.
+// Guards against reporting a write whose reply is lost as failed or as done.
 func TestPutLostReply(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -67,14 +66,14 @@
 	wantErr(t, "lost reply", store.ErrUnknown, err)
 	v, err := f.cl.Get(ctx, "k")
 	wantErr(t, "read back", nil, err)
-	wantSame(t, "the value stands", "a", string(v.Body))
+	wantEqual(t, "the value stands", "a", string(v.Body))
 	_, err = f.cl.Put(ctx, "k", []byte("b"), store.Absent)
 	wantErr(t, "second creation", store.ErrConflict, err)
-	wantSame(t, "metric of the lost reply", int64(1), f.counter("put.unknown"))
-	wantSame(t, "metric of the conflict", int64(1), f.counter("put.conflict"))
+	wantEqual(t, "metric of the lost reply", int64(1), f.counter("put.unknown"))
+	wantEqual(t, "metric of the conflict", int64(1), f.counter("put.conflict"))
 }
 
-// A write that was never sent is reported as of unknown outcome.
+// Guards against reporting a write that was never sent as of unknown outcome.
 func TestPutNotSent(t *testing.T) {
 	cl := store.New(store.Config{URL: "http://127.0.0.1:1"})
 	_, err := cl.Put(context.Background(), "k", nil, store.Absent)
@@ -84,8 +83,9 @@
 	}
 }
 
-// A key that is deleted and made again fits the old version of a slow writer.
-func TestVersionsNeverBeginAgain(t *testing.T) {
+// Guards against a key that is deleted and created again and then matches the old version of a
+// slow writer.
+func TestVersionsAreNotReused(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
 	first, err := f.cl.Put(ctx, "k", []byte("a"), store.Absent)
@@ -103,7 +103,7 @@
 	return err
 }
 
-// A claim in doubt runs a request twice, or blocks its key.
+// Guards against a claim of unknown outcome that runs a request twice or blocks its key.
 func TestClaim(t *testing.T) {
 	mine := event.KeyRecord{Entry: "uvs-1", Incarnation: 7, Request: "req-1", Print: "p"}
 	other := event.KeyRecord{Entry: "uvs-2", Incarnation: 3, Request: "req-2", Print: "p"}
@@ -132,34 +132,34 @@
 			}
 			f.srv.SetFaults(c.faults)
 			claim, owner := f.cl.Claim(ctx, "d", mine)
-			wantSame(t, "claim", c.claim, claim)
-			wantSame(t, "owner", c.owner, owner)
+			wantEqual(t, "claim", c.claim, claim)
+			wantEqual(t, "owner", c.owner, owner)
 		})
 	}
 }
 
-// A claim that lands after its request was refused counts as a run.
+// Guards against counting a claim that lands after its request was refused as a run.
 func TestClaimLandsLate(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{Timeout: 50 * time.Millisecond})
 	f.srv.SetFaults(plat.Faults{DelayMs: 200})
 	rec := event.KeyRecord{Entry: "uvs-1", Incarnation: 7, Request: "req-1"}
 	claim, _ := f.cl.Claim(ctx, "d", rec)
-	wantSame(t, "claim", event.ClaimFailed, claim)
+	wantEqual(t, "claim", event.ClaimFailed, claim)
 	f.srv.SetFaults(plat.Faults{})
 	got := store.Value{}
 	for deadline := time.Now().Add(20 * time.Second); got.Body == nil && time.Now().Before(deadline); {
 		got, _ = f.cl.Get(ctx, store.KeyPath("d"))
 	}
 	if got.Body == nil {
-		t.Fatal("the late write never landed, so that the test shows nothing")
+		t.Fatal("the late write never landed, so the test proves nothing")
 	}
 	claim, _ = f.cl.Claim(ctx, "d", rec)
-	wantSame(t, "claim of the same request afterwards", event.ClaimWon, claim)
+	wantEqual(t, "claim of the same request afterwards", event.ClaimWon, claim)
 }
 
-// Many claims use up the budget of calls that the watch needs.
-func TestClaimsLeaveTheWatchAlone(t *testing.T) {
+// Guards against claims that exhaust the call budget which the watch needs.
+func TestClaimsDoNotBlockControlCalls(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{CallsPerSecond: 4, Timeout: 200 * time.Millisecond})
 	failed := 0
@@ -169,24 +169,24 @@
 		}
 	}
 	if failed == 0 || f.counter("claim.budget") == 0 {
-		t.Error("50 claims at once did not use up a budget of 2 a second")
+		t.Error("50 simultaneous claims did not exhaust a budget of 2 per second")
 	}
 	_, err := f.cl.Get(ctx, "k")
 	wantErr(t, "a control call", store.ErrAbsent, err)
 }
 
-// A holder that wakes after its lease has lapsed goes on as the owner.
-func TestLeaseLapsesDuringPause(t *testing.T) {
+// Guards against a holder that resumes after its lease has expired and continues as owner.
+func TestLeaseExpiresDuringPause(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
 	first, err := f.cl.Grant(ctx, time.Minute)
 	wantErr(t, "grant", nil, err)
 	_, err = f.cl.PutWithLease(ctx, first, "duty", []byte("first"), store.Absent)
-	wantErr(t, "take the duty", nil, err)
-	wantSame(t, "holds at first", true, first.Valid(ident.Time(f.now)))
+	wantErr(t, "acquire the duty", nil, err)
+	wantEqual(t, "valid at first", true, first.Valid(ident.Time(f.now)))
 
 	f.now = 55 * time.Second
-	wantSame(t, "gives up before the service does", false, first.Valid(ident.Time(f.now)))
+	wantEqual(t, "expires at the holder before it does at the service", false, first.Valid(ident.Time(f.now)))
 	_, err = f.cl.Get(ctx, "duty")
 	wantErr(t, "the service still counts it as held", nil, err)
 
@@ -194,18 +194,18 @@
 	second, err := f.cl.Grant(ctx, time.Minute)
 	wantErr(t, "second grant", nil, err)
 	_, err = f.cl.PutWithLease(ctx, second, "duty", []byte("second"), store.Absent)
-	wantErr(t, "the next holder takes the duty", nil, err)
+	wantErr(t, "the next holder acquires the duty", nil, err)
 	if second.Fence <= first.Fence {
 		t.Errorf("fencing number %d of the next holder is not above %d", second.Fence, first.Fence)
 	}
-	wantErr(t, "the first can't wake it", store.ErrLeaseExpired, f.cl.KeepAlive(ctx, first))
-	wantSame(t, "and knows", false, first.Valid(0))
+	wantErr(t, "the first holder can't renew it", store.ErrLeaseExpired, f.cl.KeepAlive(ctx, first))
+	wantEqual(t, "the first lease is invalid", false, first.Valid(0))
 	_, err = f.cl.PutWithLease(ctx, first, "other", nil, store.Absent)
-	wantErr(t, "nor write under it", store.ErrLeaseExpired, err)
-	wantSame(t, "a lease that nobody has", false, (*store.Lease)(nil).Valid(0))
+	wantErr(t, "the first holder can't write under it", store.ErrLeaseExpired, err)
+	wantEqual(t, "a nil lease", false, (*store.Lease)(nil).Valid(0))
 }
 
-// The stand-in's list of hosts does not lag as the platform's does.
+// Guards against a stub whose list of hosts does not lag as the platform's does.
 func TestHostListLags(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -220,11 +220,11 @@
 		f.now = c.now
 		hs, err := f.cl.Hosts(ctx)
 		wantErr(t, "hosts", nil, err)
-		wantSame(t, "list at "+c.now.String(), c.want, hs.Hosts[0].ID)
+		wantEqual(t, "list at "+c.now.String(), c.want, hs.Hosts[0].ID)
 	}
 }
 
-// A host that died stays in the directory.
+// Guards against a crashed host that stays in the directory.
 func TestDirectoryEndsWithTheLease(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -234,19 +234,20 @@
 	wantErr(t, "register", nil, f.cl.Register(ctx, l, ls))
 	got, err := f.cl.Directory(ctx)
 	wantErr(t, "directory", nil, err)
-	wantSame(t, "listed", []store.Listing{ls}, got)
+	wantEqual(t, "listed", []store.Listing{ls}, got)
 	f.now = 2 * time.Minute
 	got, err = f.cl.Directory(ctx)
 	wantErr(t, "directory", nil, err)
-	wantSame(t, "gone", []store.Listing{}, got)
+	wantEqual(t, "gone", []store.Listing{}, got)
 	wantErr(t, "register again", store.ErrLeaseExpired, f.cl.Register(ctx, l, ls))
 }
 
-// A watch that waits is one call to the platform's rates, however long.
+// A waiting watch must count as one call against the rate limits of the platform, however long it
+// waits.
 func TestWatchCountsOnce(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
 	_, err := f.cl.Watch(ctx, "k", store.Absent, 50*time.Millisecond)
 	wantErr(t, "nothing came", store.ErrNoChange, err)
-	wantSame(t, "calls", plat.Counts{"watch": 1}, f.srv.Counts())
+	wantEqual(t, "calls", plat.Counts{"watch": 1}, f.srv.Counts())
 }
