--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -42,7 +42,7 @@
 	if !begun || r.profile.Route == nil || e.Result != event.ResultNotRun || a.target == "" || !reachedTarget(a, e) || e.Draining {
 		return false
 	}
-	at := now.Add(max(retry.Backoff(r.tries, r.ID), e.RetryAfter))
+	at := now.Add(max(retry.Backoff(r.attemptCount, r.ID), e.RetryAfter))
 	if at >= r.deadline {
 		return false
 	}
@@ -58,7 +58,7 @@
 // target that dies breaks all its streams at once, and a resumed stream requests only the
 // remaining tokens, so load does not grow with failures.
 func (rd *Reducer) resumeStream(now ident.Time, r *request, a *attempt, ref refusal) {
-	if r.tries >= retry.MaxTries {
+	if r.attemptCount >= retry.MaxTries {
 		rd.endRefused(now, r, ref)
 		return
 	}
@@ -69,13 +69,13 @@
 // where it failed.
 func (rd *Reducer) retryElsewhere(now ident.Time, r *request, a *attempt, ref refusal) {
 	if a.target != "" {
-		r.tried.Add(a.target)
+		r.triedTargets.Add(a.target)
 	} else {
 		r.triedCentres.Add(a.dec.Centre)
 	}
 	at := now
 	if !a.retryTaken {
-		at = now.Add(retry.Backoff(r.tries, r.ID))
+		at = now.Add(retry.Backoff(r.attemptCount, r.ID))
 	}
 	if at >= r.deadline {
 		ref.code = codes.DeadlineExceeded.ID
@@ -105,23 +105,23 @@
 		return spendAttempt(now, r, retry.MaxTries, &rd.budget)
 	}
 	if e.Result == event.ResultNotRun && !reachedTarget(a, e) && (r.mayHaveRun || e.Code != codes.ForwardRefused.ID) {
-		r.tries--
-		r.unsent++
-		if r.unsent > maxUnsentTries {
-			return event.Denial{Reason: event.DeniedUnsent, Attempts: r.unsent, MaxAttempts: maxUnsentTries}
+		r.attemptCount--
+		r.unsentAttempts++
+		if r.unsentAttempts > maxUnsentAttempts {
+			return event.Denial{Reason: event.DeniedUnsent, Attempts: r.unsentAttempts, MaxAttempts: maxUnsentAttempts}
 		}
 		return event.Denial{}
 	}
 	if r.forwarded {
-		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.tries}
+		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.attemptCount}
 	}
 	return spendAttempt(now, r, max(rt.MaxAttempts, 1), rd.retryBudget(now, r.profile.Service))
 }
 
 // spendAttempt is spendRetry for a request that may be sent to at most maxTries targets.
 func spendAttempt(now ident.Time, r *request, maxTries int, b *retry.Budget) event.Denial {
-	if r.tries >= maxTries {
-		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.tries, MaxAttempts: maxTries}
+	if r.attemptCount >= maxTries {
+		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.attemptCount, MaxAttempts: maxTries}
 	}
 	return spendRetry(now, r, b)
 }
@@ -131,7 +131,7 @@
 	if b.Spend(now) {
 		return event.Denial{}
 	}
-	d := event.Denial{Reason: event.DeniedBudget, Attempts: r.tries}
+	d := event.Denial{Reason: event.DeniedBudget, Attempts: r.attemptCount}
 	d.Retries, d.MaxRetries = b.Usage(now)
 	return d
 }
--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -55,7 +55,7 @@
 	ans := event.RouteAnswered{Ask: e.Ask, Chosen: -1}
 	r := &request{
 		Request: e.Request, arrived: now,
-		tried: value.SetOf[ident.TargetID](), triedCentres: value.SetOf[ident.DataCentre](),
+		triedTargets: value.SetOf[ident.TargetID](), triedCentres: value.SetOf[ident.DataCentre](),
 	}
 	if ref, ok := rd.resolveRequest(now, r); !ok {
 		ans.Code = ref.code
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -15,7 +15,7 @@
 func (rd *Reducer) query(r *request) route.Query {
 	return route.Query{
 		Request: r.Request, Profile: r.profile, Client: r.client,
-		TriedTargets: r.tried, TriedCentres: r.triedCentres, OnlyTarget: r.boundTarget,
+		TriedTargets: r.triedTargets, TriedCentres: r.triedCentres, OnlyTarget: r.boundTarget,
 		Crossings: r.env.Crossings, Forwarded: r.forwarded, DeliveredTokens: r.delivered, MayHaveRun: r.mayHaveRun,
 		Backlog: rd.pools.of(r).backlog(), ExpectedEvents: rd.expectedEvents(r),
 	}
@@ -91,7 +91,7 @@
 // its start a host has read the list of targets but may not have seen another region yet, as
 // after a power failure.
 func (rd *Reducer) isDiscovering(now ident.Time, r *request) bool {
-	return r.profile.Route != nil && r.delivered == 0 && r.tries == 0 && now.Sub(rd.startedAt) < discoveryWindow
+	return r.profile.Route != nil && r.delivered == 0 && r.attemptCount == 0 && now.Sub(rd.startedAt) < discoveryWindow
 }
 
 // noTargetRefusal returns the refusal of a request that has no choice left.
@@ -111,7 +111,7 @@
 	}
 	rd.attempts[a.id] = a
 	r.live = a
-	r.tries++
+	r.attemptCount++
 	r.lastDenial = event.Denial{}
 	if dec.Target == nil {
 		rd.forward(now, r, a)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,8 +70,8 @@
 	// drainEnded is set once the drain has ended and the process is about to exit.
 	drainEnded bool
 	wakeAt     ident.Time
-	// peerDemandAt is when each peer of the data centre last sent a digest.
-	peerDemandAt map[ident.EntryID]ident.Time
+	// lastDigestAt is when each peer of the data centre last sent a digest.
+	lastDigestAt map[ident.EntryID]ident.Time
 	// nextDemandAt is when the demand of the accounts is next announced.
 	nextDemandAt ident.Time
 	out          []event.Effect
@@ -95,7 +95,7 @@
 		quota:         quota.New(self.ID, self.Place.Group()),
 		pools:         newPools(),
 		slack:         slack.New(),
-		peerDemandAt:  make(map[ident.EntryID]ident.Time),
+		lastDigestAt:  make(map[ident.EntryID]ident.Time),
 		requests:      make(map[ident.RequestID]*request),
 		attempts:      make(map[ident.Attempt]*attempt),
 	}
@@ -168,10 +168,10 @@
 	case event.PeerDown:
 		rd.table.PeerDown(now, e.Entry)
 	case event.DigestReceived:
-		rd.digest(now, e.Digest)
+		rd.handleDigest(now, e.Digest)
 	case event.SummaryReceived:
 		rd.table.SummaryReceived(now, e.Summary)
-		rd.summary(now, e.Summary, true)
+		rd.handleSummary(now, e.Summary, true)
 	case event.ChangesReceived:
 		rd.emit(rd.spread.ApplyChanges(now, e, rd.table.Peers(now))...)
 	case event.SnapshotReceived:
@@ -226,15 +226,15 @@
 
 func (rd *Reducer) emit(effs ...event.Effect) { rd.out = append(rd.out, effs...) }
 
-func (rd *Reducer) digest(now ident.Time, d event.Digest) {
+func (rd *Reducer) handleDigest(now ident.Time, d event.Digest) {
 	rd.table.DigestReceived(now, d)
-	rd.peerDemandAt[d.Host.ID] = now
+	rd.lastDigestAt[d.Host.ID] = now
 	if d.AccountsIncluded {
 		rd.quota.PeerDemand(now, d.Host.ID, d.Accounts)
 	}
 	rd.emit(rd.spread.RevisionSeen(now, d.Host, d.Revision)...)
 	for _, s := range d.Summaries {
-		rd.summary(now, s, false)
+		rd.handleSummary(now, s, false)
 	}
 	for _, h := range d.Holders {
 		if t, ok := rd.table.TargetByKey(h.Target); ok {
@@ -243,10 +243,10 @@
 	}
 }
 
-// summary handles the parts of a summary other than members and offers. Of the hosts that receive
+// handleSummary handles the parts of a summary other than members and offers. Of the hosts that receive
 // it through a peer, only the representative asks for changes. The host that the summary was sent
 // to asks too, since the representative may be frozen.
-func (rd *Reducer) summary(now ident.Time, s event.Summary, direct bool) {
+func (rd *Reducer) handleSummary(now ident.Time, s event.Summary, direct bool) {
 	rd.quota.SetRegion(s.Place.Group(), s.Place.Region)
 	rd.quota.CentreSeen(now, s.Place.Group())
 	if !s.AccountsOmitted {
@@ -310,9 +310,9 @@
 // remaining hosts would refuse callers below their limits until they restart too. The result does
 // not depend on the order of the peers.
 func (rd *Reducer) expirePeerDemand(now ident.Time) {
-	for id, at := range rd.peerDemandAt {
+	for id, at := range rd.lastDigestAt {
 		if now.Sub(at) > peerDemandTTL {
-			delete(rd.peerDemandAt, id)
+			delete(rd.lastDigestAt, id)
 			rd.quota.DropPeer(id)
 		}
 	}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -35,7 +35,7 @@
 // follow.
 func (rd *Reducer) idleTimeouts(r *request, dec route.Decision) event.IdleTimeouts {
 	rt := r.profile.Route
-	if rt == nil || r.once || r.forwarded || rt.GoalMs <= 0 || r.tries >= rt.MaxAttempts {
+	if rt == nil || r.once || r.forwarded || rt.GoalMs <= 0 || r.attemptCount >= rt.MaxAttempts {
 		return event.IdleTimeouts{}
 	}
 	late := rd.slack.LateAfter(r.profile.Name)
@@ -78,22 +78,22 @@
 func (rd *Reducer) reserveRetry(now ident.Time, a *attempt, begun bool) event.Denial {
 	r := a.req
 	if r.forwarded {
-		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.tries}
+		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.attemptCount}
 	}
 	q := rd.query(r)
 	q.MayHaveRun = true
 	if a.target != "" {
-		q.TriedTargets = r.tried.With(a.target)
+		q.TriedTargets = r.triedTargets.With(a.target)
 	} else {
 		q.TriedCentres = r.triedCentres.With(a.dec.Centre)
 	}
 	dec := rd.router.Preview(now, q, rd.table)
 	free := dec.Target != nil || dec.Centre != ""
 	if !free && (begun || !dec.Full) || begun && rd.pools.of(r).hasOthersWaiting(r) {
-		return event.Denial{Reason: event.DeniedCapacity, Attempts: r.tries}
+		return event.Denial{Reason: event.DeniedCapacity, Attempts: r.attemptCount}
 	}
 	if free && now.Add(dec.Wait+minRetryTime) >= r.deadline {
-		return event.Denial{Reason: event.DeniedTime, Attempts: r.tries, PredictedWait: dec.Wait, RemainingTime: r.deadline.Sub(now)}
+		return event.Denial{Reason: event.DeniedTime, Attempts: r.attemptCount, PredictedWait: dec.Wait, RemainingTime: r.deadline.Sub(now)}
 	}
 	if a.retryTaken {
 		return event.Denial{}
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -144,7 +144,7 @@
 // queueItem returns the queue entry of a request.
 func (rd *Reducer) queueItem(pl *pool, r *request) admit.Item {
 	it := admit.Item{
-		ID: r.ID, Account: r.Account, HomeBound: r.profile.Confined(), Priority: r.profile.Priority, PastGoal: rd.isLate(r),
+		ID: r.ID, Account: r.Account, HomeBound: r.profile.Confined(), Priority: r.profile.Priority, PastGoal: rd.isPastGoal(r),
 		Deadline: rd.queueDeadline(r), Work: pl.expectedRunTime(r),
 	}
 	if r.profile.Route != nil {
@@ -166,7 +166,7 @@
 	rd.shed(now, shed, later)
 	if !ok {
 		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
-	} else if pl.head != nil && !it.PastGoal && rd.isLate(pl.head) {
+	} else if pl.head != nil && !it.PastGoal && rd.isPastGoal(pl.head) {
 		// The head is late already and would make this request late too.
 		pl.queue.PutBack(rd.queueItem(pl, pl.head))
 		pl.head = nil
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -43,13 +43,13 @@
 	// reservedTokens is what was taken from the limit of the account.
 	reservedTokens ident.Tokens
 
-	tried        value.Set[ident.TargetID]
+	triedTargets value.Set[ident.TargetID]
 	triedCentres value.Set[ident.DataCentre]
-	tries        int
+	attemptCount int
 	// boundTarget is the only target that may receive the rest of a stream, empty for any.
 	boundTarget ident.TargetID
-	// unsent counts the tries that sent nothing to a target.
-	unsent int
+	// unsentAttempts counts the tries that sent nothing to a target.
+	unsentAttempts int
 	// resumeWaits counts how often a broken stream has waited for a target or for the retry
 	// budget.
 	resumeWaits int
@@ -107,7 +107,7 @@
 	}
 	r := &request{
 		Request: req, env: env, forwarded: forwarded, arrived: now,
-		tried: value.SetOf[ident.TargetID](), triedCentres: value.SetOf[ident.DataCentre](),
+		triedTargets: value.SetOf[ident.TargetID](), triedCentres: value.SetOf[ident.DataCentre](),
 	}
 	if ref, ok := rd.resolveRequest(now, r); !ok {
 		rd.refuse(now, r, ref)
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -99,9 +99,9 @@
 	return r.profile.Allows(r.client, from) != r.forwarded
 }
 
-// maxUnsentTries bounds the tries of one request that sent no byte to a target. They cost the
+// maxUnsentAttempts bounds the tries of one request that sent no byte to a target. They cost the
 // targets nothing, but each takes some of the caller's time.
-const maxUnsentTries = 4
+const maxUnsentAttempts = 4
 
 // reachedTarget reports whether a target has seen a request that was not run.
 func reachedTarget(a *attempt, e event.AttemptEnded) bool {
@@ -120,7 +120,7 @@
 // the request may have run before, the host that forwarded it does not count the refusal as a
 // try, since the caller may have a part of the answer.
 func (r *request) isUntriedForward(ref refusal) bool {
-	return r.forwarded && r.tries == 0 && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun
+	return r.forwarded && r.attemptCount == 0 && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun
 }
 
 // shedRefusal returns the refusal of a request that a target or another host turned away.
@@ -218,7 +218,7 @@
 		return event.Basis{}
 	}
 	b := event.Basis{
-		Profile: r.profile.Name, Revision: rd.spread.Revision(), Attempts: r.tries, PredictedWait: dec.Wait, LoadAge: loadAgeUnknown,
+		Profile: r.profile.Name, Revision: rd.spread.Revision(), Attempts: r.attemptCount, PredictedWait: dec.Wait, LoadAge: loadAgeUnknown,
 		ExpectedEvents: rd.expectedEvents(r), EventGap: rd.table.Pace(now, r.profile.Service), RemoteEventGap: dec.EventInterval,
 		ForwardedShare: dec.SpillShare, RemotePrefillRoom: dec.RemoteRoom, CapacityLimited: dec.Full, UncachedPrompt: dec.PrefillTokens,
 	}
--- a/internal/core/wait.go
+++ b/internal/core/wait.go
@@ -18,26 +18,26 @@
 // queued until its deadline, since its caller may have a part of the answer.
 func (rd *Reducer) queueDeadline(r *request) ident.Time {
 	rt := r.profile.Route
-	if rt == nil || rt.GoalMs <= 0 || r.tries > 0 || r.AnswerBegan {
+	if rt == nil || rt.GoalMs <= 0 || r.attemptCount > 0 || r.AnswerBegan {
 		return r.deadline
 	}
 	half := time.Duration(maxWaitRatio * float64(r.deadline.Sub(r.arrived)))
-	if rd.isLate(r) {
-		return r.arrived.Add(min(fraction(rt.Goal(), lateWaitRatio), half))
+	if rd.isPastGoal(r) {
+		return r.arrived.Add(min(fraction(rt.Goal(), pastGoalWaitRatio), half))
 	}
 	return r.arrived.Add(min(max(rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore), minQueueWait), half))
 }
 
-// isLate reports whether a request arrived too late to be answered within its goal.
-func (rd *Reducer) isLate(r *request) bool {
+// isPastGoal reports whether a request arrived too late to be answered within its goal.
+func (rd *Reducer) isPastGoal(r *request) bool {
 	rt := r.profile.Route
 	return mech.On(codes.LateRequestsLast) && rt != nil && r.waitedBefore > 0 && rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore) <= 0
 }
 
-// lateWaitRatio is the fraction of its goal that a late request may be queued. While others
+// pastGoalWaitRatio is the fraction of its goal that a late request may be queued. While others
 // arrive in time it is queued behind them, and the longer it waits, the less its caller can do
 // with a refusal.
-const lateWaitRatio = 0.25
+const pastGoalWaitRatio = 0.25
 
 // minQueueWait is the lower bound of how long a request may be queued: within it, a place that
 // has just become free is noticed.
--- a/internal/slack/slack.go
+++ b/internal/slack/slack.go
@@ -27,13 +27,13 @@
 	// usualDeviations is by how many deviations the usual time to a first byte exceeds the mean.
 	// With one deviation some five of six answers under a steady load begin earlier.
 	usualDeviations = 1
-	// lostDeviations is by how many deviations an answer may exceed the mean before it counts as
+	// lateDeviations is by how many deviations an answer may exceed the mean before it counts as
 	// lost, as in TCP's retransmission timeout. It applies per route, since long prompts are
 	// answered later than short ones.
-	lostDeviations = 4
-	// returnedBelow is the fraction of the time that callers usually give below which a request
+	lateDeviations = 4
+	// maxReturnedRatio is the fraction of the time that callers usually give below which a request
 	// has probably been refused before.
-	returnedBelow = 0.8
+	maxReturnedRatio = 0.8
 	// longestDecay is the fraction by which the longest time decays with each request.
 	longestDecay = 1.0 / 2048
 	// maxRoutes bounds the routes with statistics. Past the bound all are dropped and learned
@@ -83,7 +83,7 @@
 	a := b.statsOf(name)
 	a.longest -= time.Duration(longestDecay * float64(a.longest))
 	a.longest = max(a.longest, left)
-	if float64(left) >= returnedBelow*float64(a.longest) {
+	if float64(left) >= maxReturnedRatio*float64(a.longest) {
 		return 0
 	}
 	return a.longest - left
@@ -117,7 +117,7 @@
 // zero if none is known.
 func (b *Book) LateAfter(name ident.Profile) time.Duration {
 	if a, ok := b.routes[name]; ok {
-		return a.firstByte.plusDeviations(lostDeviations)
+		return a.firstByte.plusDeviations(lateDeviations)
 	}
 	return 0
 }
