--- a/internal/admit/load_test.go
+++ b/internal/admit/load_test.go
@@ -69,8 +69,8 @@
 	return x
 }
 
-// goodput measures what was done in time: work as a fraction of the capacity of the
-// slots, and requests a second.
+// goodput is the work that was completed in time, as a fraction of the capacity of the
+// slots, and the number of such requests per second.
 type goodput struct{ work, requests float64 }
 
 func (g goodput) max(o goodput) goodput {
@@ -145,7 +145,7 @@
 }
 
 // Guards against lost goodput under overload: a queue that accepts everything answers each
-// request only after its caller has left.
+// request only after its caller has disconnected.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	var best, got goodput
 	for _, times := range []float64{1, 2, 10} {
--- a/internal/admit/order.go
+++ b/internal/admit/order.go
@@ -156,14 +156,14 @@
 	return -1
 }
 
-// victim returns the index of the request that loses its place in a full queue to a
-// new request of the account by: the one with the lowest priority and latest deadline
-// of the account with the most requests. It returns false if by already has its even
-// share, or if no other account has at least two requests more.
-func (q *Queue) victim(by ident.Account) (int, bool) {
+// victim returns the index of the request to remove from a full queue for a new
+// request of an account: the one with the lowest priority and latest deadline of the
+// account with the most requests. It returns false if the account of the new request
+// already has its even share, or if no other account has at least two requests more.
+func (q *Queue) victim(newcomer ident.Account) (int, bool) {
 	waiting, accounts, most := 0, 1, (*account)(nil)
 	for _, a := range q.accounts {
-		if a.name == by {
+		if a.name == newcomer {
 			waiting = a.waiting
 			continue
 		}
--- a/internal/admit/order_test.go
+++ b/internal/admit/order_test.go
@@ -140,8 +140,8 @@
 }
 
 // Guards against requests that are never answered and accounts that starve others, by comparing
-// every step with a plain implementation of the order.
-func TestOrderAgainstNaive(t *testing.T) {
+// every step with a simple reference implementation.
+func TestOrderMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{MaxWaiting: rapid.IntRange(6, 8).Draw(t, "most"), MaxLead: 2 * time.Second, Margin: 0.5, HomeShare: 0.5}
 		q := New(cfg)
@@ -222,9 +222,9 @@
 // Guards against an account that fills the queue, so that requests of all others are refused.
 func TestFullQueueShares(t *testing.T) {
 	for _, tc := range []struct {
-		held, by string
-		ok       bool
-		shed     []ident.RequestID
+		queued, by string
+		ok         bool
+		shed       []ident.RequestID
 	}{
 		{"aabbbbcd", "c", true, []ident.RequestID{"5"}}, // the last request of b
 		{"aabbbbcd", "e", true, []ident.RequestID{"5"}},
@@ -232,13 +232,13 @@
 		{"abbccdd", "a", false, nil},  // no account has more than one request more
 		{"aaaa", "a", false, nil},
 	} {
-		q := New(Config{MaxWaiting: len(tc.held)})
-		for i, a := range tc.held {
+		q := New(Config{MaxWaiting: len(tc.queued)})
+		for i, a := range tc.queued {
 			q.Push(0, Item{ID: ident.RequestID(fmt.Sprint(i)), Account: ident.Account(a), Deadline: 1}, 0)
 		}
 		ok, shed, _ := q.Push(0, Item{ID: "new", Account: ident.Account(tc.by), Deadline: 1}, 0)
 		if diff := cmp.Diff(tc.shed, shed); ok != tc.ok || diff != "" {
-			t.Errorf("%s to %s: got %v, want %v (-want +got):\n%s", tc.by, tc.held, ok, tc.ok, diff)
+			t.Errorf("%s to %s: got %v, want %v (-want +got):\n%s", tc.by, tc.queued, ok, tc.ok, diff)
 		}
 	}
 }
--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -20,8 +20,8 @@
 	rd.endRefused(now, r, ref)
 }
 
-// retryWhenBudgetAllows schedules another try for the rest of a stream that only the retry budget
-// denies, and reports whether it did. The budget grows with each arriving request, and ending the
+// retryWhenBudgetAllows schedules another attempt at the rest of a stream if only the retry budget
+// denies the retry now, and reports whether it did. The budget grows with each arriving request, and ending the
 // stream would truncate an answer that the caller has a part of.
 func (rd *Reducer) retryWhenBudgetAllows(now ident.Time, r *request, a *attempt, e event.AttemptEnded, ref refusal) bool {
 	at := now.Add(resumeInterval)
@@ -33,8 +33,8 @@
 	return true
 }
 
-// retrySameTarget schedules the rest of a stream at the target that turned it away, and reports
-// whether it did. MaxAttempts bounds the targets that see a request, so no other target may
+// retrySameTarget schedules the rest of a stream at the target that refused it, and reports
+// whether it did. MaxAttempts bounds the targets that receive a request, so no other target may
 // receive the rest, and ending the request would truncate an answer that the caller has a part
 // of.
 func (rd *Reducer) retrySameTarget(now ident.Time, r *request, a *attempt, e event.AttemptEnded) bool {
@@ -118,10 +118,10 @@
 	return spendAttempt(now, r, max(rt.MaxAttempts, 1), rd.retryBudget(now, r.profile.Service))
 }
 
-// spendAttempt is spendRetry for a request that may be sent to at most maxTries targets.
-func spendAttempt(now ident.Time, r *request, maxTries int, b *retry.Budget) event.Denial {
-	if r.attemptCount >= maxTries {
-		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.attemptCount, MaxAttempts: maxTries}
+// spendAttempt is spendRetry for a request that may be attempted at most maxAttempts times.
+func spendAttempt(now ident.Time, r *request, maxAttempts int, b *retry.Budget) event.Denial {
+	if r.attemptCount >= maxAttempts {
+		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.attemptCount, MaxAttempts: maxAttempts}
 	}
 	return spendRetry(now, r, b)
 }
--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -9,8 +9,8 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// entriesTTL is how long callers may use a list of entry hosts. It is shorter than the time
-// between the announcement of a drain and the moment when the host stops answering.
+// entriesTTL is how long callers may use a list of entry hosts (a directory answer). It is shorter
+// than the time from the announcement of a drain until the host stops answering.
 const entriesTTL = 5 * time.Second
 
 // nearbyTTL is how long a caller may use a list of nearby hosts. It bounds how long callers keep
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// place sends a request to the best choice, queues it until there is room, or refuses it.
+// place sends a request to the best target or data centre, queues it until one has capacity, or
+// refuses it.
 func (rd *Reducer) place(now ident.Time, r *request) {
 	if now >= r.deadline {
 		rd.endRefused(now, r, refuseAs(codes.DeadlineExceeded))
@@ -44,13 +45,14 @@
 	}
 }
 
-// Limits of the search for a target that can resume a stream.
+// How often, and at which interval, the rest of a stream looks for a target or waits for the retry
+// budget.
 const (
 	maxResumeWaits = 4
 	resumeInterval = 500 * time.Millisecond
 )
 
-// handleNoTarget handles a request for which no target is left. During discovery a new request is
+// handleNoTarget handles a request for which no target is available. During discovery a new request is
 // placed again shortly. A request whose caller has a part of the answer is placed again up to
 // maxResumeWaits times, since suspected targets may recover and the caller cannot repeat the
 // request. All others are refused.
@@ -80,21 +82,21 @@
 	rd.timers.add(timer{at: at, req: r, run: rd.place})
 }
 
-// How long a host discovers other regions after its start, and the interval at which it tries
-// to place a request meanwhile. Links to all other regions were up 0.9 s after a start.
+// How long a host discovers other regions after its start, and the interval at which it tries to
+// place a waiting request during that time. Links to all other regions were up 0.9 s after a start.
 const (
 	discoveryWindow   = 2 * time.Second
 	discoveryInterval = 50 * time.Millisecond
 )
 
-// isDiscovering reports whether a target for a new request may still become known: shortly after
-// its start a host has read the list of targets but may not have seen another region yet, as
-// after a power failure.
+// isDiscovering reports whether a target for a new request may still become known. Shortly after
+// its start, for example after a power failure, a host has read the list of targets but may not
+// have discovered the other regions yet.
 func (rd *Reducer) isDiscovering(now ident.Time, r *request) bool {
 	return r.profile.Route != nil && r.delivered == 0 && r.attemptCount == 0 && now.Sub(rd.startedAt) < discoveryWindow
 }
 
-// noTargetRefusal returns the refusal of a request that has no choice left.
+// noTargetRefusal returns the refusal of a request for which no target is available.
 func noTargetRefusal(r *request, code codes.ID) refusal {
 	if r.mayHaveRun {
 		return refusal{code: codes.TargetFailed.ID, outcome: event.Unknown}
@@ -142,8 +144,8 @@
 	return order.Level(r.profile.Priority, dec.PrefillTokens)
 }
 
-// announceHolder announces to peers that a target receives a long shared prefix, unless that is
-// already known.
+// announceHolder announces to peers that a target receives a long shared prefix, unless the prefix
+// was sent there recently.
 func (rd *Reducer) announceHolder(now ident.Time, r *request, id ident.TargetID) {
 	if r.profile.Route == nil || !member.HasLongSharedPrefix(&r.Request) || !mech.On(codes.AnnouncedHolders) {
 		return
@@ -162,7 +164,7 @@
 	return event.Holder{Target: t.ID, URL: t.URL}
 }
 
-// forward passes a request to an entry host of another data centre.
+// forward sends a request to an entry host of another data centre.
 func (rd *Reducer) forward(now ident.Time, r *request, a *attempt) {
 	a.host = a.dec.Host
 	rd.table.ForwardStarted(a.dec.Centre, a.dec.Pool)
@@ -230,8 +232,10 @@
 	}
 }
 
-// healthOf judges a target by the end of an attempt. A target that breaks off before the deadline
-// has failed; one that was still running at the deadline may be healthy.
+// healthOf returns what the end of an attempt shows about its target. A target that gave a
+// complete answer, even a failure, or refused a request that it received is healthy, and so is a
+// draining one. A target that was still running at the deadline may be healthy. Any other has
+// failed.
 func healthOf(now ident.Time, a *attempt, e event.AttemptEnded) health {
 	switch {
 	case e.Result == event.ResultDone || e.Draining || e.AnswerBuffered:
@@ -245,8 +249,8 @@
 }
 
 // attemptEnded handles the end of an attempt. A duplicate or late end of an attempt that is not
-// live is ignored: it would start another try beside the one that the peer's answer starts, and
-// the job would run twice.
+// live is ignored: it would start another attempt in addition to the one that the peer's answer
+// starts, and the job would run twice.
 func (rd *Reducer) attemptEnded(now ident.Time, e event.AttemptEnded) {
 	a, ok := rd.attempts[e.Attempt]
 	if !ok || a.req.live != a {
@@ -339,8 +343,8 @@
 // barInterval is the time between two AskBar messages about one attempt.
 const barInterval = 300 * time.Millisecond
 
-// askBar asks the peer for the outcome of a broken attempt until the peer answers or the deadline
-// passes.
+// askBar asks the peer to bar a broken attempt from running, or to report that it has arrived,
+// until the peer gives a final answer or the deadline passes.
 func (rd *Reducer) askBar(now ident.Time, r *request) {
 	if r.pendingBar == nil {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,7 @@
 //
 // The state is split by decision, one package each: member holds hosts,
 // targets and loads; route chooses where a request runs; admit queues requests
-// while there is no room; quota limits accounts; retry bounds retries; once keeps
+// while no target has capacity; quota limits accounts; retry bounds retries; once keeps
 // non-idempotent requests from running twice; spread holds and distributes the
 // configuration. This package takes each request through them. A Reducer belongs
 // to one goroutine.
@@ -80,7 +80,7 @@
 // New returns the reducer of a host that has received no events yet, with default bounds.
 func New(self event.Host) *Reducer { return NewBounded(self, Bounds{}) }
 
-// NewBounded returns a reducer with bounds that hold for all hosts together.
+// NewBounded returns a reducer with limits that apply to all hosts together.
 func NewBounded(self event.Host, bounds Bounds) *Reducer {
 	rd := &Reducer{
 		bounds:        bounds.withDefaults(),
@@ -111,7 +111,7 @@
 // Router returns the router, so that routing policies can be compared.
 func (rd *Reducer) Router() *route.Router { return rd.router }
 
-// Step handles one event and returns the effects to carry out. The returned slice belongs to the
+// Step handles one event and returns the effects to execute. The returned slice belongs to the
 // caller.
 func (rd *Reducer) Step(now ident.Time, ev event.Event) []event.Effect {
 	rd.out = nil
@@ -243,9 +243,10 @@
 	}
 }
 
-// handleSummary handles the parts of a summary other than members and offers. Of the hosts that receive
-// it through a peer, only the representative asks for changes. The host that the summary was sent
-// to asks too, since the representative may be frozen.
+// handleSummary handles the parts of a summary other than members and offers. Of the hosts that
+// get the summary in the digest of a peer, only the representative requests missing changes. The
+// host that received the summary itself (direct) requests them too, since the representative may
+// be frozen.
 func (rd *Reducer) handleSummary(now ident.Time, s event.Summary, direct bool) {
 	rd.quota.SetRegion(s.Place.Group(), s.Place.Region)
 	rd.quota.CentreSeen(now, s.Place.Group())
@@ -287,8 +288,8 @@
 	rd.scheduleWake(now)
 }
 
-// updateReadPace emits how to read the platform's store whenever that changes. A host starts as
-// an active reader.
+// updateReadPace emits PaceReads when this host starts or stops reading the platform's store
+// continuously. A host starts as an active reader.
 func (rd *Reducer) updateReadPace(now ident.Time) {
 	if !rd.bounds.SharedReads || rd.table.IsActiveReader(now) == rd.activeReader {
 		return
@@ -301,12 +302,12 @@
 // on average. With more accounts the whole list is sent less often.
 const announcedAccountsPerSecond = 4
 
-// peerDemandTTL is the silence of a peer after which its demand no longer counts. It equals the
+// peerDemandTTL is how long the demand of a peer counts after its last digest. It equals the
 // time after which package member considers a host dead.
 const peerDemandTTL = 10 * time.Second
 
-// expirePeerDemand drops the demand of peers that have gone. A host that is replaced by one of
-// another name never reports again: its last demand would keep its share of every limit, and the
+// expirePeerDemand drops the demand of peers that no longer send digests. A host that is replaced
+// by one of another name never reports again: its last demand would keep its share of every limit, and the
 // remaining hosts would refuse callers below their limits until they restart too. The result does
 // not depend on the order of the peers.
 func (rd *Reducer) expirePeerDemand(now ident.Time) {
@@ -336,7 +337,7 @@
 // maxTickInterval is the longest time between two ticks.
 const maxTickInterval = time.Second
 
-// scheduleWake requests the next tick.
+// scheduleWake requests the next tick, unless one is pending at that time or earlier.
 func (rd *Reducer) scheduleWake(now ident.Time) {
 	at := now.Add(maxTickInterval)
 	for _, t := range []ident.Time{
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -21,8 +21,8 @@
 	rd.table.SetDraining()
 }
 
-// drainExpired gives all remaining requests their final answer. For a request at a target or
-// another host it is unknown whether it ran.
+// drainExpired gives all remaining requests their final answer. The outcome is unknown for a
+// request that is at a target or another host, or that may have run before.
 func (rd *Reducer) drainExpired(now ident.Time) {
 	rd.drainEnded = true
 	ids := slices.Sorted(maps.Keys(rd.requests))
@@ -49,9 +49,10 @@
 )
 
 // acceptsWhileDraining reports whether a draining host accepts a request. Callers use a host for
-// as long as its directory answer is valid, and know no other host where all hosts of a region
-// drain. So a request is accepted if its deadline is before the end of the drain. The usual
-// duration of its route is no reliable criterion under load.
+// as long as their directory answer is valid, and know no other host if all hosts of a region
+// drain. So every request of a route is accepted for DrainAccept, and after that one whose deadline
+// is before the end of the drain. The typical duration of its route is not a reliable criterion
+// under load.
 func (rd *Reducer) acceptsWhileDraining(now ident.Time, r *request) bool {
 	if r.profile.Route == nil || rd.drainEnded {
 		return false
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -11,16 +11,16 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Idle timeouts of attempts that another attempt can follow.
+// Parameters of the idle timeouts of attempts that can be followed by a retry.
 const (
 	// firstByteGoalRatio is the shortest timeout for the first byte of a stream as a fraction of
 	// the goal, and callGoalRatio that for the answer to a call. The rest of the goal is left for
-	// the second try.
+	// the retry.
 	firstByteGoalRatio = 0.75
 	callGoalRatio      = 1.0 / 3
 	// lateFirstByteGoalRatio is the shortest timeout for the first byte of a stream as a multiple
-	// of the goal, where a second try could not meet the goal either. Callers wait for at least
-	// four goals.
+	// of the goal, if a retry could not meet the goal either. Callers wait for at least four
+	// goals.
 	lateFirstByteGoalRatio = 2.5
 	// gapMultiple is the timeout between two events of a stream as a multiple of the goal for
 	// that gap, and minGapTimeout its minimum: engines that prefill a long prompt or preempt a
@@ -29,10 +29,9 @@
 	minGapTimeout = 2 * time.Second
 )
 
-// idleTimeouts returns how long an attempt may be silent before another one is made: the answer
-// of a target may be lost on a connection that stays open. Under load all answers are late, so
-// the timeouts follow the usual times of the service. They are zero where no other attempt can
-// follow.
+// idleTimeouts returns how long an attempt may be silent before it is retried: the answer of a
+// target may be lost on a connection that stays open. Under load all answers are late, so the
+// timeouts follow the first-byte times of the route. They are zero if no retry can follow.
 func (rd *Reducer) idleTimeouts(r *request, dec route.Decision) event.IdleTimeouts {
 	rt := r.profile.Route
 	if rt == nil || r.once || r.forwarded || rt.GoalMs <= 0 || r.attemptCount >= rt.MaxAttempts {
@@ -52,9 +51,9 @@
 	}
 }
 
-// attemptSilent breaks off a silent attempt if another one can follow, since the connection may
-// be dead. Otherwise the attempt continues, since its target may be paused and the caller may
-// have a part of the answer.
+// attemptSilent aborts a silent attempt if a retry can follow, since the connection may be dead.
+// Otherwise the attempt continues, since its target may be paused and the caller may have a part
+// of the answer.
 func (rd *Reducer) attemptSilent(now ident.Time, e event.AttemptSilent) {
 	a, ok := rd.attempts[e.Attempt]
 	if !ok || a.req.live != a || a.req.profile.Route == nil || a.retryTaken && a.silentSince == e.Since {
@@ -69,12 +68,11 @@
 	rd.emit(event.BreakOff{Request: a.req.ID, Attempt: a.id, Silence: s})
 }
 
-// minRetryTime is the minimum time that the next attempt needs beyond its predicted wait.
+// minRetryTime is the time that must remain for a retry beyond its predicted wait.
 const minRetryTime = 250 * time.Millisecond
 
-// reserveRetry takes a retry from the budget for the attempt that follows a silent one, or
-// returns why none can follow. A request whose answer has begun needs a free place at once; any
-// other may be queued.
+// reserveRetry takes the retry of a silent attempt from the budget, or returns why none can
+// follow. A request whose answer has begun needs a free slot immediately; any other may be queued.
 func (rd *Reducer) reserveRetry(now ident.Time, a *attempt, begun bool) event.Denial {
 	r := a.req
 	if r.forwarded {
--- a/internal/core/later.go
+++ b/internal/core/later.go
@@ -13,8 +13,8 @@
 const (
 	// minRetryAfter keeps callers from coming back within the same second.
 	minRetryAfter = time.Second
-	// maxRetryAfterRatio bounds the Retry-After time as a fraction of the time left: half of the
-	// time left is needed for the answer, and callers wait for no longer than a third.
+	// maxRetryAfterRatio bounds the Retry-After time as a fraction of the time to the deadline:
+	// half of that time is needed for the answer, and callers wait for no longer than a third.
 	maxRetryAfterRatio = 1.0 / 3
 	// retryAfterJitter is the range of the jitter as a fraction of the Retry-After time: callers
 	// that are refused within one second must not all come back within one second.
@@ -39,14 +39,15 @@
 
 // retryAfter returns when the caller of a request that is refused for lack of capacity should
 // come back. An overload that has lasted for seconds rarely ends within the next second, so the
-// time grows with the duration of the overload, up to a fraction of the time left to the caller.
+// time grows with the duration of the overload, up to maxRetryAfterRatio of the time to the
+// deadline.
 func (rd *Reducer) retryAfter(now ident.Time, r *request) time.Duration {
 	lasted := rd.pools.of(r).overload.recordRefusal(now)
 	if !mech.On(codes.GrowingRetryAfter) {
 		lasted = 0
 	}
-	left := r.deadline.Sub(now)
-	later := max(minRetryAfter, min(lasted, fraction(left, maxRetryAfterRatio)))
-	spread := retryAfterJitter * (rank.Unit(rank.Mix(rank.Hash(string(r.ID)))) - 0.5)
-	return later + fraction(later, spread)
+	remaining := r.deadline.Sub(now)
+	delay := max(minRetryAfter, min(lasted, fraction(remaining, maxRetryAfterRatio)))
+	jitter := retryAfterJitter * (rank.Unit(rank.Mix(rank.Hash(string(r.ID)))) - 0.5)
+	return delay + fraction(delay, jitter)
 }
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -48,7 +48,7 @@
 	red   *core.Reducer
 	now   ident.Time
 	queue callQueue
-	// busyUntil is when each engine has prefilled all prompts that it was sent.
+	// busyUntil is when each engine will have prefilled all prompts sent to it.
 	busyUntil map[ident.TargetID]ident.Time
 	// firstAskedAt is when the caller of a request first sent it, isRepeat whether the request is
 	// its second.
@@ -56,10 +56,11 @@
 	isRepeat     map[ident.RequestID]bool
 	n            int
 	// inTime counts answers that began within the goal, late those that began after it, and
-	// idleRefusals refusals while an engine would have begun the answer within the goal.
+	// idleRefusals the refusals of requests whose answers an engine could have begun within the
+	// goal.
 	inTime, late, refused, idleRefusals int
-	// waiting counts the requests that the host has neither sent nor refused, lateRepeats the late
-	// answers to repeated requests.
+	// waiting counts the requests that the host has neither sent nor refused, and lateRepeats the
+	// late answers to repeated requests.
 	waiting, lateRepeats int
 }
 
@@ -107,7 +108,7 @@
 	}
 }
 
-// prefill has an engine prefill a prompt after those that it was sent before.
+// prefill makes an engine prefill a prompt after those sent to it before.
 func (o *overload) prefill(e event.Dispatch) {
 	id := e.Target.ID
 	o.waiting--
@@ -134,7 +135,7 @@
 		ahead += max(0, o.busyUntil[ident.TargetID(fmt.Sprint("t", i))].Sub(o.now))
 	}
 	since := o.firstAskedAt[e.Request]
-	// A host that decides by its own estimates may be wrong by a quarter of the goal.
+	// The host decides by estimates, which may be wrong by a quarter of the goal.
 	if begins := o.now.Add(ahead / loadEngines); !o.isRepeat[e.Request] && begins.Add(loadPrefillTime).Sub(since) < loadGoal*3/4 {
 		o.idleRefusals++
 	}
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -13,7 +13,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// pools holds the requests that wait for room. Each set of models and each service has its own
+// pools holds the requests that wait for capacity. Each set of models and each service has its own
 // queue, so that a full model does not block another.
 type pools struct {
 	byKey map[string]*pool
@@ -24,10 +24,10 @@
 type pool struct {
 	key   string
 	queue *admit.Queue
-	// head is the next request to send. It has left the queue and waits for room.
+	// head is the next request to send. It has left the queue and waits for capacity.
 	head *request
 	// tokenTime is the smoothed time for one generated token, runTime that of a whole request,
-	// slotInterval that between two places that became free.
+	// slotInterval that between two requests sent from the queue, each into a free slot.
 	tokenTime    time.Duration
 	runTime      time.Duration
 	slotInterval time.Duration
@@ -77,12 +77,12 @@
 	pl.queue.Remove(r.ID)
 }
 
-func (ps *pools) next(now ident.Time, startBy func(*request) ident.Time) ident.Time {
+func (ps *pools) next(now ident.Time, queueDeadline func(*request) ident.Time) ident.Time {
 	at := ident.Time(0)
 	for _, pl := range ps.order {
 		t := pl.queue.NextShed()
-		if pl.head != nil && (t == 0 || startBy(pl.head) < t) {
-			t = startBy(pl.head)
+		if pl.head != nil && (t == 0 || queueDeadline(pl.head) < t) {
+			t = queueDeadline(pl.head)
 		}
 		if t > now && (at == 0 || t < at) {
 			at = t
@@ -123,7 +123,7 @@
 	}
 }
 
-// expectedRunTime predicts how long a request runs once it has a place.
+// expectedRunTime predicts how long a request runs once it has a slot.
 func (pl *pool) expectedRunTime(r *request) time.Duration {
 	if r.MaxTokens > 0 && pl.tokenTime > 0 {
 		return time.Duration(r.MaxTokens) * pl.tokenTime
@@ -131,61 +131,62 @@
 	return pl.runTime
 }
 
-// backlog predicts how long the requests that wait here take to get a place.
+// backlog predicts how long it takes until all queued requests have got a slot.
 //
-// It is part of the cost of every local choice. Without it a request behind fifty others looked
-// as cheap to keep as the first one, so that none was forwarded while other data centres offered
-// room, and queued requests were refused at their deadlines instead. For the head of the queue
-// the backlog stands for what the requests behind it would gain if it went elsewhere.
+// It is part of the cost of every local choice. Without it a request behind fifty others cost as
+// little to keep as the first one, so that none was forwarded while other data centres offered
+// capacity, and queued requests were refused at their deadlines instead. For the head of the
+// queue the backlog is what the requests behind it would gain if the head were forwarded.
 func (pl *pool) backlog() time.Duration {
 	return time.Duration(pl.queue.Len()) * pl.slotInterval
 }
 
-// queueItem returns the queue entry of a request.
+// queueItem returns the queue item of a request.
 func (rd *Reducer) queueItem(pl *pool, r *request) admit.Item {
 	it := admit.Item{
 		ID: r.ID, Account: r.Account, HomeBound: r.profile.Confined(), Priority: r.profile.Priority, PastGoal: rd.isPastGoal(r),
 		Deadline: rd.queueDeadline(r), Work: pl.expectedRunTime(r),
 	}
 	if r.profile.Route != nil {
-		// The maximum length of an answer says little about its actual length, and the queue only
-		// has to bound the start. That bound already allows for the time at the target.
+		// The maximum length of an answer is a poor estimate of its actual length. The queue only
+		// has to bound the start, and queueDeadline already allows for the time at the target.
 		it.Work = 0
 	}
 	return it
 }
 
-// enqueue queues a request, or refuses it at once if it would wait in vain.
+// enqueue queues a request, or refuses it immediately if it is not predicted to start in time.
 func (rd *Reducer) enqueue(now ident.Time, pl *pool, r *request, dec route.Decision) {
 	it := rd.queueItem(pl, r)
 	wait := dec.Wait
 	if r.profile.Route != nil {
 		wait = time.Duration(pl.queue.Ahead(it.PastGoal)) * pl.slotInterval
 	}
-	ok, shed, later := pl.queue.Push(now, it, wait)
-	rd.shed(now, shed, later)
+	ok, shed, retryAfter := pl.queue.Push(now, it, wait)
+	rd.shed(now, shed, retryAfter)
 	if !ok {
-		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
+		rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: retryAfter})
 	} else if pl.head != nil && !it.PastGoal && rd.isPastGoal(pl.head) {
-		// The head is late already and would make this request late too.
+		// The head is past its goal already, and waiting behind it could make this request miss
+		// its goal too.
 		pl.queue.PutBack(rd.queueItem(pl, pl.head))
 		pl.head = nil
 	}
 	rd.table.RequestsQueued(now)
 }
 
-// shed refuses requests that can no longer start in time now, and not at their deadlines, so that
-// their callers can do something else in the meantime.
-func (rd *Reducer) shed(now ident.Time, ids []ident.RequestID, later time.Duration) {
+// shed refuses requests that can no longer start in time. It does not wait for their deadlines, so
+// that their callers can use the remaining time.
+func (rd *Reducer) shed(now ident.Time, ids []ident.RequestID, retryAfter time.Duration) {
 	for _, id := range ids {
 		if r, ok := rd.requests[id]; ok {
-			rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: later})
+			rd.endRefused(now, r, refusal{code: codes.Overloaded.ID, outcome: event.NotRun, retryAfter: retryAfter})
 		}
 	}
 }
 
 // shedAndSendWaiting refuses waiting requests that can no longer start in time and sends others
-// to the places that are free.
+// into free slots.
 func (rd *Reducer) shedAndSendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
 		if pl.head != nil && now >= rd.queueDeadline(pl.head) {
@@ -198,7 +199,7 @@
 	rd.sendWaiting(now)
 }
 
-// sendWaiting sends waiting requests for as long as there is room.
+// sendWaiting sends waiting requests for as long as there is capacity.
 func (rd *Reducer) sendWaiting(now ident.Time) {
 	for _, pl := range rd.pools.order {
 		for rd.sendNext(now, pl) {
--- a/internal/core/post_test.go
+++ b/internal/core/post_test.go
@@ -11,7 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// testHost is one host with targets of routes, stepped by hand.
+// testHost is the reducer of one host with a few targets. The test posts each event and advances
+// the time.
 type testHost struct {
 	t   *testing.T
 	red *core.Reducer
--- a/internal/core/promise_test.go
+++ b/internal/core/promise_test.go
@@ -16,8 +16,8 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// Guards against violated guarantees under partitions, freezes, restarts and configuration
-// changes.
+// Guards against a violation of the guarantees that world checks, under partitions, freezes,
+// restarts and configuration changes.
 func TestGuaranteesUnderFailure(t *testing.T) {
 	seen := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -36,8 +36,8 @@
 	requireSeen(t, seen, "dispatch", "forward", "refuse", "finish", "replay", "claimKey")
 }
 
-// requireSeen guards the test itself: sequences that never cause an effect would pass whatever
-// the code does about it.
+// requireSeen fails a test whose random sequences never caused one of the named effects: the test
+// would show nothing about that effect.
 func requireSeen(t *testing.T, seen map[string]int, names ...string) {
 	t.Helper()
 	t.Log(seen)
@@ -326,7 +326,7 @@
 	}
 }
 
-// Guards against the duplicate end of an attempt starting a second try while the peer is still
+// Guards against the duplicate end of an attempt starting a second attempt while the peer is still
 // being asked for the outcome of the first.
 func TestSecondEndOfAnAttemptIsIgnored(t *testing.T) {
 	w := newWorld(t.Fatalf)
@@ -352,11 +352,11 @@
 	sendTicketed(w, "uvs-0")
 	w.Run(600 * time.Millisecond)
 	if len(forwards) != 1 {
-		t.Fatalf("the job was passed on %d times; the test shows nothing", len(forwards))
+		t.Fatalf("the job was forwarded %d times; the test shows nothing", len(forwards))
 	}
 	w.Post("uvs-0", 0, event.AttemptEnded{Attempt: forwards[0].Envelope.Attempt, Result: event.ResultNotRun})
 	w.Run(2 * time.Second)
 	if len(forwards) != 1 {
-		t.Errorf("another try began while the peer was still being asked: %+v", forwards[1:])
+		t.Errorf("another attempt began while the peer was still being asked: %+v", forwards[1:])
 	}
 }
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -11,7 +11,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// engineHost is a reducer with one local engine and one offer of another data centre.
+// engineHost is the reducer of a host with one local engine and an offer of another data centre.
 type engineHost struct {
 	red       *core.Reducer
 	now       ident.Time
@@ -84,11 +84,11 @@
 }
 
 // Guards against a long queue that keeps all its requests although another data centre offers
-// room.
+// capacity.
 func TestLongQueueCrosses(t *testing.T) {
 	for _, tc := range []struct {
-		every time.Duration
-		cross bool
+		slotInterval time.Duration
+		cross        bool
 	}{{100 * time.Millisecond, true}, {time.Second, false}} {
 		s := newEngineHost(t)
 		for range 5 {
@@ -96,7 +96,7 @@
 		}
 		for i := range 100 {
 			if i%2 == 0 {
-				s.now = s.now.Add(tc.every)
+				s.now = s.now.Add(tc.slotInterval)
 				s.endOldest()
 				s.reportLoad(uint64(i + 2))
 			}
@@ -105,7 +105,7 @@
 			}
 		}
 		if got := s.forwarded > 0; got != tc.cross {
-			t.Errorf("one slot freed every %v: %d of %d requests crossed", tc.every, s.forwarded, s.sent)
+			t.Errorf("one slot freed every %v: %d of %d requests crossed", tc.slotInterval, s.forwarded, s.sent)
 		}
 	}
 }
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -13,7 +13,7 @@
 type refusal struct {
 	code    codes.ID
 	outcome event.Outcome
-	// retryAfter is how long the caller should wait before it comes back, zero for the default.
+	// retryAfter is how long the caller should wait before it retries, zero for the default.
 	retryAfter time.Duration
 	entries    []event.Host
 }
@@ -73,8 +73,8 @@
 	if rd.requests[r.ID] != r {
 		return
 	}
-	// A later refusal, of a retry that found no room, must not hide that an earlier attempt may
-	// have run: the caller would send the work again elsewhere as if for the first time.
+	// The refusal of a retry that found no capacity must not hide that an earlier attempt may have
+	// run: the caller would send the work again elsewhere as if for the first time.
 	if r.mayHaveRun && ref.outcome == event.NotRun {
 		ref.outcome = event.Unknown
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,7 +17,7 @@
 	defaultDeadline = 60 * time.Second
 	// defaultTokens is the assumed length of an answer if the request gives none.
 	defaultTokens = 256
-	// defaultRetryAfter is the Retry-After time where no better value is known.
+	// defaultRetryAfter is the Retry-After time if no better value is known.
 	defaultRetryAfter = time.Second
 )
 
@@ -48,12 +48,14 @@
 	attemptCount int
 	// boundTarget is the only target that may receive the rest of a stream, empty for any.
 	boundTarget ident.TargetID
-	// unsentAttempts counts the tries that sent nothing to a target.
+	// unsentAttempts counts the attempts that sent nothing to a target. attemptCount does not
+	// include them.
 	unsentAttempts int
 	// resumeWaits counts how often a broken stream has waited for a target or for the retry
 	// budget.
 	resumeWaits int
-	live        *attempt
+	// live is the attempt that has not ended, nil if there is none.
+	live *attempt
 	// lastDecision and lastDenial are logged with a refusal.
 	lastDecision route.Decision
 	lastDenial   event.Denial
@@ -68,7 +70,7 @@
 	mayHaveRun bool
 }
 
-// attempt is one try that has not ended.
+// attempt is an attempt that has not ended.
 type attempt struct {
 	id     ident.Attempt
 	req    *request
@@ -82,12 +84,12 @@
 	host        event.Host
 	dec         route.Decision
 	sent        bool
-	// retryTaken is set once this host has decided to break the attempt off for the silence since
-	// silentSince, and has taken the retry that follows from the budget.
+	// retryTaken is set once this host has decided to abort the attempt, which had been silent
+	// since silentSince, and has taken its retry from the budget.
 	retryTaken  bool
 	silentSince ident.Time
 	// prefillTokens is the part of the prompt that the target has to prefill, zero after the
-	// first token. prefillAhead is what the target had to prefill first when the attempt was
+	// first token. prefillAhead is what the target had to prefill before it when the attempt was
 	// sent.
 	prefillTokens ident.Tokens
 	prefillAhead  ident.Tokens
@@ -118,8 +120,8 @@
 	rd.checkOnce(now, r)
 }
 
-// resolveRequest fills in what a request refers to, or returns why it is refused. Nothing of the
-// request has been sent at that point.
+// resolveRequest fills in the profile, client, service and deadline of a request, or returns why
+// it is refused. Nothing of the request has been sent at that point.
 func (rd *Reducer) resolveRequest(now ident.Time, r *request) (refusal, bool) {
 	book := rd.spread.Book()
 	if book == nil {
@@ -175,8 +177,8 @@
 
 // isLoop reports whether a forwarded request circulates: two regions that each believe the other
 // to be idle would forward it back and forth until its deadline, and load would rise without any
-// new caller. The number of crossings and the hosts seen travel with the request, so that no host
-// needs to remember it.
+// new caller. The envelope carries the number of crossings and the visited hosts, so that no host
+// needs to remember the request.
 func (rd *Reducer) isLoop(r *request) bool {
 	if r.env.Crossings > r.profile.MaxCrossings {
 		return true
@@ -190,14 +192,14 @@
 }
 
 // reserveAndPlace reserves the tokens of a request from the limit of its account and places it.
-// The once-only check has passed at that point.
+// checkOnce has allowed it to run at that point.
 func (rd *Reducer) reserveAndPlace(now ident.Time, r *request) {
 	if !r.forwarded {
 		r.reservedTokens = r.Prompt + answerTokens(r)
-		ok, later := rd.quota.Take(now, r.client, r.reservedTokens)
+		ok, retryAfter := rd.quota.Take(now, r.client, r.reservedTokens)
 		if !ok {
 			r.reservedTokens = 0
-			rd.endRefused(now, r, refusal{code: codes.AccountLimit.ID, outcome: event.NotRun, retryAfter: later})
+			rd.endRefused(now, r, refusal{code: codes.AccountLimit.ID, outcome: event.NotRun, retryAfter: retryAfter})
 			return
 		}
 	}
@@ -211,8 +213,8 @@
 	return defaultTokens
 }
 
-// callerLeft drops a request whose goroutine has ended. Nothing of it runs any more, since the
-// goroutine ends only between attempts.
+// callerLeft closes a request whose caller has disconnected. If an attempt was sent, the outcome
+// is unknown.
 func (rd *Reducer) callerLeft(now ident.Time, id ident.RequestID) {
 	r, ok := rd.requests[id]
 	if !ok {
@@ -232,8 +234,7 @@
 	rd.close(now, r, outcome)
 }
 
-// close removes a request that is over, settles its reserved tokens and records its
-// outcome.
+// close removes a request that has ended, settles its reserved tokens and records its outcome.
 func (rd *Reducer) close(now ident.Time, r *request, outcome event.Outcome) {
 	if rd.requests[r.ID] != r {
 		return
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against the rest of a stream being dropped after another region has refused it.
-func TestRestOfAStreamThatIsTurnedAwayIsPlacedAgain(t *testing.T) {
+func TestRefusedRestOfAStreamIsPlacedAgain(t *testing.T) {
 	h := newTestHost(t, 1, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	h.now = h.now.Add(retry.Window)
 	h.step(event.HostsRead{Version: 2, Complete: true, Targets: []event.Target{boardTarget("t0")}})
@@ -55,7 +55,7 @@
 	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	fwd, ok := pick[event.Forward](effs)
 	if !ok || fwd.ResumeAfter != 5 {
-		t.Fatalf("the rest of the stream is not passed on: %v", effs)
+		t.Fatalf("the rest of the stream is not forwarded: %v", effs)
 	}
 	h.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t0"), boardTarget("t1")}})
 	effs = h.end(event.AttemptEnded{Attempt: fwd.Envelope.Attempt, Result: event.ResultNotRun, Code: codes.ForwardRefused.ID, Delivered: 5})
@@ -67,8 +67,8 @@
 	}
 }
 
-// newResumedStream returns a host with a stream that one target has broken off, and the dispatch
-// of the rest to a second target, the last that may receive it.
+// newResumedStream returns a host with a stream that broke at one target, and the dispatch of the
+// rest to a second target, the last one that may receive it.
 func newResumedStream(t *testing.T, targets int) (*testHost, event.Dispatch) {
 	t.Helper()
 	h := newTestHost(t, targets, core.Bounds{RetryRatio: 1, RetryFloor: 100})
@@ -99,7 +99,7 @@
 	h.step(event.AttemptSent{Attempt: rest.Attempt})
 	effs := h.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 6, Generated: 1})
 	if _, ok := pick[event.Dispatch](effs); ok {
-		t.Error("a stream that has broken off at MaxAttempts targets is sent again")
+		t.Error("a stream that broke at MaxAttempts targets is sent again")
 	}
 }
 
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -14,10 +14,10 @@
 	return a.target != "" && rd.table.IsCurrent(a.target, a.incarnation)
 }
 
-// targetsRestarted breaks off the attempts at earlier incarnations of targets. A target may
+// targetsRestarted aborts the attempts at earlier incarnations of targets. A target may
 // restart under its id behind a partition, so that no connection is reset and no more data
-// arrives. Streams are resumed elsewhere, idempotent requests are sent again, and others end with
-// an unknown outcome.
+// arrives. Streams are resumed elsewhere, idempotent requests are retried, and others end with an
+// unknown outcome.
 func (rd *Reducer) targetsRestarted() {
 	for _, id := range rd.table.TakeRestarted() {
 		rd.router.Forget(id)
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -13,8 +13,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Bounds are limits that hold for all entry hosts of a deployment together. Zero fields stand for
-// the defaults.
+// Bounds are limits that apply to all entry hosts of a deployment together. Zero fields select the
+// defaults.
 type Bounds struct {
 	// RetryRatio bounds the retries at a service as a fraction of its requests, and RetryFloor is
 	// the number of retries that need no requests. Both apply to one retry.Window.
@@ -23,9 +23,9 @@
 	// ColdOvershoot and ColdSlack extend the rate of a cold target to what all hosts together may
 	// send it in one second: the rate times ColdOvershoot plus ColdSlack.
 	ColdOvershoot, ColdSlack float64
-	// MinDrain is the minimum duration of a drain. For DrainAccept from its start, new requests
-	// of routes are accepted whatever their deadline. After DrainTimeout the remaining requests
-	// are cut.
+	// MinDrain is the minimum duration of a drain. During the first DrainAccept of a drain, new
+	// requests of routes are accepted whatever their deadline. After DrainTimeout the remaining
+	// requests are aborted.
 	MinDrain, DrainAccept, DrainTimeout time.Duration
 	// SharedReads limits continuous reads of the platform's store to two hosts of each data
 	// centre.
@@ -41,8 +41,8 @@
 	return b
 }
 
-// retryMargin is the fraction of the retry budget that is used. The rest covers that each host
-// counts in whole seconds, and retries that are in flight from one second to the next.
+// retryMargin is the fraction of the retry budget that is used. The rest allows for hosts that
+// count in whole seconds, and for retries in flight from one second to the next.
 const retryMargin = 0.8
 
 // retryBudget returns the retry budget of a service. The floor is split evenly among the highest
@@ -50,7 +50,7 @@
 // ratio applies to the requests that this host accepted from callers, so the hosts' budgets add
 // up to it without coordination. A host that has just started knows neither the others nor what
 // it spent before a restart: hosts that restart together would each use the whole floor. So for
-// one window it has half of its part, and none before it has read the list of hosts.
+// one window it has half of its share, and none before it has read the list of hosts.
 func (rd *Reducer) retryBudget(now ident.Time, name string) *retry.Budget {
 	b, ok := rd.retryBudgets[name]
 	if !ok {
@@ -72,8 +72,9 @@
 	return b
 }
 
-// countArrival counts a request for the retry budgets. A forwarded request was counted by the
-// host that forwarded it.
+// countArrival counts a request for the retry budgets and for the demand, and estimates how long
+// its caller has waited before. For the retry budget of a service, a forwarded request was counted
+// by the host that forwarded it.
 func (rd *Reducer) countArrival(now ident.Time, r *request) {
 	if r.profile.Route == nil {
 		rd.budget.RecordArrival(now)
@@ -88,9 +89,8 @@
 	}
 }
 
-// isLocalDemand reports whether a request of a route counts as demand here: it came from a caller
-// here and may be served here, or it was forwarded because the data centre that took it may not
-// serve it.
+// isLocalDemand reports whether a request of a route counts as demand here: a caller sent it to
+// this host and this region may serve it, or it was forwarded by a region that may not serve it.
 func (rd *Reducer) isLocalDemand(r *request) bool {
 	from := rd.self.Place.Region
 	if r.forwarded {
@@ -99,11 +99,11 @@
 	return r.profile.Allows(r.client, from) != r.forwarded
 }
 
-// maxUnsentAttempts bounds the tries of one request that sent no byte to a target. They cost the
+// maxUnsentAttempts bounds the attempts of one request that sent no byte to a target. They cost the
 // targets nothing, but each takes some of the caller's time.
 const maxUnsentAttempts = 4
 
-// reachedTarget reports whether a target has seen a request that was not run.
+// reachedTarget reports whether a target has received a request that was not run.
 func reachedTarget(a *attempt, e event.AttemptEnded) bool {
 	if a.target == "" {
 		return e.Code == codes.Overloaded.ID
@@ -116,14 +116,13 @@
 	return code == codes.Overloaded.ID || code == codes.ForwardRefused.ID || code == codes.NoTarget.ID
 }
 
-// isUntriedForward reports whether ref refuses a forwarded request that no target has seen. If
-// the request may have run before, the host that forwarded it does not count the refusal as a
-// try, since the caller may have a part of the answer.
+// isUntriedForward reports whether ref refuses a forwarded request that no target has received. If
+// the request may have run before, the host that forwarded it does not count this attempt, since the caller may have a part of the answer.
 func (r *request) isUntriedForward(ref refusal) bool {
 	return r.forwarded && r.attemptCount == 0 && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun
 }
 
-// shedRefusal returns the refusal of a request that a target or another host turned away.
+// shedRefusal returns the refusal of a request that a target or another host has refused.
 func shedRefusal(a *attempt, e event.AttemptEnded) refusal {
 	ref := refusal{code: codes.NoTarget.ID, outcome: event.NotRun, retryAfter: e.RetryAfter}
 	if reachedTarget(a, e) || e.Code == codes.ForwardRefused.ID {
@@ -146,8 +145,8 @@
 	r.profile.Service = r.Service
 }
 
-// outlivesCaller reports whether an attempt continues after its caller has left: only a
-// non-streaming call that is not idempotent, so that its outcome stays known.
+// outlivesCaller reports whether an attempt continues after its caller has disconnected. Only an
+// at-most-once request that is not a stream of a route does, so that its outcome stays known.
 func (r *request) outlivesCaller() bool {
 	rt := r.profile.Route
 	return r.once && (rt == nil || rt.Kind != rules.Streaming)
@@ -163,7 +162,7 @@
 	// route.
 	lengthWeight = 1.0 / 16
 	// maxStreamLengths bounds the routes whose lengths are stored. Configurations add and drop
-	// routes thousands of times a day; past the bound all lengths are dropped and learned again.
+	// routes thousands of times a day; at the bound all lengths are dropped and learned again.
 	maxStreamLengths = 4096
 )
 
@@ -183,7 +182,7 @@
 	rd.streamLengths[name] = float64(r.delivered)
 }
 
-// expectedEvents returns how many events the rest of a stream usually has.
+// expectedEvents predicts how many events the rest of a stream has.
 func (rd *Reducer) expectedEvents(r *request) float64 {
 	return max(0, rd.streamLengths[r.profile.Name]-float64(r.delivered))
 }
--- a/internal/core/routed_test.go
+++ b/internal/core/routed_test.go
@@ -19,31 +19,31 @@
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	h := newTestHost(t, 4, core.Bounds{RetryRatio: 0.2, RetryFloor: 10})
 	h.now = h.now.Add(retry.Window)
-	tries, held := 0, 0
+	retries, failures := 0, 0
 	const calls = 200
 	for range calls {
 		d := h.send("fetch")
 		effs := h.endBriefly(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultFailed, Status: 500, AnswerBuffered: true})
 		if retried, ok := pick[event.Dispatch](effs); ok {
-			tries++
+			retries++
 			if retried.Target.ID == d.Target.ID {
 				t.Fatalf("retried at %s, where it had failed", d.Target.ID)
 			}
 			h.step(event.AttemptEnded{Attempt: retried.Attempt, Result: event.ResultDone})
 		} else if f, ok := pick[event.Finish](effs); ok && f.Outcome == event.Done {
-			held++
+			failures++
 		}
 	}
-	if most := calls/5 + 10; tries == 0 || tries > most {
-		t.Errorf("%d retries of %d calls, at most %d are allowed", tries, calls, most)
+	if maxRetries := calls/5 + 10; retries == 0 || retries > maxRetries {
+		t.Errorf("%d retries of %d calls, at most %d are allowed", retries, calls, maxRetries)
 	}
-	if tries+held != calls {
-		t.Errorf("%d calls were retried and %d got the failure, of %d", tries, held, calls)
+	if retries+failures != calls {
+		t.Errorf("%d calls were retried and %d got the failure, of %d", retries, failures, calls)
 	}
 }
 
 // Guards against a call that is not idempotent being sent again, or being reported as not run.
-func TestRoutedOnceIsNeverRepeated(t *testing.T) {
+func TestNonIdempotentCallIsNeverRepeated(t *testing.T) {
 	for _, res := range []event.Result{event.ResultBroken, event.ResultFailed} {
 		h := newTestHost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 		d := h.send("publish")
@@ -143,8 +143,8 @@
 	t.Fatal("the engine is never full")
 }
 
-// Guards against late answers under load being broken off and computed twice.
-func TestIdleTimeoutFollowsTheService(t *testing.T) {
+// Guards against late answers under load being aborted and computed twice.
+func TestIdleTimeoutFollowsTheRoute(t *testing.T) {
 	h := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	before := h.send("draft").IdleTimeouts.First
 	for range 20 {
@@ -159,8 +159,8 @@
 	}
 }
 
-// Guards against a late stream being prefilled a second time when a second try can't meet the
-// goal either.
+// Guards against a late stream being prefilled a second time when a retry can't meet the goal
+// either.
 func TestLateStreamsAreNotPrefilledTwice(t *testing.T) {
 	h := newTestHost(t, 3, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	for range 20 {
@@ -170,7 +170,7 @@
 		h.step(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultDone})
 	}
 	if got := h.send("draft").IdleTimeouts.First; got < time.Second {
-		t.Errorf("an attempt may be silent for %s where answers begin after 0.9 s and the goal has passed by then", got)
+		t.Errorf("an attempt may be silent for %s though answers begin after 0.9 s and the goal has passed by then", got)
 	}
 }
 
@@ -205,7 +205,7 @@
 // Guards against hosts that restart together exceeding the retry budget.
 func TestNewHostHasHalfOfItsRetryFloor(t *testing.T) {
 	h := newTestHost(t, 4, core.Bounds{RetryRatio: 0.001, RetryFloor: 50})
-	tries := func() int {
+	countRetries := func() int {
 		n := 0
 		for range 60 {
 			d := h.send("fetch")
@@ -217,11 +217,11 @@
 		}
 		return n
 	}
-	if n := tries(); n != 20 {
+	if n := countRetries(); n != 20 {
 		t.Errorf("a host that has just started makes %d retries of 40", n)
 	}
 	h.now = h.now.Add(2 * retry.Window)
-	if n := tries(); n != 40 {
+	if n := countRetries(); n != 40 {
 		t.Errorf("a host that has run for a window makes %d retries of 40", n)
 	}
 }
@@ -246,14 +246,14 @@
 			break
 		}
 	}
-	if held := h.now.Sub(began); !refused || held > 600*time.Millisecond {
-		t.Errorf("refused: %v, after %s of a goal of 500 ms", refused, held)
+	if waited := h.now.Sub(began); !refused || waited > 600*time.Millisecond {
+		t.Errorf("refused: %v, after %s of a goal of 500 ms", refused, waited)
 	}
 }
 
-// Guards against a prefix that a peer has sent to one engine being prefilled again by another
-// one.
-func TestPeersAnnounceWhoHoldsAPrefix(t *testing.T) {
+// Guards against a prefix that a peer has sent to one target being prefilled again at another one,
+// and against a holder being announced more than once.
+func TestPeersAnnouncePrefixHolders(t *testing.T) {
 	const blocks, own = 12, 4
 	prompt := func(id string, h *testHost) event.Request {
 		r := event.Request{
@@ -269,13 +269,13 @@
 		return r
 	}
 	first := newTestHost(t, 6, core.Bounds{})
-	usual, ok := pick[event.Dispatch](first.step(event.RequestArrived{Request: prompt("a", first)}))
+	unannounced, ok := pick[event.Dispatch](first.step(event.RequestArrived{Request: prompt("a", first)}))
 	if !ok {
 		t.Fatal("the first prompt is not sent")
 	}
 	holder := event.PrefixHolder{LastBlock: 1000 + blocks - 1}
 	for i := range 6 {
-		if id := ident.TargetID(fmt.Sprint("t", i)); id != usual.Target.ID {
+		if id := ident.TargetID(fmt.Sprint("t", i)); id != unannounced.Target.ID {
 			holder.Target = event.TargetKey(rank.Hash(string(id)))
 		}
 	}
--- a/internal/core/silent_test.go
+++ b/internal/core/silent_test.go
@@ -29,8 +29,8 @@
 	return h.step(event.AttemptSilent{Attempt: a, Since: h.silentSince, AnswerBegan: true})
 }
 
-// Guards against a silent stream being cut although no other attempt can follow.
-func TestSilentStreamIsKeptWhereNoAttemptCanFollow(t *testing.T) {
+// Guards against a silent stream being aborted although no retry can follow.
+func TestSilentStreamIsKeptIfNoRetryCanFollow(t *testing.T) {
 	for _, tc := range []struct {
 		reason  event.DenialReason
 		targets int
@@ -48,7 +48,7 @@
 			tc.before(h)
 			effs := h.reportSilence(d.Attempt)
 			if _, ok := pick[event.BreakOff](effs); ok {
-				t.Fatal("the stream is broken off")
+				t.Fatal("the stream is aborted")
 			}
 			kept, ok := pick[event.KeepAttempt](effs)
 			if diff := cmp.Diff(tc.reason, kept.Denial.Reason); !ok || diff != "" {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against a silent stream being cut at its last attempt.
+// Guards against a silent stream being aborted at its last attempt.
 func TestSilentStreamIsKeptAtItsLastAttempt(t *testing.T) {
 	h, rest := newResumedStream(t, 4)
 	h.step(event.AttemptSent{Attempt: rest.Attempt})
@@ -74,9 +74,9 @@
 	}
 }
 
-// Guards against a silent stream being denied the retry that it was broken off for, or taking two
-// retries from the budget.
-func TestSilentStreamIsBrokenOffWithItsRetryTaken(t *testing.T) {
+// Guards against a silent stream that was aborted for a retry being denied that retry, or taking
+// two retries from the budget.
+func TestSilentStreamIsAbortedWithItsRetryTaken(t *testing.T) {
 	h := newTestHost(t, 3, core.Bounds{RetryRatio: 0.001, RetryFloor: 2})
 	h.now = h.now.Add(retry.Window)
 	first, second := h.beginStream(), h.beginStream()
@@ -85,7 +85,7 @@
 	}
 	if effs := h.reportSilence(first.Attempt); len(effs) > 0 {
 		if _, ok := pick[event.BreakOff](effs); ok {
-			t.Error("the stream is broken off twice")
+			t.Error("the stream is aborted twice")
 		}
 	}
 	kept, _ := pick[event.KeepAttempt](h.reportSilence(second.Attempt))
@@ -115,20 +115,20 @@
 		}
 		_, off := pick[event.BreakOff](h.step(event.AttemptSilent{Attempt: d.Attempt, Since: h.now.Add(-time.Second), AnswerBegan: begun}))
 		if diff := cmp.Diff(!begun, off); diff != "" {
-			t.Errorf("begun %v: broken off with all targets full (-want +got):\n%s", begun, diff)
+			t.Errorf("begun %v: aborted with all targets full (-want +got):\n%s", begun, diff)
 		}
 	}
 }
 
-// Guards against a stream that continued after the decision to break it off never being broken
-// off again, or taking a second retry from the budget.
-func TestStreamThatContinuedIsBrokenOffLater(t *testing.T) {
+// Guards against a stream that continued after the decision to abort it never being aborted later,
+// or taking a second retry from the budget.
+func TestStreamThatContinuedIsAbortedLater(t *testing.T) {
 	h := newTestHost(t, 3, core.Bounds{RetryRatio: 0.001, RetryFloor: 2})
 	h.now = h.now.Add(retry.Window)
 	d := h.beginStream()
 	for range 2 {
 		if _, ok := pick[event.BreakOff](h.reportSilence(d.Attempt)); !ok {
-			t.Fatal("the stream is not broken off")
+			t.Fatal("the stream is not aborted")
 		}
 		h.silentSince = h.now
 		h.now = h.now.Add(3 * time.Second)
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -29,8 +29,8 @@
 		return
 	}
 	if !ok {
-		// The caller has left. The claim is settled anyway, so that a repeat with the key is
-		// judged by the recorded outcome.
+		// The request has ended, usually because its caller has disconnected. The claim is settled anyway, so that a repeat with the key is
+		// answered by the recorded outcome.
 		rd.once.ClaimAnswered(now, e.Request, e.Claim, e.Owner)
 		rd.once.Ended(now, e.Request, event.NotRun, false)
 		return
--- a/internal/core/wait.go
+++ b/internal/core/wait.go
@@ -8,14 +8,16 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// maxWaitRatio is the fraction of its time that a request of a route may wait for a place before
-// its first try. The rest must suffice for the answer, or for its caller to come back.
+// maxWaitRatio is the fraction of the time to its deadline that a request of a route may wait for
+// a slot before its first attempt. The rest must suffice for the answer, or for its caller to come
+// back.
 const maxWaitRatio = 0.5
 
 // queueDeadline returns until when a request may be queued: as long as it can still be answered
-// within its goal, and for at most half of its time, which leaves the caller time to come back
-// after a refusal. A request that has been tried, or the rest of a forwarded stream, may be
-// queued until its deadline, since its caller may have a part of the answer.
+// within its goal, or for pastGoalWaitRatio if it is past its goal already. It is queued for at
+// most half of the time to its deadline, which leaves the caller time to come back after a refusal.
+// A request that has been attempted, or the rest of a forwarded stream, may be queued until its
+// deadline, since its caller may have a part of the answer.
 func (rd *Reducer) queueDeadline(r *request) ident.Time {
 	rt := r.profile.Route
 	if rt == nil || rt.GoalMs <= 0 || r.attemptCount > 0 || r.AnswerBegan {
@@ -34,11 +36,11 @@
 	return mech.On(codes.LateRequestsLast) && rt != nil && r.waitedBefore > 0 && rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore) <= 0
 }
 
-// pastGoalWaitRatio is the fraction of its goal that a late request may be queued. While others
-// arrive in time it is queued behind them, and the longer it waits, the less its caller can do
-// with a refusal.
+// pastGoalWaitRatio is how long a request past its goal may be queued, as a fraction of the goal.
+// It is queued behind the requests that are within their goals, and the longer it waits, the less
+// time its caller has left after a refusal.
 const pastGoalWaitRatio = 0.25
 
-// minQueueWait is the lower bound of how long a request may be queued: within it, a place that
-// has just become free is noticed.
+// minQueueWait is the minimum time that a request within its goal may be queued. It is long enough
+// for this host to learn that a slot has just become free.
 const minQueueWait = 100 * time.Millisecond
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -43,10 +43,10 @@
 	sent    map[ident.RequestID]event.Request
 	sentTo  map[ident.RequestID]ident.EntryID
 	tickets []issuedTicket
-	// revisions is the highest revision that each incarnation of a host has put in force.
+	// revisions is the highest revision that each incarnation of a host has put into effect.
 	revisions map[string]ident.Revision
 	n         int
-	// seenEffects counts the effects by name, to show that a test causes what it is meant for.
+	// seenEffects counts the effects by name, to verify that a test exercises the intended paths.
 	seenEffects map[string]int
 }
 
@@ -63,7 +63,7 @@
 
 func newWorld(fatal func(format string, args ...any)) *world { return newWorldOf(fatal, nil) }
 
-// newWorldOf is newWorld with the given reducers.
+// newWorldOf is newWorld with the reducers that the given function makes, nil for the default.
 func newWorldOf(fatal func(format string, args ...any), reducer func(self event.Host) drive.Reducer) *world {
 	w := &world{
 		Driver: drive.New(), fatal: fatal, cutLinks: value.SetOf[string](), cutFromPlatform: value.SetOf[ident.EntryID](),
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,4 +1,4 @@
-// Package order computes the order in which engines begin requests.
+// Package order computes the priority level by which engines order requests.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 
 import "verbenadale.example/verbenadale/pkg/ident"
 
-// MaxLevel is the highest level and the highest urgency of a profile.
+// MaxLevel is the highest level, and also the highest urgency of a profile.
 const MaxLevel = 9
 
 // Bounds between short, medium and long prompts, in tokens left to prefill. An engine that
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -12,7 +12,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-func TestLevelGoesByLengthAndThenByUrgency(t *testing.T) {
+func TestLevelDependsOnLengthThenUrgency(t *testing.T) {
 	var got []int
 	for _, prefill := range []ident.Tokens{0, maxShort, maxShort + 1, maxMedium, maxMedium + 1, 1 << 20} {
 		for _, urgency := range []int{MaxLevel, MaxLevel - 1, 0, -3, MaxLevel + 2} {
@@ -35,7 +35,8 @@
 	remaining float64
 	level     int
 	long      bool
-	started   time.Duration
+	// prefilledAt is when the last token of the prompt was prefilled.
+	prefilledAt time.Duration
 }
 
 // Parameters of the simulated engine.
@@ -87,7 +88,7 @@
 		j.remaining -= n
 		now += time.Duration(n / tokensPerMs * float64(time.Millisecond))
 		if j.remaining <= 0 {
-			j.started = now
+			j.prefilledAt = now
 			waiting = slices.Delete(waiting, best, best+1)
 		}
 	}
@@ -101,7 +102,7 @@
 			continue
 		}
 		all++
-		if j.started-j.at <= goal {
+		if j.prefilledAt-j.at <= goal {
 			n++
 		}
 	}
@@ -123,10 +124,10 @@
 		s1, l1 := simulate(load, byLength)
 		t.Logf("load %.2f: fractions in time by urgency: short %.3f, long %.3f; by length: short %.3f, long %.3f", load, s0, l0, s1, l1)
 		if l1 < l0 {
-			t.Errorf("load %.2f: %.3f of long prompts begin in time, by urgency alone %.3f", load, l1, l0)
+			t.Errorf("load %.2f: %.3f of long prompts are prefilled in time, by urgency alone %.3f", load, l1, l0)
 		}
 		if s1 < s0-0.05 {
-			t.Errorf("load %.2f: %.3f of short prompts begin in time, by urgency alone %.3f", load, s1, s0)
+			t.Errorf("load %.2f: %.3f of short prompts are prefilled in time, by urgency alone %.3f", load, s1, s0)
 		}
 	}
 }
--- a/internal/slack/slack.go
+++ b/internal/slack/slack.go
@@ -4,12 +4,12 @@
 // # Usage
 //
 //	b := slack.New()
-//	b.FirstByte(profile, took)            // an answer has begun
-//	age := b.Arrived(profile, left)       // a request has arrived
-//	wait := b.MaxWait(profile, goal, age) // how long it may be queued
+//	b.FirstByte(profile, took)               // an answer has begun
+//	waited := b.Arrived(profile, remaining)  // a request has arrived
+//	wait := b.MaxWait(profile, goal, waited) // how long it may be queued
 //
-// The time to a first byte at the target adds to the time in the queue, so a request is queued
-// only for the part of its goal that remains after it.
+// A request may be queued only for the part of its goal that remains after the usual time from
+// sending a request to the first byte of its answer.
 //
 // A Book belongs to one goroutine. It reads no clock.
 package slack
@@ -28,16 +28,15 @@
 	// With one deviation some five of six answers under a steady load begin earlier.
 	usualDeviations = 1
 	// lateDeviations is by how many deviations an answer may exceed the mean before it counts as
-	// lost, as in TCP's retransmission timeout. It applies per route, since long prompts are
+	// late and probably lost, as in TCP's retransmission timeout. It applies per route, since long prompts are
 	// answered later than short ones.
 	lateDeviations = 4
-	// maxReturnedRatio is the fraction of the time that callers usually give below which a request
-	// has probably been refused before.
+	// maxReturnedRatio is the fraction of the longest time given by a caller below which a request
+	// counts as one that came back after a refusal.
 	maxReturnedRatio = 0.8
-	// longestDecay is the fraction by which the longest time decays with each request.
+	// longestDecay is the fraction by which routeStats.longest decays with each request.
 	longestDecay = 1.0 / 2048
-	// maxRoutes bounds the routes with statistics. Past the bound all are dropped and learned
-	// again.
+	// maxRoutes bounds the routes with statistics. At the bound all are dropped and learned again.
 	maxRoutes = 4096
 )
 
@@ -50,7 +49,7 @@
 type routeStats struct {
 	// firstByte is the time from sending a request to the first byte of its answer.
 	firstByte smoothedTime
-	// longest is the longest time that callers gave recently.
+	// longest is the longest time to its deadline that a recent request had on arrival.
 	longest time.Duration
 }
 
@@ -77,28 +76,28 @@
 // New returns an empty book.
 func New() *Book { return &Book{routes: make(map[ident.Profile]*routeStats)} }
 
-// Arrived records the time that a caller gives for an answer. It returns how long the caller has
-// probably waited before, if it came back after a refusal, and zero for a first request.
-func (b *Book) Arrived(name ident.Profile, left time.Duration) time.Duration {
-	a := b.statsOf(name)
-	a.longest -= time.Duration(longestDecay * float64(a.longest))
-	a.longest = max(a.longest, left)
-	if float64(left) >= maxReturnedRatio*float64(a.longest) {
+// Arrived records the time that remains to the deadline of a new request. It returns how long the
+// caller has probably waited before, if it came back after a refusal, and zero for a first request.
+func (b *Book) Arrived(name ident.Profile, remaining time.Duration) time.Duration {
+	st := b.statsOf(name)
+	st.longest -= time.Duration(longestDecay * float64(st.longest))
+	st.longest = max(st.longest, remaining)
+	if float64(remaining) >= maxReturnedRatio*float64(st.longest) {
 		return 0
 	}
-	return a.longest - left
+	return st.longest - remaining
 }
 
 func (b *Book) statsOf(name ident.Profile) *routeStats {
-	a, ok := b.routes[name]
+	st, ok := b.routes[name]
 	if !ok {
 		if len(b.routes) >= maxRoutes {
 			clear(b.routes)
 		}
-		a = &routeStats{}
-		b.routes[name] = a
+		st = &routeStats{}
+		b.routes[name] = st
 	}
-	return a
+	return st
 }
 
 // FirstByte records the time from sending a request to the first byte of its answer.
@@ -107,8 +106,8 @@
 // UsualFirstByte returns the time to a first byte that most answers of a route stay below, zero
 // if none is known.
 func (b *Book) UsualFirstByte(name ident.Profile) time.Duration {
-	if a, ok := b.routes[name]; ok {
-		return a.firstByte.plusDeviations(usualDeviations)
+	if st, ok := b.routes[name]; ok {
+		return st.firstByte.plusDeviations(usualDeviations)
 	}
 	return 0
 }
@@ -116,14 +115,14 @@
 // LateAfter returns the time to a first byte past which an answer of a route is unusually late,
 // zero if none is known.
 func (b *Book) LateAfter(name ident.Profile) time.Duration {
-	if a, ok := b.routes[name]; ok {
-		return a.firstByte.plusDeviations(lateDeviations)
+	if st, ok := b.routes[name]; ok {
+		return st.firstByte.plusDeviations(lateDeviations)
 	}
 	return 0
 }
 
-// MaxWait returns how long a request of a route may wait for a place, where age is how long it
+// MaxWait returns how long a request of a route may be queued, where waited is how long its caller
 // has waited before. It is negative for a request that can no longer be answered within its goal.
-func (b *Book) MaxWait(name ident.Profile, goal, age time.Duration) time.Duration {
-	return goal - age - b.UsualFirstByte(name)
+func (b *Book) MaxWait(name ident.Profile, goal, waited time.Duration) time.Duration {
+	return goal - waited - b.UsualFirstByte(name)
 }
--- a/internal/slack/slack_test.go
+++ b/internal/slack/slack_test.go
@@ -12,7 +12,8 @@
 
 const goal = time.Second
 
-// Guards against requests that are queued for longer than slower answers leave of their goal.
+// Guards against requests that are queued too long: when answers become slower, less of the goal
+// is left for the queue.
 func TestMaxWaitFollowsAnswerTimes(t *testing.T) {
 	b := New()
 	if got := b.MaxWait("r", goal, 0); got != goal {
@@ -35,13 +36,13 @@
 	}
 }
 
-// Guards against a caller that comes back after a refusal being counted as one that gives a
-// shorter time from the start.
+// Guards against a request that comes back after a refusal being counted as a first request with a
+// shorter time.
 func TestReturningCallersAreRecognised(t *testing.T) {
 	b := New()
 	var got []time.Duration
-	for _, left := range []time.Duration{3000, 2600, 1700, 2900, 2300} {
-		got = append(got, b.Arrived("r", left*time.Millisecond).Round(100*time.Millisecond))
+	for _, remaining := range []time.Duration{3000, 2600, 1700, 2900, 2300} {
+		got = append(got, b.Arrived("r", remaining*time.Millisecond).Round(100*time.Millisecond))
 	}
 	want := []time.Duration{0, 0, 1300 * time.Millisecond, 0, 700 * time.Millisecond}
 	if diff := cmp.Diff(want, got); diff != "" {
