--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -15,15 +15,15 @@
 //
 // Home-bound requests, whose regions are restricted by the residency rule, go first
 // until they have received HomeShare of the work served since both kinds began to
-// wait. Requests that could run elsewhere thus
-// can't crowd them out, and they can't starve the rest. Within each kind, requests
-// past their goal go last. Next, a higher priority goes first. Among equal
-// priorities the earliest deadline goes first, among the accounts that are not
-// ahead: the queue counts the work served to each account, and an account that is
-// more than MaxLead ahead of the least served account waits. The work served to two
-// waiting accounts thus differs by at most MaxLead plus the work of one request,
-// whatever their deadlines. Strict alternation between accounts would be fairer,
-// but would miss deadlines that this order meets.
+// wait. Requests that could run elsewhere thus can't crowd them out, and they can't
+// starve the rest. Within each kind, requests past their goal go last. Next, a
+// higher priority goes first. Among equal priorities the earliest deadline goes
+// first, among the accounts that are not ahead: the queue counts the work served to
+// each account, and an account that is more than MaxLead ahead of the least served
+// account waits. The work served to two waiting accounts thus differs by at most
+// MaxLead plus the work of one request, whatever their deadlines. Strict
+// alternation between accounts would be fairer, but would miss deadlines that this
+// order meets.
 //
 // # Overload
 //
@@ -115,8 +115,8 @@
 	accounts map[ident.Account]*account
 	work     time.Duration
 	// servedFloor is the least work served to any account that waited at the last
-	// Pop. The count of an account that starts to wait is raised to it, so that idle
-	// time earns no credit.
+	// Pop. The count of an account that starts to wait is raised to it, so that
+	// idle time earns no credit.
 	servedFloor time.Duration
 	// homeServed and otherServed are the work served to home-bound and other
 	// requests while both kinds waited.
@@ -175,9 +175,10 @@
 	}
 }
 
-// Ahead returns the number of queued requests that are ahead of a new one, as if they were served
-// in order of arrival: it doesn't subtract those that the new one overtakes by priority, account or
-// deadline. Past-goal requests are ahead only of a past-goal one.
+// Ahead returns the number of queued requests that are ahead of a new one, as if
+// they were served in order of arrival: it doesn't subtract those that the new one
+// overtakes by priority, account or deadline. Past-goal requests are ahead only of
+// a past-goal one.
 func (q *Queue) Ahead(pastGoal bool) int {
 	if pastGoal {
 		return len(q.entries)
--- a/internal/admit/load_test.go
+++ b/internal/admit/load_test.go
@@ -69,8 +69,8 @@
 	return x
 }
 
-// goodput is the work that was completed in time, as a fraction of the capacity of the
-// slots, and the number of such requests per second.
+// goodput is the work that was completed in time, as a fraction of the capacity of
+// the slots, and the number of such requests per second.
 type goodput struct{ work, requests float64 }
 
 func (g goodput) max(o goodput) goodput {
@@ -144,18 +144,18 @@
 	}
 }
 
-// Guards against lost goodput under overload: a queue that accepts everything answers each
-// request only after its caller has disconnected.
+// Guards against lost goodput under overload: a queue that accepts everything
+// answers each request only after its caller has disconnected.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	var best, got goodput
-	for _, times := range []float64{1, 2, 10} {
-		as := arrivals(times)
+	for _, factor := range []float64{1, 2, 10} {
+		as := arrivals(factor)
 		naive := serve(as, fifo())
 		got = serve(as, admitted(Config{}))
 		best = best.max(naive).max(got)
-		t.Logf("offered %2.0fx: %v; first in first out %v", times, got, naive)
+		t.Logf("offered %2.0fx: %v; first in first out %v", factor, got, naive)
 		if got.work < naive.work || got.requests < naive.requests {
-			t.Errorf("offered %vx: %v is less than the naive queue with %v", times, got, naive)
+			t.Errorf("offered %vx: %v is less than the naive queue with %v", factor, got, naive)
 		}
 	}
 	if got.work < 0.95 || got.work < 0.95*best.work || got.requests < 0.95*best.requests {
@@ -166,11 +166,11 @@
 // BenchmarkMargins measures the effect of Margin on goodput.
 func BenchmarkMargins(b *testing.B) {
 	for _, m := range []float64{-1, 0.25, 0.5, 0.75, 1} {
-		for _, times := range []float64{1, 2, 10} {
-			b.Run(fmt.Sprintf("margin=%v/offered=%v", m, times), func(b *testing.B) {
+		for _, factor := range []float64{1, 2, 10} {
+			b.Run(fmt.Sprintf("margin=%v/offered=%v", m, factor), func(b *testing.B) {
 				var g goodput
 				for b.Loop() {
-					g = serve(arrivals(times), admitted(Config{Margin: m}))
+					g = serve(arrivals(factor), admitted(Config{Margin: m}))
 				}
 				b.ReportMetric(g.work, "work")
 				b.ReportMetric(g.requests, "requests/s")
--- a/internal/admit/order.go
+++ b/internal/admit/order.go
@@ -43,10 +43,13 @@
 	return home, other
 }
 
+// homeFirst reports whether home-bound requests have received at most HomeShare of
+// the work that was served while both kinds waited.
 func (q *Queue) homeFirst() bool {
 	return float64(q.homeServed)*(1-q.cfg.HomeShare) <= float64(q.otherServed)*q.cfg.HomeShare
 }
 
+// charge adds an item to the work served to its kind.
 func (q *Queue) charge(it Item) {
 	if it.HomeBound {
 		q.homeServed += it.Work
@@ -57,18 +60,18 @@
 
 // bestIndex returns the index of the request to serve next among those of one kind.
 func (q *Queue) bestIndex(now ident.Time, home bool) int {
-	ok := func(e *entry) bool { return e.HomeBound == home && now <= e.latestStart }
-	allPast := q.allPastGoal(ok)
-	servable := ok
+	eligible := func(e *entry) bool { return e.HomeBound == home && now <= e.latestStart }
+	allPast := q.allPastGoal(eligible)
+	servable := eligible
 	if !allPast {
-		ok = func(e *entry) bool { return servable(e) && !e.PastGoal }
+		eligible = func(e *entry) bool { return servable(e) && !e.PastGoal }
 	}
-	priority, least := q.topPriority(ok)
+	priority, least := q.topPriority(eligible)
 	q.servedFloor = max(q.servedFloor, least)
 	best := -1
 	for i := range q.entries {
 		e := &q.entries[i]
-		if !ok(e) || e.Priority != priority || e.account.served > least+q.cfg.MaxLead {
+		if !eligible(e) || e.Priority != priority || e.account.served > least+q.cfg.MaxLead {
 			continue
 		}
 		if best < 0 || e.Deadline < q.entries[best].Deadline {
@@ -78,23 +81,23 @@
 	return best
 }
 
-// allPastGoal reports whether all requests that satisfy ok are past their goal.
-func (q *Queue) allPastGoal(ok func(e *entry) bool) bool {
+// allPastGoal reports whether all eligible requests are past their goal.
+func (q *Queue) allPastGoal(eligible func(e *entry) bool) bool {
 	for i := range q.entries {
-		if e := &q.entries[i]; ok(e) && !e.PastGoal {
+		if e := &q.entries[i]; eligible(e) && !e.PastGoal {
 			return false
 		}
 	}
 	return true
 }
 
-// topPriority returns the highest priority among the requests that satisfy ok, and
-// the least work served to an account that waits with that priority.
-func (q *Queue) topPriority(ok func(e *entry) bool) (priority int, least time.Duration) {
+// topPriority returns the highest priority among the eligible requests, and the
+// least work served to an account that waits with that priority.
+func (q *Queue) topPriority(eligible func(e *entry) bool) (priority int, least time.Duration) {
 	found := false
 	for i := range q.entries {
 		e := &q.entries[i]
-		if !ok(e) {
+		if !eligible(e) {
 			continue
 		}
 		if !found || e.Priority > priority {
@@ -157,9 +160,10 @@
 }
 
 // victim returns the index of the request to remove from a full queue for a new
-// request of an account: the one with the lowest priority and latest deadline of the
-// account with the most requests. It returns false if the account of the new request
-// already has its even share, or if no other account has at least two requests more.
+// request of an account: the one with the lowest priority and latest deadline of
+// the account with the most requests. It returns false if the account of the new
+// request already has its even share, or if no other account has at least two
+// requests more.
 func (q *Queue) victim(newcomer ident.Account) (int, bool) {
 	waiting, accounts, most := 0, 1, (*account)(nil)
 	for _, a := range q.accounts {
--- a/internal/admit/order_test.go
+++ b/internal/admit/order_test.go
@@ -97,8 +97,8 @@
 	return it, true
 }
 
-// full reports whether a full queue must refuse an account.
-func (n *referenceQueue) full(a ident.Account) bool {
+// mustRefuse reports whether a full queue must refuse a request of an account.
+func (n *referenceQueue) mustRefuse(a ident.Account) bool {
 	accounts, most := []ident.Account{a}, 0
 	for _, it := range n.list {
 		if !slices.Contains(accounts, it.Account) {
@@ -122,7 +122,7 @@
 
 func (n *referenceQueue) push(t *rapid.T, q *Queue, now ident.Time, it Item, wait time.Duration) {
 	ok, shed, after := q.Push(now, it, wait)
-	want := !n.tooLate(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.full(it.Account))
+	want := !n.tooLate(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.mustRefuse(it.Account))
 	if ok != want || (!ok && after < minRetryAfter) {
 		t.Fatalf("push %+v: got %v, want %v, retry after %v", it, ok, want, after)
 	}
@@ -139,8 +139,8 @@
 	n.add(it)
 }
 
-// Guards against requests that are never answered and accounts that starve others, by comparing
-// every step with a simple reference implementation.
+// Guards against requests that are never answered and accounts that starve others,
+// by comparing every step with a simple reference implementation.
 func TestOrderMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{MaxWaiting: rapid.IntRange(6, 8).Draw(t, "most"), MaxLead: 2 * time.Second, Margin: 0.5, HomeShare: 0.5}
@@ -164,7 +164,7 @@
 				wantItem, want := n.pop(now)
 				gotItem, got := q.Pop(now)
 				if diff := cmp.Diff(wantItem, gotItem); want != got || diff != "" {
-					t.Fatalf("pop: got %v, want %v (-naive +got):\n%s", got, want, diff)
+					t.Fatalf("pop: got %v, want %v (-reference +got):\n%s", got, want, diff)
 				}
 			},
 			"remove": func(t *rapid.T) {
@@ -183,7 +183,7 @@
 					n.drop(it.ID)
 				}
 				if diff := cmp.Diff(want, q.Shed(now, 0)); diff != "" {
-					t.Fatalf("shed (-naive +got):\n%s", diff)
+					t.Fatalf("shed (-reference +got):\n%s", diff)
 				}
 				if q.NextShed() <= now {
 					t.Fatalf("next is %d at %d, after Shed", q.NextShed(), now)
--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -21,8 +21,8 @@
 }
 
 // retryWhenBudgetAllows schedules another attempt at the rest of a stream if only the retry budget
-// denies the retry now, and reports whether it did. The budget grows with each arriving request, and ending the
-// stream would truncate an answer that the caller has a part of.
+// denies the retry now, and reports whether it did. The budget grows with each arriving request,
+// and ending the stream would truncate an answer that the caller has a part of.
 func (rd *Reducer) retryWhenBudgetAllows(now ident.Time, r *request, a *attempt, e event.AttemptEnded, ref refusal) bool {
 	at := now.Add(resumeInterval)
 	if r.delivered == 0 || r.lastDenial.Reason != event.DeniedBudget || r.resumeWaits >= maxResumeWaits || at >= r.deadline {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -52,8 +52,8 @@
 	resumeInterval = 500 * time.Millisecond
 )
 
-// handleNoTarget handles a request for which no target is available. During discovery a new request is
-// placed again shortly. A request whose caller has a part of the answer is placed again up to
+// handleNoTarget handles a request for which no target is available. During discovery a new request
+// is placed again shortly. A request whose caller has a part of the answer is placed again up to
 // maxResumeWaits times, since suspected targets may recover and the caller cannot repeat the
 // request. All others are refused.
 func (rd *Reducer) handleNoTarget(now ident.Time, r *request, code codes.ID) {
@@ -287,14 +287,14 @@
 
 // handleBroken decides how to continue after an attempt that may have run.
 func (rd *Reducer) handleBroken(now ident.Time, r *request, a *attempt, e event.AttemptEnded) {
-	if r.once && a.target == "" && e.Result == event.ResultBroken {
+	if r.atMostOnce && a.target == "" && e.Result == event.ResultBroken {
 		r.pendingBar = a
 		rd.askBar(now, r)
 		return
 	}
 	r.mayHaveRun = true
 	r.lastEnding = endingOf(now, a, e)
-	if e.AnswerBuffered && r.delivered == 0 && (r.once || !rd.takeRetry(now, r, a, e)) {
+	if e.AnswerBuffered && r.delivered == 0 && (r.atMostOnce || !rd.takeRetry(now, r, a, e)) {
 		// The target's own failure is more informative to the caller than a refusal by this host.
 		rd.deliverBuffered(now, r)
 		return
@@ -303,7 +303,7 @@
 		rd.retryElsewhere(now, r, a, refusal{code: codes.TargetFailed.ID, outcome: event.Unknown})
 		return
 	}
-	if r.once {
+	if r.atMostOnce {
 		rd.endRefused(now, r, refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown})
 		return
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,12 +10,11 @@
 // events give the same effects, byte for byte. Several reducers fit into one
 // process and can be driven in virtual time.
 //
-// The state is split by decision, one package each: member holds hosts,
-// targets and loads; route chooses where a request runs; admit queues requests
-// while no target has capacity; quota limits accounts; retry bounds retries; once keeps
-// non-idempotent requests from running twice; spread holds and distributes the
-// configuration. This package takes each request through them. A Reducer belongs
-// to one goroutine.
+// The state is split by decision, one package each: member holds hosts, targets and loads; route
+// chooses where a request runs; admit queues requests while no target has capacity; quota limits
+// accounts; retry bounds retries; once keeps non-idempotent requests from running twice; spread
+// holds and distributes the configuration. This package takes each request through them. A Reducer
+// belongs to one goroutine.
 package core
 
 import (
@@ -44,9 +43,9 @@
 	spread *spread.Distributor
 	once   *once.Registry
 	quota  *quota.Ledger
+	// budget is the retry budget of requests without a route, retryBudgets that of each service.
 	budget retry.Budget
-	// bounds holds the limits that all hosts share, and retryBudgets the retry budget of each
-	// service.
+	// bounds holds the limits that all hosts share.
 	bounds       Bounds
 	retryBudgets map[string]*retry.Budget
 	// streamLengths is the smoothed number of events in the streams of each route.
@@ -302,14 +301,14 @@
 // on average. With more accounts the whole list is sent less often.
 const announcedAccountsPerSecond = 4
 
-// peerDemandTTL is how long the demand of a peer counts after its last digest. It equals the
-// time after which package member considers a host dead.
+// peerDemandTTL is how long the demand of a peer counts after its last digest. It equals the time
+// after which package member considers a host dead.
 const peerDemandTTL = 10 * time.Second
 
 // expirePeerDemand drops the demand of peers that no longer send digests. A host that is replaced
-// by one of another name never reports again: its last demand would keep its share of every limit, and the
-// remaining hosts would refuse callers below their limits until they restart too. The result does
-// not depend on the order of the peers.
+// by one of another name never reports again: its last demand would keep its share of every limit,
+// and the remaining hosts would refuse callers below their limits until they restart too. The
+// result does not depend on the order of the peers.
 func (rd *Reducer) expirePeerDemand(now ident.Time) {
 	for id, at := range rd.lastDigestAt {
 		if now.Sub(at) > peerDemandTTL {
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -34,7 +34,7 @@
 // timeouts follow the first-byte times of the route. They are zero if no retry can follow.
 func (rd *Reducer) idleTimeouts(r *request, dec route.Decision) event.IdleTimeouts {
 	rt := r.profile.Route
-	if rt == nil || r.once || r.forwarded || rt.GoalMs <= 0 || r.attemptCount >= rt.MaxAttempts {
+	if rt == nil || r.atMostOnce || r.forwarded || rt.GoalMs <= 0 || r.attemptCount >= rt.MaxAttempts {
 		return event.IdleTimeouts{}
 	}
 	late := rd.slack.LateAfter(r.profile.Name)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -26,9 +26,9 @@
 	event.Request
 	profile rules.Profile
 	client  rules.Client
-	// once is set if the request must not be repeated, by its profile or because it came with a
-	// ticket or key.
-	once bool
+	// atMostOnce is set if the request must not be repeated: its profile or route forbids it, or it
+	// came with a ticket or key.
+	atMostOnce bool
 	// env is set for a request forwarded by another entry host.
 	env       event.Envelope
 	forwarded bool
@@ -152,7 +152,7 @@
 	if rd.draining && r.Ticket == "" && !rd.acceptsWhileDraining(now, r) {
 		return rd.refuseDraining(now, r), false
 	}
-	r.once = p.AtMostOnce || r.Ticket != "" || r.Key != "" || p.Route != nil && !p.Route.Repeatable()
+	r.atMostOnce = p.AtMostOnce || r.Ticket != "" || r.Key != "" || p.Route != nil && !p.Route.Repeatable()
 	rd.pickService(r)
 	return rd.resolveDeadline(now, r)
 }
@@ -248,7 +248,7 @@
 		}
 		rd.quota.Settle(now, r.Account, r.reservedTokens, used)
 	}
-	if r.once && !r.forwarded {
+	if r.atMostOnce && !r.forwarded {
 		rd.once.Ended(now, r.ID, outcome, r.answerStored)
 	}
 	if r.forwarded {
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -14,10 +14,9 @@
 	return a.target != "" && rd.table.IsCurrent(a.target, a.incarnation)
 }
 
-// targetsRestarted aborts the attempts at earlier incarnations of targets. A target may
-// restart under its id behind a partition, so that no connection is reset and no more data
-// arrives. Streams are resumed elsewhere, idempotent requests are retried, and others end with an
-// unknown outcome.
+// targetsRestarted aborts the attempts at earlier incarnations of targets. A target may restart
+// under its id behind a partition, so that no connection is reset and no more data arrives. Streams
+// are resumed elsewhere, idempotent requests are retried, and others end with an unknown outcome.
 func (rd *Reducer) targetsRestarted() {
 	for _, id := range rd.table.TakeRestarted() {
 		rd.router.Forget(id)
--- a/internal/core/routed.go
+++ b/internal/core/routed.go
@@ -24,8 +24,8 @@
 	// send it in one second: the rate times ColdOvershoot plus ColdSlack.
 	ColdOvershoot, ColdSlack float64
 	// MinDrain is the minimum duration of a drain. During the first DrainAccept of a drain, new
-	// requests of routes are accepted whatever their deadline. After DrainTimeout the remaining
-	// requests are aborted.
+	// requests of routes are accepted whatever their deadline. DrainTimeout is the time from the
+	// start of a drain to event.DrainExpired, which ends the remaining requests.
 	MinDrain, DrainAccept, DrainTimeout time.Duration
 	// SharedReads limits continuous reads of the platform's store to two hosts of each data
 	// centre.
@@ -117,7 +117,8 @@
 }
 
 // isUntriedForward reports whether ref refuses a forwarded request that no target has received. If
-// the request may have run before, the host that forwarded it does not count this attempt, since the caller may have a part of the answer.
+// the request may have run before, the host that forwarded it does not count this attempt, since
+// the caller may have a part of the answer.
 func (r *request) isUntriedForward(ref refusal) bool {
 	return r.forwarded && r.attemptCount == 0 && ref.code == codes.Overloaded.ID && ref.outcome == event.NotRun
 }
@@ -149,12 +150,12 @@
 // at-most-once request that is not a stream of a route does, so that its outcome stays known.
 func (r *request) outlivesCaller() bool {
 	rt := r.profile.Route
-	return r.once && (rt == nil || rt.Kind != rules.Streaming)
+	return r.atMostOnce && (rt == nil || rt.Kind != rules.Streaming)
 }
 
 // storesAnswer reports whether the answer is stored for repeats with the same ticket or key. A
 // request of a route has neither.
-func (r *request) storesAnswer() bool { return r.once && r.profile.Route == nil }
+func (r *request) storesAnswer() bool { return r.atMostOnce && r.profile.Route == nil }
 
 // Estimation of stream lengths.
 const (
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -11,7 +11,7 @@
 // about it. For a forwarded request the sending host has decided that already.
 func (rd *Reducer) checkOnce(now ident.Time, r *request) {
 	switch {
-	case r.forwarded || !r.once || r.profile.Route != nil:
+	case r.forwarded || !r.atMostOnce || r.profile.Route != nil:
 		rd.reserveAndPlace(now, r)
 	case r.Ticket != "":
 		rd.applyVerdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Fingerprint))
@@ -29,8 +29,8 @@
 		return
 	}
 	if !ok {
-		// The request has ended, usually because its caller has disconnected. The claim is settled anyway, so that a repeat with the key is
-		// answered by the recorded outcome.
+		// The request has ended, for example because its caller has disconnected. The claim is
+		// settled anyway, so that a repeat with the key is answered by the recorded outcome.
 		rd.once.ClaimAnswered(now, e.Request, e.Claim, e.Owner)
 		rd.once.Ended(now, e.Request, event.NotRun, false)
 		return
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -172,6 +172,8 @@
 	_ = ev
 }
 
+// requestOf returns the request with an id, or with the id that drive gives a forwarded request:
+// the caller's id, a tilde and the attempt.
 func (w *world) requestOf(id ident.RequestID) event.Request {
 	for i := range id {
 		if id[i] == '~' {
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -50,8 +50,8 @@
 	arrivalSpan = 120 * time.Second
 )
 
-// simulate has an engine prefill prompts by level, in order of arrival within a level. It returns
-// the fractions of short and of long prompts whose prefill ended within the goal.
+// simulate simulates an engine that prefills prompts by level, in order of arrival within a level.
+// It returns the fractions of short and of long prompts whose prefill ended within the goal.
 func simulate(load float64, level func(long bool, prefill ident.Tokens) int) (short, long float64) {
 	rnd := rand.New(rand.NewPCG(7, 11))
 	var jobs []*job
--- a/internal/slack/slack.go
+++ b/internal/slack/slack.go
@@ -28,8 +28,8 @@
 	// With one deviation some five of six answers under a steady load begin earlier.
 	usualDeviations = 1
 	// lateDeviations is by how many deviations an answer may exceed the mean before it counts as
-	// late and probably lost, as in TCP's retransmission timeout. It applies per route, since long prompts are
-	// answered later than short ones.
+	// late and probably lost, as in TCP's retransmission timeout. It applies per route, since long
+	// prompts are answered later than short ones.
 	lateDeviations = 4
 	// maxReturnedRatio is the fraction of the longest time given by a caller below which a request
 	// counts as one that came back after a refusal.
--- a/internal/slack/slack_test.go
+++ b/internal/slack/slack_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against all callers counting as late for good after an operator shortens the time of a
-// route.
+// Guards against all requests counting as repeats after a refusal once an operator has shortened
+// the time of a route.
 func TestShorterTimesAreLearned(t *testing.T) {
 	b := New()
 	b.Arrived("r", 10*time.Second)
