--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,10 +10,11 @@
 // events give the same effects, byte for byte. Several reducers fit into one
 // process and can be driven in virtual time.
 //
-// The state is split by decision, one package each: member holds hosts, targets and loads; route
-// chooses where a request runs; admit queues requests while no target has capacity; quota limits
-// accounts; retry bounds retries; once keeps non-idempotent requests from running twice; spread
-// holds and distributes the configuration. This package takes each request through them. A Reducer
+// The state is split by decision, one package each: member holds hosts,
+// targets and loads; route chooses where a request runs; admit queues requests
+// while no target has capacity; quota limits accounts; retry bounds retries; once
+// keeps non-idempotent requests from running twice; spread holds and distributes
+// the configuration. This package takes each request through them. A Reducer
 // belongs to one goroutine.
 package core
 
--- a/internal/core/promise_test.go
+++ b/internal/core/promise_test.go
@@ -352,7 +352,7 @@
 	sendTicketed(w, "uvs-0")
 	w.Run(600 * time.Millisecond)
 	if len(forwards) != 1 {
-		t.Fatalf("the job was forwarded %d times; the test shows nothing", len(forwards))
+		t.Fatalf("the job was passed on %d times; the test shows nothing", len(forwards))
 	}
 	w.Post("uvs-0", 0, event.AttemptEnded{Attempt: forwards[0].Envelope.Attempt, Result: event.ResultNotRun})
 	w.Run(2 * time.Second)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -70,7 +70,7 @@
 	mayHaveRun bool
 }
 
-// attempt is an attempt that has not ended.
+// attempt is one dispatch or forwarding of a request that has not ended.
 type attempt struct {
 	id     ident.Attempt
 	req    *request
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against the rest of a stream being dropped after another region has refused it.
-func TestRefusedRestOfAStreamIsPlacedAgain(t *testing.T) {
+func TestRestOfAStreamThatIsTurnedAwayIsPlacedAgain(t *testing.T) {
 	h := newTestHost(t, 1, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 	h.now = h.now.Add(retry.Window)
 	h.step(event.HostsRead{Version: 2, Complete: true, Targets: []event.Target{boardTarget("t0")}})
@@ -55,7 +55,7 @@
 	effs := h.end(event.AttemptEnded{Attempt: d.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 5, Generated: 5})
 	fwd, ok := pick[event.Forward](effs)
 	if !ok || fwd.ResumeAfter != 5 {
-		t.Fatalf("the rest of the stream is not forwarded: %v", effs)
+		t.Fatalf("the rest of the stream is not passed on: %v", effs)
 	}
 	h.step(event.HostsRead{Version: 3, Complete: true, Targets: []event.Target{boardTarget("t0"), boardTarget("t1")}})
 	effs = h.end(event.AttemptEnded{Attempt: fwd.Envelope.Attempt, Result: event.ResultNotRun, Code: codes.ForwardRefused.ID, Delivered: 5})
--- a/internal/core/routed_test.go
+++ b/internal/core/routed_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against a call that is not idempotent being sent again, or being reported as not run.
-func TestNonIdempotentCallIsNeverRepeated(t *testing.T) {
+func TestRoutedOnceIsNeverRepeated(t *testing.T) {
 	for _, res := range []event.Result{event.ResultBroken, event.ResultFailed} {
 		h := newTestHost(t, 4, core.Bounds{RetryRatio: 1, RetryFloor: 100})
 		d := h.send("publish")
--- a/internal/core/silent_test.go
+++ b/internal/core/silent_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against a silent stream being aborted although no retry can follow.
-func TestSilentStreamIsKeptIfNoRetryCanFollow(t *testing.T) {
+func TestSilentStreamIsKeptWhereNoAttemptCanFollow(t *testing.T) {
 	for _, tc := range []struct {
 		reason  event.DenialReason
 		targets int
