--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -213,7 +213,7 @@
 	return defaultTokens
 }
 
-// callerLeft closes a request whose caller has disconnected. If an attempt was sent, the outcome
+// callerLeft closes a request whose caller has disconnected. If an attempt may have run, the outcome
 // is unknown.
 func (rd *Reducer) callerLeft(now ident.Time, id ident.RequestID) {
 	r, ok := rd.requests[id]
