--- a/internal/dev/bench/fleet.go
+++ b/internal/dev/bench/fleet.go
@@ -226,8 +226,8 @@
 	for _, mine := range s.hosts {
 		_ = f.eachHost(func(o *site, h *host) error {
 			if o != s {
-				h.before.Cut(mine.ip, cut)
-				mine.before.Cut(h.ip, cut)
+				h.before.SetPartitioned(mine.ip, cut)
+				mine.before.SetPartitioned(h.ip, cut)
 			}
 			return nil
 		})
--- a/internal/dev/certs/certs.go
+++ b/internal/dev/certs/certs.go
@@ -23,11 +23,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrMake says that a certificate could not be made or written.
-var ErrMake = errors.New("certs: not made")
+// ErrCreate says that a certificate could not be made or written.
+var ErrCreate = errors.New("certs: not made")
 
-// lifetime is how long a certificate lasts.
-const lifetime = 24 * time.Hour
+// certLifetime is how long a certificate lasts.
+const certLifetime = 24 * time.Hour
 
 // Authority signs certificates.
 type Authority struct {
@@ -42,7 +42,7 @@
 func New() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(ErrMake, err.Error())
+		return nil, errors.Wrap(ErrCreate, err.Error())
 	}
 	tmpl := template("verbenadale development authority")
 	tmpl.IsCA = true
@@ -59,18 +59,18 @@
 	serial := new(big.Int).SetInt64(time.Now().UnixNano())
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certLifetime),
 	}
 }
 
 func sign(tmpl, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, parent, key.Public(), signer)
 	if err != nil {
-		return nil, errors.Wrap(ErrMake, err.Error())
+		return nil, errors.Wrap(ErrCreate, err.Error())
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, errors.Wrap(ErrMake, err.Error())
+		return nil, errors.Wrap(ErrCreate, err.Error())
 	}
 	return cert, nil
 }
@@ -80,7 +80,7 @@
 func (a *Authority) Issue(dir, name string) (Files, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Files{}, errors.Wrap(ErrMake, err.Error())
+		return Files{}, errors.Wrap(ErrCreate, err.Error())
 	}
 	tmpl := template(name)
 	tmpl.DNSNames = []string{name}
@@ -92,12 +92,12 @@
 	}
 	der, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Files{}, errors.Wrap(ErrMake, err.Error())
+		return Files{}, errors.Wrap(ErrCreate, err.Error())
 	}
 	fs := Files{
 		Cert: filepath.Join(dir, name+".crt"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(dir, "ca.crt"),
 	}
-	return fs, writeAll([]pemFile{
+	return fs, writeFiles([]pemFile{
 		{fs.Cert, "CERTIFICATE", cert.Raw}, {fs.Key, "EC PRIVATE KEY", der}, {fs.CA, "CERTIFICATE", a.cert.Raw},
 	})
 }
@@ -107,15 +107,15 @@
 	der        []byte
 }
 
-func writeAll(fs []pemFile) error {
+func writeFiles(fs []pemFile) error {
 	for _, f := range fs {
 		text := pem.EncodeToMemory(&pem.Block{Type: f.kind, Bytes: f.der})
 		if err := os.WriteFile(f.path, text, 0o600); err != nil {
-			return errors.Wrap(ErrMake, err.Error())
+			return errors.Wrap(ErrCreate, err.Error())
 		}
 	}
 	return nil
 }
 
-// Signed reports whether a certificate is one of this authority.
-func (a *Authority) Signed(c *x509.Certificate) bool { return c.CheckSignatureFrom(a.cert) == nil }
+// Issued reports whether a certificate is one of this authority.
+func (a *Authority) Issued(c *x509.Certificate) bool { return c.CheckSignatureFrom(a.cert) == nil }
--- a/internal/dev/cmds/ablate.go
+++ b/internal/dev/cmds/ablate.go
@@ -51,14 +51,14 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	if err := c.play(ctx, fs.Args()); err != nil {
+	if err := c.run(ctx, fs.Args()); err != nil {
 		fmt.Fprintf(os.Stderr, "verbdev: %v\n", err)
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-func (c *ablateCmd) play(ctx context.Context, command []string) error {
+func (c *ablateCmd) run(ctx context.Context, command []string) error {
 	re, err := regexp.Compile(c.figure)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 		cfg.Seeds = append(cfg.Seeds, seed+1)
 	}
 	if c.only != "" {
-		if cfg.Mechanisms, err = mechanisms(c.only); err != nil {
+		if cfg.Mechanisms, err = parseMechanisms(c.only); err != nil {
 			return err
 		}
 	}
@@ -79,8 +79,8 @@
 	return table.Write(os.Stdout)
 }
 
-// mechanisms returns the mechanisms of ids with commas.
-func mechanisms(ids string) ([]codes.Code, error) {
+// parseMechanisms returns the parseMechanisms of ids with commas.
+func parseMechanisms(ids string) ([]codes.Code, error) {
 	var out []codes.Code
 	for id := range strings.SplitSeq(ids, ",") {
 		i := slices.IndexFunc(codes.Mechanisms, func(c codes.Code) bool { return string(c.ID) == id })
--- a/internal/dev/cmds/cmds.go
+++ b/internal/dev/cmds/cmds.go
@@ -96,7 +96,7 @@
 	c.cfg.Serves = []rules.Serve{{Model: ident.Model(c.model)}}
 	eng := engine.New(c.cfg)
 	defer eng.Stop()
-	st := &standIn{handler: eng, leave: eng.Leave, idle: eng.Idle}
+	st := &standIn{handler: eng, drain: eng.Drain, idle: eng.Idle}
 	return st.serve(c.listen)
 }
 
@@ -127,21 +127,21 @@
 	c.cfg.Incarnation = ident.Incarnation(time.Now().UnixNano())
 	svc := plain.New(c.cfg)
 	defer svc.Stop()
-	st := &standIn{handler: svc, leave: svc.Leave, idle: svc.Idle}
+	st := &standIn{handler: svc, drain: svc.Drain, idle: svc.Idle}
 	return st.serve(c.listen)
 }
 
 // standIn is a stand-in that runs as a process.
 type standIn struct {
 	handler http.Handler
-	// leave and idle are set for targets, which stop gracefully.
-	leave func()
+	// drain and idle are set for targets, which stop gracefully.
+	drain func()
 	idle  func() bool
 }
 
-// idleStep is the time between two looks at whether the last request has
+// idlePollInterval is the time between two looks at whether the last request has
 // ended.
-const idleStep = 20 * time.Millisecond
+const idlePollInterval = 20 * time.Millisecond
 
 // serve serves until SIGTERM and prints the address, which a port of zero
 // leaves to the system.
@@ -161,10 +161,10 @@
 	case <-srv.done:
 		return subcommands.ExitFailure
 	}
-	if s.leave != nil {
-		s.leave()
+	if s.drain != nil {
+		s.drain()
 		for !s.idle() {
-			time.Sleep(idleStep)
+			time.Sleep(idlePollInterval)
 		}
 		_ = srv.http.Shutdown(context.Background())
 	}
--- a/internal/dev/cmds/entry.go
+++ b/internal/dev/cmds/entry.go
@@ -55,16 +55,16 @@
 	lvl := logs.NewLevel(set.Logs.Level)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	h := &compared{}
-	h.policy.Store(&c.policy)
-	d, err := daemon.Start(daemon.Config{Settings: set, Log: logs.New(os.Stderr, lvl), Level: lvl, Before: h.before})
+	h := &policySwitch{}
+	h.wanted.Store(&c.policy)
+	d, err := daemon.Start(daemon.Config{Settings: set, Log: logs.New(os.Stderr, lvl), Level: lvl, Before: h.apply})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "verbdev:", err)
 		return subcommands.ExitFailure
 	}
 	defer d.Stop()
 	if c.control != "" {
-		if err := h.listen(c.control); err != nil {
+		if err := h.serveControl(c.control); err != nil {
 			fmt.Fprintln(os.Stderr, "verbdev:", err)
 			return subcommands.ExitFailure
 		}
@@ -78,39 +78,39 @@
 	return subcommands.ExitSuccess
 }
 
-// compared changes the policy of a reducer's router. The name that is
+// policySwitch changes the policy of a reducer's router. The name that is
 // wanted is handed over by a pointer, since it comes from another goroutine
 // than the control thread, which alone touches the reducer.
-type compared struct {
-	policy atomic.Pointer[string]
-	inUse  *string
+type policySwitch struct {
+	wanted  atomic.Pointer[string]
+	applied *string
 }
 
-func (h *compared) before(red *core.Reducer) {
-	if want := h.policy.Load(); want != h.inUse {
-		h.inUse = want
+func (h *policySwitch) apply(red *core.Reducer) {
+	if want := h.wanted.Load(); want != h.applied {
+		h.applied = want
 		red.Router().Policy = base.Policy(*want)
 	}
 }
 
-func (h *compared) listen(addr string) error {
+func (h *policySwitch) serveControl(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /dev/policy", h.change)
+	mux.HandleFunc("PUT /dev/policy", h.putPolicy)
 	srv := &server{http: &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}, ln: ln, done: make(chan struct{})}
 	go srv.run()
 	return nil
 }
 
-func (h *compared) change(w http.ResponseWriter, r *http.Request) {
+func (h *policySwitch) putPolicy(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("name")
 	if !slices.Contains(base.Names, name) {
 		http.Error(w, "no such policy", http.StatusBadRequest)
 		return
 	}
-	h.policy.Store(&name)
+	h.wanted.Store(&name)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/dev/cmds/plot.go
+++ b/internal/dev/cmds/plot.go
@@ -52,7 +52,7 @@
 }
 
 func (c *plotCmd) draw(args []string) error {
-	ss, err := readAll(args, c.goal)
+	ss, err := readLogs(args, c.goal)
 	if err != nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 	return chart.Predictions(filepath.Join(c.dir, "predictions.svg"), ss)
 }
 
-// readAll reads the series that arguments of the form NAME=LOG name.
-func readAll(args []string, goal time.Duration) ([]chart.Series, error) {
+// readLogs reads the series that arguments of the form NAME=LOG name.
+func readLogs(args []string, goal time.Duration) ([]chart.Series, error) {
 	var ss []chart.Series
 	for _, arg := range args {
 		name, file, ok := strings.Cut(arg, "=")
--- a/internal/dev/cmds/report.go
+++ b/internal/dev/cmds/report.go
@@ -51,7 +51,7 @@
 }
 
 func (c *reportCmd) write(args []string) error {
-	ss, err := readAll(args, c.goal)
+	ss, err := readLogs(args, c.goal)
 	if err != nil {
 		return err
 	}
--- a/internal/dev/cmds/slope.go
+++ b/internal/dev/cmds/slope.go
@@ -39,10 +39,10 @@
 	fs.DurationVar(&c.span, "for", 20*time.Second, "virtual time that is counted")
 }
 
-// perHost is the load of each host at the size that the design is made for.
+// requestRatePerHost is the load of each host at the size that the design is made for.
 const (
-	perHost     = 8000.0 / 370
-	changesADay = 8400
+	requestRatePerHost = 8000.0 / 370
+	changesPerDay      = 8400
 )
 
 func (c *slopesCmd) sizes() []slope.Config {
@@ -56,14 +56,14 @@
 		sizes = append(sizes, slope.Config{Centres: 45, Regions: 12, Hosts: 8, Targets: 40, Accounts: 890})
 	}
 	for i := range sizes {
-		sizes[i].Rate, sizes[i].ChangesADay, sizes[i].For = perHost, changesADay, c.span
+		sizes[i].Rate, sizes[i].ChangesADay, sizes[i].For = requestRatePerHost, changesPerDay, c.span
 	}
 	return sizes
 }
 
 func (c *slopesCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.shocks {
-		return c.shock()
+		return c.runShocks()
 	}
 	if p, err := slope.Poll(); err == nil && !c.json {
 		fmt.Printf("one poll of a target costs %d bytes sent and %d received\n", p.Sent, p.Received)
@@ -94,8 +94,8 @@
 	return subcommands.ExitSuccess
 }
 
-// shock runs each size through large failures.
-func (c *slopesCmd) shock() subcommands.ExitStatus {
+// runShocks runs each size through large failures.
+func (c *slopesCmd) runShocks() subcommands.ExitStatus {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "hosts\tshock\tsteady calls/s\tpeak calls/s\tpeak B/s of a host\trecovered after\trefused\tof")
 	for _, cfg := range c.sizes() {
--- a/internal/dev/cmds/soak.go
+++ b/internal/dev/cmds/soak.go
@@ -67,7 +67,7 @@
 	next, bad := make(chan uint64), make(chan int, c.seeds)
 	var t tomb.Tomb
 	for range max(1, c.parallel) {
-		w := &soakWorker{cmd: c, ctx: ctx, next: next, bad: bad}
+		w := &soakWorker{cmd: c, ctx: ctx, next: next, broken: bad}
 		t.Go(w.run)
 	}
 	for n := range c.seeds {
@@ -85,23 +85,23 @@
 
 // soakWorker runs one seed after the other.
 type soakWorker struct {
-	cmd  *soakCmd
-	ctx  context.Context
-	next <-chan uint64
-	bad  chan<- int
+	cmd    *soakCmd
+	ctx    context.Context
+	next   <-chan uint64
+	broken chan<- int
 }
 
 func (w *soakWorker) run() error {
 	for seed := range w.next {
-		if !w.one(seed) {
-			w.bad <- 1
+		if !w.runSeed(seed) {
+			w.broken <- 1
 		}
 	}
 	return nil
 }
 
-// one runs a seed and reports whether every promise was kept.
-func (w *soakWorker) one(seed uint64) bool {
+// runSeed runs a seed and reports whether every promise was kept.
+func (w *soakWorker) runSeed(seed uint64) bool {
 	log, err := os.Create(filepath.Join(w.cmd.logs, fmt.Sprintf("soak-%d.log", seed)))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "verbdev:", err)
--- a/internal/dev/demo/demo.go
+++ b/internal/dev/demo/demo.go
@@ -51,8 +51,8 @@
 
 // Size of the demonstration: what each data centre has.
 const (
-	entriesEach = 2
-	enginesEach = 2
+	entriesPerCentre = 2
+	enginesPerCentre = 2
 )
 
 // centres are the data centres, each a region of its own.
@@ -73,9 +73,9 @@
 	targets  []event.Target
 	hosts    []config.Settings
 	daemons  []*daemon.Daemon
-	stops    []func()
-	// port is the next port to try.
-	port int
+	cleanups []func()
+	// nextPort is the next nextPort to try.
+	nextPort int
 }
 
 // Run runs a demonstration.
@@ -85,7 +85,7 @@
 	if err := s.start(); err != nil {
 		return err
 	}
-	if err := s.show(ctx); err != nil {
+	if err := s.runSteps(ctx); err != nil {
 		return err
 	}
 	s.printAddresses()
@@ -124,12 +124,12 @@
 }
 
 func (s *system) startTargets(dc ident.DataCentre) error {
-	for n := range enginesEach {
+	for n := range enginesPerCentre {
 		id := ident.TargetID(fmt.Sprintf("%s-engine-%d", dc, n+1))
 		eng := engine.New(engine.Config{
 			ID: id, Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: 20 * time.Millisecond, PrefillRate: 20000,
 		})
-		s.stops = append(s.stops, eng.Stop)
+		s.cleanups = append(s.cleanups, eng.Stop)
 		url, err := s.serve(eng)
 		if err != nil {
 			return err
@@ -138,7 +138,7 @@
 	}
 	id := ident.TargetID(string(dc) + "-publish-1")
 	svc := plain.New(plain.Config{ID: id, Service: "publish", Slots: 16, Work: 20 * time.Millisecond})
-	s.stops = append(s.stops, svc.Stop)
+	s.cleanups = append(s.cleanups, svc.Stop)
 	url, err := s.serve(svc)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 		return "", errors.Wrap(err, "demo: listen")
 	}
 	srv := &server{http: &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, ln: ln}
-	s.stops = append(s.stops, srv.stop)
+	s.cleanups = append(s.cleanups, srv.stop)
 	s.t.Go(srv.run)
 	return "http://" + ln.Addr().String(), nil
 }
@@ -174,7 +174,7 @@
 
 func (s *system) startEntries() error {
 	for _, dc := range centres {
-		for n := range entriesEach {
+		for n := range entriesPerCentre {
 			set, err := s.settings(ident.EntryID(fmt.Sprintf("%s-%d", dc, n+1)), dc)
 			if err != nil {
 				return err
@@ -185,7 +185,7 @@
 	for i := range s.hosts {
 		s.hosts[i].Peers.Seeds = s.seeds(i)
 		dcfg := daemon.Config{Settings: s.hosts[i], Log: s.cfg.Log, Level: logs.NewLevel(0)}
-		if err := s.record(&dcfg); err != nil {
+		if err := s.startRecording(&dcfg); err != nil {
 			return err
 		}
 		d, err := daemon.Start(dcfg)
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// record has the decisions of a host written to a file of its name.
-func (s *system) record(cfg *daemon.Config) error {
+// startRecording has the decisions of a host written to a file of its name.
+func (s *system) startRecording(cfg *daemon.Config) error {
 	if s.cfg.RecordDir == "" {
 		return nil
 	}
@@ -207,7 +207,7 @@
 		return errors.Wrap(err, "demo: record")
 	}
 	rec := replay.NewRecorder(f)
-	s.stops = append(s.stops, rec.Close)
+	s.cleanups = append(s.cleanups, rec.Close)
 	cfg.Record = rec.Start
 	return nil
 }
@@ -262,13 +262,13 @@
 
 // freeAddr returns an address that was free a moment ago.
 func (s *system) freeAddr() (string, error) {
-	for port := max(s.port, firstPort); port <= lastPort; port++ {
+	for port := max(s.nextPort, firstPort); port <= lastPort; port++ {
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
 		}
-		s.port = port + 1
+		s.nextPort = port + 1
 		return addr, errors.Wrap(ln.Close(), "demo: listen")
 	}
 	return "", errors.Wrap(ErrDemo, "no port is free")
@@ -278,11 +278,11 @@
 	for _, d := range s.daemons {
 		d.Stop()
 	}
-	for i := len(s.stops) - 1; i >= 0; i-- {
-		s.stops[i]()
+	for i := len(s.cleanups) - 1; i >= 0; i-- {
+		s.cleanups[i]()
 	}
 	s.t.Kill(nil)
-	if s.t.Alive() && len(s.stops) > 0 {
+	if s.t.Alive() && len(s.cleanups) > 0 {
 		_ = s.t.Wait()
 	}
 	_ = os.RemoveAll(s.dir)
--- a/internal/dev/demo/demo_test.go
+++ b/internal/dev/demo/demo_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(len(centres)*entriesEach, len(files)); diff != "" {
+	if diff := cmp.Diff(len(centres)*entriesPerCentre, len(files)); diff != "" {
 		t.Fatalf("records (-want +got):\n%s", diff)
 	}
 	for _, name := range files {
--- a/internal/dev/demo/show.go
+++ b/internal/dev/demo/show.go
@@ -23,16 +23,16 @@
 // readyTimeout is how long the system may take to be ready.
 const readyTimeout = 20 * time.Second
 
-// show shows what a caller sees, step by step.
-func (s *system) show(ctx context.Context) error {
+// runSteps shows what a caller sees, step by step.
+func (s *system) runSteps(ctx context.Context) error {
 	steps := []struct {
 		title string
 		do    func(ctx context.Context) error
 	}{
 		{"An operator creates profiles and an account", s.configure},
-		{"A caller asks for a text, and the answer streams", s.stream},
-		{"A notice that must stay in Khovd is refused elsewhere", s.residency},
-		{"A notice is published once, though it is sent twice", s.twice},
+		{"A caller asks for a text, and the answer streams", s.streamAnswer},
+		{"A notice that must stay in Khovd is refused elsewhere", s.refuseElsewhere},
+		{"A notice is published once, though it is sent twice", s.publishTwice},
 	}
 	for _, st := range steps {
 		fmt.Fprintf(s.cfg.Out, "\n== %s\n", st.title)
@@ -43,17 +43,17 @@
 	return nil
 }
 
-func item(kind rules.Kind, name string, doc any) rules.Item {
+func newItem(kind rules.Kind, name string, doc any) rules.Item {
 	b, _ := json.Marshal(doc)
 	return rules.Item{Kind: kind, Name: name, Doc: b}
 }
 
 func (s *system) configure(ctx context.Context) error {
 	items := []rules.Item{
-		item(rules.KindProfile, "draft", rules.Profile{Models: []rules.Serve{{Model: "draft"}}, MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Cost: 0.1, Crossing: 0.2}}),
-		item(rules.KindProfile, "khovd-only", rules.Profile{Models: []rules.Serve{{Model: "draft"}}, Regions: []ident.Region{"khovd"}}),
-		item(rules.KindProfile, "publish", rules.Profile{Service: "publish", AtMostOnce: true, MaxCrossings: 1}),
-		item(rules.KindAccount, "demo", rules.Client{KeyDigest: rules.Digest(callerKey), RequestsPerMinute: 6000}),
+		newItem(rules.KindProfile, "draft", rules.Profile{Models: []rules.Serve{{Model: "draft"}}, MaxCrossings: 1, Weights: rules.Weights{Tail: 1, Cost: 0.1, Crossing: 0.2}}),
+		newItem(rules.KindProfile, "khovd-only", rules.Profile{Models: []rules.Serve{{Model: "draft"}}, Regions: []ident.Region{"khovd"}}),
+		newItem(rules.KindProfile, "publish", rules.Profile{Service: "publish", AtMostOnce: true, MaxCrossings: 1}),
+		newItem(rules.KindAccount, "demo", rules.Client{KeyDigest: rules.Digest(callerKey), RequestsPerMinute: 6000}),
 	}
 	cl := &opctl.Client{URL: "http://" + s.hosts[0].Operators.Listen, Token: operatorToken}
 	done, err := cl.Change(ctx, rules.Change{ID: opctl.NewChangeID(), Items: items})
@@ -71,14 +71,14 @@
 	return nil
 }
 
-const askBody = `{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Help me with a notice."}]}`
+const requestBody = `{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Help me with a notice."}]}`
 
-// stream sends a request until the hosts have learned of the engines.
-func (s *system) stream(ctx context.Context) error {
+// streamAnswer sends a request until the hosts have learned of the engines.
+func (s *system) streamAnswer(ctx context.Context) error {
 	url := s.hosts[0].Callers.URL + "/v1/chat/completions"
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		res, err := s.post(ctx, url, fmt.Sprintf(askBody, "draft"), nil)
+		res, err := s.post(ctx, url, fmt.Sprintf(requestBody, "draft"), nil)
 		if err != nil {
 			return err
 		}
@@ -110,10 +110,10 @@
 	return nil
 }
 
-// residency asks a host in Ulaanbaatar for what must stay in Khovd.
-func (s *system) residency(ctx context.Context) error {
+// refuseElsewhere asks a host in Ulaanbaatar for what must stay in Khovd.
+func (s *system) refuseElsewhere(ctx context.Context) error {
 	header := map[string]string{"Verbenadale-Profile": "khovd-only"}
-	res, err := s.post(ctx, s.hosts[0].Callers.URL+"/v1/chat/completions", fmt.Sprintf(askBody, "khovd-only"), header)
+	res, err := s.post(ctx, s.hosts[0].Callers.URL+"/v1/chat/completions", fmt.Sprintf(requestBody, "khovd-only"), header)
 	if err != nil {
 		return err
 	}
@@ -129,19 +129,19 @@
 	return nil
 }
 
-type ticketAnswer struct {
+type ticketResponse struct {
 	Ticket string `json:"ticket"`
 }
 
-// twice publishes one notice with one ticket, two times.
-func (s *system) twice(ctx context.Context) error {
+// publishTwice publishes one notice with one ticket, two times.
+func (s *system) publishTwice(ctx context.Context) error {
 	base := s.hosts[0].Callers.URL
 	res, err := s.post(ctx, base+"/v1/tickets?profile=publish", "", nil)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	var tk ticketAnswer
+	var tk ticketResponse
 	if err := json.NewDecoder(res.Body).Decode(&tk); err != nil || tk.Ticket == "" {
 		return errors.Wrap(ErrDemo, "no ticket")
 	}
@@ -210,5 +210,5 @@
 	}
 	fmt.Fprintf(w, "platform       %s\n", s.platform)
 	fmt.Fprintf(w, "\nGo on with\n\n  curl -N -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '%s' %s/v1/chat/completions\n  go run ./cmd/verbctl -entry http://%s -token %s status\n",
-		callerKey, fmt.Sprintf(askBody, "draft"), s.hosts[0].Callers.URL, s.hosts[0].Operators.Listen, operatorToken)
+		callerKey, fmt.Sprintf(requestBody, "draft"), s.hosts[0].Callers.URL, s.hosts[0].Operators.Listen, operatorToken)
 }
--- a/internal/dev/engine/cache.go
+++ b/internal/dev/engine/cache.go
@@ -13,59 +13,59 @@
 
 // cache is the prefix cache: the least recently used blocks go first.
 type cache struct {
-	room   int
-	recent *list.List
-	at     map[uint64]*list.Element
-	seq    uint64
-	log    []entry
+	capacity int
+	lru      *list.List
+	elements map[uint64]*list.Element
+	seq      uint64
+	events   []cacheEvent
 }
 
-// entry is one cache event and when it came about.
-type entry struct {
+// cacheEvent is one cache event and when it came about.
+type cacheEvent struct {
 	seq     uint64
 	at      ident.Time
 	stored  []uint64
 	dropped []uint64
 }
 
-// maxLog bounds the cache events that are kept.
-const maxLog = 4096
+// maxCacheEvents bounds the cache events that are kept.
+const maxCacheEvents = 4096
 
 func newCache(room int) *cache {
-	return &cache{room: room, recent: list.New(), at: make(map[uint64]*list.Element)}
+	return &cache{capacity: room, lru: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
-// use returns how many of the blocks were cached from the start on, and
+// access returns how many of the blocks were cached from the start on, and
 // caches all of them.
-func (c *cache) use(now ident.Time, ds []uint64) int {
+func (c *cache) access(now ident.Time, ds []uint64) int {
 	hit := 0
 	for hit < len(ds) {
-		el, ok := c.at[ds[hit]]
+		el, ok := c.elements[ds[hit]]
 		if !ok {
 			break
 		}
-		c.recent.MoveToFront(el)
+		c.lru.MoveToFront(el)
 		hit++
 	}
-	ev := entry{at: now}
+	ev := cacheEvent{at: now}
 	for _, d := range ds[hit:] {
-		if _, ok := c.at[d]; ok {
+		if _, ok := c.elements[d]; ok {
 			continue
 		}
-		c.at[d] = c.recent.PushFront(d)
+		c.elements[d] = c.lru.PushFront(d)
 		ev.stored = append(ev.stored, d)
 	}
-	for c.recent.Len() > c.room {
-		el := c.recent.Back()
-		d := c.recent.Remove(el).(uint64)
-		delete(c.at, d)
+	for c.lru.Len() > c.capacity {
+		el := c.lru.Back()
+		d := c.lru.Remove(el).(uint64)
+		delete(c.elements, d)
 		ev.dropped = append(ev.dropped, d)
 	}
 	if len(ev.stored)+len(ev.dropped) > 0 {
 		c.seq++
 		ev.seq = c.seq
-		c.log = append(c.log, ev)
-		c.log = c.log[max(len(c.log)-maxLog, 0):]
+		c.events = append(c.events, ev)
+		c.events = c.events[max(len(c.events)-maxCacheEvents, 0):]
 	}
 	return hit
 }
@@ -77,7 +77,7 @@
 	defer e.mu.Unlock()
 	rep := target.CacheReport{Incarnation: e.cfg.Incarnation}
 	due := e.clock.Now().Add(-e.cfg.CacheLag)
-	for _, ev := range e.cache.log {
+	for _, ev := range e.cache.events {
 		lost := e.cfg.CacheGap > 0 && ev.seq%e.cfg.CacheGap == 0
 		if ev.seq <= after || ev.at > due || lost {
 			continue
--- a/internal/dev/engine/engine.go
+++ b/internal/dev/engine/engine.go
@@ -55,33 +55,33 @@
 
 // Defaults of the configuration.
 const (
-	defaultSlots  = 8
-	defaultBlocks = 4096
-	defaultTokens = 32
+	defaultSlots       = 8
+	defaultCacheBlocks = 4096
+	defaultMaxTokens   = 32
 )
 
 // Engine is the stand-in.
 type Engine struct {
-	t     tomb.Tomb
-	cfg   Config
-	mux   *http.ServeMux
-	clock *clock.Service
-	poke  chan struct{}
+	t      tomb.Tomb
+	cfg    Config
+	mux    *http.ServeMux
+	clock  *clock.Service
+	wakeup chan struct{}
 
-	mu      sync.Mutex
-	batch   batch
-	cache   *cache
-	faults  Faults
-	leaving bool
-	mute    bool
-	hidden  bool
-	served  int
-	// former is the request that was taken before the last one.
-	former former
-	ledger Ledger
-	load   event.Load
-	loadAt ident.Time
-	fence  ident.Fence
+	mu                  sync.Mutex
+	batch               batch
+	cache               *cache
+	faults              Faults
+	draining            bool
+	acceptWhileDraining bool
+	hideDraining        bool
+	served              int
+	// previous is the request that was taken before the last one.
+	previous source
+	ledger   Ledger
+	load     event.Load
+	loadAt   ident.Time
+	fence    ident.Fence
 }
 
 // New starts an engine.
@@ -90,19 +90,19 @@
 		cfg.Slots = defaultSlots
 	}
 	if cfg.CacheBlocks <= 0 {
-		cfg.CacheBlocks = defaultBlocks
+		cfg.CacheBlocks = defaultCacheBlocks
 	}
 	e := &Engine{
-		cfg: cfg, mux: http.NewServeMux(), clock: clock.New(), poke: make(chan struct{}, 1),
+		cfg: cfg, mux: http.NewServeMux(), clock: clock.New(), wakeup: make(chan struct{}, 1),
 		cache: newCache(cfg.CacheBlocks),
 	}
 	e.mux.HandleFunc("POST /v1/chat/completions", e.complete)
 	e.mux.HandleFunc("POST /v1/completions", e.complete)
 	e.mux.HandleFunc("GET /load", e.getLoad)
 	e.mux.HandleFunc("GET /cache", e.getCache)
-	e.mux.HandleFunc("POST /orders", e.order)
+	e.mux.HandleFunc("POST /orders", e.postOrder)
 	e.mux.HandleFunc("PUT /dev/faults", e.putFaults)
-	e.mux.HandleFunc("POST /dev/leave", e.leave)
+	e.mux.HandleFunc("POST /dev/leave", e.postLeave)
 	e.mux.HandleFunc("GET /dev/ledger", e.getLedger)
 	e.t.Go(e.run)
 	return e
@@ -118,16 +118,16 @@
 // ServeHTTP serves one call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Leave makes the engine refuse new requests and finish those that run.
-func (e *Engine) Leave() { e.leaveAs(false, false) }
+// Drain makes the engine refuse new requests and finish those that run.
+func (e *Engine) Drain() { e.startDraining(false, false) }
 
-// leaveAs begins to leave. A mute engine serves on and does not refuse, and
+// startDraining begins to leave. A mute engine serves on and does not refuse, and
 // with hidden its load reports don't say that it leaves.
-func (e *Engine) leaveAs(mute, hidden bool) {
+func (e *Engine) startDraining(mute, hidden bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving, e.mute, e.hidden = true, mute, hidden
-	e.ledger.LeavingSince = time.Now()
+	e.draining, e.acceptWhileDraining, e.hideDraining = true, mute, hidden
+	e.ledger.DrainingSince = time.Now()
 }
 
 // Idle reports whether no request runs or waits.
@@ -137,10 +137,10 @@
 	return len(e.batch.running)+len(e.batch.waiting) == 0
 }
 
-// leave takes mute and hidden from the query.
-func (e *Engine) leave(_ http.ResponseWriter, r *http.Request) {
+// postLeave takes mute and hidden from the query.
+func (e *Engine) postLeave(_ http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	e.leaveAs(q.Has("mute"), q.Has("hidden"))
+	e.startDraining(q.Has("mute"), q.Has("hidden"))
 }
 
 // run steps the batch.
@@ -150,7 +150,7 @@
 	for {
 		select {
 		case <-sub.C():
-		case <-e.poke:
+		case <-e.wakeup:
 		case <-e.t.Dying():
 			return nil
 		}
@@ -166,8 +166,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	if now < e.batch.next {
-		return e.batch.next.Sub(now), true
+	if now < e.batch.nextStep {
+		return e.batch.nextStep.Sub(now), true
 	}
 	if e.faults.Frozen {
 		return e.cfg.TokenTime + time.Millisecond, true
@@ -186,17 +186,17 @@
 	e.ledger.BusyMs += float64(taken) * took.Seconds() * 1000
 	// Steps are counted from when the last was due, so that a late timer does
 	// not slow the engine down.
-	due := e.batch.next
+	due := e.batch.nextStep
 	if now.Sub(due) > took {
 		due = now
 	}
-	e.batch.next = due.Add(took)
-	return max(e.batch.next.Sub(now), 0), true
+	e.batch.nextStep = due.Add(took)
+	return max(e.batch.nextStep.Sub(now), 0), true
 }
 
 func (e *Engine) wake() {
 	select {
-	case e.poke <- struct{}{}:
+	case e.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -217,12 +217,12 @@
 		e.load = event.Load{
 			Target: e.cfg.ID, Incarnation: e.cfg.Incarnation, Seq: e.load.Seq + 1,
 			Slots: e.cfg.Slots, Running: len(e.batch.running), Queued: len(e.batch.waiting),
-			QueuedTokens: e.batch.waitingTokens(),
+			QueuedTokens: e.batch.pendingPrefill(),
 			PrefillRate:  e.cfg.PrefillRate, DecodeRate: e.decodeRate(), Serves: e.cfg.Serves,
 		}
 	}
 	ld := e.load
-	ld.Draining = e.leaving && !e.hidden
+	ld.Draining = e.draining && !e.hideDraining
 	ld.Age = now.Sub(e.loadAt)
 	return ld
 }
@@ -241,7 +241,7 @@
 	Unload *rules.Serve `json:"unload,omitempty"`
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) postOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/dev/engine/fault.go
+++ b/internal/dev/engine/fault.go
@@ -37,8 +37,8 @@
 	IgnoreResume bool `json:"ignoreResume"`
 }
 
-// of returns the fault of the n-th answer.
-func (f Faults) of(n int) string {
+// kindFor returns the fault kindFor the n-th answer.
+func (f Faults) kindFor(n int) string {
 	if f.Every <= 0 || len(f.Kinds) == 0 || n%f.Every != 0 {
 		return ""
 	}
@@ -67,11 +67,11 @@
 	Orders int `json:"orders"`
 	// BusyMs is the time for which slots were taken, summed over the slots.
 	BusyMs float64 `json:"busyMs"`
-	// LeavingSince is when the engine began to leave; LateMs is how long after
+	// DrainingSince is when the engine began to leave; LateMs is how long after
 	// it the last new request came, and Late how many came.
-	LeavingSince time.Time `json:"leavingSince"`
-	Late         int       `json:"late"`
-	LateMs       int64     `json:"lateMs"`
+	DrainingSince time.Time `json:"leavingSince"`
+	Late          int       `json:"late"`
+	LateMs        int64     `json:"lateMs"`
 	// Attempts counts the requests by attempt, Requests the attempts by request,
 	// and Faults the answers by fault.
 	Attempts map[string]int `json:"attempts"`
@@ -82,10 +82,10 @@
 // maxAttempts bounds the attempts that are counted by name.
 const maxAttempts = 200_000
 
-func (l *Ledger) note(r *http.Request, leaving bool) {
+func (l *Ledger) recordRequest(r *http.Request, leaving bool) {
 	if leaving {
 		l.Late++
-		l.LateMs = time.Since(l.LeavingSince).Milliseconds()
+		l.LateMs = time.Since(l.DrainingSince).Milliseconds()
 	}
 	if l.Attempts == nil {
 		l.Attempts = make(map[string]int)
@@ -97,7 +97,7 @@
 	}
 }
 
-func (l *Ledger) noteFault(kind string) {
+func (l *Ledger) recordFault(kind string) {
 	if kind == "" {
 		return
 	}
--- a/internal/dev/engine/serve.go
+++ b/internal/dev/engine/serve.go
@@ -15,8 +15,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// ask is what the engine reads of a request.
-type ask struct {
+// completionRequest is what the engine reads of a request.
+type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
@@ -24,13 +24,13 @@
 	Prompt    json.RawMessage `json:"prompt"`
 }
 
-func (a ask) prompt() []byte { return append([]byte(a.Messages), a.Prompt...) }
+func (a completionRequest) prompt() []byte { return append([]byte(a.Messages), a.Prompt...) }
 
 // bytesPerToken is the rough length of a token.
 const bytesPerToken = 4
 
-// Word returns token n of the answer to a prompt.
-func Word(prompt []byte, n int) string {
+// Token returns token n of the answer to a prompt.
+func Token(prompt []byte, n int) string {
 	return fmt.Sprintf(" w%x", (xxhash.Sum64(prompt)+uint64(n)*7919)&0xffff)
 }
 
@@ -38,25 +38,25 @@
 func Text(prompt []byte, n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(Word(prompt, i))
+		b.WriteString(Token(prompt, i))
 	}
 	return b.String()
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	var a ask
+	var a completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if a.MaxTokens <= 0 {
-		a.MaxTokens = defaultTokens
+		a.MaxTokens = defaultMaxTokens
 	}
-	if !e.loaded(a.Model) {
+	if !e.hasModel(a.Model) {
 		http.Error(w, "the model is not loaded", http.StatusNotFound)
 		return
 	}
-	own := former{
+	own := source{
 		attempt: r.Header.Get(target.HeaderAttempt), id: ident.RequestID(r.Header.Get(target.HeaderRequest)), prompt: a.prompt(),
 	}
 	s, fault, ok := e.admit(r, a)
@@ -65,34 +65,34 @@
 		return
 	}
 	ans := &answer{
-		w: w, r: r, a: a, seq: s, fault: fault, eng: e, former: own, other: e.swap(own),
-		flush: http.NewResponseController(w),
+		w: w, r: r, req: a, seq: s, fault: fault, eng: e, source: own, previous: e.swapPrevious(own),
+		rc: http.NewResponseController(w),
 	}
-	defer e.gone(s)
+	defer e.release(s)
 	if fault == FaultCrossed {
-		ans.former = ans.other
+		ans.source = ans.previous
 	}
 	ans.send()
 }
 
-// former is what an answer is made from. A faulty answer is made from that of
+// source is what an answer is made from. A faulty answer is made from that of
 // another request.
-type former struct {
+type source struct {
 	attempt string
 	id      ident.RequestID
 	prompt  []byte
 }
 
-// swap keeps a request for the next faulty answer and returns the one before.
-func (e *Engine) swap(own former) former {
+// swapPrevious keeps a request for the next faulty answer and returns the one before.
+func (e *Engine) swapPrevious(own source) source {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	other := e.former
-	e.former = own
+	other := e.previous
+	e.previous = own
 	return other
 }
 
-func (e *Engine) loaded(name string) bool {
+func (e *Engine) hasModel(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.ContainsFunc(e.cfg.Serves, func(sv rules.Serve) bool { return string(sv.Model) == name })
@@ -100,11 +100,11 @@
 
 // admit takes a request into the batch. It returns the fault that its answer
 // is to have, or why it is refused.
-func (e *Engine) admit(r *http.Request, a ask) (*seq, string, bool) {
+func (e *Engine) admit(r *http.Request, a completionRequest) (*sequence, string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ledger.note(r, e.leaving)
-	if e.leaving && !e.mute {
+	e.ledger.recordRequest(r, e.draining)
+	if e.draining && !e.acceptWhileDraining {
 		return nil, "leaving", false
 	}
 	if e.faults.Refuse {
@@ -114,7 +114,7 @@
 	e.ledger.Ran++
 	prompt := a.prompt()
 	ds := blocks(prompt)
-	hit := e.cache.use(e.clock.Now(), ds)
+	hit := e.cache.access(e.clock.Now(), ds)
 	e.ledger.Blocks += len(ds)
 	e.ledger.Hits += hit
 	from, _ := strconv.Atoi(r.Header.Get(target.HeaderResume))
@@ -123,20 +123,20 @@
 	}
 	prio, _ := strconv.Atoi(r.Header.Get(target.HeaderPriority))
 	tokens := max(len(prompt)-hit*blockBytes, 0)/bytesPerToken + 1
-	s := &seq{priority: prio, left: ident.Tokens(tokens), next: from, last: max(a.MaxTokens, from+1), out: make(chan int, a.MaxTokens+1)}
+	s := &sequence{priority: prio, pendingPrefill: ident.Tokens(tokens), nextToken: from, endToken: max(a.MaxTokens, from+1), out: make(chan int, a.MaxTokens+1)}
 	e.batch.add(s)
 	e.wake()
-	fault := e.faults.of(e.served)
-	e.ledger.noteFault(fault)
+	fault := e.faults.kindFor(e.served)
+	e.ledger.recordFault(fault)
 	return s, fault, true
 }
 
-// gone frees the slot of a request whose reader has left.
-func (e *Engine) gone(s *seq) {
+// release frees the slot of a request whose reader has left.
+func (e *Engine) release(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.next < s.last {
-		s.gone = true
+	if s.nextToken < s.endToken {
+		s.cancelled = true
 		e.ledger.Cancelled++
 	}
 }
@@ -145,13 +145,13 @@
 type answer struct {
 	w     http.ResponseWriter
 	r     *http.Request
-	a     ask
-	seq   *seq
+	req   completionRequest
+	seq   *sequence
 	fault string
 	eng   *Engine
-	former
-	other former
-	flush *http.ResponseController
+	source
+	previous source
+	rc       *http.ResponseController
 }
 
 func (s *answer) send() {
@@ -159,15 +159,15 @@
 	switch {
 	case s.fault == FaultError:
 		s.w.WriteHeader(http.StatusInternalServerError)
-	case s.a.Stream:
-		s.stream()
+	case s.req.Stream:
+		s.sendStream()
 	default:
-		s.whole()
+		s.sendComplete()
 	}
 }
 
-// token waits for the next token.
-func (s *answer) token() (int, bool) {
+// nextToken waits for the next nextToken.
+func (s *answer) nextToken() (int, bool) {
 	select {
 	case n, ok := <-s.seq.out:
 		return n, ok
@@ -179,13 +179,13 @@
 }
 
 // cutAt is the token after which a faulty answer breaks off.
-func (s *answer) cutAt() int { return s.a.MaxTokens / 2 }
+func (s *answer) cutAt() int { return s.req.MaxTokens / 2 }
 
-func (s *answer) stream() {
+func (s *answer) sendStream() {
 	s.w.Header().Set("Content-Type", "text/event-stream")
-	_ = s.flush.Flush()
+	_ = s.rc.Flush()
 	for {
-		n, ok := s.token()
+		n, ok := s.nextToken()
 		if !ok {
 			break
 		}
@@ -196,11 +196,11 @@
 			return
 		}
 		if s.fault == FaultMixed && n == s.cutAt() {
-			s.former = s.other
+			s.source = s.previous
 		}
-		s.event(n)
+		s.writeEvent(n)
 		if s.fault == FaultTwice && n == s.cutAt() {
-			s.event(n)
+			s.writeEvent(n)
 		}
 	}
 	if s.r.Context().Err() == nil {
@@ -208,8 +208,8 @@
 	}
 }
 
-// chunkOf is one event of a stream.
-type chunkOf struct {
+// streamChunk is one event of a stream.
+type streamChunk struct {
 	ID      ident.RequestID `json:"id"`
 	Object  string          `json:"object"`
 	Model   string          `json:"model"`
@@ -229,15 +229,15 @@
 	Content string `json:"content"`
 }
 
-func (s *answer) event(n int) {
-	c := chunkOf{ID: s.id, Object: "chat.completion.chunk", Model: s.a.Model}
-	c.Choices = []choice{{Delta: &message{Content: Word(s.prompt, n)}}}
+func (s *answer) writeEvent(n int) {
+	c := streamChunk{ID: s.id, Object: "chat.completion.chunk", Model: s.req.Model}
+	c.Choices = []choice{{Delta: &message{Content: Token(s.prompt, n)}}}
 	b, _ := json.Marshal(c)
 	fmt.Fprintf(s.w, "id: %d\ndata: %s\n\n", n+1, b)
-	_ = s.flush.Flush()
+	_ = s.rc.Flush()
 }
 
-type wholeOf struct {
+type completion struct {
 	ID      ident.RequestID `json:"id"`
 	Object  string          `json:"object"`
 	Model   string          `json:"model"`
@@ -249,19 +249,19 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func (s *answer) whole() {
+func (s *answer) sendComplete() {
 	var text strings.Builder
 	for {
-		n, ok := s.token()
+		n, ok := s.nextToken()
 		if !ok {
 			break
 		}
-		text.WriteString(Word(s.prompt, n))
+		text.WriteString(Token(s.prompt, n))
 	}
 	if s.r.Context().Err() != nil {
 		return
 	}
-	out := wholeOf{ID: s.id, Object: "chat.completion", Model: s.a.Model, Usage: usage{s.a.MaxTokens}}
+	out := completion{ID: s.id, Object: "chat.completion", Model: s.req.Model, Usage: usage{s.req.MaxTokens}}
 	out.Choices = []choice{{Message: &message{Role: "assistant", Content: text.String()}, FinishReason: "stop"}}
 	b, _ := json.Marshal(out)
 	s.w.Header().Set("Content-Type", "application/json")
--- a/internal/dev/kvstub/kvstub.go
+++ b/internal/dev/kvstub/kvstub.go
@@ -32,19 +32,19 @@
 	None Failure = ""
 	// Busy answers 503 and does nothing, Silent says nothing, Reset closes the
 	// connection, Many answers 429.
-	Busy   Failure = "busy"
-	Silent Failure = "silent"
-	Reset  Failure = "reset"
-	Many   Failure = "many"
-	// Lost does what is asked and does not answer writes.
-	Lost Failure = "lost"
+	Busy        Failure = "busy"
+	Silent      Failure = "silent"
+	Reset       Failure = "reset"
+	RateLimited Failure = "many"
+	// ReplyLost does what is asked and does not answer writes.
+	ReplyLost Failure = "lost"
 )
 
 // Bounds of the stand-in.
 const (
-	pageItems = 500
-	maxWait   = 30 * time.Second
-	firstRev  = 7
+	maxPageItems    = 500
+	maxWatchWait    = 30 * time.Second
+	initialRevision = 7
 )
 
 type item struct {
@@ -65,41 +65,41 @@
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // Server is the store. Use New.
 type Server struct {
-	mu      sync.Mutex
-	rev     uint64
-	lease   uint64
-	items   map[string]item
-	history []change
-	// floor is the revision up to which the history has been dropped.
-	floor  uint64
-	leases map[uint64]*lease
-	// news is closed at the next change.
-	news   chan struct{}
-	fail   Failure
-	hosts  map[string]Failure
-	slow   time.Duration
-	calls  map[string]int
-	muted  int
-	closed chan struct{}
-	done   sync.Once
+	mu        sync.Mutex
+	revision  uint64
+	lastLease uint64
+	items     map[string]item
+	history   []change
+	// compactedRevision is the revision up to which the history has been dropped.
+	compactedRevision uint64
+	leases            map[uint64]*lease
+	// changed is closed at the next change.
+	changed      chan struct{}
+	failure      Failure
+	hostFailures map[string]Failure
+	delay        time.Duration
+	calls        map[string]int
+	muteCount    int
+	stopped      chan struct{}
+	stopOnce     sync.Once
 }
 
 // New returns an empty store.
 func New() *Server {
 	return &Server{
-		rev: firstRev, items: make(map[string]item), leases: make(map[uint64]*lease), news: make(chan struct{}),
-		hosts: make(map[string]Failure), calls: make(map[string]int), closed: make(chan struct{}),
+		revision: initialRevision, items: make(map[string]item), leases: make(map[uint64]*lease), changed: make(chan struct{}),
+		hostFailures: make(map[string]Failure), calls: make(map[string]int), stopped: make(chan struct{}),
 	}
 }
 
 // Stop ends the calls that wait.
-func (s *Server) Stop() { s.done.Do(func() { close(s.closed) }) }
+func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stopped) }) }
 
 // Put writes a key as the operator or a worker does.
 func (s *Server) Put(key string, val []byte) uint64 {
@@ -115,25 +115,25 @@
 	s.remove(key)
 }
 
-// Fail has all calls fail from now on. FailHost has those of one IP number.
-func (s *Server) Fail(f Failure) {
+// SetFailure has all calls fail from now on. FailHost has those of one IP number.
+func (s *Server) SetFailure(f Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fail = f
+	s.failure = f
 }
 
-// FailHost has the calls of one IP number fail from now on.
-func (s *Server) FailHost(ip string, f Failure) {
+// SetHostFailure has the calls of one IP number fail from now on.
+func (s *Server) SetHostFailure(ip string, f Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts[ip] = f
+	s.hostFailures[ip] = f
 }
 
-// Slow delays each answer.
-func (s *Server) Slow(d time.Duration) {
+// SetDelay delays each answer.
+func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = d
+	s.delay = d
 }
 
 // Compact drops the history, and cuts the watches.
@@ -141,15 +141,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.floor = s.rev
-	s.wake()
+	s.compactedRevision = s.revision
+	s.notify()
 }
 
-// Mute has the watches that wait now never be answered, while new calls are.
-func (s *Server) Mute() {
+// MuteWatches has the watches that wait now never be answered, while new calls are.
+func (s *Server) MuteWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.muted++
+	s.muteCount++
 }
 
 // Calls returns how often a path was called.
@@ -169,44 +169,44 @@
 }
 
 func (s *Server) put(key string, val []byte, id uint64) uint64 {
-	s.rev++
-	it := item{Key: key, Value: val, Revision: s.rev, Created: s.rev, Lease: id}
+	s.revision++
+	it := item{Key: key, Value: val, Revision: s.revision, Created: s.revision, Lease: id}
 	if old, ok := s.items[key]; ok {
 		it.Created = old.Created
 	}
 	s.items[key] = it
-	s.history = append(s.history, change{Key: key, Value: val, Revision: s.rev, Created: it.Created, Lease: id})
-	s.wake()
-	return s.rev
+	s.history = append(s.history, change{Key: key, Value: val, Revision: s.revision, Created: it.Created, Lease: id})
+	s.notify()
+	return s.revision
 }
 
 func (s *Server) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
 	}
-	s.rev++
+	s.revision++
 	delete(s.items, key)
-	s.history = append(s.history, change{Key: key, Revision: s.rev, Removed: true})
-	s.wake()
+	s.history = append(s.history, change{Key: key, Revision: s.revision, Removed: true})
+	s.notify()
 }
 
-func (s *Server) wake() {
-	close(s.news)
-	s.news = make(chan struct{})
+func (s *Server) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // expire ends the leases that are over.
 func (s *Server) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.until) {
-			s.end(id)
+		if now.After(l.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-// end ends a lease. One that is not there has no keys: those without a lease stay.
-func (s *Server) end(id uint64) {
+// endLease ends a lease. One that is not there has no keys: those without a lease stay.
+func (s *Server) endLease(id uint64) {
 	if _, ok := s.leases[id]; !ok {
 		return
 	}
@@ -222,8 +222,8 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
 	s.mu.Lock()
-	fail, slow := s.fail, s.slow
-	if f, ok := s.hosts[host]; ok && f != None {
+	fail, slow := s.failure, s.delay
+	if f, ok := s.hostFailures[host]; ok && f != None {
 		fail = f
 	}
 	s.calls[r.URL.Path]++
@@ -236,7 +236,7 @@
 	case Busy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Many:
+	case RateLimited:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case Reset:
@@ -244,12 +244,12 @@
 	case Silent:
 		select {
 		case <-r.Context().Done():
-		case <-s.closed:
+		case <-s.stopped:
 		}
 		panic(http.ErrAbortHandler)
 	}
 	s.route(w, r)
-	if fail == Lost && r.Method != http.MethodGet {
+	if fail == ReplyLost && r.Method != http.MethodGet {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -258,9 +258,9 @@
 	path := r.URL.Path
 	switch {
 	case path == "/-/kv-key":
-		s.key(w, r)
+		s.getKey(w, r)
 	case path == "/-/kv-range":
-		s.page(w, r)
+		s.getRange(w, r)
 	case path == "/-/kv-watch":
 		s.watch(w, r)
 	case path == "/-/kv-txn":
@@ -268,17 +268,17 @@
 	case path == "/-/kv-lease":
 		s.grant(w, r)
 	case strings.HasPrefix(path, "/-/kv-keep/"):
-		s.keep(w, strings.TrimPrefix(path, "/-/kv-keep/"))
+		s.keepAlive(w, strings.TrimPrefix(path, "/-/kv-keep/"))
 	case strings.HasPrefix(path, "/-/kv-lease-end/"):
 		s.mu.Lock()
-		s.end(number(strings.TrimPrefix(path, "/-/kv-lease-end/")))
+		s.endLease(parseNumber(strings.TrimPrefix(path, "/-/kv-lease-end/")))
 		s.mu.Unlock()
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func (s *Server) key(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it, ok := s.items[r.URL.Query().Get("Key")]
@@ -286,13 +286,13 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, struct {
+	writeJSON(w, struct {
 		item
 		At uint64
-	}{it, s.rev})
+	}{it, s.revision})
 }
 
-func (s *Server) page(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getRange(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,7 +300,7 @@
 		Items   []item `json:"items"`
 		HasMore bool
 		At      uint64
-	}{Items: []item{}, At: s.rev}
+	}{Items: []item{}, At: s.revision}
 	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, q.Get("Prefix")) && key > q.Get("after") {
@@ -308,60 +308,60 @@
 		}
 	}
 	slices.Sort(keys)
-	if len(keys) > pageItems {
-		keys, out.HasMore = keys[:pageItems], true
+	if len(keys) > maxPageItems {
+		keys, out.HasMore = keys[:maxPageItems], true
 	}
 	for _, key := range keys {
 		out.Items = append(out.Items, s.items[key])
 	}
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	after := number(q.Get("after"))
-	wait := min(time.Duration(number(q.Get("WaitMs")))*time.Millisecond, maxWait)
+	after := parseNumber(q.Get("after"))
+	wait := min(time.Duration(parseNumber(q.Get("WaitMs")))*time.Millisecond, maxWatchWait)
 	until, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	s.mu.Lock()
-	muted := s.muted
+	muted := s.muteCount
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		if muted != s.muted {
+		if muted != s.muteCount {
 			s.mu.Unlock()
 			<-r.Context().Done()
 			return
 		}
-		if after < s.floor {
+		if after < s.compactedRevision {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		events := s.since(q.Get("Prefix"), after)
-		at, news := s.rev, s.news
+		events := s.changesAfter(q.Get("Prefix"), after)
+		at, news := s.revision, s.changed
 		s.mu.Unlock()
 		if len(events) > 0 {
-			answer(w, watched{events, at})
+			writeJSON(w, watchResponse{events, at})
 			return
 		}
 		select {
 		case <-news:
 		case <-until.Done():
-			answer(w, watched{[]change{}, at})
+			writeJSON(w, watchResponse{[]change{}, at})
 			return
-		case <-s.closed:
+		case <-s.stopped:
 			return
 		}
 	}
 }
 
-type watched struct {
+type watchResponse struct {
 	Events []change `json:"events"`
 	At     uint64
 }
 
-func (s *Server) since(prefix string, after uint64) []change {
+func (s *Server) changesAfter(prefix string, after uint64) []change {
 	var out []change
 	for _, c := range s.history {
 		if c.Revision > after && strings.HasPrefix(c.Key, prefix) {
@@ -371,7 +371,7 @@
 	return out
 }
 
-type txn struct {
+type txnRequest struct {
 	ExpectRevision []struct {
 		Key      string
 		Revision uint64
@@ -385,7 +385,7 @@
 }
 
 func (s *Server) txn(w http.ResponseWriter, r *http.Request) {
-	var ask txn
+	var ask txnRequest
 	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -414,7 +414,7 @@
 	for _, key := range ask.Remove {
 		s.remove(key)
 	}
-	answer(w, map[string]uint64{"Revision": s.rev})
+	writeJSON(w, map[string]uint64{"Revision": s.revision})
 }
 
 func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
@@ -425,30 +425,30 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lease++
+	s.lastLease++
 	ttl := time.Duration(ask.TtlMs) * time.Millisecond
-	s.leases[s.lease] = &lease{ttl: ttl, until: time.Now().Add(ttl)}
-	answer(w, map[string]int64{"Lease": int64(s.lease), "TtlMs": ask.TtlMs})
+	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
+	writeJSON(w, map[string]int64{"Lease": int64(s.lastLease), "TtlMs": ask.TtlMs})
 }
 
-func (s *Server) keep(w http.ResponseWriter, id string) {
+func (s *Server) keepAlive(w http.ResponseWriter, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, ok := s.leases[number(id)]
+	l, ok := s.leases[parseNumber(id)]
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.until = time.Now().Add(l.ttl)
-	answer(w, map[string]int64{"TtlMs": l.ttl.Milliseconds()})
+	l.expiresAt = time.Now().Add(l.ttl)
+	writeJSON(w, map[string]int64{"TtlMs": l.ttl.Milliseconds()})
 }
 
-func number(s string) uint64 {
+func parseNumber(s string) uint64 {
 	n, _ := strconv.ParseUint(s, 10, 64)
 	return n
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/dev/plain/plain.go
+++ b/internal/dev/plain/plain.go
@@ -69,22 +69,22 @@
 	mux   *http.ServeMux
 	clock *clock.Service
 
-	mu      sync.Mutex
-	faults  Faults
-	running int
-	seq     uint64
-	leaving bool
-	since   time.Time
-	ledger  Ledger
+	mu            sync.Mutex
+	faults        Faults
+	running       int
+	loadSeq       uint64
+	draining      bool
+	drainingSince time.Time
+	ledger        Ledger
 }
 
 // New returns a service.
 func New(cfg Config) *Service {
 	s := &Service{cfg: cfg, mux: http.NewServeMux(), clock: clock.New(), ledger: Ledger{Jobs: make(map[string]int)}}
-	s.mux.HandleFunc("GET /load", s.load)
+	s.mux.HandleFunc("GET /load", s.getLoad)
 	s.mux.HandleFunc("PUT /dev/faults", s.putFaults)
 	s.mux.HandleFunc("GET /dev/ledger", s.getLedger)
-	s.mux.HandleFunc("POST /dev/leave", s.leave)
+	s.mux.HandleFunc("POST /dev/leave", s.postLeave)
 	s.mux.HandleFunc("/", s.call)
 	return s
 }
@@ -95,12 +95,12 @@
 // ServeHTTP serves one call.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Leave makes the service refuse new calls and finish those that run.
-func (s *Service) Leave() {
+// Drain makes the service refuse new calls and finish those that run.
+func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
-	s.since = time.Now()
+	s.draining = true
+	s.drainingSince = time.Now()
 }
 
 // Idle reports whether no call runs.
@@ -110,7 +110,7 @@
 	return s.running == 0
 }
 
-func (s *Service) leave(http.ResponseWriter, *http.Request) { s.Leave() }
+func (s *Service) postLeave(http.ResponseWriter, *http.Request) { s.Drain() }
 
 // Result is the answer to a call that ran.
 type Result struct {
@@ -125,8 +125,8 @@
 	if err != nil {
 		return
 	}
-	n, faults := s.enter()
-	defer s.exit()
+	n, faults := s.beginCall()
+	defer s.endCall()
 	if why := s.refusal(faults); why != "" {
 		w.Header().Set(target.HeaderNotRun, why)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -138,7 +138,7 @@
 	s.work(faults)
 	var c Call
 	_ = json.Unmarshal(body, &c)
-	runs := s.run(c.Job)
+	runs := s.recordRun(c.Job)
 	if faults.DieAfterRun > 0 && n%faults.DieAfterRun == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -148,7 +148,7 @@
 	_ = json.NewEncoder(w).Encode(Result{Job: c.Job, Runs: runs, Size: len(body), By: string(s.cfg.ID)})
 }
 
-func (s *Service) enter() (int, Faults) {
+func (s *Service) beginCall() (int, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
@@ -156,7 +156,7 @@
 	return s.ledger.Calls, s.faults
 }
 
-func (s *Service) exit() {
+func (s *Service) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -165,9 +165,9 @@
 func (s *Service) refusal(f Faults) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving {
+	if s.draining {
 		s.ledger.Late++
-		s.ledger.LateMs = time.Since(s.since).Milliseconds()
+		s.ledger.LateMs = time.Since(s.drainingSince).Milliseconds()
 		return "leaving"
 	}
 	if f.Refuse {
@@ -194,19 +194,19 @@
 	<-sub.C()
 }
 
-func (s *Service) run(job string) int {
+func (s *Service) recordRun(job string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Jobs[job]++
 	return s.ledger.Jobs[job]
 }
 
-func (s *Service) load(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) getLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.seq++
+	s.loadSeq++
 	ld := event.Load{
-		Target: s.cfg.ID, Incarnation: s.cfg.Incarnation, Seq: s.seq,
-		Slots: s.cfg.Slots, Running: s.running, Draining: s.leaving,
+		Target: s.cfg.ID, Incarnation: s.cfg.Incarnation, Seq: s.loadSeq,
+		Slots: s.cfg.Slots, Running: s.running, Draining: s.draining,
 	}
 	s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(ld)
--- a/internal/dev/plat/fault.go
+++ b/internal/dev/plat/fault.go
@@ -40,13 +40,13 @@
 
 // losses draws which replies are lost.
 type losses struct {
-	left int
-	rng  *rand.Rand
+	remaining int
+	rng       *rand.Rand
 }
 
-func (l *losses) next(f Faults) bool {
-	if l.left > 0 {
-		l.left--
+func (l *losses) lose(f Faults) bool {
+	if l.remaining > 0 {
+		l.remaining--
 		return true
 	}
 	return l.rng != nil && l.rng.Float64() < f.LoseShare
@@ -57,8 +57,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.callsLeft = f.DownAfter
-	s.losses = losses{left: f.LoseNext, rng: rand.New(rand.NewPCG(f.Seed, f.Seed))}
+	s.remainingCalls = f.DownAfter
+	s.losses = losses{remaining: f.LoseNext, rng: rand.New(rand.NewPCG(f.Seed, f.Seed))}
 	s.notify()
 }
 
@@ -69,12 +69,12 @@
 	return maps.Clone(s.counts)
 }
 
-// Lapse ends all leases at once.
-func (s *Server) Lapse() {
+// ExpireLeases ends all leases at once.
+func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.drop(id)
+		s.endLease(id)
 	}
 }
 
@@ -85,12 +85,12 @@
 	s.countDown()
 	delay := time.Duration(s.faults.DelayMs) * time.Millisecond
 	s.mu.Unlock()
-	s.refuse(r)
+	s.abortIfRefused(r)
 	if delay > 0 {
 		// Not the request's context: a slow service does not notice that
 		// its caller has gone, and its write lands late.
-		await(context.Background(), nil, delay)
-		s.refuse(r)
+		waitFor(context.Background(), nil, delay)
+		s.abortIfRefused(r)
 	}
 }
 
@@ -100,15 +100,15 @@
 	if s.faults.DownAfter == 0 {
 		return
 	}
-	if s.callsLeft == 0 {
+	if s.remainingCalls == 0 {
 		s.faults.Down = true
 		return
 	}
-	s.callsLeft--
+	s.remainingCalls--
 }
 
-// refuse breaks the connection of a caller that is cut off.
-func (s *Server) refuse(r *http.Request) {
+// abortIfRefused breaks the connection of a caller that is cut off.
+func (s *Server) abortIfRefused(r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
 	cut := s.faults.Down || slices.Contains(s.faults.Refuse, host)
@@ -118,8 +118,8 @@
 	}
 }
 
-// await waits for the channel and reports false if the time ran out first.
-func await(ctx context.Context, changed <-chan struct{}, left time.Duration) bool {
+// waitFor waits for the channel and reports false if the time ran out first.
+func waitFor(ctx context.Context, changed <-chan struct{}, left time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	select {
@@ -141,7 +141,7 @@
 	s.SetFaults(f)
 }
 
-func (s *Server) lapse(http.ResponseWriter, *http.Request) { s.Lapse() }
+func (s *Server) postLapse(http.ResponseWriter, *http.Request) { s.ExpireLeases() }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, s.Counts())
@@ -162,7 +162,7 @@
 // hostList is a list of hosts and when it was set.
 type hostList struct {
 	store.Hosts
-	at time.Time
+	setAt time.Time
 }
 
 // SetHosts replaces the list of hosts. A service that lags goes on with the
@@ -171,14 +171,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hs.Version = uint64(len(s.hosts)) + 1
-	s.hosts = append(s.hosts, hostList{Hosts: hs, at: s.Now()})
+	s.hosts = append(s.hosts, hostList{Hosts: hs, setAt: s.Now()})
 }
 
-// visible returns the newest list that is as old as the lag.
-func (s *Server) visible() store.Hosts {
+// visibleHosts returns the newest list that is as old as the lag.
+func (s *Server) visibleHosts() store.Hosts {
 	seen := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
 	for _, l := range slices.Backward(s.hosts) {
-		if !l.at.After(seen) {
+		if !l.setAt.After(seen) {
 			return l.Hosts
 		}
 	}
@@ -189,7 +189,7 @@
 	s.admit(r, "hosts")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	writeJSON(w, http.StatusOK, s.visible())
+	writeJSON(w, http.StatusOK, s.visibleHosts())
 }
 
 func (s *Server) putHosts(w http.ResponseWriter, r *http.Request) {
--- a/internal/dev/plat/lease.go
+++ b/internal/dev/plat/lease.go
@@ -24,8 +24,8 @@
 	lease store.LeaseID
 }
 
-// granted is the answer to a grant.
-type granted struct {
+// grantResponse is the answer to a grant.
+type grantResponse struct {
 	ID    store.LeaseID `json:"id"`
 	Fence ident.Fence   `json:"fence"`
 	TTLMs int64         `json:"ttlMs"`
@@ -36,12 +36,12 @@
 	s.fence++
 	id := store.LeaseID(fmt.Sprintf("lease-%d", s.fence))
 	s.leases[id] = lease{ttl: ttl, end: s.Now().Add(ttl)}
-	return result{status: http.StatusOK, body: granted{ID: id, Fence: s.fence, TTLMs: ttl.Milliseconds()}}
+	return result{status: http.StatusOK, body: grantResponse{ID: id, Fence: s.fence, TTLMs: ttl.Milliseconds()}}
 }
 
 func (s *Server) keepAlive(r *http.Request, _ []byte) result {
 	id := store.LeaseID(r.PathValue("id"))
-	if !s.stands(id) {
+	if !s.leaseExists(id) {
 		return result{status: http.StatusGone}
 	}
 	l := s.leases[id]
@@ -51,11 +51,11 @@
 }
 
 func (s *Server) revoke(r *http.Request, _ []byte) result {
-	s.drop(store.LeaseID(r.PathValue("id")))
+	s.endLease(store.LeaseID(r.PathValue("id")))
 	return result{status: http.StatusOK}
 }
 
-func (s *Server) stands(id store.LeaseID) bool {
+func (s *Server) leaseExists(id store.LeaseID) bool {
 	_, ok := s.leases[id]
 	return ok
 }
@@ -65,13 +65,13 @@
 	now := s.Now()
 	for id, l := range s.leases {
 		if !now.Before(l.end) {
-			s.drop(id)
+			s.endLease(id)
 		}
 	}
 }
 
-// drop ends a lease and all that stands under it.
-func (s *Server) drop(id store.LeaseID) {
+// endLease ends a lease and all that stands under it.
+func (s *Server) endLease(id store.LeaseID) {
 	delete(s.leases, id)
 	maps.DeleteFunc(s.values, func(_ string, v value) bool { return v.lease == id })
 	maps.DeleteFunc(s.listings, func(_ string, l listing) bool { return l.lease == id })
@@ -79,7 +79,7 @@
 
 func (s *Server) register(r *http.Request, body []byte) result {
 	id := store.LeaseID(r.URL.Query().Get("lease"))
-	if !s.stands(id) {
+	if !s.leaseExists(id) {
 		return result{status: http.StatusGone}
 	}
 	var ls store.Listing
--- a/internal/dev/plat/plat.go
+++ b/internal/dev/plat/plat.go
@@ -42,9 +42,9 @@
 	changed  chan struct{}
 	faults   Faults
 	losses   losses
-	// callsLeft counts down to DownAfter.
-	callsLeft int
-	counts    Counts
+	// remainingCalls counts down to DownAfter.
+	remainingCalls int
+	counts         Counts
 }
 
 // value is a value and the lease that it stands under, if any.
@@ -75,7 +75,7 @@
 	s.mux.HandleFunc("GET /v1/hosts", s.getHosts)
 	s.mux.HandleFunc("PUT /dev/hosts", s.putHosts)
 	s.mux.HandleFunc("PUT /dev/faults", s.putFaults)
-	s.mux.HandleFunc("POST /dev/lapse", s.lapse)
+	s.mux.HandleFunc("POST /dev/lapse", s.postLapse)
 	s.mux.HandleFunc("GET /dev/counts", s.getCounts)
 	s.mux.HandleFunc("GET /dev/values", s.getValues)
 	return s
@@ -104,7 +104,7 @@
 		s.expire()
 		res := write(r, body)
 		s.notify()
-		lose := s.losses.next(s.faults)
+		lose := s.losses.lose(s.faults)
 		s.mu.Unlock()
 		if lose {
 			panic(http.ErrAbortHandler)
@@ -129,7 +129,7 @@
 	after := store.Version(queryNumber(r, "after"))
 	deadline := time.Now().Add(wait)
 	for {
-		v, ok, changed := s.look(r.PathValue("key"))
+		v, ok, changed := s.lookup(r.PathValue("key"))
 		if ok && v.Version > after {
 			writeJSON(w, http.StatusOK, v)
 			return
@@ -138,17 +138,17 @@
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if !await(r.Context(), changed, time.Until(deadline)) {
+		if !waitFor(r.Context(), changed, time.Until(deadline)) {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		s.refuse(r)
+		s.abortIfRefused(r)
 	}
 }
 
-// look returns the value of a key and the channel that is closed at the next
+// lookup returns the value of a key and the channel that is closed at the next
 // change.
-func (s *Server) look(key string) (store.Value, bool, <-chan struct{}) {
+func (s *Server) lookup(key string) (store.Value, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -159,7 +159,7 @@
 func (s *Server) put(r *http.Request, body []byte) result {
 	key := r.PathValue("key")
 	id := store.LeaseID(r.URL.Query().Get("lease"))
-	if id != "" && !s.stands(id) {
+	if id != "" && !s.leaseExists(id) {
 		return result{status: http.StatusGone}
 	}
 	if s.values[key].Version != store.Version(queryNumber(r, "expect")) {
--- a/internal/dev/ports/ports.go
+++ b/internal/dev/ports/ports.go
@@ -29,34 +29,34 @@
 // port is the port of all addresses.
 const port = 7001
 
-// perByte is how many values of a byte of an IP number are used.
-const perByte = 250
+// valuesPerByte is how many values of a byte of an IP number are used.
+const valuesPerByte = 250
 
-// The networks 127.16 to 127.215 are given out. 127.81 is that of the commands on
+// The networkCount 127.16 to 127.215 are given out. 127.81 is that of the commands on
 // the operators' page.
 const (
-	networks     = 200
+	networkCount = 200
 	firstNetwork = 16
-	pageNetwork  = 81
+	docsNetwork  = 81
 )
 
 var (
-	count   atomic.Uint32
-	network = sync.OnceValue(reserve)
-	// held is the listener that reserves the network.
-	held net.Listener
+	ipCount atomic.Uint32
+	network = sync.OnceValue(reserveNetwork)
+	// reservation is the listener that reserves the network.
+	reservation net.Listener
 )
 
-// reserve returns the second byte of a network that no other process has.
-func reserve() int {
-	for i := range networks {
-		n := firstNetwork + (os.Getpid()+i)%networks
-		if n == pageNetwork {
+// reserveNetwork returns the second byte of a network that no other process has.
+func reserveNetwork() int {
+	for i := range networkCount {
+		n := firstNetwork + (os.Getpid()+i)%networkCount
+		if n == docsNetwork {
 			continue
 		}
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", n, port))
 		if err == nil {
-			held = ln
+			reservation = ln
 			return n
 		}
 	}
@@ -65,8 +65,8 @@
 
 // IP returns an IP number.
 func IP() string {
-	n := count.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d", network(), n/perByte%perByte+1, n%perByte+1)
+	n := ipCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d", network(), n/valuesPerByte%valuesPerByte+1, n%valuesPerByte+1)
 }
 
 // Next returns an address, as host:port.
--- a/internal/dev/relay/relay.go
+++ b/internal/dev/relay/relay.go
@@ -43,27 +43,27 @@
 	cfg Config
 	ln  net.Listener
 
-	mu    sync.Mutex
-	cut   map[string]bool
-	open  map[net.Conn]string
-	fault Fault
+	mu          sync.Mutex
+	partitioned map[string]bool
+	conns       map[net.Conn]string
+	fault       Fault
 }
 
 // Direction names the ways between a sender and the address behind a relay.
 type Direction int
 
-// The directions: Out leads to the address behind the relay.
+// The directions: Outbound leads to the address behind the relay.
 const (
-	Out Direction = 1 << iota
-	In
+	Outbound Direction = 1 << iota
+	Inbound
 )
 
 // Fault is how a relay harms what passes through it. The zero value harms
 // nothing.
 type Fault struct {
-	// Silent holds back what goes in these directions while connections stand, as
+	// Stall holds back what goes in these directions while connections stand, as
 	// a lost link does; what was held back passes once it is over.
-	Silent Direction
+	Stall Direction
 	// Refuse ends connections that stand and takes no new ones.
 	Refuse bool
 	// Delay is added to that of each way.
@@ -76,7 +76,7 @@
 	defer r.mu.Unlock()
 	r.fault = f
 	if f.Refuse {
-		r.reset()
+		r.resetConns()
 	}
 }
 
@@ -84,11 +84,11 @@
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reset()
+	r.resetConns()
 }
 
-func (r *Relay) reset() {
-	for c := range r.open {
+func (r *Relay) resetConns() {
+	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-func (r *Relay) faultNow() Fault {
+func (r *Relay) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "relay: listen")
 	}
-	r := &Relay{cfg: cfg, ln: ln, cut: make(map[string]bool), open: make(map[net.Conn]string)}
+	r := &Relay{cfg: cfg, ln: ln, partitioned: make(map[string]bool), conns: make(map[net.Conn]string)}
 	r.t.Go(r.run)
 	return r, nil
 }
@@ -121,19 +121,19 @@
 	r.t.Kill(nil)
 	r.ln.Close()
 	r.mu.Lock()
-	for c := range r.open {
+	for c := range r.conns {
 		c.Close()
 	}
 	r.mu.Unlock()
 	_ = r.t.Wait()
 }
 
-// Cut cuts or heals the way from one sender.
-func (r *Relay) Cut(sender string, cut bool) {
+// SetPartitioned cuts or heals the way from one sender.
+func (r *Relay) SetPartitioned(sender string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut[sender] = cut
-	for c, from := range r.open {
+	r.partitioned[sender] = cut
+	for c, from := range r.conns {
 		if cut && from == sender {
 			c.Close()
 		}
@@ -146,19 +146,19 @@
 		if err != nil {
 			return nil
 		}
-		r.join(c)
+		r.connect(c)
 	}
 }
 
-// join connects a sender's connection with the address behind the relay.
-func (r *Relay) join(in net.Conn) {
+// connect connects a sender's connection with the address behind the relay.
+func (r *Relay) connect(in net.Conn) {
 	sender, _, _ := net.SplitHostPort(in.RemoteAddr().String())
 	out, err := net.Dial("tcp", r.cfg.To)
 	if err != nil {
 		in.Close()
 		return
 	}
-	if !r.keep(sender, in, out) {
+	if !r.track(sender, in, out) {
 		in.Close()
 		out.Close()
 		return
@@ -167,70 +167,70 @@
 	if r.cfg.Delay != nil {
 		delay = r.cfg.Delay(sender)
 	}
-	for _, w := range []*way{newWay(r, Out, in, out, delay), newWay(r, In, out, in, delay)} {
-		r.t.Go(w.run)
-		r.t.Go(w.loop)
+	for _, w := range []*pipe{newPipe(r, Outbound, in, out, delay), newPipe(r, Inbound, out, in, delay)} {
+		r.t.Go(w.readLoop)
+		r.t.Go(w.writeLoop)
 	}
 }
 
-func (r *Relay) keep(sender string, cs ...net.Conn) bool {
+func (r *Relay) track(sender string, cs ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut[sender] || r.fault.Refuse || !r.t.Alive() {
+	if r.partitioned[sender] || r.fault.Refuse || !r.t.Alive() {
 		return false
 	}
 	for _, c := range cs {
-		r.open[c] = sender
+		r.conns[c] = sender
 	}
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) closeConn(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, c)
+	delete(r.conns, c)
 }
 
 // Sizes of what is under way on one way.
 const (
-	maxPieces = 4096
-	pieceSize = 16 << 10
+	maxQueuedChunks = 4096
+	chunkSize       = 16 << 10
 )
 
-// piece is what was read at once and when it is due at the other end.
-type piece struct {
+// chunk is what was read at once and when it is due at the other end.
+type chunk struct {
 	due  ident.Time
 	data []byte
 }
 
-// way is one direction of a connection.
-type way struct {
+// pipe is one direction of a connection.
+type pipe struct {
 	relay    *Relay
 	dir      Direction
 	from, to net.Conn
 	delay    time.Duration
-	pieces   chan piece
+	chunks   chan chunk
 }
 
-func newWay(r *Relay, dir Direction, from, to net.Conn, delay time.Duration) *way {
-	return &way{relay: r, dir: dir, from: from, to: to, delay: delay, pieces: make(chan piece, maxPieces)}
+func newPipe(r *Relay, dir Direction, from, to net.Conn, delay time.Duration) *pipe {
+	return &pipe{relay: r, dir: dir, from: from, to: to, delay: delay, chunks: make(chan chunk, maxQueuedChunks)}
 }
 
-// silentPoll is the time between two looks whether a silence is over.
-const silentPoll = 10 * time.Millisecond
+// stallPollInterval is the time between two looks whether a silence is over.
+const stallPollInterval = 10 * time.Millisecond
 
-// pass waits until a piece is due and nothing holds it back.
-func (w *way) pass(sub *clock.Subscription, due ident.Time) {
+// waitUntilDue waits until a piece is due and nothing holds it back.
+func (w *pipe) waitUntilDue(sub *clock.Subscription, due ident.Time) {
 	svc := w.relay.cfg.Clock
 	for w.relay.t.Alive() {
-		f := w.relay.faultNow()
+		f := w.relay.currentFault()
 		now := svc.Now()
 		switch {
 		case due.Add(f.Delay) > now:
 			sub.Reset(due.Add(f.Delay))
-		case f.Silent&w.dir != 0:
-			sub.Reset(now.Add(silentPoll))
+		case f.Stall&w.dir != 0:
+			sub.Reset(now.Add(stallPollInterval))
 		default:
 			return
 		}
@@ -238,14 +238,14 @@
 	}
 }
 
-// run reads.
-func (w *way) run() error {
-	defer close(w.pieces)
-	buf := make([]byte, pieceSize)
+// readLoop reads.
+func (w *pipe) readLoop() error {
+	defer close(w.chunks)
+	buf := make([]byte, chunkSize)
 	for {
 		n, err := w.from.Read(buf)
 		if n > 0 {
-			w.pieces <- piece{due: w.relay.cfg.Clock.Now().Add(w.delay), data: bytes.Clone(buf[:n])}
+			w.chunks <- chunk{due: w.relay.cfg.Clock.Now().Add(w.delay), data: bytes.Clone(buf[:n])}
 		}
 		if err != nil {
 			return nil
@@ -253,17 +253,17 @@
 	}
 }
 
-// loop writes each piece when it is due. After a failed write it goes on
+// writeLoop writes each piece when it is due. After a failed write it goes on
 // taking pieces, so that the reader never waits for nobody.
-func (w *way) loop() error {
+func (w *pipe) writeLoop() error {
 	svc := w.relay.cfg.Clock
 	sub := svc.At(svc.Now())
 	defer sub.Close()
-	defer w.relay.drop(w.to)
-	for p := range w.pieces {
-		w.pass(sub, p.due)
+	defer w.relay.closeConn(w.to)
+	for p := range w.chunks {
+		w.waitUntilDue(sub, p.due)
 		if _, err := w.to.Write(p.data); err != nil {
-			w.relay.drop(w.from)
+			w.relay.closeConn(w.from)
 		}
 	}
 	return nil
--- a/internal/dev/relay/relay_test.go
+++ b/internal/dev/relay/relay_test.go
@@ -96,7 +96,7 @@
 	}
 	defer c.Close()
 	say(t, c, "first")
-	r.Cut("127.0.0.1", true)
+	r.SetPartitioned("127.0.0.1", true)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the connection outlives the cut")
 	}
@@ -108,7 +108,7 @@
 	if _, err := again.Read(make([]byte, 1)); err == nil {
 		t.Fatal("a connection through a link that is cut")
 	}
-	r.Cut("127.0.0.1", false)
+	r.SetPartitioned("127.0.0.1", false)
 	healed, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dev/replay/replay.go
+++ b/internal/dev/replay/replay.go
@@ -56,21 +56,21 @@
 
 // Start writes the host and returns the function that sees each step.
 func (r *Recorder) Start(self event.Host) func(now ident.Time, ev event.Event, effs []event.Effect) {
-	r.line(json.Marshal(self))
-	return r.step
+	r.writeLine(json.Marshal(self))
+	return r.recordStep
 }
 
-func (r *Recorder) step(now ident.Time, ev event.Event, effs []event.Effect) {
-	r.line(event.EncodeEvent(now, ev))
+func (r *Recorder) recordStep(now ident.Time, ev event.Event, effs []event.Effect) {
+	r.writeLine(event.EncodeEvent(now, ev))
 	for _, eff := range effs {
-		r.line(event.EncodeEffect(now, eff))
+		r.writeLine(event.EncodeEffect(now, eff))
 	}
-	r.line([]byte{}, nil)
+	r.writeLine([]byte{}, nil)
 }
 
-// line writes one line. After an error nothing more is written, so that a
+// writeLine writes one writeLine. After an error nothing more is written, so that a
 // record is cut and never has a hole.
-func (r *Recorder) line(b []byte, err error) {
+func (r *Recorder) writeLine(b []byte, err error) {
 	if r.err != nil {
 		return
 	}
@@ -87,13 +87,13 @@
 	Effects int           `json:"effects"`
 }
 
-// maxLine bounds a line of a record.
-const maxLine = 16 << 20
+// maxLineSize bounds a line of a record.
+const maxLineSize = 16 << 20
 
 // Replay steps a new reducer through a record and compares its effects.
 func Replay(r io.Reader) (Summary, error) {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineSize)
 	if !sc.Scan() {
 		return Summary{}, errors.Wrap(ErrRecord, "it is empty")
 	}
@@ -104,7 +104,7 @@
 	red := core.New(self)
 	sum := Summary{Host: self.ID}
 	for {
-		lines := block(sc)
+		lines := readStep(sc)
 		if len(lines) == 0 {
 			return sum, errors.Wrap(sc.Err(), "replay")
 		}
@@ -114,9 +114,9 @@
 	}
 }
 
-// block reads the lines of one step. A record that was cut in the middle of a
+// readStep reads the lines of one step. A record that was cut in the middle of a
 // step ends before it.
-func block(sc *bufio.Scanner) [][]byte {
+func readStep(sc *bufio.Scanner) [][]byte {
 	var lines [][]byte
 	for sc.Scan() {
 		if len(sc.Bytes()) == 0 {
--- a/internal/dev/routes/routes.go
+++ b/internal/dev/routes/routes.go
@@ -127,7 +127,7 @@
 
 func (f *Fleet) workers(region string) error {
 	for _, cfg := range []worker.Config{
-		{ID: "writer-" + region, Service: "writers", Events: 6, Pause: eventPause, Slots: 8},
+		{ID: "writer-" + region, Service: "writers", Events: 6, EventInterval: eventPause, Slots: 8},
 		{ID: "board-" + region, Service: "board", Slots: 4},
 	} {
 		cfg.DataCentre = region + "-a"
@@ -136,7 +136,7 @@
 		if err != nil {
 			return err
 		}
-		f.store.Put(wk.Key(), wk.Entry(addr, "ready", 0))
+		f.store.Put(wk.StoreKey(), wk.StoreEntry(addr, "ready", 0))
 	}
 	return nil
 }
--- a/internal/dev/soak/caller.go
+++ b/internal/dev/soak/caller.go
@@ -242,7 +242,7 @@
 // is known before a target is chosen.
 func (a asked) whole() string {
 	if a.kind == kindDraft {
-		return worker.Stream(streamEvents)
+		return worker.StreamText(streamEvents)
 	}
 	return fmt.Sprintf("POST /%s/x?of=%s body of %s by ", a.route, a.id, a.id)
 }
--- a/internal/dev/soak/check.go
+++ b/internal/dev/soak/check.go
@@ -29,7 +29,7 @@
 func (c *checker) check() {
 	c.runs, c.by = make(map[string]int), make(map[string][]*target)
 	for _, w := range c.site.workers {
-		for id, n := range w.All() {
+		for id, n := range w.RunsByRequest() {
 			c.runs[id] += n
 			c.by[id] = append(c.by[id], w)
 		}
--- a/internal/dev/soak/fault.go
+++ b/internal/dev/soak/fault.go
@@ -108,7 +108,7 @@
 		}
 	}
 	w, n := ws[rnd.IntN(len(ws))], 1+rnd.IntN(4)
-	return fault{name: fmt.Sprintf("target %s: next %d pause", w.id, n), planned: true, begin: func(context.Context) { w.Fault(worker.Paused, n) }}
+	return fault{name: fmt.Sprintf("target %s: next %d pause", w.id, n), planned: true, begin: func(context.Context) { w.InjectFault(worker.Paused, n) }}
 }
 
 // play plays a plan and returns when all is mended.
@@ -195,19 +195,19 @@
 }
 
 func harmStore(rnd *rand.Rand, s *site) fault {
-	kinds := []kvstub.Failure{kvstub.Busy, kvstub.Silent, kvstub.Reset, kvstub.Many, kvstub.Lost}
+	kinds := []kvstub.Failure{kvstub.Busy, kvstub.Silent, kvstub.Reset, kvstub.RateLimited, kvstub.ReplyLost}
 	k := rnd.IntN(len(kinds) + 3)
 	switch k - len(kinds) {
 	case 0:
-		return fault{name: "store is slow", begin: func(context.Context) { s.store.Slow(200 * time.Millisecond) }, end: func(context.Context) { s.store.Slow(0) }}
+		return fault{name: "store is slow", begin: func(context.Context) { s.store.SetDelay(200 * time.Millisecond) }, end: func(context.Context) { s.store.SetDelay(0) }}
 	case 1:
 		return fault{name: "store drops its history", begin: func(context.Context) { s.store.Compact() }}
 	case 2:
-		return fault{name: "store forgets the watches that wait", begin: func(context.Context) { s.store.Mute() }}
+		return fault{name: "store forgets the watches that wait", begin: func(context.Context) { s.store.MuteWatches() }}
 	}
 	return fault{
-		name: "store " + string(kinds[k]), begin: func(context.Context) { s.store.Fail(kinds[k]) },
-		end: func(context.Context) { s.store.Fail(kvstub.None) },
+		name: "store " + string(kinds[k]), begin: func(context.Context) { s.store.SetFailure(kinds[k]) },
+		end: func(context.Context) { s.store.SetFailure(kvstub.None) },
 	}
 }
 
@@ -217,9 +217,9 @@
 		name string
 		f    relay.Fault
 	}{
-		{"silent", relay.Fault{Silent: relay.Out | relay.In}},
-		{"silent outwards", relay.Fault{Silent: relay.Out}},
-		{"silent inwards", relay.Fault{Silent: relay.In}},
+		{"silent", relay.Fault{Stall: relay.Outbound | relay.Inbound}},
+		{"silent outwards", relay.Fault{Stall: relay.Outbound}},
+		{"silent inwards", relay.Fault{Stall: relay.Inbound}},
 		{"refused", relay.Fault{Refuse: true}},
 		{"delayed", relay.Fault{Delay: 150 * time.Millisecond}},
 		{"reset", relay.Fault{}},
@@ -256,11 +256,11 @@
 
 func harmWorker(rnd *rand.Rand, s *site) fault {
 	kinds := []worker.Fault{
-		worker.Crash, worker.Reset, worker.Lost, worker.Errors, worker.Shed, worker.Unsigned, worker.Crossed, worker.Unframed, worker.Extra,
+		worker.Crash, worker.Reset, worker.NoAnswer, worker.ServerError, worker.Shed, worker.Unsigned, worker.WrongID, worker.NoLength, worker.ExtraAnswer,
 	}
 	ws := s.targets()
 	w, k, n := ws[rnd.IntN(len(ws))], kinds[rnd.IntN(len(kinds))], 1+rnd.IntN(6)
-	return fault{name: fmt.Sprintf("target %s: next %d %s", w.id, n, k), begin: func(context.Context) { w.Fault(k, n) }}
+	return fault{name: fmt.Sprintf("target %s: next %d %s", w.id, n, k), begin: func(context.Context) { w.InjectFault(k, n) }}
 }
 
 func reconfigure(_ *rand.Rand, s *site) fault {
@@ -283,5 +283,5 @@
 		if err := s.addWorker(fmt.Sprintf("%s.%x", w.id, salt+uint32(time.Since(s.began))), w.service, w.region); err == nil {
 			s.leave(w)
 		}
-	}, end: func(context.Context) { s.store.Remove(w.Key()) }}
+	}, end: func(context.Context) { s.store.Remove(w.StoreKey()) }}
 }
--- a/internal/dev/soak/site.go
+++ b/internal/dev/soak/site.go
@@ -212,7 +212,7 @@
 func (s *site) addWorker(id, service, region string) error {
 	cfg := worker.Config{ID: id, Service: service, DataCentre: centreOf(region), Slots: 16, Work: callWork}
 	if service == "writers" {
-		cfg.Events, cfg.Pause = streamEvents, s.cfg.tempo().pause
+		cfg.Events, cfg.EventInterval = streamEvents, s.cfg.tempo().pause
 	}
 	w := &target{Worker: worker.New(cfg), id: id, service: service, region: region}
 	addr, err := s.serve(w.Worker)
@@ -225,13 +225,13 @@
 	s.mu.Lock()
 	s.workers = append(s.workers, w)
 	s.mu.Unlock()
-	s.store.Put(w.Key(), w.Entry(w.relay.Addr(), "ready", 0))
+	s.store.Put(w.StoreKey(), w.StoreEntry(w.relay.Addr(), "ready", 0))
 	return nil
 }
 
 // leave lists a worker as leaving.
 func (s *site) leave(w *target) {
-	s.store.Put(w.Key(), w.Entry(w.relay.Addr(), "draining", 0))
+	s.store.Put(w.StoreKey(), w.StoreEntry(w.relay.Addr(), "draining", 0))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.leftAt = time.Now()
--- a/internal/dev/worker/worker.go
+++ b/internal/dev/worker/worker.go
@@ -35,23 +35,23 @@
 	// connection before a byte of the answer, after the request ran.
 	Crash Fault = "crash"
 	Reset Fault = "reset"
-	// Lost runs the request and never answers.
-	Lost Fault = "lost"
-	// Errors answers 500, Shed 503 without running the request.
-	Errors Fault = "errors"
-	Shed   Fault = "shed"
+	// NoAnswer runs the request and never answers.
+	NoAnswer Fault = "lost"
+	// ServerError answers 500, Shed 503 without running the request.
+	ServerError Fault = "errors"
+	Shed        Fault = "shed"
 	// Unsigned answers without the signature, Crossed with another id.
 	Unsigned Fault = "unsigned"
-	Crossed  Fault = "crossed"
-	// Unframed answers without a length, Extra sends one more answer.
-	Unframed Fault = "unframed"
-	Extra    Fault = "extra"
+	WrongID  Fault = "crossed"
+	// NoLength answers without a length, Extra sends one more answer.
+	NoLength    Fault = "unframed"
+	ExtraAnswer Fault = "extra"
 	// Paused brings nothing for PausedFor after the second event of a stream.
 	Paused Fault = "paused"
 )
 
-// PausedFor is the time that a stream with the fault Paused brings nothing.
-const PausedFor = 2500 * time.Millisecond
+// PauseDuration is the time that a stream with the fault Paused brings nothing.
+const PauseDuration = 2500 * time.Millisecond
 
 // Config is what a worker is.
 type Config struct {
@@ -60,37 +60,37 @@
 	DataCentre string
 	Slots      int
 	// Events is the length of its streams, Pause the time between two.
-	Events int
-	Pause  time.Duration
+	Events        int
+	EventInterval time.Duration
 	// Work is the time of a plain call.
 	Work time.Duration
-	// Born is the Unix millisecond of its start, which its entry and reports contain, zero for
+	// StartTimeMs is the Unix millisecond of its start, which its entry and reports contain, zero for
 	// a worker without it.
-	Born int64
+	StartTimeMs int64
 }
 
 // Worker is one incarnation of a target.
 type Worker struct {
 	cfg Config
 
-	mu      sync.Mutex
-	running int
-	runs    map[string]int
-	heads   []http.Header
-	faults  []Fault
-	seq     int
-	gone    int
-	reports int
+	mu          sync.Mutex
+	running     int
+	runs        map[string]int
+	headers     []http.Header
+	faults      []Fault
+	seq         int
+	disconnects int
+	reports     int
 }
 
 // New returns a worker.
 func New(cfg Config) *Worker { return &Worker{cfg: cfg, runs: make(map[string]int)} }
 
-// Key is where its entry stands in the store.
-func (k *Worker) Key() string { return "servers/" + k.cfg.ID }
+// StoreKey is where its entry stands in the store.
+func (k *Worker) StoreKey() string { return "servers/" + k.cfg.ID }
 
-// Entry is its entry with a state and a cold time.
-func (k *Worker) Entry(addr, state string, cold time.Duration) []byte {
+// StoreEntry is its entry with a state and a cold time.
+func (k *Worker) StoreEntry(addr, state string, cold time.Duration) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.seq++
@@ -98,8 +98,8 @@
 		"Service": k.cfg.Service, "Address": addr, "Zone": k.cfg.DataCentre, "Version": "v1", "Slots": k.cfg.Slots,
 		"State": state, "ColdLeftMs": cold.Milliseconds(), "Seq": k.seq,
 	}
-	if k.cfg.Born > 0 {
-		entry["born"] = k.cfg.Born
+	if k.cfg.StartTimeMs > 0 {
+		entry["born"] = k.cfg.StartTimeMs
 	}
 	b, err := json.Marshal(entry)
 	if err != nil {
@@ -108,25 +108,25 @@
 	return b
 }
 
-// Slow sets the pause between two events of its streams.
-func (k *Worker) Slow(pause time.Duration) {
+// SetEventInterval sets the pause between two events of its streams.
+func (k *Worker) SetEventInterval(pause time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cfg.Pause = pause
+	k.cfg.EventInterval = pause
 }
 
-// Rebirth has the worker start again under its id while its network is broken: nothing
+// Restart has the worker start again under its id while its network is broken: nothing
 // that it ran is answered, no connection is closed, and its counts start anew.
-func (k *Worker) Rebirth(born int64) {
+func (k *Worker) Restart(born int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cfg.Born = born
+	k.cfg.StartTimeMs = born
 	k.seq, k.running = 0, 0
 	k.faults = nil
 }
 
-// Fault has the next n requests go wrong.
-func (k *Worker) Fault(f Fault, n int) {
+// InjectFault has the next n requests go wrong.
+func (k *Worker) InjectFault(f Fault, n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for range n {
@@ -141,15 +141,15 @@
 	return k.runs[id]
 }
 
-// All returns how often each request ran.
-func (k *Worker) All() map[string]int {
+// RunsByRequest returns how often each request ran.
+func (k *Worker) RunsByRequest() map[string]int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return maps.Clone(k.runs)
 }
 
-// Total returns how many requests ran.
-func (k *Worker) Total() int {
+// TotalRuns returns how many requests ran.
+func (k *Worker) TotalRuns() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -159,11 +159,11 @@
 	return n
 }
 
-// Heads returns the headers of the requests that ran, in their order.
-func (k *Worker) Heads() []http.Header {
+// Headers returns the headers of the requests that ran, in their order.
+func (k *Worker) Headers() []http.Header {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.heads
+	return k.headers
 }
 
 // Reports returns how often it was asked for its report.
@@ -173,15 +173,15 @@
 	return k.reports
 }
 
-// Gone returns how many callers left before their answer was whole.
-func (k *Worker) Gone() int {
+// Disconnects returns how many callers left before their answer was whole.
+func (k *Worker) Disconnects() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.gone
+	return k.disconnects
 }
 
-// memory is how many tokens a worker says that it holds.
-const memory = 400_000
+// kvCapacity is how many tokens a worker says that it holds.
+const kvCapacity = 400_000
 
 // ServeHTTP answers one request.
 func (k *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -194,7 +194,7 @@
 		k.mu.Lock()
 		k.reports++
 		k.mu.Unlock()
-		_, _ = fmt.Fprintf(w, `{"born":%d,"KvTotal":%d}`, k.born(), memory)
+		_, _ = fmt.Fprintf(w, `{"born":%d,"KvTotal":%d}`, k.startTimeMs(), kvCapacity)
 		return
 	}
 	id := r.Header.Get("Verbenadale-Request-Id")
@@ -203,27 +203,27 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	f := k.begin()
+	f := k.beginRequest()
 	if f == Shed || id == "" {
 		w.Header().Set("Verbenadale-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		k.end(r, false)
+		k.endRequest(r, false)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		k.end(r, false)
+		k.endRequest(r, false)
 		return
 	}
-	k.ran(id, r.Header)
-	defer k.end(r, true)
+	k.recordRun(id, r.Header)
+	defer k.endRequest(r, true)
 	k.answer(w, r, f, id, body)
 }
 
-func (k *Worker) born() int64 {
+func (k *Worker) startTimeMs() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.cfg.Born
+	return k.cfg.StartTimeMs
 }
 
 func (k *Worker) load() string {
@@ -232,7 +232,7 @@
 	return fmt.Sprintf("%d,0,%d", k.running, k.cfg.Slots)
 }
 
-func (k *Worker) begin() Fault {
+func (k *Worker) beginRequest() Fault {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.running++
@@ -244,19 +244,19 @@
 	return f
 }
 
-func (k *Worker) ran(id string, h http.Header) {
+func (k *Worker) recordRun(id string, h http.Header) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.runs[id]++
-	k.heads = append(k.heads, h.Clone())
+	k.headers = append(k.headers, h.Clone())
 }
 
-func (k *Worker) end(r *http.Request, ran bool) {
+func (k *Worker) endRequest(r *http.Request, ran bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.running = max(0, k.running-1)
 	if ran && r.Context().Err() != nil {
-		k.gone++
+		k.disconnects++
 	}
 }
 
@@ -264,19 +264,19 @@
 	switch f {
 	case Reset:
 		panic(http.ErrAbortHandler)
-	case Lost:
+	case NoAnswer:
 		<-r.Context().Done()
 		return
-	case Crossed:
+	case WrongID:
 		id = "of-somebody-else"
-	case Unframed:
+	case NoLength:
 		w.Header().Set("Connection", "close")
 	}
 	w.Header().Set("Verbenadale-Request-Id", id)
 	if f != Unsigned {
 		w.Header().Set("Verbenadale-Response-Seal", "seal-of-"+id)
 	}
-	if f == Errors {
+	if f == ServerError {
 		w.WriteHeader(http.StatusInternalServerError)
 		fmt.Fprint(w, "failed")
 		return
@@ -289,13 +289,13 @@
 		return
 	}
 	fmt.Fprintf(w, "%s %s %s by %s", r.Method, r.RequestURI, body, k.cfg.ID)
-	if f == Extra {
-		k.extra(w)
+	if f == ExtraAnswer {
+		k.writeExtraAnswer(w)
 	}
 }
 
-// extra sends one more answer behind a whole one.
-func (k *Worker) extra(w http.ResponseWriter) {
+// writeExtraAnswer sends one more answer behind a whole one.
+func (k *Worker) writeExtraAnswer(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -304,7 +304,7 @@
 	one := "HTTP/1.1 200 OK\r\nVerbenadale-Request-Id: %s\r\nVerbenadale-Response-Seal: s\r\nContent-Length: 5\r\n\r\n%s"
 	_, _ = fmt.Fprintf(c, one, w.Header().Get("Verbenadale-Request-Id"), "first")
 	_, _ = fmt.Fprintf(c, one, "of-before", "extra")
-	time.Sleep(k.cfg.Pause)
+	time.Sleep(k.cfg.EventInterval)
 }
 
 // stream sends events after the one that the caller has.
@@ -318,10 +318,10 @@
 			_ = rc.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		fmt.Fprint(w, Event(n))
-		pause := k.cfg.Pause
+		fmt.Fprint(w, EventText(n))
+		pause := k.cfg.EventInterval
 		if f == Paused && n == from+2 {
-			pause = PausedFor
+			pause = PauseDuration
 		}
 		if rc.Flush() != nil || !sleep(r, pause) {
 			return
@@ -329,14 +329,14 @@
 	}
 }
 
-// Event is the n-th event of each stream.
-func Event(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
+// EventText is the n-th event of each stream.
+func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-// Stream is a whole stream of n events.
-func Stream(n int) string {
+// StreamText is a whole stream of n events.
+func StreamText(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
-		b.WriteString(Event(i))
+		b.WriteString(EventText(i))
 	}
 	return b.String()
 }
--- a/internal/peer/keys_test.go
+++ b/internal/peer/keys_test.go
@@ -106,7 +106,7 @@
 	replaceKeys(t, kx, issueKeys(t, next, "uvs-1"))
 	eventually(t, "there is a link under the new keys", func() bool {
 		s, _ := x.link("uvs-2").current()
-		return s != nil && next.Signed(s.tlsState.PeerCertificates[0])
+		return s != nil && next.Issued(s.tlsState.PeerCertificates[0])
 	})
 }
 
--- a/internal/proofs/leave_test.go
+++ b/internal/proofs/leave_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("by %s alone the last new request came after %v, at most %v expected", l.source, last, l.most)
 		}
 	}
-	if since := time.Since(f.engineLedger("uvs-e1").LeavingSince); since < lastNewRequest+listLag {
+	if since := time.Since(f.engineLedger("uvs-e1").DrainingSince); since < lastNewRequest+listLag {
 		t.Errorf("the load went on for %v only", since)
 	}
 	if f.engineLedger("uvs-e2").Late == 0 {
