--- a/internal/dev/base/base.go
+++ b/internal/dev/base/base.go
@@ -1,14 +1,14 @@
-// Package base holds the routing policies that the cost policy is compared
-// with. The production programs link none of it.
+// Package base implements the baseline routing policies that the cost policy is
+// compared with. The production programs don't link it.
 //
 // # Usage
 //
-// Each policy fits the Pick field of a router:
+// Each policy fits the Policy field of a router:
 //
 //	rt := route.New()
-//	rt.Pick = base.LeastOutstanding
+//	rt.Policy = base.LeastOutstanding
 //
-// Round robin needs a count, which each call of RoundRobin begins anew.
+// RoundRobin returns a policy with a counter of its own.
 package base
 
 import (
@@ -18,27 +18,27 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Random picks by a hash of the request's id.
-func Random(_ ident.Time, q route.Query, left []*member.Target) *member.Target {
-	return left[rank.Hash(string(q.Request.ID))%uint64(len(left))]
+// Random chooses a target by a hash of the request's id.
+func Random(_ ident.Time, q route.Query, candidates []*member.Target) *member.Target {
+	return candidates[rank.Hash(string(q.Request.ID))%uint64(len(candidates))]
 }
 
-// RoundRobin returns a policy that takes one target after the other.
+// RoundRobin returns a policy that chooses the targets in turn.
 func RoundRobin() func(ident.Time, route.Query, []*member.Target) *member.Target {
 	next := 0
-	return func(_ ident.Time, _ route.Query, left []*member.Target) *member.Target {
-		t := left[next%len(left)]
+	return func(_ ident.Time, _ route.Query, candidates []*member.Target) *member.Target {
+		t := candidates[next%len(candidates)]
 		next++
 		return t
 	}
 }
 
-// LeastOutstanding picks the target to which this host has sent the fewest
-// requests that have not ended, as a proxy does that knows its own work only.
-// The first of equal ones is taken.
-func LeastOutstanding(_ ident.Time, _ route.Query, left []*member.Target) *member.Target {
-	best := left[0]
-	for _, t := range left[1:] {
+// LeastOutstanding chooses the target with the fewest requests in flight from this
+// host, as a proxy does that only knows its own requests. On a tie it chooses the
+// first one.
+func LeastOutstanding(_ ident.Time, _ route.Query, candidates []*member.Target) *member.Target {
+	best := candidates[0]
+	for _, t := range candidates[1:] {
 		if t.InFlight < best.InFlight {
 			best = t
 		}
@@ -46,14 +46,15 @@
 	return best
 }
 
-// Names are the names of the policies, the cost policy first.
+// Names lists the policies, the cost policy first.
 var Names = []string{Cost, "random", "roundRobin", "leastOutstanding"}
 
-// Cost is the name of the policy of the router itself.
+// Cost is the name of the router's default policy.
 const Cost = "cost"
 
-// Policy returns the policy of a name: random, roundRobin or
-// leastOutstanding. It is nil, which is the cost policy, for any other.
+// Policy returns the policy with the given name: random, roundRobin or
+// leastOutstanding. For any other name it returns nil, which selects the cost
+// policy.
 func Policy(name string) func(ident.Time, route.Query, []*member.Target) *member.Target {
 	switch name {
 	case "random":
--- a/internal/dev/certs/certs.go
+++ b/internal/dev/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs makes authorities and certificates for development and tests.
-// They last a day.
+// Package certs creates certificate authorities and certificates for development
+// and tests. They are valid for a day.
 //
 // # Usage
 //
@@ -23,10 +23,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrCreate says that a certificate could not be made or written.
-var ErrCreate = errors.New("certs: not made")
+// ErrCreate means that a certificate could not be created or written.
+var ErrCreate = errors.New("certs: certificate not created")
 
-// certLifetime is how long a certificate lasts.
+// certLifetime is the validity period after creation.
 const certLifetime = 24 * time.Hour
 
 // Authority signs certificates.
@@ -35,10 +35,10 @@
 	cert *x509.Certificate
 }
 
-// Files are the paths of the files of one host.
+// Files holds the paths of a host's certificate, its key and the CA certificate.
 type Files struct{ Cert, Key, CA string }
 
-// New makes an authority.
+// New creates an authority. Its error is ErrCreate.
 func New() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return cert, nil
 }
 
-// Issue makes a certificate for a name and writes it to a folder, with its
+// Issue creates a certificate for a name and writes it to a directory, with its
 // key and the certificate of the authority.
 func (a *Authority) Issue(dir, name string) (Files, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -117,5 +117,5 @@
 	return nil
 }
 
-// Issued reports whether a certificate is one of this authority.
+// Issued reports whether the authority signed a certificate.
 func (a *Authority) Issued(c *x509.Certificate) bool { return c.CheckSignatureFrom(a.cert) == nil }
--- a/internal/dev/cmds/ablate.go
+++ b/internal/dev/cmds/ablate.go
@@ -24,15 +24,15 @@
 
 func (*ablateCmd) Name() string { return "ablate" }
 func (*ablateCmd) Synopsis() string {
-	return "measure what each mechanism is worth by a command that plays a load"
+	return "measure the effect of each mechanism with a command that generates load"
 }
 
 func (*ablateCmd) Usage() string {
 	return `ablate [-figure REGEXP] [-cases A,B] [-seeds N] [-only VB6001,VB6002] -- COMMAND...
-  Runs the command with all mechanisms and without each of them, for each case
-  and seed, and prints a table of the figure that it writes. In the command
-  {off}, {case} and {seed} are replaced; VERBENADALE_OFF is set. The programs
-  that it plays are to be built with the tag ablate.
+  Runs the command with all mechanisms and with each of them disabled, for each
+  case and seed, and prints a table of the figures found in its output. {off},
+  {case} and {seed} in the command are replaced, and VERBENADALE_OFF is set. The
+  programs that the command runs must be built with the tag ablate.
 
   Example:
     verbdev ablate -figure 'goodput": ([0-9.]+)' -cases draft -seeds 3 -- sh play.sh {case} {seed}
@@ -40,10 +40,10 @@
 }
 
 func (c *ablateCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.figure, "figure", `([0-9.]+)`, "regular expression whose first group is the figure; the last match counts")
-	fs.StringVar(&c.cases, "cases", "", "cases, with commas")
-	fs.StringVar(&c.only, "only", "", "ids of the mechanisms that are left out, with commas; all of them if empty")
-	fs.IntVar(&c.seeds, "seeds", 1, "number of seeds, from 1")
+	fs.StringVar(&c.figure, "figure", `([0-9.]+)`, "regular expression whose first group matches the figure; the last match is used")
+	fs.StringVar(&c.cases, "cases", "", "comma-separated cases")
+	fs.StringVar(&c.only, "only", "", "comma-separated ids of the mechanisms to disable in turn; all if empty")
+	fs.IntVar(&c.seeds, "seeds", 1, "number of seeds, starting with seed 1")
 }
 
 func (c *ablateCmd) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -79,13 +79,13 @@
 	return table.Write(os.Stdout)
 }
 
-// parseMechanisms returns the parseMechanisms of ids with commas.
+// parseMechanisms returns the mechanisms with the given comma-separated ids.
 func parseMechanisms(ids string) ([]codes.Code, error) {
 	var out []codes.Code
 	for id := range strings.SplitSeq(ids, ",") {
 		i := slices.IndexFunc(codes.Mechanisms, func(c codes.Code) bool { return string(c.ID) == id })
 		if i < 0 {
-			return nil, fmt.Errorf("%q is no mechanism, see docs/codes.md", id)
+			return nil, fmt.Errorf("%q is not a mechanism, see docs/codes.md", id)
 		}
 		out = append(out, codes.Mechanisms[i])
 	}
--- a/internal/dev/cmds/bench.go
+++ b/internal/dev/cmds/bench.go
@@ -18,7 +18,7 @@
 	"verbenadale.example/verbenadale/internal/dev/bench"
 )
 
-// benchCmd compares routing policies.
+// benchCmd compares routing policies under load.
 type benchCmd struct {
 	cfg      bench.Config
 	scenes   string
@@ -42,15 +42,15 @@
 }
 
 func (c *benchCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.scenes, "scenario", "steady", "scenarios, with commas")
+	fs.StringVar(&c.scenes, "scenario", "steady", "comma-separated scenarios")
 	fs.StringVar(&c.cfg.Deployment, "deployment", "foundation", "deployment")
-	fs.StringVar(&c.policies, "policies", strings.Join(base.Names, ","), "policies, with commas")
-	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "length of one load")
-	fs.DurationVar(&c.cfg.Warm, "warm", 10*time.Second, "length of the load before the first that counts")
-	fs.IntVar(&c.cfg.Rounds, "rounds", 2, "turns of each policy")
-	fs.Float64Var(&c.cfg.Scale, "scale", 1, "stretches the engines' time and thins out the load")
-	fs.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of times and prompts")
-	fs.BoolVar(&c.logs, "logs", false, "pass on what the processes log, to standard error")
+	fs.StringVar(&c.policies, "policies", strings.Join(base.Names, ","), "comma-separated policies")
+	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "duration of one measured load")
+	fs.DurationVar(&c.cfg.Warm, "warm", 10*time.Second, "duration of the warm-up load, which is not measured")
+	fs.IntVar(&c.cfg.Rounds, "rounds", 2, "number of rounds, each with every policy")
+	fs.Float64Var(&c.cfg.Scale, "scale", 1, "factor by which the engines are slowed down and the load is reduced")
+	fs.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of arrival times and prompts")
+	fs.BoolVar(&c.logs, "logs", false, "copy the logs of the processes to standard error")
 	fs.StringVar(&c.out, "out", "", "write the results to this file as JSON")
 	fs.StringVar(&c.plot, "plot", "", "write a plot of the last scenario to this file, .png or .svg")
 }
--- a/internal/dev/cmds/cmds.go
+++ b/internal/dev/cmds/cmds.go
@@ -1,4 +1,5 @@
-// Package cmds holds the commands of verbdev: the stand-ins for development.
+// Package cmds implements the commands of verbdev: fakes of other systems, and
+// measurements for development.
 //
 // # Usage
 //
@@ -72,21 +73,21 @@
 func (*engineCmd) Synopsis() string { return "run a stand-in for a model engine" }
 func (*engineCmd) Usage() string {
 	return `engine -listen HOST:PORT -id ID -model MODEL
-  SIGTERM makes it leave: it refuses new requests and ends with the last one.
+  SIGTERM drains it: it refuses new requests and exits after the last one has ended.
 `
 }
 
 func (c *engineCmd) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.listen, "listen", "127.0.0.1:0", "address to listen on")
 	fs.StringVar(&c.id, "id", "engine-1", "id of the target")
-	fs.StringVar(&c.model, "model", "draft", "model that is loaded")
-	fs.IntVar(&c.cfg.Slots, "slots", 8, "requests that run at once")
+	fs.StringVar(&c.model, "model", "draft", "name of the loaded model")
+	fs.IntVar(&c.cfg.Slots, "slots", 8, "maximum number of concurrent requests")
 	fs.DurationVar(&c.cfg.TokenTime, "tokenTime", time.Millisecond, "time between two tokens of a stream")
-	fs.Float64Var(&c.cfg.PrefillRate, "prefillRate", 20000, "prompt tokens a second")
-	fs.IntVar(&c.cfg.CacheBlocks, "cacheBlocks", 4096, "blocks of 256 bytes in the prefix cache")
-	fs.DurationVar(&c.cfg.LoadLag, "loadLag", 0, "how old a load report may be")
-	fs.DurationVar(&c.cfg.CacheLag, "cacheLag", 0, "how late cache events come")
-	fs.Uint64Var(&c.cfg.CacheGap, "cacheGap", 0, "lose every n-th cache event")
+	fs.Float64Var(&c.cfg.PrefillRate, "prefillRate", 20000, "prompt tokens per second")
+	fs.IntVar(&c.cfg.CacheBlocks, "cacheBlocks", 4096, "capacity of the prefix cache in blocks of 256 bytes")
+	fs.DurationVar(&c.cfg.LoadLag, "loadLag", 0, "maximum age of a load report")
+	fs.DurationVar(&c.cfg.CacheLag, "cacheLag", 0, "delay of cache events")
+	fs.Uint64Var(&c.cfg.CacheGap, "cacheGap", 0, "drop every n-th cache event")
 	fs.BoolVar(&c.cfg.ChecksFence, "checksFence", false, "refuse orders with an old fencing number")
 }
 
@@ -110,7 +111,7 @@
 func (*serviceCmd) Synopsis() string { return "run a stand-in for a plain service" }
 func (*serviceCmd) Usage() string {
 	return `service -listen HOST:PORT -id ID -service NAME
-  SIGTERM makes it leave: it refuses new calls and ends with the last one.
+  SIGTERM drains it: it refuses new calls and exits after the last one has ended.
 `
 }
 
@@ -118,8 +119,8 @@
 	fs.StringVar(&c.listen, "listen", "127.0.0.1:0", "address to listen on")
 	fs.StringVar(&c.id, "id", "service-1", "id of the target")
 	fs.StringVar(&c.cfg.Service, "service", "publish", "name of the service")
-	fs.IntVar(&c.cfg.Slots, "slots", 16, "calls that run at once")
-	fs.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "time that a call takes")
+	fs.IntVar(&c.cfg.Slots, "slots", 16, "maximum number of concurrent calls")
+	fs.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "duration of a call")
 }
 
 func (c *serviceCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -131,20 +132,20 @@
 	return st.serve(c.listen)
 }
 
-// standIn is a stand-in that runs as a process.
+// standIn runs a fake as a process.
 type standIn struct {
 	handler http.Handler
-	// drain and idle are set for targets, which stop gracefully.
+	// drain and idle are set for targets, which shut down gracefully.
 	drain func()
 	idle  func() bool
 }
 
-// idlePollInterval is the time between two looks at whether the last request has
-// ended.
+// idlePollInterval is the interval at which a draining target is checked for
+// running requests.
 const idlePollInterval = 20 * time.Millisecond
 
-// serve serves until SIGTERM and prints the address, which a port of zero
-// leaves to the system.
+// serve prints the address that it listens on, since the system chooses the port
+// if it is zero, and serves until SIGTERM or SIGINT.
 func (s *standIn) serve(addr string) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -171,7 +172,7 @@
 	return subcommands.ExitSuccess
 }
 
-// server serves one listener.
+// server serves HTTP on one listener.
 type server struct {
 	http *http.Server
 	ln   net.Listener
--- a/internal/dev/cmds/demo.go
+++ b/internal/dev/cmds/demo.go
@@ -22,12 +22,12 @@
 }
 
 func (*demoCmd) Name() string     { return "demo" }
-func (*demoCmd) Synopsis() string { return "run a whole small system in one process and show it" }
+func (*demoCmd) Synopsis() string { return "run a small system in one process and demonstrate it" }
 
 func (*demoCmd) Usage() string {
 	return `demo [-stay] [-v] [-record DIR]
   Starts the platform, engines, services and entry hosts of three data centres
-  on free ports of 127.0.0.1, shows what a caller sees and ends.
+  on free ports of 127.0.0.1, shows what a caller sees and exits.
 
   Example:
     verbdev demo -stay
@@ -35,8 +35,8 @@
 }
 
 func (c *demoCmd) SetFlags(fs *flag.FlagSet) {
-	fs.BoolVar(&c.stay, "stay", false, "stay up until interrupted")
-	fs.StringVar(&c.record, "record", "", "write the events and effects of each host to this folder, for replay")
+	fs.BoolVar(&c.stay, "stay", false, "keep running until interrupted")
+	fs.StringVar(&c.record, "record", "", "write the events and effects of each host to this directory, for replay")
 	fs.BoolVar(&c.verbose, "v", false, "print the logs of the entry hosts")
 }
 
--- a/internal/dev/cmds/entry.go
+++ b/internal/dev/cmds/entry.go
@@ -22,8 +22,7 @@
 	"verbenadale.example/verbenadale/internal/logs"
 )
 
-// entryCmd runs an entry host whose routing policy can be another than the
-// product's.
+// entryCmd runs an entry host with a selectable routing policy.
 type entryCmd struct {
 	settings string
 	policy   string
@@ -31,25 +30,25 @@
 }
 
 func (*entryCmd) Name() string     { return "entry" }
-func (*entryCmd) Synopsis() string { return "run an entry host with a policy to compare" }
+func (*entryCmd) Synopsis() string { return "run an entry host with a selectable routing policy" }
 
 func (*entryCmd) Usage() string {
 	return `entry -settings FILE -policy cost|random|roundRobin|leastOutstanding [-control HOST:PORT]
-  The daemon of verbenadale with another routing policy. With -control,
-  PUT /dev/policy?name=POLICY at that address changes it.
+  Runs the daemon of verbenadale with the given routing policy. With -control,
+  PUT /dev/policy?name=POLICY at that address changes the policy.
 `
 }
 
 func (c *entryCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.settings, "settings", "", "settings file, JSON with comments")
+	fs.StringVar(&c.settings, "settings", "", "path of the settings file, JSON with comments")
 	fs.StringVar(&c.policy, "policy", base.Cost, "routing policy")
-	fs.StringVar(&c.control, "control", "", "address at which the policy can be changed")
+	fs.StringVar(&c.control, "control", "", "address of the API that changes the policy")
 }
 
 func (c *entryCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	set, faults, err := config.Load(c.settings)
 	if err != nil || len(faults) > 0 || !slices.Contains(base.Names, c.policy) {
-		fmt.Fprintln(os.Stderr, "verbdev: settings or policy:", err, faults, c.policy)
+		fmt.Fprintln(os.Stderr, "verbdev: invalid settings or policy:", err, faults, c.policy)
 		return subcommands.ExitUsageError
 	}
 	lvl := logs.NewLevel(set.Logs.Level)
@@ -78,9 +77,9 @@
 	return subcommands.ExitSuccess
 }
 
-// policySwitch changes the policy of a reducer's router. The name that is
-// wanted is handed over by a pointer, since it comes from another goroutine
-// than the control thread, which alone touches the reducer.
+// policySwitch changes the routing policy of a running reducer. HTTP requests
+// store the name of the wanted policy; the control thread applies it, since only
+// that thread may access the reducer.
 type policySwitch struct {
 	wanted  atomic.Pointer[string]
 	applied *string
@@ -108,7 +107,7 @@
 func (h *policySwitch) putPolicy(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("name")
 	if !slices.Contains(base.Names, name) {
-		http.Error(w, "no such policy", http.StatusBadRequest)
+		http.Error(w, "unknown policy", http.StatusBadRequest)
 		return
 	}
 	h.wanted.Store(&name)
--- a/internal/dev/cmds/load.go
+++ b/internal/dev/cmds/load.go
@@ -28,7 +28,7 @@
 func (*loadCmd) Usage() string {
 	return `load -entries URL,URL -key KEY -profile PROFILE [-rate 100] [-for 10s]
   Prints a JSON result. The targets must be stand-ins, whose answers can be
-  checked. Exits with 1 when an answer was wrong or cut.
+  checked. Exits with 1 if an answer was wrong or cut.
 
   Example:
     verbdev load -entries http://127.0.0.1:8080 -key demo-key -profile draft -rate 50 -for 5s
@@ -36,19 +36,19 @@
 }
 
 func (c *loadCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.entries, "entries", "http://127.0.0.1:8080", "base URLs of entry hosts, with commas")
-	fs.BoolVar(&c.cfg.Follow, "follow", false, "use the hosts that the system names")
+	fs.StringVar(&c.entries, "entries", "http://127.0.0.1:8080", "comma-separated base URLs of entry hosts")
+	fs.BoolVar(&c.cfg.Follow, "follow", false, "follow the entry hosts that the system announces")
 	fs.StringVar(&c.cfg.Key, "key", "demo-key", "API key")
 	fs.StringVar(&c.profile, "profile", "draft", "profile")
-	fs.Float64Var(&c.cfg.Rate, "rate", 100, "requests a second")
-	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "how long")
+	fs.Float64Var(&c.cfg.Rate, "rate", 100, "requests per second")
+	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "duration of the load")
 	fs.IntVar(&c.cfg.Tokens, "tokens", 32, "length of an answer in tokens")
 	fs.IntVar(&c.cfg.Prompt, "prompt", 1000, "length of a prompt in bytes")
-	fs.IntVar(&c.cfg.Prefixes, "prefixes", 0, "different prefixes that prompts share, 0 for none")
-	fs.BoolVar(&c.cfg.Stream, "stream", true, "ask for streams")
+	fs.IntVar(&c.cfg.Prefixes, "prefixes", 0, "number of distinct prefixes shared by prompts, 0 for none")
+	fs.BoolVar(&c.cfg.Stream, "stream", true, "request streamed answers")
 	fs.DurationVar(&c.cfg.Deadline, "deadline", 0, "deadline of each request")
-	fs.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of times and prompts")
-	fs.BoolVar(&c.cfg.Retry, "retry", false, "send refused requests again after Retry-After")
+	fs.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of arrival times and prompts")
+	fs.BoolVar(&c.cfg.Retry, "retry", false, "retry refused requests after Retry-After")
 	fs.StringVar(&c.plot, "plot", "", "write a plot to this file, .png or .svg")
 }
 
--- a/internal/dev/cmds/plot.go
+++ b/internal/dev/cmds/plot.go
@@ -26,8 +26,8 @@
 
 func (*plotCmd) Usage() string {
 	return `plot [-dir DIR] [-goal 1s] NAME=LOG...
-  Writes goodput.svg and predictions.svg, with a series for each log. A log may
-  hold the lines of several hosts.
+  Writes goodput.svg and predictions.svg, with one series per log. A log may
+  contain the lines of several hosts.
 
   Example:
     verbdev plot -dir /tmp/plots before=/tmp/before.log after=/tmp/after.log
@@ -36,7 +36,7 @@
 
 func (c *plotCmd) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.dir, "dir", ".", "directory of the plots")
-	fs.DurationVar(&c.goal, "goal", time.Second, "time to a first byte within which an answer counts as in time")
+	fs.DurationVar(&c.goal, "goal", time.Second, "maximum time to first byte of an answer that counts as in time")
 }
 
 func (c *plotCmd) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -62,20 +62,20 @@
 	return chart.Predictions(filepath.Join(c.dir, "predictions.svg"), ss)
 }
 
-// readLogs reads the series that arguments of the form NAME=LOG name.
+// readLogs reads one series for each argument of the form NAME=LOG.
 func readLogs(args []string, goal time.Duration) ([]chart.Series, error) {
 	var ss []chart.Series
 	for _, arg := range args {
 		name, file, ok := strings.Cut(arg, "=")
 		if !ok {
-			return nil, fmt.Errorf("%q is no NAME=LOG", arg)
+			return nil, fmt.Errorf("%q is not of the form NAME=LOG", arg)
 		}
 		s, err := readSeries(file, name, goal)
 		if err != nil {
 			return nil, err
 		}
 		if s.LeftOut > 0 {
-			fmt.Fprintf(os.Stderr, "verbdev: %s: hosts left out %d lines, what is counted at peaks is too low\n", name, s.LeftOut)
+			fmt.Fprintf(os.Stderr, "verbdev: %s: hosts dropped %d log lines, counts at peaks are too low\n", name, s.LeftOut)
 		}
 		ss = append(ss, s)
 	}
--- a/internal/dev/cmds/replay.go
+++ b/internal/dev/cmds/replay.go
@@ -15,12 +15,12 @@
 
 func (*replayCmd) Name() string { return "replay" }
 func (*replayCmd) Synopsis() string {
-	return "step a reducer through a record and compare its decisions"
+	return "replay a recording through a reducer and compare its decisions"
 }
 
 func (*replayCmd) Usage() string {
 	return `replay FILE...
-  Exits with 1 when the reducer decides otherwise than recorded.
+  Exits with 1 if a decision of the reducer differs from the recording.
 
   Example:
     verbdev demo -record /tmp/records
--- a/internal/dev/cmds/report.go
+++ b/internal/dev/cmds/report.go
@@ -19,13 +19,13 @@
 
 func (*reportCmd) Name() string { return "report" }
 func (*reportCmd) Synopsis() string {
-	return "write a page on a time under load from the logs of entry hosts"
+	return "write an HTML report on a period of load from the logs of entry hosts"
 }
 
 func (*reportCmd) Usage() string {
 	return `report [-o FILE] [-goal 1s] NAME=LOG...
-  Writes one self-contained HTML page: goodput, predicted against real times,
-  times by profile, refusals by code and work by target. A log may hold the
+  Writes one self-contained HTML page: goodput, predicted and actual times,
+  times by profile, refusals by code and work by target. A log may contain the
   lines of several hosts.
 
   Example:
@@ -34,8 +34,8 @@
 }
 
 func (c *reportCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.out, "o", "report.html", "the page")
-	fs.DurationVar(&c.goal, "goal", time.Second, "time to a first byte within which an answer counts as in time")
+	fs.StringVar(&c.out, "o", "report.html", "path of the report")
+	fs.DurationVar(&c.goal, "goal", time.Second, "maximum time to first byte of an answer that counts as in time")
 }
 
 func (c *reportCmd) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/dev/cmds/routes.go
+++ b/internal/dev/cmds/routes.go
@@ -15,20 +15,21 @@
 	"verbenadale.example/verbenadale/internal/logs"
 )
 
-// routesCmd runs a deployment of the platform of routes.
+// routesCmd runs a small deployment on the users' platform, which is configured by
+// routes.
 type routesCmd struct {
 	stay bool
 	logs bool
 }
 
 func (*routesCmd) Name() string     { return "routes" }
-func (*routesCmd) Synopsis() string { return "run a small deployment of the platform of routes" }
+func (*routesCmd) Synopsis() string { return "run a small deployment on the platform with routes" }
 
 func (*routesCmd) Usage() string {
 	return `routes [-stay] [-logs]
   Starts a stand-in of the platform's store, workers in two regions and two
-  entry hosts in one process, and sends a few requests. With -stay it runs on
-  and prints lines to go on with.
+  entry hosts in one process, and sends a few requests. With -stay it keeps
+  running after it has printed commands to try.
 `
 }
 
@@ -38,7 +39,7 @@
 }
 
 func (c *routesCmd) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	// Above every verbosity that is used, so that nothing is logged.
+	// A level below that of every log line, so that nothing is logged.
 	level := -1
 	if c.logs {
 		level = 0
--- a/internal/dev/cmds/slope.go
+++ b/internal/dev/cmds/slope.go
@@ -18,28 +18,31 @@
 	json bool
 	full bool
 	span time.Duration
-	// shocks runs the fleet through large failures instead.
+	// shocks simulates large failures instead of a steady state.
 	shocks bool
 }
 
-func (*slopesCmd) Name() string     { return "slopes" }
-func (*slopesCmd) Synopsis() string { return "measure what control costs at growing sizes" }
+func (*slopesCmd) Name() string { return "slopes" }
+func (*slopesCmd) Synopsis() string {
+	return "measure the cost of the control plane at growing fleet sizes"
+}
 
 func (*slopesCmd) Usage() string {
 	return `slopes [-full] [-for 20s] [-shocks] [-json]
-  Runs the reducers of 6, 12, 24 and 48 hosts in virtual time and prints what
-  control costs each. With -full also 360 hosts in 45 data centres.
+  Runs the reducers of 6, 12, 24 and 48 hosts in virtual time and prints the
+  cost of the control plane per host. -full adds 360 hosts in 45 data centres.
 `
 }
 
 func (c *slopesCmd) SetFlags(fs *flag.FlagSet) {
 	fs.BoolVar(&c.json, "json", false, "print JSON")
-	fs.BoolVar(&c.full, "full", false, "also the size that the design is made for")
-	fs.BoolVar(&c.shocks, "shocks", false, "run through an outage of the platform, a restart of a data centre and a cut of a region instead")
-	fs.DurationVar(&c.span, "for", 20*time.Second, "virtual time that is counted")
+	fs.BoolVar(&c.full, "full", false, "also run the fleet size that the system is designed for")
+	fs.BoolVar(&c.shocks, "shocks", false, "simulate a platform outage, the restart of a data centre and the partition of a region instead")
+	fs.DurationVar(&c.span, "for", 20*time.Second, "virtual time that is measured")
 }
 
-// requestRatePerHost is the load of each host at the size that the design is made for.
+// Load at the fleet size that the system is designed for: requests per second of
+// each host, and configuration changes per day.
 const (
 	requestRatePerHost = 8000.0 / 370
 	changesPerDay      = 8400
@@ -94,7 +97,7 @@
 	return subcommands.ExitSuccess
 }
 
-// runShocks runs each size through large failures.
+// runShocks simulates large failures at each fleet size.
 func (c *slopesCmd) runShocks() subcommands.ExitStatus {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "hosts\tshock\tsteady calls/s\tpeak calls/s\tpeak B/s of a host\trecovered after\trefused\tof")
--- a/internal/dev/cmds/soak.go
+++ b/internal/dev/cmds/soak.go
@@ -15,7 +15,7 @@
 	"verbenadale.example/verbenadale/internal/dev/soak"
 )
 
-// soakCmd runs seeds of the fault soak.
+// soakCmd runs the fault soak with a range of seeds.
 type soakCmd struct {
 	cfg      soak.Config
 	seeds    int
@@ -23,16 +23,18 @@
 	logs     string
 }
 
-func (*soakCmd) Name() string     { return "soak" }
-func (*soakCmd) Synopsis() string { return "harm real hosts at random and check the promises" }
+func (*soakCmd) Name() string { return "soak" }
+func (*soakCmd) Synopsis() string {
+	return "inject random faults into real hosts and check the guarantees"
+}
 
 func (*soakCmd) Usage() string {
 	return `soak [-program FILE] [-seed N] [-seeds N] [-parallel N] [-for DURATION] [-planned] [-logs DIR]
-  Runs entry hosts as processes before stand-ins of the platform's store and
-  of targets, harms them from outside in an order drawn from the seed, and checks
-  what callers and targets see. Without -seed it begins with a fresh one, which it
-  prints. A seed that breaks a promise is printed with its plan, and its logs are
-  kept; the exit status is then 1.
+  Runs entry hosts as processes with stand-ins of the platform's store and of
+  targets, injects faults in an order derived from the seed, and checks what
+  callers and targets see. Without -seed it starts with the current Unix time in
+  seconds, which it prints before the first run. A seed that violates a guarantee
+  is printed with its plan and its logs are kept; the exit status is then 1.
 
   Example:
     verbdev soak -seeds 50 -parallel 4 -for 20s
@@ -40,34 +42,34 @@
 }
 
 func (c *soakCmd) SetFlags(fs *flag.FlagSet) {
-	beside := "verbenadale"
+	defaultProgram := "verbenadale"
 	if exe, err := os.Executable(); err == nil {
-		beside = filepath.Join(filepath.Dir(exe), beside)
+		defaultProgram = filepath.Join(filepath.Dir(exe), defaultProgram)
 	}
-	fs.StringVar(&c.cfg.Program, "program", beside, "program of the entry hosts")
-	fs.Uint64Var(&c.cfg.Seed, "seed", 0, "first seed, 0 for a fresh one")
-	fs.IntVar(&c.seeds, "seeds", 1, "seeds to run, one after the other from the first on")
-	fs.IntVar(&c.parallel, "parallel", 1, "seeds that run at the same time")
-	fs.DurationVar(&c.cfg.For, "for", 20*time.Second, "how long faults begin")
-	fs.IntVar(&c.cfg.Hosts, "hosts", 2, "entry hosts of each of the two regions")
-	fs.IntVar(&c.cfg.Callers, "callers", 3, "callers in each region")
-	fs.BoolVar(&c.cfg.Planned, "planned", false, "overlapping series of planned work alone, beside long streams that pause")
-	fs.StringVar(&c.logs, "logs", os.TempDir(), "folder for the logs of seeds that break a promise")
+	fs.StringVar(&c.cfg.Program, "program", defaultProgram, "path of the entry host program")
+	fs.Uint64Var(&c.cfg.Seed, "seed", 0, "first seed, 0 to use the current Unix time")
+	fs.IntVar(&c.seeds, "seeds", 1, "number of consecutive seeds to run")
+	fs.IntVar(&c.parallel, "parallel", 1, "number of seeds that run concurrently")
+	fs.DurationVar(&c.cfg.For, "for", 20*time.Second, "time during which new faults are injected")
+	fs.IntVar(&c.cfg.Hosts, "hosts", 2, "number of entry hosts in each of the two regions")
+	fs.IntVar(&c.cfg.Callers, "callers", 3, "number of callers in each region")
+	fs.BoolVar(&c.cfg.Planned, "planned", false, "only run overlapping planned maintenance, with long streams that pause")
+	fs.StringVar(&c.logs, "logs", os.TempDir(), "directory for the logs of seeds that violate a guarantee")
 }
 
 func (c *soakCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if _, err := exec.LookPath(c.cfg.Program); err != nil {
-		fmt.Fprintf(os.Stderr, "verbdev: no program %s, build it with 'go build -o bin/ ./cmd/...' or name it with -program\n", c.cfg.Program)
+		fmt.Fprintf(os.Stderr, "verbdev: program %s not found, build it with 'go build -o bin/ ./cmd/...' or set its path with -program\n", c.cfg.Program)
 		return subcommands.ExitUsageError
 	}
 	if c.cfg.Seed == 0 {
 		c.cfg.Seed = uint64(time.Now().Unix())
 	}
 	fmt.Printf("seeds %d to %d\n", c.cfg.Seed, c.cfg.Seed+uint64(c.seeds)-1)
-	next, bad := make(chan uint64), make(chan int, c.seeds)
+	next, broken := make(chan uint64), make(chan int, c.seeds)
 	var t tomb.Tomb
 	for range max(1, c.parallel) {
-		w := &soakWorker{cmd: c, ctx: ctx, next: next, broken: bad}
+		w := &soakWorker{cmd: c, ctx: ctx, next: next, broken: broken}
 		t.Go(w.run)
 	}
 	for n := range c.seeds {
@@ -75,15 +77,15 @@
 	}
 	close(next)
 	_ = t.Wait()
-	if len(bad) > 0 {
-		fmt.Printf("%d of %d seeds broke a promise\n", len(bad), c.seeds)
+	if len(broken) > 0 {
+		fmt.Printf("%d of %d seeds violated a guarantee\n", len(broken), c.seeds)
 		return subcommands.ExitFailure
 	}
-	fmt.Printf("%d seeds, no promise broken\n", c.seeds)
+	fmt.Printf("%d seeds, no guarantee violated\n", c.seeds)
 	return subcommands.ExitSuccess
 }
 
-// soakWorker runs one seed after the other.
+// soakWorker runs seeds one at a time.
 type soakWorker struct {
 	cmd    *soakCmd
 	ctx    context.Context
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// runSeed runs a seed and reports whether every promise was kept.
+// runSeed runs a seed and reports whether every guarantee held.
 func (w *soakWorker) runSeed(seed uint64) bool {
 	log, err := os.Create(filepath.Join(w.cmd.logs, fmt.Sprintf("soak-%d.log", seed)))
 	if err != nil {
--- a/internal/dev/demo/demo.go
+++ b/internal/dev/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole small system in one process, on free ports of the
-// loopback range: the platform, engines and plain services as stand-ins, and
-// the entry hosts of three data centres. It shows what a caller sees.
+// Package demo runs a small system in one process, on free ports of the loopback
+// network: fakes of the platform, engines and plain services, and the entry hosts
+// of three data centres. It demonstrates what a caller sees.
 //
 // # Usage
 //
@@ -35,27 +35,27 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// ErrDemo says that the demonstration did not show what it is meant to.
-var ErrDemo = errors.New("demo: not as expected")
+// ErrDemo means that a step of the demonstration had an unexpected result.
+var ErrDemo = errors.New("demo: unexpected result")
 
 // Config describes a demonstration.
 type Config struct {
 	Out io.Writer
-	// Log takes the logs of the entry hosts; the zero Logger drops them.
+	// Log receives the logs of the entry hosts; the zero Logger discards them.
 	Log logr.Logger
-	// RecordDir, where set, takes a record of the decisions of each host.
+	// RecordDir, if set, is the directory for a recording of each host's decisions.
 	RecordDir string
-	// Stay keeps the system up until the context ends.
+	// Stay keeps the system running until the context is cancelled.
 	Stay bool
 }
 
-// Size of the demonstration: what each data centre has.
+// Number of entry hosts and engines in each data centre.
 const (
 	entriesPerCentre = 2
 	enginesPerCentre = 2
 )
 
-// centres are the data centres, each a region of its own.
+// centres are the data centres. Each is a region of its own.
 var centres = []ident.DataCentre{"ulaanbaatar", "erdenet", "khovd"}
 
 const (
@@ -63,7 +63,7 @@
 	operatorToken = "demo-operator"
 )
 
-// system is all that runs.
+// system holds the components of the demonstration.
 type system struct {
 	t        tomb.Tomb
 	cfg      Config
@@ -74,11 +74,11 @@
 	hosts    []config.Settings
 	daemons  []*daemon.Daemon
 	cleanups []func()
-	// nextPort is the next nextPort to try.
+	// nextPort is the next port to try.
 	nextPort int
 }
 
-// Run runs a demonstration.
+// Run runs a demonstration. It returns ErrDemo if a step has an unexpected result.
 func Run(ctx context.Context, cfg Config) error {
 	s := &system{cfg: cfg}
 	defer s.stop()
@@ -90,7 +90,7 @@
 	}
 	s.printAddresses()
 	if cfg.Stay {
-		fmt.Fprintln(cfg.Out, "\nThe system stays up until it is interrupted.")
+		fmt.Fprintln(cfg.Out, "\nThe system keeps running until it is interrupted.")
 		<-ctx.Done()
 	}
 	return nil
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// serve serves a stand-in on a free port and returns its base URL.
+// serve serves a fake on a free port and returns its base URL.
 func (s *system) serve(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,7 +159,7 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
-// server serves one stand-in.
+// server serves one fake.
 type server struct {
 	http *http.Server
 	ln   net.Listener
@@ -197,7 +197,8 @@
 	return nil
 }
 
-// startRecording has the decisions of a host written to a file of its name.
+// startRecording configures a host to record its decisions in a file named after
+// it.
 func (s *system) startRecording(cfg *daemon.Config) error {
 	if s.cfg.RecordDir == "" {
 		return nil
@@ -212,7 +213,8 @@
 	return nil
 }
 
-// settings makes the settings of one entry host, as its file would hold them.
+// settings returns the settings of one entry host, as its settings file would
+// contain them.
 func (s *system) settings(id ident.EntryID, dc ident.DataCentre) (config.Settings, error) {
 	var addrs [3]string
 	for i := range addrs {
@@ -252,15 +254,15 @@
 	return seeds
 }
 
-// Ports for entry hosts. They lie below those that systems give to outgoing
-// connections, one of which could otherwise take a port between the moment it
-// is found free and the moment it is listened on.
+// Ports for entry hosts. They are below the ephemeral port range of operating
+// systems: otherwise an outgoing connection could take a port after it was found
+// free and before the host listens on it.
 const (
 	firstPort = 21000
 	lastPort  = 29999
 )
 
-// freeAddr returns an address that was free a moment ago.
+// freeAddr returns an address whose port was free when it was checked.
 func (s *system) freeAddr() (string, error) {
 	for port := max(s.nextPort, firstPort); port <= lastPort; port++ {
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
@@ -271,7 +273,7 @@
 		s.nextPort = port + 1
 		return addr, errors.Wrap(ln.Close(), "demo: listen")
 	}
-	return "", errors.Wrap(ErrDemo, "no port is free")
+	return "", errors.Wrap(ErrDemo, "no free port")
 }
 
 func (s *system) stop() {
--- a/internal/dev/demo/demo_test.go
+++ b/internal/dev/demo/demo_test.go
@@ -14,7 +14,8 @@
 	"verbenadale.example/verbenadale/internal/dev/replay"
 )
 
-// A clock, random number or map order in a decision makes a recorded run impossible to replay.
+// Guards against decisions that depend on a clock, a random number or map order,
+// since a recording of them cannot be replayed.
 func TestDemoShowsAndReplays(t *testing.T) {
 	dir := t.TempDir()
 	var out bytes.Buffer
@@ -23,7 +24,7 @@
 	}
 	for _, want := range []string{"[DONE]", "VB1005", "try 2: ulaanbaatar-publish-1 has run it 1 time(s)"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the demonstration does not show %q:\n%s", want, out.String())
+			t.Errorf("output does not contain %q:\n%s", want, out.String())
 		}
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
@@ -43,7 +44,7 @@
 		}
 		altered := bytes.Replace(text, []byte(`"type":"wake","body":{"at":`), []byte(`"type":"wake","body":{"at":1`), 1)
 		if _, err := replay.Replay(bytes.NewReader(altered)); !errors.Is(err, replay.ErrDiffers) {
-			t.Errorf("%s: an altered record is taken: %v", name, err)
+			t.Errorf("%s: altered recording was accepted: %v", name, err)
 		}
 	}
 }
--- a/internal/dev/demo/show.go
+++ b/internal/dev/demo/show.go
@@ -20,10 +20,10 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// readyTimeout is how long the system may take to be ready.
+// readyTimeout limits the time until the system is ready.
 const readyTimeout = 20 * time.Second
 
-// runSteps shows what a caller sees, step by step.
+// runSteps runs the steps of the demonstration and prints what a caller sees.
 func (s *system) runSteps(ctx context.Context) error {
 	steps := []struct {
 		title string
@@ -61,11 +61,11 @@
 		return err
 	}
 	fmt.Fprintf(s.cfg.Out, "accepted as revision %d\n", done.Revision)
-	in, err := cl.InForce(ctx, done.Revision, readyTimeout)
+	inForce, err := cl.InForce(ctx, done.Revision, readyTimeout)
 	if err != nil {
 		return err
 	}
-	for _, c := range in.Centres {
+	for _, c := range inForce.Centres {
 		fmt.Fprintf(s.cfg.Out, "%s has revision %d in force\n", c.DataCentre, c.LowestRevision)
 	}
 	return nil
@@ -73,7 +73,8 @@
 
 const requestBody = `{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Help me with a notice."}]}`
 
-// streamAnswer sends a request until the hosts have learned of the engines.
+// streamAnswer retries a request until the hosts have discovered the engines and
+// an answer is streamed.
 func (s *system) streamAnswer(ctx context.Context) error {
 	url := s.hosts[0].Callers.URL + "/v1/chat/completions"
 	deadline := time.Now().Add(readyTimeout)
@@ -89,28 +90,29 @@
 		res.Body.Close()
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.Wrap(ErrDemo, "no answer streamed")
+	return errors.Wrap(ErrDemo, "no answer was streamed")
 }
 
 func (s *system) printStream(res *http.Response) error {
 	sc := bufio.NewScanner(res.Body)
-	whole := false
+	complete := false
 	for sc.Scan() {
 		data, ok := strings.CutPrefix(sc.Text(), "data: ")
 		if !ok {
 			continue
 		}
-		whole = data == "[DONE]"
+		complete = data == "[DONE]"
 		fmt.Fprintln(s.cfg.Out, data)
 	}
-	if !whole {
-		return errors.Wrap(ErrDemo, "the answer is not whole")
+	if !complete {
+		return errors.Wrap(ErrDemo, "incomplete answer")
 	}
 	fmt.Fprintf(s.cfg.Out, "outcome: %s\n", res.Trailer.Get("Verbenadale-Outcome"))
 	return nil
 }
 
-// refuseElsewhere asks a host in Ulaanbaatar for what must stay in Khovd.
+// refuseElsewhere sends a request that must stay in Khovd to a host in
+// Ulaanbaatar.
 func (s *system) refuseElsewhere(ctx context.Context) error {
 	header := map[string]string{"Verbenadale-Profile": "khovd-only"}
 	res, err := s.post(ctx, s.hosts[0].Callers.URL+"/v1/chat/completions", fmt.Sprintf(requestBody, "khovd-only"), header)
@@ -124,7 +126,7 @@
 	}
 	fmt.Fprintf(s.cfg.Out, "status %d, outcome %s\n%s", res.StatusCode, res.Header.Get("Verbenadale-Outcome"), b)
 	if res.StatusCode != http.StatusMisdirectedRequest {
-		return errors.Wrap(ErrDemo, "the request was not refused")
+		return errors.Wrap(ErrDemo, "request was not refused")
 	}
 	return nil
 }
@@ -133,7 +135,7 @@
 	Ticket string `json:"ticket"`
 }
 
-// publishTwice publishes one notice with one ticket, two times.
+// publishTwice sends one notice twice with the same ticket.
 func (s *system) publishTwice(ctx context.Context) error {
 	base := s.hosts[0].Callers.URL
 	res, err := s.post(ctx, base+"/v1/tickets?profile=publish", "", nil)
@@ -143,7 +145,7 @@
 	defer res.Body.Close()
 	var tk ticketResponse
 	if err := json.NewDecoder(res.Body).Decode(&tk); err != nil || tk.Ticket == "" {
-		return errors.Wrap(ErrDemo, "no ticket")
+		return errors.Wrap(ErrDemo, "no ticket received")
 	}
 	body, _ := json.Marshal(plain.Call{Job: "notice-1", Text: "A notice."})
 	for n := range 2 {
@@ -153,7 +155,7 @@
 		}
 		fmt.Fprintf(s.cfg.Out, "try %d: %s has run it %d time(s)\n", n+1, out.By, out.Runs)
 		if out.Runs != 1 {
-			return errors.Wrap(ErrDemo, "the notice was published twice")
+			return errors.Wrap(ErrDemo, "notice was published more than once")
 		}
 	}
 	return nil
@@ -185,7 +187,7 @@
 	return res, errors.Wrap(err, "demo")
 }
 
-// putHosts gives the platform its list of hosts.
+// putHosts uploads the list of hosts to the platform.
 func putHosts(platform string, hs store.Hosts) error {
 	b, err := json.Marshal(hs)
 	if err != nil {
@@ -209,6 +211,6 @@
 		fmt.Fprintf(w, "%-14s callers http://%s  operators http://%s\n", set.Entry, set.Callers.Listen, set.Operators.Listen)
 	}
 	fmt.Fprintf(w, "platform       %s\n", s.platform)
-	fmt.Fprintf(w, "\nGo on with\n\n  curl -N -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '%s' %s/v1/chat/completions\n  go run ./cmd/verbctl -entry http://%s -token %s status\n",
+	fmt.Fprintf(w, "\nCommands to try:\n\n  curl -N -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '%s' %s/v1/chat/completions\n  go run ./cmd/verbctl -entry http://%s -token %s status\n",
 		callerKey, fmt.Sprintf(requestBody, "draft"), s.hosts[0].Callers.URL, s.hosts[0].Operators.Listen, operatorToken)
 }
--- a/internal/dev/engine/batch.go
+++ b/internal/dev/engine/batch.go
@@ -7,22 +7,22 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sequence is one request in the engine.
+// sequence is one request in the batch or its queue.
 type sequence struct {
 	priority int
 	order    int
-	// pendingPrefill is the prompt that is not yet computed.
+	// pendingPrefill is the number of prompt tokens that are not yet computed.
 	pendingPrefill ident.Tokens
-	// nextToken is the token that comes nextToken, endToken the number of tokens in all.
+	// nextToken is the index of the next token; generation stops before endToken.
 	nextToken, endToken int
-	// out takes the tokens; it has room for all, so that a slow reader does
-	// not hold up the batch.
+	// out receives the token indexes. Its capacity fits all tokens, so that a slow
+	// reader does not block the batch.
 	out chan int
-	// cancelled says that the reader has left.
+	// cancelled is set once the reader has disconnected.
 	cancelled bool
 }
 
-// batch is what the engine works on, step by step.
+// batch is the state of continuous batching.
 type batch struct {
 	running   []*sequence
 	waiting   []*sequence
@@ -30,8 +30,8 @@
 	nextStep  ident.Time
 }
 
-// maxPrefillChunk is how many prompt tokens one step computes at most, so that long
-// prompts don't stop the streams that run.
+// maxPrefillChunk is the maximum number of prompt tokens per step, so that long
+// prompts don't block running streams.
 const maxPrefillChunk = 512
 
 func (b *batch) add(s *sequence) {
@@ -43,7 +43,7 @@
 	})
 }
 
-// admit fills the free slots and drops what was cancelled.
+// admit removes cancelled requests and moves queued ones to the free slots.
 func (b *batch) admit(slots int) {
 	b.running = slices.DeleteFunc(b.running, func(s *sequence) bool { return s.cancelled })
 	b.waiting = slices.DeleteFunc(b.waiting, func(s *sequence) bool { return s.cancelled })
@@ -55,35 +55,35 @@
 	b.waiting = slices.Clone(b.waiting[n:])
 }
 
-// prefill computes prompts and returns how many tokens it did.
+// prefill computes prompt tokens and returns their number.
 func (b *batch) prefill() ident.Tokens {
-	room := ident.Tokens(maxPrefillChunk)
+	budget := ident.Tokens(maxPrefillChunk)
 	for _, s := range b.running {
-		n := min(s.pendingPrefill, room)
+		n := min(s.pendingPrefill, budget)
 		s.pendingPrefill -= n
-		room -= n
+		budget -= n
 	}
-	return maxPrefillChunk - room
+	return maxPrefillChunk - budget
 }
 
-// decode gives each stream whose prompt is computed one token.
+// decode generates one token for each sequence whose prompt is computed.
 func (b *batch) decode() {
-	left := b.running[:0]
+	unfinished := b.running[:0]
 	for _, s := range b.running {
 		if s.pendingPrefill > 0 {
-			left = append(left, s)
+			unfinished = append(unfinished, s)
 			continue
 		}
 		s.out <- s.nextToken
 		s.nextToken++
 		if s.nextToken < s.endToken {
-			left = append(left, s)
+			unfinished = append(unfinished, s)
 			continue
 		}
 		close(s.out)
 	}
-	clear(b.running[len(left):])
-	b.running = left
+	clear(b.running[len(unfinished):])
+	b.running = unfinished
 }
 
 func (b *batch) pendingPrefill() ident.Tokens {
--- a/internal/dev/engine/cache.go
+++ b/internal/dev/engine/cache.go
@@ -11,7 +11,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// cache is the prefix cache: the least recently used blocks go first.
+// cache is the prefix cache. It evicts the least recently used blocks first.
 type cache struct {
 	capacity int
 	lru      *list.List
@@ -20,7 +20,7 @@
 	events   []cacheEvent
 }
 
-// cacheEvent is one cache event and when it came about.
+// cacheEvent is one cache event and its time.
 type cacheEvent struct {
 	seq     uint64
 	at      ident.Time
@@ -28,27 +28,27 @@
 	dropped []uint64
 }
 
-// maxCacheEvents bounds the cache events that are kept.
+// maxCacheEvents limits the number of retained cache events.
 const maxCacheEvents = 4096
 
 func newCache(room int) *cache {
 	return &cache{capacity: room, lru: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
-// access returns how many of the blocks were cached from the start on, and
-// caches all of them.
-func (c *cache) access(now ident.Time, ds []uint64) int {
-	hit := 0
-	for hit < len(ds) {
-		el, ok := c.elements[ds[hit]]
+// access returns the length of the cached prefix in blocks, and caches all given
+// blocks.
+func (c *cache) access(now ident.Time, digests []uint64) int {
+	hits := 0
+	for hits < len(digests) {
+		el, ok := c.elements[digests[hits]]
 		if !ok {
 			break
 		}
 		c.lru.MoveToFront(el)
-		hit++
+		hits++
 	}
 	ev := cacheEvent{at: now}
-	for _, d := range ds[hit:] {
+	for _, d := range digests[hits:] {
 		if _, ok := c.elements[d]; ok {
 			continue
 		}
@@ -67,10 +67,11 @@
 		c.events = append(c.events, ev)
 		c.events = c.events[max(len(c.events)-maxCacheEvents, 0):]
 	}
-	return hit
+	return hits
 }
 
-// getCache returns the cache events after a number, late and with gaps.
+// getCache returns the cache events after a sequence number, with the configured
+// delay and gaps.
 func (e *Engine) getCache(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
--- a/internal/dev/engine/engine.go
+++ b/internal/dev/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is a stand-in for a model engine, for development and tests.
-// It batches continuously, caches prompt prefixes in limited memory, honours
-// priorities, resumes and cancels streams, publishes cache events late and
-// with gaps, reports load with a lag, and can be made to fail.
-// docs/targets.md describes its protocol.
+// Package engine is a fake model engine for development and tests. It implements
+// continuous batching, a prefix cache of limited size, priorities, and resuming
+// and cancelling of streams. It publishes cache events with delays and gaps,
+// reports its load with a lag, and simulates failures. docs/targets.md describes
+// its protocol.
 //
 // # Usage
 //
@@ -10,9 +10,8 @@
 //	defer eng.Stop()
 //	http.ListenAndServe(addr, eng)
 //
-// The text of an answer depends on the prompt alone, so that a caller can
-// check that it got its own answer, and another engine can go on in the
-// middle.
+// The text of an answer depends only on the prompt, so that a caller can verify
+// that it received its own answer and another engine can resume a stream.
 package engine
 
 import (
@@ -36,31 +35,32 @@
 	ID          ident.TargetID
 	Incarnation ident.Incarnation
 	Serves      []rules.Serve
-	// Slots is how many requests run at once; the rest wait.
+	// Slots is the maximum number of concurrent requests; further ones are queued.
 	Slots int
-	// TokenTime is the time of one step of the batch without prefill.
+	// TokenTime is the duration of a batch step without prefill.
 	TokenTime time.Duration
-	// PrefillRate is prompt tokens a second.
+	// PrefillRate is in prompt tokens per second; zero means that prefill takes no
+	// time.
 	PrefillRate float64
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// LoadLag is how old a load report may be, CacheLag how late cache events
-	// come, and CacheGap loses every n-th of them; zero loses none.
+	// LoadLag is the maximum age of a load report, and CacheLag the delay of cache
+	// events. Every CacheGap-th cache event is dropped; zero drops none.
 	LoadLag  time.Duration
 	CacheLag time.Duration
 	CacheGap uint64
-	// ChecksFence refuses orders with an old fencing number.
+	// ChecksFence rejects orders with an outdated fencing token.
 	ChecksFence bool
 }
 
-// Defaults of the configuration.
+// Defaults for unset fields of the configuration and of requests.
 const (
 	defaultSlots       = 8
 	defaultCacheBlocks = 4096
 	defaultMaxTokens   = 32
 )
 
-// Engine is the stand-in.
+// Engine is the fake engine.
 type Engine struct {
 	t      tomb.Tomb
 	cfg    Config
@@ -76,7 +76,7 @@
 	acceptWhileDraining bool
 	hideDraining        bool
 	served              int
-	// previous is the request that was taken before the last one.
+	// previous is the source of the last admitted request.
 	previous source
 	ledger   Ledger
 	load     event.Load
@@ -108,21 +108,21 @@
 	return e
 }
 
-// Stop ends the engine.
+// Stop stops the engine.
 func (e *Engine) Stop() {
 	e.t.Kill(nil)
 	_ = e.t.Wait()
 	e.clock.Stop()
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Drain makes the engine refuse new requests and finish those that run.
+// Drain makes the engine refuse new requests and finish those in progress.
 func (e *Engine) Drain() { e.startDraining(false, false) }
 
-// startDraining begins to leave. A mute engine serves on and does not refuse, and
-// with hidden its load reports don't say that it leaves.
+// startDraining starts to drain. If mute is set, the engine still accepts
+// requests; if hidden is set, its load reports omit that it is draining.
 func (e *Engine) startDraining(mute, hidden bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,13 +137,13 @@
 	return len(e.batch.running)+len(e.batch.waiting) == 0
 }
 
-// postLeave takes mute and hidden from the query.
+// postLeave starts to drain with the options mute and hidden of the query.
 func (e *Engine) postLeave(_ http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	e.startDraining(q.Has("mute"), q.Has("hidden"))
 }
 
-// run steps the batch.
+// run executes the batch steps.
 func (e *Engine) run() error {
 	sub := e.clock.At(e.clock.Now())
 	defer sub.Close()
@@ -160,8 +160,8 @@
 	}
 }
 
-// step lets the batch go on if its time has come. It returns the time to the
-// next step and whether there is work.
+// step executes a batch step if it is due. It returns the time until the next step
+// and whether there is work.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,21 +176,21 @@
 	if len(e.batch.running) == 0 {
 		return 0, false
 	}
-	taken := len(e.batch.running)
+	running := len(e.batch.running)
 	prefill := e.batch.prefill()
 	e.batch.decode()
-	took := e.cfg.TokenTime
+	stepTime := e.cfg.TokenTime
 	if e.cfg.PrefillRate > 0 {
-		took += time.Duration(float64(prefill) / e.cfg.PrefillRate * float64(time.Second))
+		stepTime += time.Duration(float64(prefill) / e.cfg.PrefillRate * float64(time.Second))
 	}
-	e.ledger.BusyMs += float64(taken) * took.Seconds() * 1000
-	// Steps are counted from when the last was due, so that a late timer does
-	// not slow the engine down.
+	e.ledger.BusyMs += float64(running) * stepTime.Seconds() * 1000
+	// Steps are scheduled from the due time of the previous one, so that a late timer
+	// does not slow the engine down.
 	due := e.batch.nextStep
-	if now.Sub(due) > took {
+	if now.Sub(due) > stepTime {
 		due = now
 	}
-	e.batch.nextStep = due.Add(took)
+	e.batch.nextStep = due.Add(stepTime)
 	return max(e.batch.nextStep.Sub(now), 0), true
 }
 
@@ -208,8 +208,7 @@
 	_ = json.NewEncoder(w).Encode(ld)
 }
 
-// loadNow returns the load report, which is made anew when it is older than
-// the lag.
+// loadNow returns the load report, which it renews once it is older than the lag.
 func (e *Engine) loadNow() event.Load {
 	now := e.clock.Now()
 	if e.load.Seq == 0 || now.Sub(e.loadAt) >= e.cfg.LoadLag {
@@ -234,7 +233,7 @@
 	return float64(time.Second) / float64(e.cfg.TokenTime)
 }
 
-// Order is an order to load or unload, as the platform's engines take it.
+// Order is an order to load or unload a model.
 type Order struct {
 	Fence  ident.Fence  `json:"fence"`
 	Load   *rules.Serve `json:"load,omitempty"`
@@ -264,33 +263,33 @@
 	e.loadAt = 0
 }
 
-func without(svs []rules.Serve, out rules.Serve) []rules.Serve {
-	var left []rules.Serve
+func without(svs []rules.Serve, removed rules.Serve) []rules.Serve {
+	var kept []rules.Serve
 	for _, sv := range svs {
-		if sv != out {
-			left = append(left, sv)
+		if sv != removed {
+			kept = append(kept, sv)
 		}
 	}
-	return left
+	return kept
 }
 
-// Blocks of a prompt, as the callers' side cuts them too.
+// blockBytes is the size of the prompt blocks; the entry hosts use the same size.
 const blockBytes = 256
 
-// blocks returns the chained digests of the whole blocks of a prompt.
+// blocks returns the chained digests of the complete blocks of a prompt.
 func blocks(prompt []byte) []uint64 {
-	var ds []uint64
+	var digests []uint64
 	h := xxhash.New()
 	for len(prompt) >= blockBytes {
 		_, _ = h.Write(prompt[:blockBytes])
-		ds = append(ds, h.Sum64())
+		digests = append(digests, h.Sum64())
 		prompt = prompt[blockBytes:]
 	}
-	return ds
+	return digests
 }
 
-// refuseNotRun answers that the request was not run and never will be.
-func refuseNotRun(w http.ResponseWriter, why string) {
-	w.Header().Set(target.HeaderNotRun, why)
+// refuseNotRun answers that the request was not executed and never will be.
+func refuseNotRun(w http.ResponseWriter, reason string) {
+	w.Header().Set(target.HeaderNotRun, reason)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/internal/dev/engine/engine_test.go
+++ b/internal/dev/engine/engine_test.go
@@ -14,7 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// The engine stand-in reports in a form that the client of targets does not read.
+// Guards against load or cache reports in a format that the target client cannot
+// decode.
 func TestClientReadsReports(t *testing.T) {
 	eng := New(Config{ID: "uvs-e1", Incarnation: 7, Serves: []rules.Serve{{Model: "draft"}}, PrefillRate: 1000})
 	defer eng.Stop()
--- a/internal/dev/engine/fault.go
+++ b/internal/dev/engine/fault.go
@@ -8,15 +8,16 @@
 	"verbenadale.example/verbenadale/internal/target"
 )
 
-// The faults of single answers.
+// Faults of single answers.
 const (
-	// FaultCut breaks the connection in the middle of the answer.
+	// FaultCut closes the connection in the middle of the answer.
 	FaultCut = "cut"
-	// FaultShort ends the answer early as if it were whole.
+	// FaultShort ends a stream early without an error, or truncates the JSON of a
+	// complete answer.
 	FaultShort = "short"
-	// FaultCrossed sends the answer that belongs to the request before.
+	// FaultCrossed sends the answer to the previous request.
 	FaultCrossed = "crossed"
-	// FaultMixed goes on with the answer of the request before in the middle.
+	// FaultMixed switches to the answer to the previous request in the middle.
 	FaultMixed = "mixed"
 	// FaultTwice sends one event twice.
 	FaultTwice = "twice"
@@ -24,20 +25,20 @@
 	FaultError = "error"
 )
 
-// Faults is the failures that the engine simulates. The zero value is healthy.
+// Faults are the simulated failures. The zero value means none.
 type Faults struct {
-	// Every n-th answer has the next of the Kinds.
+	// Every n-th answer has a fault; the Kinds are used in turn.
 	Every int      `json:"every"`
 	Kinds []string `json:"kinds"`
-	// Refuse answers every request as not run.
+	// Refuse rejects every request as not run.
 	Refuse bool `json:"refuse"`
-	// Frozen stops the batch.
+	// Frozen stops batch processing.
 	Frozen bool `json:"frozen"`
 	// IgnoreResume starts every stream from its first token.
 	IgnoreResume bool `json:"ignoreResume"`
 }
 
-// kindFor returns the fault kindFor the n-th answer.
+// kindFor returns the fault of the n-th answer, or the empty string.
 func (f Faults) kindFor(n int) string {
 	if f.Every <= 0 || len(f.Kinds) == 0 || n%f.Every != 0 {
 		return ""
@@ -57,29 +58,29 @@
 	e.wake()
 }
 
-// Ledger counts what the engine has done.
+// Ledger holds counters of the engine's work.
 type Ledger struct {
 	Ran       int `json:"ran"`
 	Cancelled int `json:"cancelled"`
-	// Blocks and Hits count prompt blocks and those found in the cache.
+	// Blocks counts prompt blocks, Hits those found in the prefix cache.
 	Blocks int `json:"blocks"`
 	Hits   int `json:"hits"`
 	Orders int `json:"orders"`
-	// BusyMs is the time for which slots were taken, summed over the slots.
+	// BusyMs is the occupied time summed over all slots.
 	BusyMs float64 `json:"busyMs"`
-	// DrainingSince is when the engine began to leave; LateMs is how long after
-	// it the last new request came, and Late how many came.
+	// DrainingSince is the time at which draining started. Late counts the requests
+	// that arrived after it; LateMs is the time from it to the last one.
 	DrainingSince time.Time `json:"leavingSince"`
 	Late          int       `json:"late"`
 	LateMs        int64     `json:"lateMs"`
-	// Attempts counts the requests by attempt, Requests the attempts by request,
-	// and Faults the answers by fault.
+	// Attempts counts requests by attempt id, Requests attempts by request id, and
+	// Faults answers by fault.
 	Attempts map[string]int `json:"attempts"`
 	Requests map[string]int `json:"requests"`
 	Faults   map[string]int `json:"faults"`
 }
 
-// maxAttempts bounds the attempts that are counted by name.
+// maxAttempts limits the number of distinct attempt ids that are counted.
 const maxAttempts = 200_000
 
 func (l *Ledger) recordRequest(r *http.Request, leaving bool) {
--- a/internal/dev/engine/serve.go
+++ b/internal/dev/engine/serve.go
@@ -15,7 +15,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// completionRequest is what the engine reads of a request.
+// completionRequest holds the fields of a request that the engine uses.
 type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -24,9 +24,9 @@
 	Prompt    json.RawMessage `json:"prompt"`
 }
 
-func (a completionRequest) prompt() []byte { return append([]byte(a.Messages), a.Prompt...) }
+func (r completionRequest) prompt() []byte { return append([]byte(r.Messages), r.Prompt...) }
 
-// bytesPerToken is the rough length of a token.
+// bytesPerToken is the approximate length of a token.
 const bytesPerToken = 4
 
 // Token returns token n of the answer to a prompt.
@@ -34,7 +34,7 @@
 	return fmt.Sprintf(" w%x", (xxhash.Sum64(prompt)+uint64(n)*7919)&0xffff)
 }
 
-// Text returns the whole answer of n tokens to a prompt, for checks.
+// Text returns the complete answer of n tokens to a prompt.
 func Text(prompt []byte, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -44,28 +44,28 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	var a completionRequest
-	if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
+	var req completionRequest
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if a.MaxTokens <= 0 {
-		a.MaxTokens = defaultMaxTokens
+	if req.MaxTokens <= 0 {
+		req.MaxTokens = defaultMaxTokens
 	}
-	if !e.hasModel(a.Model) {
-		http.Error(w, "the model is not loaded", http.StatusNotFound)
+	if !e.hasModel(req.Model) {
+		http.Error(w, "model not loaded", http.StatusNotFound)
 		return
 	}
 	own := source{
-		attempt: r.Header.Get(target.HeaderAttempt), id: ident.RequestID(r.Header.Get(target.HeaderRequest)), prompt: a.prompt(),
+		attempt: r.Header.Get(target.HeaderAttempt), id: ident.RequestID(r.Header.Get(target.HeaderRequest)), prompt: req.prompt(),
 	}
-	s, fault, ok := e.admit(r, a)
+	s, fault, ok := e.admit(r, req)
 	if !ok {
 		refuseNotRun(w, fault)
 		return
 	}
 	ans := &answer{
-		w: w, r: r, req: a, seq: s, fault: fault, eng: e, source: own, previous: e.swapPrevious(own),
+		w: w, r: r, req: req, seq: s, fault: fault, eng: e, source: own, previous: e.swapPrevious(own),
 		rc: http.NewResponseController(w),
 	}
 	defer e.release(s)
@@ -75,7 +75,7 @@
 	ans.send()
 }
 
-// source is what an answer is made from. A faulty answer is made from that of
+// source determines the content of an answer. A faulty answer uses the source of
 // another request.
 type source struct {
 	attempt string
@@ -83,7 +83,8 @@
 	prompt  []byte
 }
 
-// swapPrevious keeps a request for the next faulty answer and returns the one before.
+// swapPrevious stores the source of a request for the next faulty answer and
+// returns the one stored before.
 func (e *Engine) swapPrevious(own source) source {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,9 +99,9 @@
 	return slices.ContainsFunc(e.cfg.Serves, func(sv rules.Serve) bool { return string(sv.Model) == name })
 }
 
-// admit takes a request into the batch. It returns the fault that its answer
-// is to have, or why it is refused.
-func (e *Engine) admit(r *http.Request, a completionRequest) (*sequence, string, bool) {
+// admit adds a request to the batch. It returns the fault of its answer, or the
+// reason of a refusal.
+func (e *Engine) admit(r *http.Request, req completionRequest) (*sequence, string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ledger.recordRequest(r, e.draining)
@@ -112,18 +113,18 @@
 	}
 	e.served++
 	e.ledger.Ran++
-	prompt := a.prompt()
-	ds := blocks(prompt)
-	hit := e.cache.access(e.clock.Now(), ds)
-	e.ledger.Blocks += len(ds)
-	e.ledger.Hits += hit
+	prompt := req.prompt()
+	digests := blocks(prompt)
+	hits := e.cache.access(e.clock.Now(), digests)
+	e.ledger.Blocks += len(digests)
+	e.ledger.Hits += hits
 	from, _ := strconv.Atoi(r.Header.Get(target.HeaderResume))
 	if e.faults.IgnoreResume {
 		from = 0
 	}
-	prio, _ := strconv.Atoi(r.Header.Get(target.HeaderPriority))
-	tokens := max(len(prompt)-hit*blockBytes, 0)/bytesPerToken + 1
-	s := &sequence{priority: prio, pendingPrefill: ident.Tokens(tokens), nextToken: from, endToken: max(a.MaxTokens, from+1), out: make(chan int, a.MaxTokens+1)}
+	priority, _ := strconv.Atoi(r.Header.Get(target.HeaderPriority))
+	tokens := max(len(prompt)-hits*blockBytes, 0)/bytesPerToken + 1
+	s := &sequence{priority: priority, pendingPrefill: ident.Tokens(tokens), nextToken: from, endToken: max(req.MaxTokens, from+1), out: make(chan int, req.MaxTokens+1)}
 	e.batch.add(s)
 	e.wake()
 	fault := e.faults.kindFor(e.served)
@@ -131,7 +132,7 @@
 	return s, fault, true
 }
 
-// release frees the slot of a request whose reader has left.
+// release cancels a request that has not finished and so frees its slot.
 func (e *Engine) release(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -166,7 +167,8 @@
 	}
 }
 
-// nextToken waits for the next nextToken.
+// nextToken waits for the next token. It returns false at the end, or if the
+// caller disconnects or the engine stops.
 func (s *answer) nextToken() (int, bool) {
 	select {
 	case n, ok := <-s.seq.out:
@@ -178,7 +180,7 @@
 	}
 }
 
-// cutAt is the token after which a faulty answer breaks off.
+// cutAt returns the index of the token at which a stream fault takes effect.
 func (s *answer) cutAt() int { return s.req.MaxTokens / 2 }
 
 func (s *answer) sendStream() {
--- a/internal/dev/kvstub/kvstub.go
+++ b/internal/dev/kvstub/kvstub.go
@@ -1,5 +1,5 @@
-// Package kvstub is a stand-in for the key-value store of the users' platform,
-// with the faults that its page names.
+// Package kvstub is a fake of the key-value store of the users' platform. It
+// simulates the failures that the platform documents.
 //
 // # Usage
 //
@@ -7,10 +7,10 @@
 //	defer st.Stop()
 //	srv := httptest.NewServer(st)
 //	st.Put("op/config", doc)
-//	st.Fail(kvstub.Busy)
+//	st.SetFailure(kvstub.Busy)
 //
-// Keys have revisions from one counter, leases take their keys with them, and a
-// watch waits for what comes after a revision. All is in memory.
+// The revisions of all keys come from one counter. When a lease ends, its keys are
+// removed. A watch waits for changes after a revision. All data is kept in memory.
 package kvstub
 
 import (
@@ -24,23 +24,23 @@
 	"time"
 )
 
-// Failure is a way in which the store fails its callers.
+// Failure is a way in which calls fail.
 type Failure string
 
-// The failures.
+// Failures.
 const (
 	None Failure = ""
-	// Busy answers 503 and does nothing, Silent says nothing, Reset closes the
-	// connection, Many answers 429.
+	// Busy answers 503 without any effect, Silent does not answer, Reset closes the
+	// connection, and RateLimited answers 429.
 	Busy        Failure = "busy"
 	Silent      Failure = "silent"
 	Reset       Failure = "reset"
 	RateLimited Failure = "many"
-	// ReplyLost does what is asked and does not answer writes.
+	// ReplyLost executes writes without answering them.
 	ReplyLost Failure = "lost"
 )
 
-// Bounds of the stand-in.
+// Limits of the fake.
 const (
 	maxPageItems    = 500
 	maxWatchWait    = 30 * time.Second
@@ -69,14 +69,14 @@
 	expiresAt time.Time
 }
 
-// Server is the store. Use New.
+// Server is the fake store. Create it with New.
 type Server struct {
 	mu        sync.Mutex
 	revision  uint64
 	lastLease uint64
 	items     map[string]item
 	history   []change
-	// compactedRevision is the revision up to which the history has been dropped.
+	// compactedRevision is the revision up to which the history was dropped.
 	compactedRevision uint64
 	leases            map[uint64]*lease
 	// changed is closed at the next change.
@@ -98,10 +98,10 @@
 	}
 }
 
-// Stop ends the calls that wait.
+// Stop ends the waiting calls.
 func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stopped) }) }
 
-// Put writes a key as the operator or a worker does.
+// Put writes a key, as the operator or a worker would, and returns its revision.
 func (s *Server) Put(key string, val []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,28 +115,28 @@
 	s.remove(key)
 }
 
-// SetFailure has all calls fail from now on. FailHost has those of one IP number.
+// SetFailure makes all further calls fail in the given way; None ends it.
 func (s *Server) SetFailure(f Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failure = f
 }
 
-// SetHostFailure has the calls of one IP number fail from now on.
+// SetHostFailure makes further calls from one IP address fail in the given way.
 func (s *Server) SetHostFailure(ip string, f Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hostFailures[ip] = f
 }
 
-// SetDelay delays each answer.
+// SetDelay sets a delay that precedes each call.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Compact drops the history, and cuts the watches.
+// Compact drops the history and ends the watches of older revisions.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,14 +145,14 @@
 	s.notify()
 }
 
-// MuteWatches has the watches that wait now never be answered, while new calls are.
+// MuteWatches leaves the waiting watches unanswered, while new calls are answered.
 func (s *Server) MuteWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muteCount++
 }
 
-// Calls returns how often a path was called.
+// Calls returns the number of calls to a path.
 func (s *Server) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +195,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expire ends the leases that are over.
+// expire ends the leases whose TTL has passed.
 func (s *Server) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
@@ -205,7 +205,8 @@
 	}
 }
 
-// endLease ends a lease. One that is not there has no keys: those without a lease stay.
+// endLease ends a lease and removes its keys. An unknown id has no effect; in
+// particular, id 0 does not remove the keys without a lease.
 func (s *Server) endLease(id uint64) {
 	if _, ok := s.leases[id]; !ok {
 		return
@@ -218,21 +219,21 @@
 	}
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
 	s.mu.Lock()
-	fail, slow := s.failure, s.delay
+	failure, delay := s.failure, s.delay
 	if f, ok := s.hostFailures[host]; ok && f != None {
-		fail = f
+		failure = f
 	}
 	s.calls[r.URL.Path]++
 	s.expire()
 	s.mu.Unlock()
-	if slow > 0 {
-		time.Sleep(slow)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
-	switch fail {
+	switch failure {
 	case Busy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -249,7 +250,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.route(w, r)
-	if fail == ReplyLost && r.Method != http.MethodGet {
+	if failure == ReplyLost && r.Method != http.MethodGet {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -321,7 +322,7 @@
 	q := r.URL.Query()
 	after := parseNumber(q.Get("after"))
 	wait := min(time.Duration(parseNumber(q.Get("WaitMs")))*time.Millisecond, maxWatchWait)
-	until, cancel := context.WithTimeout(r.Context(), wait)
+	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	s.mu.Lock()
 	muted := s.muteCount
@@ -339,15 +340,15 @@
 			return
 		}
 		events := s.changesAfter(q.Get("Prefix"), after)
-		at, news := s.revision, s.changed
+		at, changed := s.revision, s.changed
 		s.mu.Unlock()
 		if len(events) > 0 {
 			writeJSON(w, watchResponse{events, at})
 			return
 		}
 		select {
-		case <-news:
-		case <-until.Done():
+		case <-changed:
+		case <-ctx.Done():
 			writeJSON(w, watchResponse{[]change{}, at})
 			return
 		case <-s.stopped:
@@ -385,20 +386,20 @@
 }
 
 func (s *Server) txn(w http.ResponseWriter, r *http.Request) {
-	var ask txnRequest
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	var req txnRequest
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range ask.ExpectRevision {
+	for _, e := range req.ExpectRevision {
 		if s.items[e.Key].Revision != e.Revision {
 			w.WriteHeader(http.StatusPreconditionFailed)
 			return
 		}
 	}
-	for _, wr := range ask.Writes {
+	for _, wr := range req.Writes {
 		if strings.HasPrefix(wr.Key, "op/") || strings.HasPrefix(wr.Key, "servers/") {
 			w.WriteHeader(http.StatusForbidden)
 			return
@@ -408,27 +409,27 @@
 			return
 		}
 	}
-	for _, wr := range ask.Writes {
+	for _, wr := range req.Writes {
 		s.put(wr.Key, wr.Value, wr.Lease)
 	}
-	for _, key := range ask.Remove {
+	for _, key := range req.Remove {
 		s.remove(key)
 	}
 	writeJSON(w, map[string]uint64{"Revision": s.revision})
 }
 
 func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
-	var ask struct{ TtlMs int64 } //nolint:revive // the platform's spelling
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	var req struct{ TtlMs int64 } //nolint:revive // the platform's spelling
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastLease++
-	ttl := time.Duration(ask.TtlMs) * time.Millisecond
+	ttl := time.Duration(req.TtlMs) * time.Millisecond
 	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
-	writeJSON(w, map[string]int64{"Lease": int64(s.lastLease), "TtlMs": ask.TtlMs})
+	writeJSON(w, map[string]int64{"Lease": int64(s.lastLease), "TtlMs": req.TtlMs})
 }
 
 func (s *Server) keepAlive(w http.ResponseWriter, id string) {
--- a/internal/dev/plain/plain.go
+++ b/internal/dev/plain/plain.go
@@ -1,7 +1,6 @@
-// Package plain is a stand-in for a plain service, such as one that publishes
-// notices or books vans, for development and tests. It keeps a ledger of every
-// call that it ran, so that a test can count runs against what callers
-// got.
+// Package plain is a fake plain service for development and tests, such as one
+// that publishes notices or books vans. It keeps a ledger of all executed calls,
+// so that a test can compare the runs with the answers that callers received.
 //
 // # Usage
 //
@@ -22,8 +21,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Call is the body of a call. Job names it in the ledger; it is the caller's
-// name and not the system's.
+// Call is the body of a call. Job identifies it in the ledger; the caller chooses
+// it.
 type Call struct {
 	Job  string `json:"job"`
 	Text string `json:"text"`
@@ -35,35 +34,37 @@
 	Incarnation ident.Incarnation
 	Service     string
 	Slots       int
-	// Work is how long a call takes.
+	// Work is the duration of a call.
 	Work time.Duration
 }
 
-// Faults is the failures that the service simulates.
+// Faults are the simulated failures. The zero value means none.
 type Faults struct {
-	// DieAfterRun breaks the connection of every n-th call after it has run,
-	// before the answer; DieBeforeRun before it runs.
+	// DieAfterRun closes the connection of every n-th call after it ran and before its
+	// answer; DieBeforeRun does so before it runs.
 	DieAfterRun  int `json:"dieAfterRun"`
 	DieBeforeRun int `json:"dieBeforeRun"`
-	// Refuse answers every call as not run.
+	// Refuse rejects every call as not run.
 	Refuse bool `json:"refuse"`
-	// WorkMs replaces the time that a call takes.
+	// WorkMs, if positive, replaces the duration of a call.
 	WorkMs int64 `json:"workMs"`
-	// AnswerMs holds the answer of a call back after it has run.
+	// AnswerMs delays the answer of a call after it ran.
 	AnswerMs int64 `json:"answerMs"`
 }
 
-// Ledger is what the service has run.
+// Ledger holds counters of the service's work.
 type Ledger struct {
 	// Jobs counts the runs by job.
 	Jobs map[string]int `json:"jobs"`
-	// Calls counts all calls, run or not.
+	// Calls counts all calls, whether they ran or not. Late counts those that arrived
+	// while draining, and LateMs is the time from the start of draining to the last
+	// one.
 	Calls  int   `json:"calls"`
 	Late   int   `json:"late"`
 	LateMs int64 `json:"lateMs"`
 }
 
-// Service is the stand-in.
+// Service is the fake service.
 type Service struct {
 	cfg   Config
 	mux   *http.ServeMux
@@ -89,13 +90,13 @@
 	return s
 }
 
-// Stop ends the service.
+// Stop stops the service.
 func (s *Service) Stop() { s.clock.Stop() }
 
-// ServeHTTP serves one call.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Drain makes the service refuse new calls and finish those that run.
+// Drain makes the service refuse new calls and finish those in progress.
 func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,8 +128,8 @@
 	}
 	n, faults := s.beginCall()
 	defer s.endCall()
-	if why := s.refusal(faults); why != "" {
-		w.Header().Set(target.HeaderNotRun, why)
+	if reason := s.refusal(faults); reason != "" {
+		w.Header().Set(target.HeaderNotRun, reason)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -176,8 +177,8 @@
 	return ""
 }
 
-// work takes the time that a call takes. The caller's leaving does not end
-// it: a booking that has begun is made.
+// work waits for the duration of a call. It is not cancelled when the caller
+// disconnects: a booking in progress is completed.
 func (s *Service) work(f Faults) {
 	d := s.cfg.Work
 	if f.WorkMs > 0 {
--- a/internal/dev/plat/fault.go
+++ b/internal/dev/plat/fault.go
@@ -13,32 +13,32 @@
 	"verbenadale.example/verbenadale/internal/store"
 )
 
-// Faults is the failures that the service simulates. The zero value is none.
+// Faults are the simulated failures. The zero value means none.
 type Faults struct {
-	// Down breaks the connection of every call before it takes effect, and
-	// those of the waiting watches.
+	// Down closes the connection of every call before it takes effect, and those of
+	// waiting watches.
 	Down bool `json:"down,omitempty"`
-	// DownAfter brings the service down after that many more calls.
+	// DownAfter sets Down after that many more calls.
 	DownAfter int `json:"downAfter,omitempty"`
-	// DelayMs holds every call up before it takes effect. A write whose
-	// caller has gone by then still lands.
+	// DelayMs delays every call before it takes effect. A write takes effect even if
+	// its caller has disconnected by then.
 	DelayMs int64 `json:"delayMs,omitempty"`
-	// LoseNext breaks the connection of that many writes after they have
-	// taken effect.
+	// LoseNext closes the connections of that many writes after they have taken
+	// effect.
 	LoseNext int `json:"loseNext,omitempty"`
-	// LoseShare does so to a share of all writes, drawn by Seed.
+	// LoseShare does the same to a random share of all writes, with the given Seed.
 	LoseShare float64 `json:"loseShare,omitempty"`
 	Seed      uint64  `json:"seed,omitempty"`
 	// HostsLagMs is the age of the list of hosts that is served.
 	HostsLagMs int64 `json:"hostsLagMs,omitempty"`
-	// Refuse lists the IP numbers of callers that are cut off.
+	// Refuse lists the IP addresses of callers whose connections are closed.
 	Refuse []string `json:"refuse,omitempty"`
 }
 
-// Counts is the number of calls by operation. A watch counts once.
+// Counts holds the number of calls by operation. A watch counts once.
 type Counts map[string]int
 
-// losses draws which replies are lost.
+// losses decides which replies are lost.
 type losses struct {
 	remaining int
 	rng       *rand.Rand
@@ -62,14 +62,14 @@
 	s.notify()
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls since the start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.counts)
 }
 
-// ExpireLeases ends all leases at once.
+// ExpireLeases ends all leases immediately.
 func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// admit counts a call and applies the faults that come before its effect.
+// admit counts a call and applies the faults that precede its effect.
 func (s *Server) admit(r *http.Request, op string) {
 	s.mu.Lock()
 	s.counts[op]++
@@ -87,15 +87,15 @@
 	s.mu.Unlock()
 	s.abortIfRefused(r)
 	if delay > 0 {
-		// Not the request's context: a slow service does not notice that
-		// its caller has gone, and its write lands late.
+		// The request's context is not used: a slow service does not notice
+		// that its caller has disconnected, and the write takes effect late.
 		waitFor(context.Background(), nil, delay)
 		s.abortIfRefused(r)
 	}
 }
 
-// countDown brings the service down when the calls that it was left are used
-// up. The caller holds the lock.
+// countDown sets Down once the calls allowed by DownAfter are used up. The caller
+// holds the lock.
 func (s *Server) countDown() {
 	if s.faults.DownAfter == 0 {
 		return
@@ -107,7 +107,8 @@
 	s.remainingCalls--
 }
 
-// abortIfRefused breaks the connection of a caller that is cut off.
+// abortIfRefused closes the connection if the service is down or the caller is
+// refused.
 func (s *Server) abortIfRefused(r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
@@ -118,9 +119,10 @@
 	}
 }
 
-// waitFor waits for the channel and reports false if the time ran out first.
-func waitFor(ctx context.Context, changed <-chan struct{}, left time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, left)
+// waitFor waits for the channel. It returns false if the timeout expires or the
+// context is cancelled first.
+func waitFor(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	select {
 	case <-changed:
@@ -147,8 +149,7 @@
 	writeJSON(w, http.StatusOK, s.Counts())
 }
 
-// getValues answers with all keys and their values, for tests that search
-// what the system keeps.
+// getValues returns all keys and values, for tests that search the stored data.
 func (s *Server) getValues(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,14 +160,14 @@
 	writeJSON(w, http.StatusOK, all)
 }
 
-// hostList is a list of hosts and when it was set.
+// hostList is a list of hosts and the time at which it was set.
 type hostList struct {
 	store.Hosts
 	setAt time.Time
 }
 
-// SetHosts replaces the list of hosts. A service that lags goes on with the
-// older ones for its time.
+// SetHosts replaces the list of hosts. A service with a lag serves the previous
+// lists until the lag has passed.
 func (s *Server) SetHosts(hs store.Hosts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +175,7 @@
 	s.hosts = append(s.hosts, hostList{Hosts: hs, setAt: s.Now()})
 }
 
-// visibleHosts returns the newest list that is as old as the lag.
+// visibleHosts returns the newest list that is at least as old as the lag.
 func (s *Server) visibleHosts() store.Hosts {
 	seen := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
 	for _, l := range slices.Backward(s.hosts) {
--- a/internal/dev/plat/lease.go
+++ b/internal/dev/plat/lease.go
@@ -12,19 +12,19 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// lease is one lease that stands until its end.
+// lease is one lease and its expiry time.
 type lease struct {
 	ttl time.Duration
 	end time.Time
 }
 
-// listing is one entry host in the directory.
+// listing is an entry host's entry in the directory.
 type listing struct {
 	store.Listing
 	lease store.LeaseID
 }
 
-// grantResponse is the answer to a grant.
+// grantResponse is the reply to a grant.
 type grantResponse struct {
 	ID    store.LeaseID `json:"id"`
 	Fence ident.Fence   `json:"fence"`
@@ -60,7 +60,7 @@
 	return ok
 }
 
-// expire drops the leases whose end has passed. The caller holds the lock.
+// expire ends the leases whose expiry time has passed. The caller holds the lock.
 func (s *Server) expire() {
 	now := s.Now()
 	for id, l := range s.leases {
@@ -70,7 +70,7 @@
 	}
 }
 
-// endLease ends a lease and all that stands under it.
+// endLease removes a lease with its values and listings.
 func (s *Server) endLease(id store.LeaseID) {
 	delete(s.leases, id)
 	maps.DeleteFunc(s.values, func(_ string, v value) bool { return v.lease == id })
--- a/internal/dev/plat/plat.go
+++ b/internal/dev/plat/plat.go
@@ -1,15 +1,14 @@
-// Package plat is a stand-in for the platform's service, for development and
-// tests: a small key-value store with compare-and-swap, watches and leases,
-// the list of hosts and the directory for clients, all in memory. It can be
-// made to fail. docs/platform.md describes both sides.
+// Package plat is a fake of the platform's service for development and tests: an
+// in-memory key-value store with compare-and-swap, watches and leases, the list of
+// hosts, and the directory for clients. It can simulate failures. docs/platform.md
+// describes the protocol.
 //
 // # Usage
 //
 //	srv := plat.New()
 //	http.ListenAndServe(addr, srv)
 //
-// A test in the same process sets the faults directly, others with
-// PUT /dev/faults:
+// A test in the same process sets faults directly, others with PUT /dev/faults:
 //
 //	srv.SetFaults(plat.Faults{LoseNext: 1})
 package plat
@@ -26,9 +25,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Server is the stand-in.
+// Server is the fake service.
 type Server struct {
-	// Now reads the clock of leases and of the lag of the host list.
+	// Now returns the time that leases and the lag of the host list are based on.
 	Now func() time.Time
 	mux *http.ServeMux
 
@@ -42,12 +41,12 @@
 	changed  chan struct{}
 	faults   Faults
 	losses   losses
-	// remainingCalls counts down to DownAfter.
+	// remainingCalls counts down the calls that succeed before DownAfter takes effect.
 	remainingCalls int
 	counts         Counts
 }
 
-// value is a value and the lease that it stands under, if any.
+// value is a stored value and its lease, if any.
 type value struct {
 	store.Value
 	lease store.LeaseID
@@ -81,17 +80,17 @@
 	return s
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// result is the answer to a write.
+// result is the reply to a write.
 type result struct {
 	status int
 	body   any
 }
 
-// handleWrite serves a write: it reads the body, applies the faults, does the
-// write under the lock, and loses the reply where the faults say so.
+// handleWrite registers a write. A call reads the body, applies the faults,
+// executes the write under the lock, and drops the reply if a fault requires it.
 func (s *Server) handleWrite(pattern, op string, write func(r *http.Request, body []byte) result) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, store.MaxValue))
@@ -113,7 +112,7 @@
 	})
 }
 
-// notify wakes the watches. The caller holds the lock.
+// notify wakes up the watches. The caller holds the lock.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -146,7 +145,7 @@
 	}
 }
 
-// lookup returns the value of a key and the channel that is closed at the next
+// lookup returns the value of a key and a channel that is closed at the next
 // change.
 func (s *Server) lookup(key string) (store.Value, bool, <-chan struct{}) {
 	s.mu.Lock()
@@ -191,7 +190,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Peek returns a value without a call, for tests that compare.
+// Peek returns a value without counting a call or applying faults, for tests.
 func (s *Server) Peek(key string) (store.Value, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dev/ports/ports.go
+++ b/internal/dev/ports/ports.go
@@ -1,21 +1,21 @@
-// Package ports gives out addresses of the loopback range for tests, each of
-// which nothing else on the machine gets.
+// Package ports allocates loopback addresses for tests that no other process on
+// the machine uses.
 //
 // # Usage
 //
 //	addr := ports.Next()
 //	addr = fmt.Sprintf("%s:%d", ports.IP(), port)
 //
-// A test that asks the system for a free port, closes it and listens on it
-// later now and then finds it taken: an outgoing connection of anything on the
-// machine may have got it in between. Here each address has an IP number of
-// its own, and a port below those that outgoing connections get.
+// A test that obtains a free port from the system, closes it and listens on it
+// later sometimes finds it in use, because an outgoing connection of any process
+// may have taken it in between. Therefore each address has its own IP address, and
+// a port below the ephemeral range.
 //
-// Tests of several packages run at once. The first IP number that a process
-// asks for reserves a sixteen-bit network for it, by listening on its last
-// address for as long as the process lives. Networks that went by the process id
-// alone were now and then those of two processes, or that of the operators' page,
-// and the hosts of one test then linked to those of another.
+// Tests of several packages run concurrently. The first allocation of a process
+// reserves a /16 network for it by listening on the network's last address until
+// the process exits. Networks chosen by the process id alone sometimes collided
+// with those of another process or of the operators' page, and the hosts of one
+// test then linked to those of another.
 package ports
 
 import (
@@ -29,11 +29,11 @@
 // port is the port of all addresses.
 const port = 7001
 
-// valuesPerByte is how many values of a byte of an IP number are used.
+// valuesPerByte is the number of values used per byte of an IP address.
 const valuesPerByte = 250
 
-// The networkCount 127.16 to 127.215 are given out. 127.81 is that of the commands on
-// the operators' page.
+// The networks 127.16 to 127.215 are used, except 127.81, which the commands on the
+// operators' page use.
 const (
 	networkCount = 200
 	firstNetwork = 16
@@ -47,7 +47,8 @@
 	reservation net.Listener
 )
 
-// reserveNetwork returns the second byte of a network that no other process has.
+// reserveNetwork returns the second byte of a network that no other process has
+// reserved.
 func reserveNetwork() int {
 	for i := range networkCount {
 		n := firstNetwork + (os.Getpid()+i)%networkCount
@@ -60,14 +61,14 @@
 			return n
 		}
 	}
-	panic("ports: all loopback networks are taken, end the test runs that are left over")
+	panic("ports: all loopback networks are reserved, end leftover test processes")
 }
 
-// IP returns an IP number.
+// IP returns an unused loopback IP address.
 func IP() string {
 	n := ipCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", network(), n/valuesPerByte%valuesPerByte+1, n%valuesPerByte+1)
 }
 
-// Next returns an address, as host:port.
+// Next returns an unused address of the form host:port.
 func Next() string { return fmt.Sprintf("%s:%d", IP(), port) }
--- a/internal/dev/ports/ports_test.go
+++ b/internal/dev/ports/ports_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Two test processes get the same loopback network, and hosts of one link to those of the other.
+// Guards against two test processes that use the same loopback network, so that
+// hosts of one link to those of the other.
 func TestReservedNetworkIsNotGivenTwice(t *testing.T) {
 	first := reserveNetwork()
 	ln := reservation
@@ -10,6 +11,6 @@
 	second := reserveNetwork()
 	defer func() { _ = reservation.Close() }()
 	if first == second {
-		t.Errorf("network 127.%d was given out twice", first)
+		t.Errorf("network 127.%d was reserved twice", first)
 	}
 }
--- a/internal/dev/relay/relay.go
+++ b/internal/dev/relay/relay.go
@@ -1,17 +1,18 @@
-// Package relay stands in for a wide-area network: a relay before an address
-// passes bytes on after a delay that depends on who sends, and can be cut.
+// Package relay simulates a wide-area network: a TCP relay that forwards bytes to
+// an address after a delay that depends on the sender. It can simulate partitions
+// and other faults.
 //
 // # Usage
 //
 //	r, err := relay.Start(relay.Config{Listen: "127.1.0.9:7070", To: "127.1.0.1:7070", Delay: delayOf, Clock: svc})
-//	r.Cut("127.2.0.1", true)
-//	r.SetFault(relay.Fault{Silent: relay.Out})
+//	r.SetPartitioned("127.2.0.1", true)
+//	r.SetFault(relay.Fault{Stall: relay.Outbound})
 //	defer r.Stop()
 //
-// An entry host dials its peers from the IP number that it listens on, so the
-// relay distinguishes senders by their IP numbers. The delay is that of each way;
-// the set-up of a connection is not delayed, since links between entry hosts
-// stand for long.
+// An entry host dials its peers from the IP address that it listens on, so the
+// relay identifies senders by their IP addresses. The delay applies in each
+// direction. Connection set-up is not delayed, since links between entry hosts are
+// long-lived.
 package relay
 
 import (
@@ -29,15 +30,14 @@
 
 // Config describes a relay.
 type Config struct {
-	// Listen and To are host:port.
+	// Listen and To are addresses of the form host:port.
 	Listen, To string
-	// Delay returns the delay of one way for a sender's IP number.
-	// Nil is none.
+	// Delay returns the one-way delay for a sender's IP address. Nil means no delay.
 	Delay func(sender string) time.Duration
 	Clock *clock.Service
 }
 
-// Relay passes connections on.
+// Relay forwards connections.
 type Relay struct {
 	t   tomb.Tomb
 	cfg Config
@@ -49,24 +49,24 @@
 	fault       Fault
 }
 
-// Direction names the ways between a sender and the address behind a relay.
+// Direction is a set of directions between a sender and the address behind a
+// relay.
 type Direction int
 
-// The directions: Outbound leads to the address behind the relay.
+// Outbound is the direction to the address behind the relay, Inbound the opposite one.
 const (
 	Outbound Direction = 1 << iota
 	Inbound
 )
 
-// Fault is how a relay harms what passes through it. The zero value harms
-// nothing.
+// Fault is a set of simulated network faults. The zero value means none.
 type Fault struct {
-	// Stall holds back what goes in these directions while connections stand, as
-	// a lost link does; what was held back passes once it is over.
+	// Stall holds back the data of these directions while connections stay open, as a
+	// lost link does. It is delivered once the fault is removed.
 	Stall Direction
-	// Refuse ends connections that stand and takes no new ones.
+	// Refuse closes open connections and rejects new ones.
 	Refuse bool
-	// Delay is added to that of each way.
+	// Delay is added to the delay of each direction.
 	Delay time.Duration
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// Reset resets all connections that stand.
+// Reset resets all open connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,10 +113,10 @@
 	return r, nil
 }
 
-// Addr is the address that the relay listens on.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Stop ends the relay and its connections.
+// Stop stops the relay and closes its connections.
 func (r *Relay) Stop() {
 	r.t.Kill(nil)
 	r.ln.Close()
@@ -128,13 +128,14 @@
 	_ = r.t.Wait()
 }
 
-// SetPartitioned cuts or heals the way from one sender.
-func (r *Relay) SetPartitioned(sender string, cut bool) {
+// SetPartitioned starts or ends a partition between one sender and the address
+// behind the relay.
+func (r *Relay) SetPartitioned(sender string, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partitioned[sender] = cut
+	r.partitioned[sender] = partitioned
 	for c, from := range r.conns {
-		if cut && from == sender {
+		if partitioned && from == sender {
 			c.Close()
 		}
 	}
@@ -150,7 +151,7 @@
 	}
 }
 
-// connect connects a sender's connection with the address behind the relay.
+// connect forwards a sender's connection to the address behind the relay.
 func (r *Relay) connect(in net.Conn) {
 	sender, _, _ := net.SplitHostPort(in.RemoteAddr().String())
 	out, err := net.Dial("tcp", r.cfg.To)
@@ -167,9 +168,9 @@
 	if r.cfg.Delay != nil {
 		delay = r.cfg.Delay(sender)
 	}
-	for _, w := range []*pipe{newPipe(r, Outbound, in, out, delay), newPipe(r, Inbound, out, in, delay)} {
-		r.t.Go(w.readLoop)
-		r.t.Go(w.writeLoop)
+	for _, p := range []*pipe{newPipe(r, Outbound, in, out, delay), newPipe(r, Inbound, out, in, delay)} {
+		r.t.Go(p.readLoop)
+		r.t.Go(p.writeLoop)
 	}
 }
 
@@ -192,13 +193,13 @@
 	delete(r.conns, c)
 }
 
-// Sizes of what is under way on one way.
+// Limits of the data in transit in one direction.
 const (
 	maxQueuedChunks = 4096
 	chunkSize       = 16 << 10
 )
 
-// chunk is what was read at once and when it is due at the other end.
+// chunk is the data of one read and its due time at the other end.
 type chunk struct {
 	due  ident.Time
 	data []byte
@@ -217,19 +218,21 @@
 	return &pipe{relay: r, dir: dir, from: from, to: to, delay: delay, chunks: make(chan chunk, maxQueuedChunks)}
 }
 
-// stallPollInterval is the time between two looks whether a silence is over.
+// stallPollInterval is the interval at which a stalled pipe checks whether the
+// fault was removed.
 const stallPollInterval = 10 * time.Millisecond
 
-// waitUntilDue waits until a piece is due and nothing holds it back.
-func (w *pipe) waitUntilDue(sub *clock.Subscription, due ident.Time) {
-	svc := w.relay.cfg.Clock
-	for w.relay.t.Alive() {
-		f := w.relay.currentFault()
+// waitUntilDue waits until the due time has passed and the direction is not
+// stalled.
+func (p *pipe) waitUntilDue(sub *clock.Subscription, due ident.Time) {
+	svc := p.relay.cfg.Clock
+	for p.relay.t.Alive() {
+		f := p.relay.currentFault()
 		now := svc.Now()
 		switch {
 		case due.Add(f.Delay) > now:
 			sub.Reset(due.Add(f.Delay))
-		case f.Stall&w.dir != 0:
+		case f.Stall&p.dir != 0:
 			sub.Reset(now.Add(stallPollInterval))
 		default:
 			return
@@ -238,14 +241,14 @@
 	}
 }
 
-// readLoop reads.
-func (w *pipe) readLoop() error {
-	defer close(w.chunks)
+// readLoop reads chunks and queues them with their due times.
+func (p *pipe) readLoop() error {
+	defer close(p.chunks)
 	buf := make([]byte, chunkSize)
 	for {
-		n, err := w.from.Read(buf)
+		n, err := p.from.Read(buf)
 		if n > 0 {
-			w.chunks <- chunk{due: w.relay.cfg.Clock.Now().Add(w.delay), data: bytes.Clone(buf[:n])}
+			p.chunks <- chunk{due: p.relay.cfg.Clock.Now().Add(p.delay), data: bytes.Clone(buf[:n])}
 		}
 		if err != nil {
 			return nil
@@ -253,17 +256,17 @@
 	}
 }
 
-// writeLoop writes each piece when it is due. After a failed write it goes on
-// taking pieces, so that the reader never waits for nobody.
-func (w *pipe) writeLoop() error {
-	svc := w.relay.cfg.Clock
+// writeLoop writes each chunk when it is due. After a failed write it continues to
+// drain the queue, so that the reader does not block forever.
+func (p *pipe) writeLoop() error {
+	svc := p.relay.cfg.Clock
 	sub := svc.At(svc.Now())
 	defer sub.Close()
-	defer w.relay.closeConn(w.to)
-	for p := range w.chunks {
-		w.waitUntilDue(sub, p.due)
-		if _, err := w.to.Write(p.data); err != nil {
-			w.relay.closeConn(w.from)
+	defer p.relay.closeConn(p.to)
+	for c := range p.chunks {
+		p.waitUntilDue(sub, c.due)
+		if _, err := p.to.Write(c.data); err != nil {
+			p.relay.closeConn(p.from)
 		}
 	}
 	return nil
--- a/internal/dev/relay/relay_test.go
+++ b/internal/dev/relay/relay_test.go
@@ -12,7 +12,7 @@
 	"verbenadale.example/verbenadale/internal/dev/relay"
 )
 
-// echo answers each connection with what it sends.
+// echo accepts connections and returns what each of them sends.
 type echo struct{ ln net.Listener }
 
 func (e *echo) run() {
@@ -21,18 +21,18 @@
 		if err != nil {
 			return
 		}
-		go (&echoed{c}).run()
+		go (&echoConn{c}).run()
 	}
 }
 
-type echoed struct{ c net.Conn }
+type echoConn struct{ c net.Conn }
 
-func (e *echoed) run() {
+func (e *echoConn) run() {
 	defer e.c.Close()
 	_, _ = io.Copy(e.c, e.c)
 }
 
-const oneWay = 30 * time.Millisecond
+const oneWayDelay = 30 * time.Millisecond
 
 func startRelay(t *testing.T) *relay.Relay {
 	t.Helper()
@@ -44,7 +44,7 @@
 	svc := clock.New()
 	r, err := relay.Start(relay.Config{
 		Listen: "127.0.0.1:0", To: ln.Addr().String(), Clock: svc,
-		Delay: func(string) time.Duration { return oneWay },
+		Delay: func(string) time.Duration { return oneWayDelay },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	return r
 }
 
-func say(t *testing.T, c net.Conn, text string) string {
+func roundTrip(t *testing.T, c net.Conn, text string) string {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -77,36 +77,36 @@
 	}
 	defer c.Close()
 	for range 3 {
-		began := time.Now()
-		if d := cmp.Diff("a memory", say(t, c, "a memory")); d != "" {
+		start := time.Now()
+		if d := cmp.Diff("a memory", roundTrip(t, c, "a memory")); d != "" {
 			t.Fatal(d)
 		}
-		if took := time.Since(began); took < 2*oneWay {
-			t.Errorf("there and back took %v", took)
+		if elapsed := time.Since(start); elapsed < 2*oneWayDelay {
+			t.Errorf("round trip took %v", elapsed)
 		}
 	}
 }
 
-// A cut link lets traffic through, so that a partition is no partition.
-func TestRelayCutsAndHeals(t *testing.T) {
+// Guards against a partition that lets traffic through.
+func TestRelayPartitionsAndHeals(t *testing.T) {
 	r := startRelay(t)
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	say(t, c, "first")
+	roundTrip(t, c, "first")
 	r.SetPartitioned("127.0.0.1", true)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the connection outlives the cut")
+		t.Fatal("connection still open during the partition")
 	}
-	again, err := net.Dial("tcp", r.Addr())
+	refused, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	if _, err := again.Read(make([]byte, 1)); err == nil {
-		t.Fatal("a connection through a link that is cut")
+	defer refused.Close()
+	if _, err := refused.Read(make([]byte, 1)); err == nil {
+		t.Fatal("new connection accepted during the partition")
 	}
 	r.SetPartitioned("127.0.0.1", false)
 	healed, err := net.Dial("tcp", r.Addr())
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	defer healed.Close()
-	if d := cmp.Diff("second", say(t, healed, "second")); d != "" {
+	if d := cmp.Diff("second", roundTrip(t, healed, "second")); d != "" {
 		t.Fatal(d)
 	}
 }
--- a/internal/dev/replay/replay.go
+++ b/internal/dev/replay/replay.go
@@ -1,5 +1,6 @@
-// Package replay records what the reducer of a running host was given and what
-// it decided, and steps a new reducer through the record again.
+// Package replay records the events that the reducer of a running host receives
+// and the effects that it returns, and replays the recording through a new
+// reducer.
 //
 // # Usage
 //
@@ -9,10 +10,10 @@
 //
 //	sum, err := replay.Replay(file)
 //
-// A record is lines of JSON: the host first, then each event followed by its
-// effects. The reducer is deterministic, so the effects are the same, byte for
-// byte; a difference is a fault of the reducer, or comes of another version of
-// it.
+// A recording consists of lines of JSON: the host, then each event followed by its
+// effects and an empty line. The reducer is deterministic, so the replayed effects
+// are byte-identical; a difference indicates a bug in the reducer or a different
+// version of it.
 package replay
 
 import (
@@ -28,33 +29,34 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// The errors of this layer.
+// Errors of this package.
 var (
-	// ErrRecord says that a record can't be read.
-	ErrRecord = errors.New("replay: the record can't be read")
-	// ErrDiffers says that the reducer decides otherwise than recorded.
-	ErrDiffers = errors.New("replay: the reducer decides otherwise")
+	// ErrRecord means that a recording is invalid.
+	ErrRecord = errors.New("replay: invalid recording")
+	// ErrDiffers means that an effect of the reducer differs from the recording.
+	ErrDiffers = errors.New("replay: effects differ from the recording")
 )
 
-// Recorder writes the record of one host. The control thread alone uses it.
+// Recorder writes the recording of one host. It is used by the control thread
+// only.
 type Recorder struct {
 	w   io.WriteCloser
 	buf *bufio.Writer
 	err error
 }
 
-// NewRecorder returns a recorder that writes to w and closes it.
+// NewRecorder returns a recorder that writes to w. Close closes w.
 func NewRecorder(w io.WriteCloser) *Recorder {
 	return &Recorder{w: w, buf: bufio.NewWriter(w)}
 }
 
-// Close ends the record.
+// Close flushes and closes the recording.
 func (r *Recorder) Close() {
 	_ = r.buf.Flush()
 	_ = r.w.Close()
 }
 
-// Start writes the host and returns the function that sees each step.
+// Start records the host and returns the function that records each step.
 func (r *Recorder) Start(self event.Host) func(now ident.Time, ev event.Event, effs []event.Effect) {
 	r.writeLine(json.Marshal(self))
 	return r.recordStep
@@ -68,8 +70,8 @@
 	r.writeLine([]byte{}, nil)
 }
 
-// writeLine writes one writeLine. After an error nothing more is written, so that a
-// record is cut and never has a hole.
+// writeLine writes one line. It writes nothing after an error, so that a recording
+// may be truncated but has no gaps.
 func (r *Recorder) writeLine(b []byte, err error) {
 	if r.err != nil {
 		return
@@ -80,22 +82,23 @@
 	r.err = err
 }
 
-// Summary is what a replay went through.
+// Summary describes a replay.
 type Summary struct {
 	Host    ident.EntryID `json:"host"`
 	Events  int           `json:"events"`
 	Effects int           `json:"effects"`
 }
 
-// maxLineSize bounds a line of a record.
+// maxLineSize limits the length of a line.
 const maxLineSize = 16 << 20
 
-// Replay steps a new reducer through a record and compares its effects.
+// Replay steps a new reducer through a recording and compares its effects with the
+// recorded ones.
 func Replay(r io.Reader) (Summary, error) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLineSize)
 	if !sc.Scan() {
-		return Summary{}, errors.Wrap(ErrRecord, "it is empty")
+		return Summary{}, errors.Wrap(ErrRecord, "empty")
 	}
 	var self event.Host
 	if err := json.Unmarshal(sc.Bytes(), &self); err != nil {
@@ -114,8 +117,8 @@
 	}
 }
 
-// readStep reads the lines of one step. A record that was cut in the middle of a
-// step ends before it.
+// readStep reads the lines of one step. It ignores an incomplete step at the end
+// of a truncated recording.
 func readStep(sc *bufio.Scanner) [][]byte {
 	var lines [][]byte
 	for sc.Scan() {
@@ -137,7 +140,7 @@
 	sum.Events++
 	sum.Effects += len(effs)
 	if len(effs) != len(want) {
-		return errors.Wrapf(ErrDiffers, "event %d, %s, has %d effects, recorded were %d", sum.Events, event.TypeName(ev), len(effs), len(want))
+		return errors.Wrapf(ErrDiffers, "event %d, %s: got %d effects, recorded %d", sum.Events, event.TypeName(ev), len(effs), len(want))
 	}
 	for i, eff := range effs {
 		got, err := event.EncodeEffect(now, eff)
--- a/internal/dev/worker/worker.go
+++ b/internal/dev/worker/worker.go
@@ -1,16 +1,15 @@
-// Package worker is a stand-in for the targets of the users' platform: model
-// engines that stream events and plain services, with the faults that the
-// platform's pages name.
+// Package worker is a fake of the targets of the users' platform: model engines
+// that stream events, and plain services. It simulates the failures that the
+// platform documents.
 //
 // # Usage
 //
 //	wk := worker.New(worker.Config{ID: "i-1", Service: "writers", DataCentre: "a", Slots: 8, Events: 5})
 //	srv := httptest.NewServer(wk)
-//	store.Put(wk.Key(), wk.Entry(addr, "ready", 0))
-//	wk.Fault(worker.Crash, 1)
+//	store.Put(wk.StoreKey(), wk.StoreEntry(addr, "ready", 0))
+//	wk.InjectFault(worker.Crash, 1)
 //
-// It counts how often each request ran, so that a test can check whether one ran
-// twice.
+// It counts the runs of each request, so that a test can detect duplicate runs.
 package worker
 
 import (
@@ -26,46 +25,50 @@
 	"time"
 )
 
-// Fault is a way in which the next answers go wrong.
+// Fault is a failure of a request.
 type Fault string
 
-// The faults.
+// Faults.
 const (
-	// Crash breaks the stream off in the middle of an event, Reset closes the
-	// connection before a byte of the answer, after the request ran.
+	// Crash aborts the stream in the middle of an event. Reset closes the connection
+	// after the request ran and before the first byte of the answer.
 	Crash Fault = "crash"
 	Reset Fault = "reset"
 	// NoAnswer runs the request and never answers.
 	NoAnswer Fault = "lost"
-	// ServerError answers 500, Shed 503 without running the request.
+	// ServerError answers 500; Shed answers 503 without running the request.
 	ServerError Fault = "errors"
 	Shed        Fault = "shed"
-	// Unsigned answers without the signature, Crossed with another id.
+	// Unsigned omits the signature of the answer; WrongID sends the id of another
+	// request.
 	Unsigned Fault = "unsigned"
 	WrongID  Fault = "crossed"
-	// NoLength answers without a length, Extra sends one more answer.
+	// NoLength answers without a length and closes the connection at the end;
+	// ExtraAnswer sends a second answer on the same connection.
 	NoLength    Fault = "unframed"
 	ExtraAnswer Fault = "extra"
-	// Paused brings nothing for PausedFor after the second event of a stream.
+	// Paused sends no data for PauseDuration after the second event of a stream.
 	Paused Fault = "paused"
 )
 
-// PauseDuration is the time that a stream with the fault Paused brings nothing.
+// PauseDuration is the time for which a stream with the fault Paused sends no
+// data.
 const PauseDuration = 2500 * time.Millisecond
 
-// Config is what a worker is.
+// Config describes a worker.
 type Config struct {
 	ID         string
 	Service    string
 	DataCentre string
 	Slots      int
-	// Events is the length of its streams, Pause the time between two.
+	// Events is the number of events of a stream, or zero for a plain service;
+	// EventInterval is the time between two events.
 	Events        int
 	EventInterval time.Duration
-	// Work is the time of a plain call.
+	// Work is the duration of a plain call.
 	Work time.Duration
-	// StartTimeMs is the Unix millisecond of its start, which its entry and reports contain, zero for
-	// a worker without it.
+	// StartTimeMs is the start time in Unix milliseconds, which the store entry and
+	// the reports contain. If it is zero, the store entry omits it.
 	StartTimeMs int64
 }
 
@@ -86,10 +89,11 @@
 // New returns a worker.
 func New(cfg Config) *Worker { return &Worker{cfg: cfg, runs: make(map[string]int)} }
 
-// StoreKey is where its entry stands in the store.
+// StoreKey returns the key of the worker's entry in the store.
 func (k *Worker) StoreKey() string { return "servers/" + k.cfg.ID }
 
-// StoreEntry is its entry with a state and a cold time.
+// StoreEntry returns the worker's next entry in the store, with the given state
+// and remaining cold-start time.
 func (k *Worker) StoreEntry(addr, state string, cold time.Duration) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -108,24 +112,25 @@
 	return b
 }
 
-// SetEventInterval sets the pause between two events of its streams.
-func (k *Worker) SetEventInterval(pause time.Duration) {
+// SetEventInterval sets the time between two events of a stream.
+func (k *Worker) SetEventInterval(interval time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cfg.EventInterval = pause
+	k.cfg.EventInterval = interval
 }
 
-// Restart has the worker start again under its id while its network is broken: nothing
-// that it ran is answered, no connection is closed, and its counts start anew.
-func (k *Worker) Restart(born int64) {
+// Restart simulates a restart under the same id while the network is broken:
+// running requests are not answered, no connection is closed, and the sequence
+// number, the running requests and the injected faults are reset.
+func (k *Worker) Restart(startTimeMs int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cfg.StartTimeMs = born
+	k.cfg.StartTimeMs = startTimeMs
 	k.seq, k.running = 0, 0
 	k.faults = nil
 }
 
-// InjectFault has the next n requests go wrong.
+// InjectFault makes the next n requests fail in the given way.
 func (k *Worker) InjectFault(f Fault, n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -148,7 +153,7 @@
 	return maps.Clone(k.runs)
 }
 
-// TotalRuns returns how many requests ran.
+// TotalRuns returns the number of runs of all requests.
 func (k *Worker) TotalRuns() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -159,31 +164,31 @@
 	return n
 }
 
-// Headers returns the headers of the requests that ran, in their order.
+// Headers returns the headers of the requests that ran, in order.
 func (k *Worker) Headers() []http.Header {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.headers
 }
 
-// Reports returns how often it was asked for its report.
+// Reports returns how often the report was requested.
 func (k *Worker) Reports() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.reports
 }
 
-// Disconnects returns how many callers left before their answer was whole.
+// Disconnects returns how many callers disconnected before their request ended.
 func (k *Worker) Disconnects() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.disconnects
 }
 
-// kvCapacity is how many tokens a worker says that it holds.
+// kvCapacity is the reported size of the KV cache in tokens.
 const kvCapacity = 400_000
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (k *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Verbenadale-Server-Load", k.load())
 	if r.URL.Path == "/healthz" {
@@ -294,7 +299,7 @@
 	}
 }
 
-// writeExtraAnswer sends one more answer behind a whole one.
+// writeExtraAnswer sends a complete answer and an unexpected second one.
 func (k *Worker) writeExtraAnswer(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -307,7 +312,7 @@
 	time.Sleep(k.cfg.EventInterval)
 }
 
-// stream sends events after the one that the caller has.
+// stream sends the events after the last one that the caller received.
 func (k *Worker) stream(w http.ResponseWriter, r *http.Request, f Fault) {
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -329,10 +334,10 @@
 	}
 }
 
-// EventText is the n-th event of each stream.
+// EventText returns the n-th event of every stream.
 func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-// StreamText is a whole stream of n events.
+// StreamText returns a complete stream of n events.
 func StreamText(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -341,7 +346,7 @@
 	return b.String()
 }
 
-// sleep waits and reports false when the caller has left.
+// sleep waits for d. It returns false if the caller has disconnected.
 func sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
