--- a/internal/dev/demo/demo_test.go
+++ b/internal/dev/demo/demo_test.go
@@ -14,7 +14,8 @@
 	"verbenadale.example/verbenadale/internal/dev/replay"
 )
 
-// A clock, random number or map order in a decision makes a recorded run impossible to replay.
+// Guards against decisions that depend on a clock, a random number or map order,
+// since a recording of them cannot be replayed.
 func TestDemoShowsAndReplays(t *testing.T) {
 	dir := t.TempDir()
 	var out bytes.Buffer
@@ -23,14 +24,14 @@
 	}
 	for _, want := range []string{"[DONE]", "VB1005", "try 2: ulaanbaatar-publish-1 has run it 1 time(s)"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the demonstration does not show %q:\n%s", want, out.String())
+			t.Errorf("output does not contain %q:\n%s", want, out.String())
 		}
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(len(centres)*entriesEach, len(files)); diff != "" {
+	if diff := cmp.Diff(len(centres)*entriesPerCentre, len(files)); diff != "" {
 		t.Fatalf("records (-want +got):\n%s", diff)
 	}
 	for _, name := range files {
@@ -43,7 +44,7 @@
 		}
 		altered := bytes.Replace(text, []byte(`"type":"wake","body":{"at":`), []byte(`"type":"wake","body":{"at":1`), 1)
 		if _, err := replay.Replay(bytes.NewReader(altered)); !errors.Is(err, replay.ErrDiffers) {
-			t.Errorf("%s: an altered record is taken: %v", name, err)
+			t.Errorf("%s: altered recording was accepted: %v", name, err)
 		}
 	}
 }
