--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -86,7 +86,7 @@
 		usual.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
 		usual.ObserveGap(start, &used, 20*time.Millisecond)
 	}
-	usual.ApplyUsual(start, &unused)
+	usual.ApplyTypical(start, &unused)
 	if diff := cmp.Diff([]any{800 * time.Millisecond, 50.0}, []any{unused.RequestTime(), unused.Load.DecodeRate}); diff != "" {
 		t.Errorf("run time and decode rate (-want +got):\n%s", diff)
 	}
@@ -95,7 +95,7 @@
 	}
 	usual.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
 	own := used.Load.PrefillRate
-	usual.ApplyUsual(start, &used)
+	usual.ApplyTypical(start, &used)
 	if diff := cmp.Diff(own, used.Load.PrefillRate); diff != "" {
 		t.Errorf("prefill rate of the target that was used (-want +got):\n%s", diff)
 	}
--- a/internal/load/usual.go
+++ b/internal/load/usual.go
@@ -132,11 +132,11 @@
 	st.pace.sample(now, gap)
 }
 
-// ApplyUsual sets the typical values of its service in a target, and the prefill rate if this host
+// ApplyTypical sets the typical values of its service in a target, and the prefill rate if this host
 // has not measured one. With many hosts and many targets most pairs of a host and a target exchange
 // no request within a minute, and a target with an unknown rate would look as if it prefilled any
 // prompt in no time.
-func (sv *Services) ApplyUsual(now ident.Time, s *State) {
+func (sv *Services) ApplyTypical(now ident.Time, s *State) {
 	if s.Capacity == 0 {
 		return
 	}
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -68,9 +68,9 @@
 	offersMade     []heldOffer
 	offersReceived []heldOffer
 	forwarded      []*forwardWindow
-	// rejectedAt is when the data centre last rejected a request for lack of capacity, by
+	// refusedAt is when the data centre last rejected a request for lack of capacity, by
 	// service.
-	rejectedAt   map[string]ident.Time
+	refusedAt    map[string]ident.Time
 	lastSent     lastSent
 	sendAttempts uint64
 	// unconfirmedRepeats counts the consecutive repeated summaries since the data centre last
@@ -102,9 +102,9 @@
 // poolsAge returns the age of the newest pools.
 func (c *Centre) poolsAge(now ident.Time) time.Duration { return now.Sub(c.poolsMadeAt) }
 
-// hostsOutdated reports whether the known hosts of the data centre differ from its current
+// hostsAreStale reports whether the known hosts of the data centre differ from its current
 // ones.
-func (c *Centre) hostsOutdated() bool {
+func (c *Centre) hostsAreStale() bool {
 	return c.HasSummary && c.Summary.HostsHash != 0 && c.Summary.HostsHash != c.hostsHash
 }
 
@@ -132,7 +132,7 @@
 		id.Serve.Version = ""
 		p = c.Pool(id)
 	}
-	if p == nil || !needsHelp(p.Free, p.Slots) {
+	if p == nil || !needsCapacity(p.Free, p.Slots) {
 		return nil
 	}
 	return p
@@ -274,7 +274,7 @@
 func (c *Centre) requestedPools() []PoolID {
 	var ids []PoolID
 	for _, p := range c.Summary.Pools {
-		if needsHelp(p.Free, p.Slots) {
+		if needsCapacity(p.Free, p.Slots) {
 			ids = append(ids, PoolID{p.Serve, p.Service})
 		}
 	}
@@ -286,7 +286,7 @@
 func (c *Centre) summaryWithAge(now ident.Time) event.Summary {
 	s := c.Summary
 	s.Age = c.Age(now)
-	if c.hostsOutdated() || c.hostsHash == 0 {
+	if c.hostsAreStale() || c.hostsHash == 0 {
 		s.Hosts, s.HostsOmitted = nil, true
 	}
 	if c.poolsMadeAt == 0 {
@@ -384,12 +384,12 @@
 	return s
 }
 
-// outdatedCentres returns the data centres whose known hosts are outdated, for example after a
+// staleCentres returns the data centres whose known hosts are outdated, for example after a
 // lost digest. Peers with the current hosts send them with the next digest.
-func (tb *Table) outdatedCentres() []ident.DataCentre {
+func (tb *Table) staleCentres() []ident.DataCentre {
 	var dcs []ident.DataCentre
 	for _, c := range tb.centres {
-		if c.hostsOutdated() {
+		if c.hostsAreStale() {
 			dcs = append(dcs, c.Place.Group())
 		}
 	}
@@ -401,7 +401,7 @@
 func (tb *Table) resendHosts(dcs []ident.DataCentre) {
 	for _, dc := range dcs {
 		i, ok := tb.findCentre(dc)
-		if ok && tb.centres[i].toRelay.receivedHere && !tb.centres[i].hostsOutdated() {
+		if ok && tb.centres[i].toRelay.receivedHere && !tb.centres[i].hostsAreStale() {
 			tb.centres[i].toRelay.due, tb.centres[i].toRelay.hosts = true, true
 		}
 	}
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -16,7 +16,7 @@
 	for _, w := range d.Draining {
 		tb.observeDraining(now, w.Target, w.Incarnation)
 	}
-	tb.mergeHeartbeat(now, d)
+	tb.mergeNewestParts(now, d)
 	tb.mergeRemovals(now, d.Removed)
 	// Loads and summaries have their own sequence numbers.
 	for _, ld := range d.Loads {
@@ -27,9 +27,9 @@
 	}
 }
 
-// mergeHeartbeat merges the parts of a digest that are valid only in the newest digest of the
+// mergeNewestParts merges the parts of a digest that are valid only in the newest digest of the
 // newest incarnation.
-func (tb *Table) mergeHeartbeat(now ident.Time, d event.Digest) {
+func (tb *Table) mergeNewestParts(now ident.Time, d event.Digest) {
 	p := tb.putPeer(now, d.Host)
 	if p == nil || d.Seq <= p.seq {
 		return
@@ -38,7 +38,7 @@
 	p.revision = d.Revision
 	p.platformUnreachable = d.PlatformUnreachable
 	p.forwarded = slices.Clone(d.Forwarded)
-	p.flows = slices.Clone(d.Demand)
+	p.demands = slices.Clone(d.Demand)
 	tb.observe(now, p)
 	tb.mergeList(now, d)
 	tb.mergeUse(p, d.Use)
@@ -101,7 +101,7 @@
 	d := event.Digest{
 		Host: tb.self, Seq: tb.heartbeat.seq, Revision: tb.local.Revision, PlatformUnreachable: tb.platformUnreachable,
 		Accounts: tb.local.Accounts, AccountsIncluded: tb.local.AccountsIncluded, Draining: tb.drainNotices(now, false), Forwarded: slices.Clone(tb.forwarded), Wants: tb.ownPoolRequests(now),
-		Demand: tb.ownFlows(now), Removed: tb.recentRemovals(now),
+		Demand: tb.ownDemand(now), Removed: tb.recentRemovals(now),
 	}
 	for _, t := range tb.targets {
 		if t.InFlight > 0 {
@@ -143,7 +143,7 @@
 	if regular {
 		d.Loads = tb.relayedLoads(now)
 		d.Summaries = tb.summariesToRelay(now)
-		d.StaleCentres = tb.outdatedCentres()
+		d.StaleCentres = tb.staleCentres()
 	}
 	if regular || tb.list.urgent {
 		tb.addListIfDue(now, &d)
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -14,11 +14,11 @@
 	// sampleInterval is the time that one sample of the demand covers. Digests go out at the same
 	// interval.
 	sampleInterval = HeartbeatInterval
-	// flowWeight is the weight of the newest sample.
-	flowWeight = 0.6
-	// missWeight is the weight of one prompt in the average fraction of prompts that engines
+	// sampleWeight is the weight of the newest sample.
+	sampleWeight = 0.6
+	// prefillShareWeight is the weight of one prompt in the average fraction of prompts that engines
 	// prefill.
-	missWeight = 1.0 / 64
+	prefillShareWeight = 1.0 / 64
 	// eventTokens is the work of one event of a stream, expressed in prompt tokens: an event has
 	// eight or nine tokens, each of which takes a tenth of a millisecond of the time of an engine
 	// that prefills 57 tokens per millisecond.
@@ -31,49 +31,49 @@
 	minLongPrefix = 2048
 )
 
-// serviceFlow measures the demand of this host's callers for a service: in prompt tokens if its
+// serviceDemand measures the demand of this host's callers for a service: in prompt tokens if its
 // targets are engines, otherwise in seconds of slot time.
-type serviceFlow struct {
+type serviceDemand struct {
 	service string
-	// alone and shared are the work since sampleStart, without and with a long shared prefix. rate
+	// unshared and shared are the work since sampleStart, without and with a long shared prefix. rate
 	// is the smoothed work a second.
-	alone, shared float64
-	sampleStart   ident.Time
-	rate          event.PrefillDemand
+	unshared, shared float64
+	sampleStart      ident.Time
+	rate             event.PrefillDemand
 }
 
 // closeSample adds the current sample to the rate once sampleInterval is over.
-func (f *serviceFlow) closeSample(now ident.Time) {
+func (f *serviceDemand) closeSample(now ident.Time) {
 	span := now.Sub(f.sampleStart)
 	if span < sampleInterval {
 		return
 	}
-	f.rate.UnsharedPrefill += flowWeight * (f.alone/span.Seconds() - f.rate.UnsharedPrefill)
-	f.rate.SharedPrefill += flowWeight * (f.shared/span.Seconds() - f.rate.SharedPrefill)
-	f.alone, f.shared, f.sampleStart = 0, 0, now
+	f.rate.UnsharedPrefill += sampleWeight * (f.unshared/span.Seconds() - f.rate.UnsharedPrefill)
+	f.rate.SharedPrefill += sampleWeight * (f.shared/span.Seconds() - f.rate.SharedPrefill)
+	f.unshared, f.shared, f.sampleStart = 0, 0, now
 }
 
 // RecordDemand records a request that a caller sent to this host, wherever it is then served. The
 // argument events is the expected number of events in its answer.
 func (tb *Table) RecordDemand(now ident.Time, r *event.Request, events float64) {
 	if r.Prompt == 0 {
-		f := tb.flowOf(now, r.Service)
+		f := tb.serviceDemandOf(now, r.Service)
 		f.closeSample(now)
-		f.alone += tb.serviceStats.RequestTime(r.Service).Seconds()
+		f.unshared += tb.serviceStats.RequestTime(r.Service).Seconds()
 		return
 	}
-	miss, ok := tb.missRatios[r.Service]
+	miss, ok := tb.prefillShares[r.Service]
 	if !ok {
 		miss = 1
 	}
 	work := miss*float64(r.Prompt) + eventTokens*events
-	f := tb.flowOf(now, r.Service)
+	f := tb.serviceDemandOf(now, r.Service)
 	f.closeSample(now)
 	if HasLongSharedPrefix(r) {
 		f.shared += work
 		return
 	}
-	f.alone += work
+	f.unshared += work
 }
 
 // HasLongSharedPrefix reports whether a prompt has a long prefix in common with other prompts.
@@ -88,25 +88,25 @@
 		return
 	}
 	sample := min(1, float64(prefilled)/float64(prompt))
-	miss, ok := tb.missRatios[service]
+	miss, ok := tb.prefillShares[service]
 	if !ok {
 		miss = 1
 	}
-	tb.missRatios[service] = miss + missWeight*(sample-miss)
+	tb.prefillShares[service] = miss + prefillShareWeight*(sample-miss)
 }
 
-func (tb *Table) flowOf(now ident.Time, service string) *serviceFlow {
-	i, ok := slices.BinarySearchFunc(tb.flows, service, func(f *serviceFlow, s string) int { return strings.Compare(f.service, s) })
+func (tb *Table) serviceDemandOf(now ident.Time, service string) *serviceDemand {
+	i, ok := slices.BinarySearchFunc(tb.demands, service, func(f *serviceDemand, s string) int { return strings.Compare(f.service, s) })
 	if !ok {
-		tb.flows = slices.Insert(tb.flows, i, &serviceFlow{service: service, sampleStart: now, rate: event.PrefillDemand{Service: service}})
+		tb.demands = slices.Insert(tb.demands, i, &serviceDemand{service: service, sampleStart: now, rate: event.PrefillDemand{Service: service}})
 	}
-	return tb.flows[i]
+	return tb.demands[i]
 }
 
-// ownFlows returns the demand at this host, for its peers.
-func (tb *Table) ownFlows(now ident.Time) []event.PrefillDemand {
+// ownDemand returns the demand at this host, for its peers.
+func (tb *Table) ownDemand(now ident.Time) []event.PrefillDemand {
 	var fs []event.PrefillDemand
-	for _, f := range tb.flows {
+	for _, f := range tb.demands {
 		f.closeSample(now)
 		if f.rate.UnsharedPrefill+f.rate.SharedPrefill > 0 {
 			fs = append(fs, f.rate)
@@ -118,7 +118,7 @@
 // demand returns the work a second that the callers of all live hosts of this data centre send for
 // a service.
 func (tb *Table) demand(now ident.Time, service string) (alone, shared float64) {
-	for _, f := range tb.flows {
+	for _, f := range tb.demands {
 		if f.service == service {
 			f.closeSample(now)
 			alone += f.rate.UnsharedPrefill
@@ -129,7 +129,7 @@
 		if !p.live(now) {
 			continue
 		}
-		for _, f := range p.flows {
+		for _, f := range p.demands {
 			if f.Service == service {
 				alone += f.UnsharedPrefill
 				shared += f.SharedPrefill
@@ -139,16 +139,16 @@
 	return alone, shared
 }
 
-// CentreRoom is the work that a data centre may take.
-type CentreRoom struct {
+// CentreAllocation is the work that a data centre may take.
+type CentreAllocation struct {
 	// Centre is nil for this data centre.
 	Centre *Centre
 	// Work is the work a second that the data centre may take.
 	Work float64
 
-	// capacity is the number of its engines or slots, alone the demand of its callers without a
+	// capacity is the number of its engines or slots, unshared the demand of its callers without a
 	// long shared prefix.
-	capacity, alone float64
+	capacity, unshared float64
 }
 
 // Spill returns how much work with a long shared prefix each data centre may take, and the fraction
@@ -162,7 +162,7 @@
 // Below spillThreshold all work stays local. Between the threshold and twice its value the share of
 // the shared prefixes that may go to other data centres grows from zero to all, so that a small
 // change in demand moves only few of them.
-func (tb *Table) Spill(now ident.Time, service string, prompts bool, rooms []CentreRoom) (float64, []CentreRoom) {
+func (tb *Table) Spill(now ident.Time, service string, prompts bool, rooms []CentreAllocation) (float64, []CentreAllocation) {
 	rooms = rooms[:0]
 	id := PoolID{Service: service}
 	size, threshold := slotsOf, spillThreshold
@@ -170,14 +170,14 @@
 		size, threshold = enginesOf, spillThreshold*tb.serviceStats.PrefillRate(service)
 	}
 	alone, shared := tb.demand(now, service)
-	own := CentreRoom{alone: alone}
+	own := CentreAllocation{unshared: alone}
 	if p, ok := tb.pool(id); ok {
 		own.capacity = size(&p.Pool)
 	}
 	rooms = append(rooms, own)
 	for _, c := range tb.centres {
 		if p := c.Pool(id); p != nil && !c.CutOff(now) {
-			rooms = append(rooms, CentreRoom{Centre: c, capacity: size(p), alone: p.UnsharedPrefill})
+			rooms = append(rooms, CentreAllocation{Centre: c, capacity: size(p), unshared: p.UnsharedPrefill})
 			shared += p.SharedPrefill
 		}
 	}
@@ -188,8 +188,8 @@
 	}
 	level = max(level, threshold)
 	for i := range rooms {
-		rooms[i].Work = max(0, level*rooms[i].capacity-rooms[i].alone)
-		if i > 0 && own.alone <= level*own.capacity {
+		rooms[i].Work = max(0, level*rooms[i].capacity-rooms[i].unshared)
+		if i > 0 && own.unshared <= level*own.capacity {
 			rooms[i].Work *= remoteShare
 		}
 	}
@@ -204,10 +204,10 @@
 func slotsOf(p *event.Pool) float64 { return float64(p.Slots) }
 
 // evenLevel returns the work for each engine or slot if all work is distributed evenly.
-func evenLevel(rooms []CentreRoom, shared float64) float64 {
+func evenLevel(rooms []CentreAllocation, shared float64) float64 {
 	work, capacity := shared, 0.0
 	for _, r := range rooms {
-		work += r.alone
+		work += r.unshared
 		capacity += r.capacity
 	}
 	if capacity == 0 {
--- a/internal/member/flow_test.go
+++ b/internal/member/flow_test.go
@@ -103,17 +103,17 @@
 // work that can be moved.
 func TestRoomEqualsMovableWork(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		rooms := make([]CentreRoom, rapid.IntRange(1, 12).Draw(rt, "regions"))
+		rooms := make([]CentreAllocation, rapid.IntRange(1, 12).Draw(rt, "regions"))
 		for i := range rooms {
-			rooms[i] = CentreRoom{capacity: float64(rapid.IntRange(0, 40).Draw(rt, "engines")), alone: rapid.Float64Range(0, 1e6).Draw(rt, "alone")}
+			rooms[i] = CentreAllocation{capacity: float64(rapid.IntRange(0, 40).Draw(rt, "engines")), unshared: rapid.Float64Range(0, 1e6).Draw(rt, "alone")}
 		}
 		rooms[0].capacity++
 		shared := rapid.Float64Range(0, 1e6).Draw(rt, "shared")
 		level := evenLevel(rooms, shared)
 		room, sent := 0.0, 0.0
 		for _, r := range rooms {
-			room += max(0, level*r.capacity-r.alone)
-			sent += max(0, r.alone-level*r.capacity)
+			room += max(0, level*r.capacity-r.unshared)
+			sent += max(0, r.unshared-level*r.capacity)
 		}
 		if want := shared + sent; math.Abs(room-want) > 1e-6*(1+want) {
 			rt.Errorf("room for %v, want %v as the work that can be moved", room, want)
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -8,15 +8,15 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// outageGrace is how long after an outage of the platform's store targets that are missing from its
+// outageGracePeriod is how long after an outage of the platform's store targets that are missing from its
 // list stay in use, so that entries that expired during the outage can be written again.
-const outageGrace = 2200 * time.Millisecond
+const outageGracePeriod = 2200 * time.Millisecond
 
 // ListFailed records that a read of the platform's list failed.
 func (tb *Table) ListFailed(now ident.Time) {
 	tb.Advance(now)
 	tb.list.readFailed = true
-	tb.list.steadySince = 0
+	tb.list.stableSince = 0
 	tb.scheduleRead(now, "failed")
 }
 
@@ -26,23 +26,23 @@
 		tb.list.readFailed = false
 		tb.list.recoveredAt = now
 	}
-	if tb.list.steadySince == 0 {
-		tb.list.steadySince = now
+	if tb.list.stableSince == 0 {
+		tb.list.stableSince = now
 	}
 }
 
 // readsAreStable reports whether this host has read the platform's list without a failure for long
 // enough to announce removals. Just after an outage an expired entry looks like a removed one.
 func (tb *Table) readsAreStable(now ident.Time) bool {
-	return tb.list.steadySince > 0 && now.Sub(tb.list.steadySince) >= outageGrace
+	return tb.list.stableSince > 0 && now.Sub(tb.list.stableSince) >= outageGracePeriod
 }
 
 // HasList reports whether this host, or a peer on its behalf, has read the platform's list.
 func (tb *Table) HasList() bool { return tb.list.readHere || len(tb.peers) > 0 }
 
-// markUnlisted marks the targets that are missing from the complete list that this host has just
+// markAbsentTargets marks the targets that are missing from the complete list that this host has just
 // read.
-func (tb *Table) markUnlisted(now ident.Time) {
+func (tb *Table) markAbsentTargets(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
 			t.markAbsent(tb.list.version)
@@ -51,9 +51,9 @@
 	tb.updateRemoved(now)
 }
 
-// removeUnlisted removes the targets that are missing from the complete list of a peer, even during
+// removeAbsentTargets removes the targets that are missing from the complete list of a peer, even during
 // an outage of the store at this host.
-func (tb *Table) removeUnlisted(now ident.Time) {
+func (tb *Table) removeAbsentTargets(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
 			tb.remove(now, t, tb.list.version)
@@ -118,14 +118,14 @@
 
 // markAbsent records that the list does not name the target since a version.
 func (t *Target) markAbsent(version uint64) {
-	t.missing, t.listed = true, false
+	t.absent, t.listed = true, false
 	t.removedVersion = max(t.removedVersion, version)
 }
 
 // markListed records that a version of the list names the target.
 func (t *Target) markListed(version uint64) {
 	t.listedVersion = max(t.listedVersion, version)
-	t.removedVersion, t.missing = 0, false
+	t.removedVersion, t.absent = 0, false
 }
 
 // updateRemoved updates which targets are removed, based on the complete lists read so far. Some
@@ -133,9 +133,9 @@
 // of the platform's store and for outageGrace after it no target is removed, since entries expire
 // although their targets are alive.
 func (tb *Table) updateRemoved(now ident.Time) {
-	inOutage := tb.list.readFailed || tb.list.recoveredAt > 0 && now.Sub(tb.list.recoveredAt) < outageGrace
+	inOutage := tb.list.readFailed || tb.list.recoveredAt > 0 && now.Sub(tb.list.recoveredAt) < outageGracePeriod
 	for _, t := range tb.targets {
-		gone := t.missing && (t.Removed || !inOutage)
+		gone := t.absent && (t.Removed || !inOutage)
 		if gone == t.Removed {
 			continue
 		}
@@ -149,9 +149,9 @@
 	}
 }
 
-// mergeListed merges the cold time and the end of an evacuation of a target from a list. The list
+// mergeColdState merges the cold time and the end of an evacuation of a target from a list. The list
 // of a peer may be out of date, so only a longer cold time counts.
-func (tb *Table) mergeListed(now ident.Time, t *Target, d event.Target) {
+func (tb *Table) mergeColdState(now ident.Time, t *Target, d event.Target) {
 	until := now.Add(d.ColdFor)
 	if d.ColdFor > 0 && until > t.coldUntil {
 		t.coldUntil = until
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -75,7 +75,7 @@
 	if !usable(t, tb, at, "a") {
 		t.Error("a target whose entry expired during the outage is dropped at its end")
 	}
-	at = at.Add(outageGrace)
+	at = at.Add(outageGracePeriod)
 	tb.Tick(at, LocalState{})
 	if usable(t, tb, at, "a") {
 		t.Error("a target that was not listed again after the outage is still usable")
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -96,7 +96,7 @@
 	if d := cmp.Diff([]event.Host{far}, c.Hosts); d != "" {
 		t.Errorf("hosts (-want +got):\n%s", d)
 	}
-	if d := cmp.Diff(tb.outdatedCentres(), []ident.DataCentre{"dc1"}); d != "" {
+	if d := cmp.Diff(tb.staleCentres(), []ident.DataCentre{"dc1"}); d != "" {
 		t.Errorf("lacking (-want +got):\n%s", d)
 	}
 	if s := c.summaryWithAge(w.now); !s.HostsOmitted || !s.PoolsOmitted {
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -53,7 +53,7 @@
 	tb.mergeListedTargets(now, ev.Targets)
 	tb.mergeListedHosts(now, ev.Hosts)
 	if ev.Complete {
-		tb.markUnlisted(now)
+		tb.markAbsentTargets(now)
 	}
 }
 
@@ -72,7 +72,7 @@
 	tb.useVersion(now, d.ListVersion)
 	tb.mergeListedTargets(now, d.Targets)
 	if d.Complete {
-		tb.removeUnlisted(now)
+		tb.removeAbsentTargets(now)
 	}
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -127,10 +127,10 @@
 	cold         ColdLimits
 	// serviceStats holds the typical times and rates of the targets of each service.
 	serviceStats load.Services
-	// flows is the demand of the callers of this host by service, missRatios the fraction of
+	// demands is the demand of the callers of this host by service, missRatios the fraction of
 	// the prompts of a service that its engines have to prefill.
-	flows      []*serviceFlow
-	missRatios map[string]float64
+	demands       []*serviceDemand
+	prefillShares map[string]float64
 	// notes holds the changes since the last call of TakeNotes.
 	notes []event.Note
 	// baseSummaryInterval is the fixed part of the interval between summaries to a data centre
@@ -159,7 +159,7 @@
 	// failure.
 	readFailed  bool
 	recoveredAt ident.Time
-	steadySince ident.Time
+	stableSince ident.Time
 	// urgent reports whether the newest read of this host has changes that peers need at once.
 	urgent bool
 }
@@ -189,7 +189,7 @@
 		byKey:               make(map[event.TargetKey]*Target),
 		draining:            make(map[ident.TargetID]drainNotice),
 		baseSummaryInterval: defaultSummaryInterval,
-		missRatios:          make(map[string]float64),
+		prefillShares:       make(map[string]float64),
 	}
 }
 
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -9,27 +9,27 @@
 
 // Requests to engines for the size of their memory.
 const (
-	// memoryAskInterval is the time between two requests to an engine that has not answered.
-	memoryAskInterval = 10 * time.Second
-	// maxMemoryAsks bounds the requests in one second. Engines that come back together are busy
+	// memoryRequestInterval is the time between two requests to an engine that has not answered.
+	memoryRequestInterval = 10 * time.Second
+	// maxMemoryRequests bounds the requests in one second. Engines that come back together are busy
 	// then, and an answer stays valid for the lifetime of the engine.
-	maxMemoryAsks = 16
+	maxMemoryRequests = 16
 )
 
-// askMemory returns the requests to engines whose memory size is unknown. Engines are the targets
+// memoryRequests returns the requests to engines whose memory size is unknown. Engines are the targets
 // of services with a known prefill rate.
-func (tb *Table) askMemory(now ident.Time) []event.Effect {
+func (tb *Table) memoryRequests(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
 		if t.Capacity == 0 || t.MemoryTokens > 0 || tb.serviceStats.PrefillRate(t.Service) == 0 || !t.Usable(now) {
 			continue
 		}
-		if t.memoryAskedAt > 0 && now.Sub(t.memoryAskedAt) < memoryAskInterval {
+		if t.memoryRequestedAt > 0 && now.Sub(t.memoryRequestedAt) < memoryRequestInterval {
 			continue
 		}
-		t.memoryAskedAt = now
+		t.memoryRequestedAt = now
 		effs = append(effs, event.AskMemory{Target: t.Target})
-		if len(effs) == maxMemoryAsks {
+		if len(effs) == maxMemoryRequests {
 			break
 		}
 	}
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -17,9 +17,9 @@
 // centre asks and offers at the same time, and one whose load fluctuates around a threshold does
 // not flap.
 const (
-	// A data centre asks for help at or below askPercent. It keeps reservePercent for itself,
+	// A data centre asks for help at or below requestPercent. It keeps reservePercent for itself,
 	// withdraws its offer below withdrawPercent, and starts to offer at offerPercent.
-	askPercent      = 10
+	requestPercent  = 10
 	reservePercent  = 20
 	withdrawPercent = 25
 	offerPercent    = 40
@@ -33,10 +33,10 @@
 	// it into account, in addition to the transit time of the offer. It covers the network delays
 	// of both.
 	maxForwardDelay = 200 * time.Millisecond
-	// wantTTL is how long a data centre asks for a pool without targets after the last request for
+	// poolRequestTTL is how long a data centre asks for a pool without targets after the last request for
 	// it. maxWants bounds the number of such pools.
-	wantTTL  = 10 * time.Second
-	maxWants = 64
+	poolRequestTTL = 10 * time.Second
+	maxPools       = 64
 )
 
 // heldOffer is an offer that its recipient may still use.
@@ -45,8 +45,8 @@
 	expiresAt ident.Time
 }
 
-// needsHelp reports whether a data centre asks for help with a pool.
-func needsHelp(free, slots int) bool { return free*percent <= slots*askPercent }
+// needsCapacity reports whether a data centre asks for help with a pool.
+func needsCapacity(free, slots int) bool { return free*percent <= slots*requestPercent }
 
 // spareSlots returns the slots that may be offered: the free ones beyond the reserve for local
 // requests and for those that may be served only here.
@@ -64,7 +64,7 @@
 		if !p.offering {
 			continue
 		}
-		askers := tb.askers(now, p.id)
+		askers := tb.requesters(now, p.id)
 		n := spareSlots(p.Free, p.Slots)
 		if tb.hasPace(p.id) {
 			n /= pacedOfferDivisor
@@ -76,11 +76,11 @@
 	return rows
 }
 
-// askers returns the indexes of the data centres that may get an offer of a pool. The order differs
+// requesters returns the indexes of the data centres that may get an offer of a pool. The order differs
 // between pools, so that small offers do not always go to the same ones. A data centre is left out
 // while a host here may still hold an offer of it, so that the two do not exchange work in both
 // directions.
-func (tb *Table) askers(now ident.Time, id PoolID) []int {
+func (tb *Table) requesters(now ident.Time, id PoolID) []int {
 	var is []int
 	for i, c := range tb.centres {
 		if c.CutOff(now) || !tb.mayOfferTo(now, c, id) {
@@ -90,7 +90,7 @@
 	}
 	salt := rank.Hash("askers", string(id.Serve.Model), string(id.Serve.Version), string(id.Serve.Adapter), id.Service)
 	slices.SortFunc(is, func(a, b int) int {
-		return cmp.Compare(tb.askerRank(salt, a), tb.askerRank(salt, b))
+		return cmp.Compare(tb.requesterRank(salt, a), tb.requesterRank(salt, b))
 	})
 	return is
 }
@@ -104,7 +104,7 @@
 	return c.requestedPool(id) != nil && !holdsOffer(c.offersReceived, now, id)
 }
 
-func (tb *Table) askerRank(salt uint64, i int) uint64 {
+func (tb *Table) requesterRank(salt uint64, i int) uint64 {
 	return rank.Combine(salt, rank.Hash(string(tb.centres[i].Place.Group())))
 }
 
@@ -236,7 +236,7 @@
 	c := tb.centres[i]
 	p := c.forwardWindow(id)
 	if p == nil {
-		if len(c.forwarded) >= maxWants {
+		if len(c.forwarded) >= maxPools {
 			return
 		}
 		p = &forwardWindow{id: id}
--- a/internal/member/peer.go
+++ b/internal/member/peer.go
@@ -25,7 +25,7 @@
 	revision            ident.Revision
 	use                 []event.TargetUse
 	forwarded           []event.ForwardedUse
-	flows               []event.PrefillDemand
+	demands             []event.PrefillDemand
 	platformUnreachable bool
 	// needsFullDigest reports whether the host is due a digest of everything that this host
 	// knows.
@@ -148,9 +148,9 @@
 
 // Hosts that read the platform's store continuously.
 const (
-	// activeReaders is the number of active readers in a data centre. A second one covers for
+	// activeReaderCount is the number of active readers in a data centre. A second one covers for
 	// a reader that freezes.
-	activeReaders = 2
+	activeReaderCount = 2
 	// maxReaderSilence is the longest silence of a host that still counts as an active reader.
 	maxReaderSilence = 1800 * time.Millisecond
 )
@@ -169,7 +169,7 @@
 			before++
 		}
 	}
-	return before < activeReaders
+	return before < activeReaderCount
 }
 
 // IsRepresentative reports whether this host sends the summaries of its data centre.
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -73,7 +73,7 @@
 	if p == nil {
 		return
 	}
-	if added || !p.requestedHere || now.Sub(p.requestedHereAt) > wantTTL {
+	if added || !p.requestedHere || now.Sub(p.requestedHereAt) > poolRequestTTL {
 		// Another host may be the representative, and must be notified at once.
 		tb.heartbeat.urgent = true
 	}
@@ -88,7 +88,7 @@
 	}
 	tb.requestsQueuedAt = now
 	tb.countPools(now)
-	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && needsHelp(p.Free, p.Slots) }) {
+	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && needsCapacity(p.Free, p.Slots) }) {
 		tb.heartbeat.summaryDue, tb.heartbeat.urgent = true, true
 	}
 }
@@ -98,7 +98,7 @@
 func (tb *Table) recordPoolRequest(now ident.Time, id PoolID) (p *pool, added bool) {
 	p, ok := tb.pool(id)
 	if !ok {
-		if len(tb.pools) >= maxWants {
+		if len(tb.pools) >= maxPools {
 			return nil, false
 		}
 		p = tb.ensurePool(id)
@@ -113,7 +113,7 @@
 func (tb *Table) ownPoolRequests(now ident.Time) []event.Want {
 	var ws []event.Want
 	for _, p := range tb.pools {
-		if p.Targets == 0 && p.requestedHere && now.Sub(p.requestedHereAt) <= wantTTL {
+		if p.Targets == 0 && p.requestedHere && now.Sub(p.requestedHereAt) <= poolRequestTTL {
 			ws = append(ws, event.Want{Serve: p.Serve, Service: p.Service})
 		}
 	}
@@ -135,7 +135,7 @@
 		tb.addToPools(now, t)
 	}
 	tb.pools = slices.DeleteFunc(tb.pools, func(p *pool) bool {
-		return p.Targets == 0 && (!p.requested || now.Sub(p.requestedAt) > wantTTL)
+		return p.Targets == 0 && (!p.requested || now.Sub(p.requestedAt) > poolRequestTTL)
 	})
 	for _, p := range tb.pools {
 		if p.Targets > 0 {
--- a/internal/member/reads_test.go
+++ b/internal/member/reads_test.go
@@ -47,13 +47,13 @@
 		}
 	}
 	first := beat(nil)
-	if len(first) != activeReaders {
-		t.Fatalf("hosts %v are active readers, want %d of them", first, activeReaders)
+	if len(first) != activeReaderCount {
+		t.Fatalf("hosts %v are active readers, want %d of them", first, activeReaderCount)
 	}
 	frozen := map[int]bool{first[0]: true, first[1]: true}
 	beat(frozen)
 	second := beat(frozen)
-	if len(second) != activeReaders {
-		t.Errorf("hosts %v are active readers two seconds after both readers froze, want %d of them", second, activeReaders)
+	if len(second) != activeReaderCount {
+		t.Errorf("hosts %v are active readers two seconds after both readers froze, want %d of them", second, activeReaderCount)
 	}
 }
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -29,7 +29,7 @@
 	}
 	t, ok := tb.byID[ld.Target]
 	if ok {
-		tb.learnIncarnation(t, ld.Incarnation)
+		tb.adoptIncarnation(t, ld.Incarnation)
 	}
 	if !ok || ld.Incarnation < t.Incarnation {
 		return nil, false
@@ -83,8 +83,8 @@
 		return ld
 	}
 	ld.Target, ld.Key = tb.digestName(t)
-	if !sameStaticPart(t.relayedFixed, ld) || now.Sub(t.relayedFixedAt) >= staticPartInterval {
-		t.relayedFixed, t.relayedFixedAt = ld, now
+	if !sameStaticPart(t.relayedStatic, ld) || now.Sub(t.relayedStaticAt) >= staticPartInterval {
+		t.relayedStatic, t.relayedStaticAt = ld, now
 		return ld
 	}
 	ld.Slots, ld.PrefillRate, ld.DecodeRate, ld.Serves = 0, 0, 0, nil
--- a/internal/member/seen.go
+++ b/internal/member/seen.go
@@ -44,7 +44,7 @@
 // inheritServiceRates gives each target the typical rates of its service.
 func (tb *Table) inheritServiceRates() {
 	for _, t := range tb.targets {
-		tb.serviceStats.ApplyUsual(tb.lastAdvance, &t.State)
+		tb.serviceStats.ApplyTypical(tb.lastAdvance, &t.State)
 	}
 }
 
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -81,7 +81,7 @@
 	tb.ListFailed(at)
 	tb.DigestReceived(at, peerList(3, newTarget("a"), newTarget("b")))
 	tb.HostsRead(at, listOf(2, newTarget("a"), newTarget("b")))
-	at = at.Add(outageGrace)
+	at = at.Add(outageGracePeriod)
 	tb.HostsRead(at, listOf(4, newTarget("b")))
 	if usable(t, tb, at, "a") {
 		t.Error("a removed target is still usable after outageGrace")
@@ -124,7 +124,7 @@
 func TestNewHostAnnouncesNoRemoval(t *testing.T) {
 	at := ident.Time(time.Second)
 	starting, peer := newPair(at)
-	at = at.Add(outageGrace / 2)
+	at = at.Add(outageGracePeriod / 2)
 	starting.HostsRead(at, listOf(2, newTarget("b")))
 	peer.DigestReceived(at, nextDigest(t, starting, at))
 	if !usable(t, peer, at, "a") {
@@ -220,7 +220,7 @@
 	if !reader.IsWatcher(at) {
 		reader, follower = follower, reader
 	}
-	at = at.Add(outageGrace)
+	at = at.Add(outageGracePeriod)
 	reader.HostsRead(at, event.HostsRead{Version: 2, Targets: []event.Target{newTarget("b")}})
 	d := nextDigest(t, reader, at)
 	if len(d.Targets) == 0 {
--- a/internal/member/start.go
+++ b/internal/member/start.go
@@ -13,7 +13,7 @@
 func (tb *Table) putTarget(now ident.Time, d event.Target) {
 	t, ok := tb.byID[d.ID]
 	if !ok {
-		t = &Target{coldUntil: now.Add(d.ColdFor), State: load.State{Target: d}, listed: true, rampStartedAt: now, lastSeen: now, noRamp: now.Sub(tb.started) <= startGrace}
+		t = &Target{coldUntil: now.Add(d.ColdFor), State: load.State{Target: d}, listed: true, rampStartedAt: now, lastSeen: now, noRamp: now.Sub(tb.started) <= startGracePeriod}
 		tb.byID[d.ID] = t
 		i, _ := slices.BinarySearchFunc(tb.targets, d.ID, func(t *Target, id ident.TargetID) int { return cmp.Compare(t.ID, id) })
 		tb.targets = slices.Insert(tb.targets, i, t)
@@ -23,11 +23,11 @@
 		return
 	}
 	t.listed = true
-	tb.learnIncarnation(t, d.Incarnation)
+	tb.adoptIncarnation(t, d.Incarnation)
 	d.Incarnation = cmp.Or(d.Incarnation, t.Incarnation)
 	switch {
 	case d.Incarnation == t.Incarnation:
-		tb.mergeListed(now, t, d)
+		tb.mergeColdState(now, t, d)
 		d.Draining = d.Draining || t.Draining
 		t.Target = d
 	case d.Incarnation > t.Incarnation:
@@ -42,13 +42,13 @@
 	tb.updateDraining(now, t)
 }
 
-// learnIncarnation sets the incarnation of a target whose list entry has none, from its first load
+// adoptIncarnation sets the incarnation of a target whose list entry has none, from its first load
 // report. The target has not restarted, so requests that are running there continue.
-func (tb *Table) learnIncarnation(t *Target, inc ident.Incarnation) {
+func (tb *Table) adoptIncarnation(t *Target, inc ident.Incarnation) {
 	if t.Incarnation != 0 || inc == 0 {
 		return
 	}
-	t.Incarnation, t.incarnationLearnt = inc, true
+	t.Incarnation, t.incarnationAdopted = inc, true
 	if n, ok := tb.draining[t.ID]; ok && n.incarnation == 0 {
 		n.incarnation = inc
 		tb.draining[t.ID] = n
@@ -82,7 +82,7 @@
 // currentTarget returns a target, and whether the given incarnation is its current one.
 func (tb *Table) currentTarget(id ident.TargetID, inc ident.Incarnation) (*Target, bool) {
 	t, ok := tb.byID[id]
-	return t, ok && (t.Incarnation == inc || inc == 0 && t.incarnationLearnt)
+	return t, ok && (t.Incarnation == inc || inc == 0 && t.incarnationAdopted)
 }
 
 // IsCurrent reports whether an incarnation of a target is the newest one known.
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -21,7 +21,7 @@
 	}
 	offers := tb.offers(now)
 	if !tb.IsRepresentative(now) {
-		tb.recordOffers(now, offers)
+		tb.recordExpectedOffers(now, offers)
 		tb.resetLastSent()
 		return nil
 	}
@@ -60,10 +60,10 @@
 	}
 }
 
-// recordOffers records the offers that the representative probably makes now. Each host
+// recordExpectedOffers records the offers that the representative probably makes now. Each host
 // computes them from the same loads, so that none uses the offer of a data centre that holds
 // an offer of this one.
-func (tb *Table) recordOffers(now ident.Time, offers [][]int) {
+func (tb *Table) recordExpectedOffers(now ident.Time, offers [][]int) {
 	pools := make([]event.Pool, len(tb.pools))
 	for i, p := range tb.pools {
 		pools[i] = p.Pool
@@ -165,7 +165,7 @@
 	h := uint64(0)
 	for _, p := range pools {
 		h = rank.Combine(h, rank.Hash(string(p.Serve.Model), string(p.Serve.Version), string(p.Serve.Adapter), p.Service))
-		h = rank.Combine(h, rank.Hash(strconv.FormatBool(needsHelp(p.Free, p.Slots))))
+		h = rank.Combine(h, rank.Hash(strconv.FormatBool(needsCapacity(p.Free, p.Slots))))
 		h = rank.Combine(h, uint64(bits.Len(uint(p.Offer))))
 		h = rank.Combine(h, demandStep(&p))
 		h = rank.Combine(h, uint64(p.Targets))
--- a/internal/member/target.go
+++ b/internal/member/target.go
@@ -23,9 +23,9 @@
 	// full share.
 	rampDuration = 10 * time.Second
 	rampStart    = 0.1
-	// startGrace is the time after the start of this host in which newly seen targets get their
+	// startGracePeriod is the time after the start of this host in which newly seen targets get their
 	// full share without a ramp.
-	startGrace = 5 * time.Second
+	startGracePeriod = 5 * time.Second
 )
 
 // Target is a target of this data centre as this host knows it.
@@ -34,7 +34,7 @@
 	// MemoryTokens is the number of tokens that the target's memory holds, zero if unknown.
 	// memoryAskedAt is when the target was last asked for it.
 	MemoryTokens        ident.Tokens
-	memoryAskedAt       ident.Time
+	memoryRequestedAt   ident.Time
 	ConsecutiveFailures int
 	// failureRate is the smoothed fraction of requests that failed, as of failureRateAt.
 	failureRate   float64
@@ -44,15 +44,15 @@
 	KnownDraining bool
 	Removed       bool
 
-	// incarnationLearnt means that the incarnation was unknown when the target was first seen:
+	// incarnationAdopted means that the incarnation was unknown when the target was first seen:
 	// requests sent before that name no incarnation, but belong to the current one.
-	incarnationLearnt bool
-	listed            bool
+	incarnationAdopted bool
+	listed             bool
 	// listedVersion is the newest version of the platform's list that names the target.
 	listedVersion uint64
-	// missing means that the newest complete list does not name the target. removedVersion is the
+	// absent means that the newest complete list does not name the target. removedVersion is the
 	// version of the list from which on it is removed, removalSeenAt when this host found out.
-	missing        bool
+	absent         bool
 	removedVersion uint64
 	removalSeenAt  ident.Time
 	// coldUntil is when the target stops being cold by its own report. coldSends are the times of
@@ -70,9 +70,9 @@
 
 	relayedLoad event.Load
 	relayedAt   ident.Time
-	// relayedFixed is the last report that was relayed including the fields that rarely change.
-	relayedFixed   event.Load
-	relayedFixedAt ident.Time
+	// relayedStatic is the last report that was relayed including the fields that rarely change.
+	relayedStatic   event.Load
+	relayedStaticAt ident.Time
 }
 
 // Suspect reports whether the target appears not to answer: consecutive calls have failed, or it
@@ -133,8 +133,8 @@
 	return "", key
 }
 
-// dropStaleTargets drops targets that are silent and not listed.
-func (tb *Table) dropStaleTargets(now ident.Time) {
+// reapTargets drops targets that are silent and not listed.
+func (tb *Table) reapTargets(now ident.Time) {
 	before := len(tb.targets)
 	tb.targets = slices.DeleteFunc(tb.targets, func(t *Target) bool {
 		gone := !t.listed && now.Sub(t.lastSeen) > dropTimeout && t.InFlight == 0 && t.PeerInFlight == 0
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -39,7 +39,7 @@
 	}
 	if regular {
 		effs = append(effs, tb.loadPolls(now)...)
-		effs = append(effs, tb.askMemory(now)...)
+		effs = append(effs, tb.memoryRequests(now)...)
 	}
 	return effs
 }
@@ -73,7 +73,7 @@
 
 func (tb *Table) reap(now ident.Time) {
 	tb.reapPeers(now)
-	tb.dropStaleTargets(now)
+	tb.reapTargets(now)
 	tb.updateRemoved(now)
 	tb.expireNotices(now)
 }
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -19,15 +19,15 @@
 		return
 	}
 	c := tb.centres[i]
-	if c.rejectedAt == nil {
-		c.rejectedAt = make(map[string]ident.Time)
+	if c.refusedAt == nil {
+		c.refusedAt = make(map[string]ident.Time)
 	}
-	c.rejectedAt[service] = now
+	c.refusedAt[service] = now
 }
 
 // RecentlyRefused reports whether a data centre has refused a request of a service within
 // refusalBackoff.
 func (tb *Table) RecentlyRefused(now ident.Time, c *Centre, service string) bool {
-	at, ok := c.rejectedAt[service]
+	at, ok := c.refusedAt[service]
 	return ok && mech.On(codes.RefusalBackoff) && now.Sub(at) < refusalBackoff
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -118,7 +118,7 @@
 	cands    []candidate
 	warm     []holder
 	eligible []*member.Target
-	rooms    []member.CentreRoom
+	rooms    []member.CentreAllocation
 }
 
 // candidate is a target that passed the filters, with its cost.
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -44,7 +44,7 @@
 // spillChoice returns the data centre with room that a request is assigned to, unless that is the
 // local one. Rendezvous hashing of the shared prefix, weighted by room, assigns it: the same engines
 // prefill a prefix, and each data centre gets prefixes in proportion to its room.
-func (rt *Router) spillChoice(v *view, rooms []member.CentreRoom) (Decision, bool) {
+func (rt *Router) spillChoice(v *view, rooms []member.CentreAllocation) (Decision, bool) {
 	var best *member.Centre
 	bestScore, bestRoom := 0.0, 0.0
 	for _, r := range rooms {
