--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -2,17 +2,17 @@
 //
 // # Usage
 //
-//	var usual load.Services
+//	var services load.Services
 //	st := load.State{Target: target}
 //	st.AddRequest(now, prompt, generated)
 //	st.AddPrefill(now, uncached)
-//	usual.ObserveFirstToken(&st, uncached, 0, took)
+//	services.ObserveFirstToken(&st, uncached, 0, took)
 //	wait := st.Wait(now, st.Outstanding(now), 1)
 //
-// A State combines three sources for one target: the target's own reports, which lag; the
-// requests of this host, which are known exactly; and the requests of the other hosts, taken from
-// their digests. Services holds typical values for each service and stands in for targets that
-// this host has measured too little.
+// A State combines three sources for one target: the target's own reports, which lag; the requests
+// of this host, which are known exactly; and the requests of the other hosts, taken from their
+// digests. Services holds typical values for each service, which are used for targets that this
+// host has not measured.
 //
 // The package knows nothing of hosts, lists or other data centres and reads no clock. Its types
 // are not safe for concurrent use.
@@ -97,7 +97,8 @@
 //
 // A report lags, while the requests of this host are known exactly. So the report serves only to
 // estimate the requests of other hosts: its total less the requests that this host had at the
-// target when the report was made. The counts in the digests of the peers are a lower bound.
+// target when the report was made. The counts in the digests of the peers are a lower bound, except
+// while the load in a recent answer takes precedence over them.
 func (s *State) Outstanding(now ident.Time) int {
 	others := s.PeerInFlight
 	if s.Capacity > 0 && s.HasLoad && now.Sub(s.LoadAt) <= s.answerLoadTTL() {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -62,7 +62,7 @@
 }
 
 // Guards against a wait for the first token that leaves out the prompts of other hosts.
-func TestWaitCountsUnreadPromptsOfAllHosts(t *testing.T) {
+func TestWaitCountsPendingPrefillOfAllHosts(t *testing.T) {
 	s := answeringTarget()
 	s.Load.PrefillRate = 10000
 	s.AddPrefill(start, 5000)
@@ -78,61 +78,61 @@
 
 // Guards against a target that looks as if it answered in no time because this host has not used
 // it.
-func TestUnusedTargetGetsUsualValues(t *testing.T) {
-	var usual Services
+func TestUnusedTargetGetsTypicalValues(t *testing.T) {
+	var services Services
 	used, unused := answeringTarget(), answeringTarget()
 	for range 50 {
-		usual.ObserveRequest(&used, 800*time.Millisecond)
-		usual.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
-		usual.ObserveGap(start, &used, 20*time.Millisecond)
+		services.ObserveRequest(&used, 800*time.Millisecond)
+		services.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
+		services.ObserveGap(start, &used, 20*time.Millisecond)
 	}
-	usual.ApplyTypical(start, &unused)
+	services.ApplyTypical(start, &unused)
 	if diff := cmp.Diff([]any{800 * time.Millisecond, 50.0}, []any{unused.RequestTime(), unused.Load.DecodeRate}); diff != "" {
-		t.Errorf("run time and decode rate (-want +got):\n%s", diff)
+		t.Errorf("request time and decode rate (-want +got):\n%s", diff)
 	}
 	if got := unused.Load.PrefillRate; math.Abs(got/20000-1) > rateStep {
 		t.Errorf("prefill rate %v, want 20000 within a step", got)
 	}
-	usual.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
+	services.ObserveFirstToken(&used, 2000, 0, 100*time.Millisecond)
 	own := used.Load.PrefillRate
-	usual.ApplyTypical(start, &used)
+	services.ApplyTypical(start, &used)
 	if diff := cmp.Diff(own, used.Load.PrefillRate); diff != "" {
 		t.Errorf("prefill rate of the target that was used (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against a service without samples whose pace of zero is taken as a measurement.
+// Guards against treating the zero pace of a service without samples as a measurement.
 func TestUnknownServiceHasNoValues(t *testing.T) {
-	var usual Services
-	if p, ok := usual.Pace("board"); ok || p.EventRate(start) != 0 || usual.RequestTime("board") != 0 || usual.PrefillRate("board") != 0 {
+	var services Services
+	if p, ok := services.Pace("board"); ok || p.EventRate(start) != 0 || services.RequestTime("board") != 0 || services.PrefillRate("board") != 0 {
 		t.Errorf("a service without samples has values: %+v", p)
 	}
 }
 
 // Guards against streams that look slow indefinitely after a burst if no further streams follow.
 func TestSlowPaceDecays(t *testing.T) {
-	var usual Services
+	var services Services
 	s := answeringTarget()
-	usual.ObserveGap(start, &s, 20*time.Millisecond)
+	services.ObserveGap(start, &s, 20*time.Millisecond)
 	for range 200 {
-		usual.ObserveGap(start, &s, 100*time.Millisecond)
+		services.ObserveGap(start, &s, 100*time.Millisecond)
 	}
-	p, _ := usual.Pace("board")
+	p, _ := services.Pace("board")
 	slow, later := p.GapAt(start), p.GapAt(start.Add(5*paceHalfLife))
 	if slow < 90*time.Millisecond || later > 40*time.Millisecond {
 		t.Errorf("pace after a burst %v, ten seconds later %v", slow, later)
 	}
 }
 
-// Guards against a restarted target that keeps the load of its former incarnation.
-func TestRestartKeepsOnlyUsualTime(t *testing.T) {
-	var usual Services
+// Guards against a restarted target that keeps the load of its previous incarnation.
+func TestRestartKeepsOnlyTypicalRequestTime(t *testing.T) {
+	var services Services
 	s := answeringTarget()
-	usual.ObserveRequest(&s, time.Second)
+	services.ObserveRequest(&s, time.Second)
 	s.AddRequest(start, 100, 10)
 	s.ObserveAnswer(start, 3, 1, 8)
 	next := s.AfterRestart(event.Target{ID: "a", Service: "board", Capacity: 8, Incarnation: 2})
 	if diff := cmp.Diff([]any{0, false, time.Second}, []any{next.Outstanding(start), next.HasLoad, next.RequestTime()}); diff != "" {
-		t.Errorf("work, load and run time (-want +got):\n%s", diff)
+		t.Errorf("requests, load and request time (-want +got):\n%s", diff)
 	}
 }
--- a/internal/load/usual.go
+++ b/internal/load/usual.go
@@ -132,10 +132,10 @@
 	st.pace.sample(now, gap)
 }
 
-// ApplyTypical sets the typical values of its service in a target, and the prefill rate if this host
-// has not measured one. With many hosts and many targets most pairs of a host and a target exchange
-// no request within a minute, and a target with an unknown rate would look as if it prefilled any
-// prompt in no time.
+// ApplyTypical sets the typical values of its service in a target, and the prefill rate if this
+// host has not measured one. With many hosts and many targets most pairs of a host and a target
+// exchange no request within a minute, and a target with an unknown rate would look as if it
+// prefilled any prompt in no time.
 func (sv *Services) ApplyTypical(now ident.Time, s *State) {
 	if s.Capacity == 0 {
 		return
@@ -165,8 +165,8 @@
 
 // GapAt returns the estimated time between two events at the given time.
 func (p Pace) GapAt(now ident.Time) time.Duration {
-	slow := float64(p.gap - p.MinGap)
-	return p.MinGap + time.Duration(slow*math.Exp2(-now.Sub(p.at).Seconds()/paceHalfLife.Seconds()))
+	excess := float64(p.gap - p.MinGap)
+	return p.MinGap + time.Duration(excess*math.Exp2(-now.Sub(p.at).Seconds()/paceHalfLife.Seconds()))
 }
 
 // EventRate returns the events a second of one stream, zero if unknown.
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -10,7 +10,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Intervals and bounds of summaries.
+// Intervals and limits of summaries.
 const (
 	// defaultSummaryInterval and summaryIntervalPerCentre determine the interval between
 	// summaries to a data centre that requests nothing: a fixed part and a part for each known
@@ -40,10 +40,10 @@
 // Centre is another data centre as seen by this host.
 type Centre struct {
 	Place event.Place
-	// Hosts holds its entry hosts in order of their IDs, from its summary and the platform's
-	// list.
+	// Hosts holds its entry hosts in order of their IDs, from its summary, the platform's list and,
+	// until a summary has contained hosts, from links.
 	Hosts []event.Host
-	// Summary is its newest summary, as received.
+	// Summary is its newest summary. Parts that it omitted are those of earlier summaries.
 	Summary    event.Summary
 	HasSummary bool
 
@@ -53,7 +53,8 @@
 	// is when the data centre was first reached or last came back.
 	summaryMadeAt  ident.Time
 	reachableSince ident.Time
-	// summaryInterval is the interval of its summaries, by which CutOff bounds its silence.
+	// summaryInterval is the expected interval between its summaries, from which CutOff derives its
+	// timeout.
 	summaryInterval time.Duration
 	// poolsMadeAt is when the newest pools were made. It is separate from summaryMadeAt, so
 	// that a summary without pools does not make an old offer look new.
@@ -68,8 +69,7 @@
 	offersMade     []heldOffer
 	offersReceived []heldOffer
 	forwarded      []*forwardWindow
-	// refusedAt is when the data centre last rejected a request for lack of capacity, by
-	// service.
+	// refusedAt is when the data centre last refused a request for lack of capacity, by service.
 	refusedAt    map[string]ident.Time
 	lastSent     lastSent
 	sendAttempts uint64
@@ -78,11 +78,12 @@
 	unconfirmedRepeats int
 }
 
-// relayState marks the parts of a received summary that the next digest relays.
+// relayState marks the parts of a received summary that the next regular digest relays.
 type relayState struct {
+	// due is set if anything is to be relayed, which may be only changed revisions.
 	due, hosts, pools, accounts bool
-	// receivedHere reports whether the newest summary was sent to this host. The fields below
-	// hold the values that were last relayed.
+	// receivedHere reports whether the newest summary was sent to this host by its data centre and
+	// not relayed by a peer. The fields below hold the values that were last relayed.
 	receivedHere bool
 	inForce      ident.Revision
 	highest      ident.Revision
@@ -102,8 +103,8 @@
 // poolsAge returns the age of the newest pools.
 func (c *Centre) poolsAge(now ident.Time) time.Duration { return now.Sub(c.poolsMadeAt) }
 
-// hostsAreStale reports whether the known hosts of the data centre differ from its current
-// ones.
+// hostsAreStale reports whether the known hosts of the data centre differ from those that its
+// newest summary refers to.
 func (c *Centre) hostsAreStale() bool {
 	return c.HasSummary && c.Summary.HostsHash != 0 && c.Summary.HostsHash != c.hostsHash
 }
@@ -146,8 +147,8 @@
 	return slices.BinarySearchFunc(tb.centres, dc, func(c *Centre, dc ident.DataCentre) int { return cmp.Compare(c.Place.Group(), dc) })
 }
 
-// centre returns a data centre and adds it if it is new.
-func (tb *Table) centre(place event.Place) *Centre {
+// ensureCentre returns a data ensureCentre and adds it if it is new.
+func (tb *Table) ensureCentre(place event.Place) *Centre {
 	i, ok := tb.findCentre(place.Group())
 	if !ok {
 		tb.centres = slices.Insert(tb.centres, i, &Centre{Place: place, summaryInterval: tb.baseSummaryInterval})
@@ -171,7 +172,7 @@
 	return tb.baseSummaryInterval + time.Duration(len(tb.centres))*accountsIntervalPerCentre
 }
 
-// SummaryReceived merges the summary of another data centre. The next digest relays it.
+// SummaryReceived merges the summary of another data centre. The next regular digest relays it.
 func (tb *Table) SummaryReceived(now ident.Time, s event.Summary) {
 	tb.Advance(now)
 	tb.mergeSummary(now, s, true)
@@ -181,7 +182,7 @@
 	if s.Place.Group() == tb.self.Place.Group() {
 		return
 	}
-	c := tb.centre(s.Place)
+	c := tb.ensureCentre(s.Place)
 	if !c.recordIfNewest(s) {
 		return
 	}
@@ -281,8 +282,8 @@
 	return ids
 }
 
-// summaryWithAge returns the newest summary with its current age. It omits outdated hosts, and
-// pools that have never been received.
+// summaryWithAge returns the newest summary with its current age. It omits stale hosts, and pools
+// that have never been received.
 func (c *Centre) summaryWithAge(now ident.Time) event.Summary {
 	s := c.Summary
 	s.Age = c.Age(now)
@@ -384,8 +385,8 @@
 	return s
 }
 
-// staleCentres returns the data centres whose known hosts are outdated, for example after a
-// lost digest. Peers with the current hosts send them with the next digest.
+// staleCentres returns the data centres whose known hosts are stale, for example after a lost
+// digest. Peers with the current hosts send them with the next digest.
 func (tb *Table) staleCentres() []ident.DataCentre {
 	var dcs []ident.DataCentre
 	for _, c := range tb.centres {
--- a/internal/member/cold.go
+++ b/internal/member/cold.go
@@ -37,7 +37,8 @@
 // SetColdLimits sets the limits of requests to cold targets.
 func (tb *Table) SetColdLimits(c ColdLimits) { tb.cold = c }
 
-// Cold reports whether the target is cold, by its own report or by assumption.
+// Cold reports whether the target is cold, by the platform's list, by its own report or by
+// assumption.
 func (t *Target) Cold(now ident.Time) bool { return now < t.coldUntil }
 
 // assumeCold treats a target as cold after the evacuation of its data centre has ended, and
@@ -106,7 +107,7 @@
 // it considers itself the owner. The argument limit is the limit for all hosts together.
 //
 // While this host sees at least half of the hosts that may be alive, at most one other group of
-// hosts can see as many, so that there are at most maxColdOwners owners. With fewer in sight each
+// hosts can see as many, so that there are at most maxColdOwners owners. If it sees fewer, each
 // host may consider itself the owner and gets an even share of the limit; if that is less than one
 // request, it sends nothing.
 func (tb *Table) coldSendLimit(now ident.Time, limit float64) int {
@@ -129,7 +130,8 @@
 }
 
 // ColdWait predicts how long a request waits until this host may send it to a cold target. If
-// another host owns the target, that is until the target is warm.
+// another host owns the target, or this one may not send to it at all, the request waits until the
+// target is warm.
 func (tb *Table) ColdWait(now ident.Time, t *Target) time.Duration {
 	switch {
 	case !tb.ColdLimitReached(now, t):
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -113,8 +113,9 @@
 	return h, since < s.ends
 }
 
-// rollingRestart has hosts drain and restart, several at a time, and returns the times of the sends
-// to a cold target. Each host learns the state of another with a delay of up to a second.
+// rollingRestart has n hosts drain and restart in groups of the size together, a group every gap,
+// and returns the times of the sends to a cold target. Each host learns the state of another with a
+// delay of up to a second.
 func rollingRestart(n, together int, gap time.Duration) []ident.Time {
 	const (
 		step  = 20 * time.Millisecond
@@ -149,8 +150,8 @@
 			}
 			tb.HostsRead(now, list)
 			for j := range hosts {
-				late := time.Duration((i*7+j*11)%20) * 50 * time.Millisecond
-				if p, runs := schedules[j].at(hosts[j], since-late); i != j && runs && since > late {
+				delay := time.Duration((i*7+j*11)%20) * 50 * time.Millisecond
+				if p, runs := schedules[j].at(hosts[j], since-delay); i != j && runs && since > delay {
 					tb.PeerUp(now, p)
 				}
 			}
@@ -186,13 +187,13 @@
 
 // Guards against warm targets that stay unused after an evacuation, and cold ones that are
 // overloaded.
-func TestReopenedTargetIsProbed(t *testing.T) {
+func TestTargetIsProbedAfterEvacuation(t *testing.T) {
 	for name, c := range map[string]struct {
-		says time.Duration
-		full bool
+		coldFor   time.Duration
+		stillCold bool
 	}{
-		"warm": {says: 0, full: false},
-		"cold": {says: 2 * time.Second, full: true},
+		"warm": {coldFor: 0, stillCold: false},
+		"cold": {coldFor: 2 * time.Second, stillCold: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			at := ident.Time(time.Minute)
@@ -202,27 +203,27 @@
 				Duration:  func(string) time.Duration { return 3 * time.Second },
 			})
 			tb.Advance(at)
-			closed := newTarget("a")
-			closed.Evacuated = true
-			tb.HostsRead(at, listOf(1, closed))
+			evacuated := newTarget("a")
+			evacuated.Evacuated = true
+			tb.HostsRead(at, listOf(1, evacuated))
 			at = at.Add(10 * time.Second)
 			tb.HostsRead(at, listOf(2, newTarget("a")))
-			asked := 0
+			probes := 0
 			for _, eff := range tb.Tick(at, LocalState{}) {
 				if e, ok := eff.(event.PollLoad); ok && e.Target.ID == "a" {
-					asked++
+					probes++
 				}
 			}
-			if asked != 1 {
-				t.Errorf("the reopened target is probed %d times, want once", asked)
+			if probes != 1 {
+				t.Errorf("the target is probed %d times, want once", probes)
 			}
 			tg, _ := tb.Target("a")
 			if !tg.Cold(at) {
-				t.Error("the reopened target counts as warm before it has answered")
+				t.Error("the target counts as warm before it has answered")
 			}
-			tb.ProbeAnswered(at, event.ProbeAnswered{Target: "a", Incarnation: 1, ColdFor: c.says})
-			if tg.Cold(at.Add(time.Second)) != c.full {
-				t.Errorf("cold a second after the answer: %v", !c.full)
+			tb.ProbeAnswered(at, event.ProbeAnswered{Target: "a", Incarnation: 1, ColdFor: c.coldFor})
+			if tg.Cold(at.Add(time.Second)) != c.stillCold {
+				t.Errorf("cold a second after the answer: %v", !c.stillCold)
 			}
 		})
 	}
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -18,7 +18,7 @@
 	}
 	tb.mergeNewestParts(now, d)
 	tb.mergeRemovals(now, d.Removed)
-	// Loads and summaries have their own sequence numbers.
+	// Loads and summaries have their own sequence numbers, so late digests may contain new ones.
 	for _, ld := range d.Loads {
 		tb.mergeRelayedLoad(now, ld)
 	}
@@ -39,7 +39,7 @@
 	p.platformUnreachable = d.PlatformUnreachable
 	p.forwarded = slices.Clone(d.Forwarded)
 	p.demands = slices.Clone(d.Demand)
-	tb.observe(now, p)
+	tb.markPeerSeen(now, p)
 	tb.mergeList(now, d)
 	tb.mergeUse(p, d.Use)
 	tb.resendHosts(d.StaleCentres)
@@ -48,7 +48,7 @@
 	}
 }
 
-// mergeUse replaces the work of a peer at the targets.
+// mergeUse replaces the recorded use of targets by a peer.
 func (tb *Table) mergeUse(p *peer, use []event.TargetUse) {
 	for _, u := range p.use {
 		if t, ok := tb.byID[u.Target]; ok {
@@ -69,8 +69,8 @@
 	}
 }
 
-// resolveUse replaces the key of a use by the ID of its target, if that is known. The key
-// might name another target by the time the use is subtracted.
+// resolveUse replaces the key of a use by the ID of its target, if that is known. Otherwise the key
+// might name another target when the use is subtracted later.
 func (tb *Table) resolveUse(u *event.TargetUse) {
 	if u.Target != "" {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// addPeerUse adds the use that peers announced of a target before this host knew it.
+// addPeerUse adds the use of a target that peers announced before this host knew the target.
 func (tb *Table) addPeerUse(t *Target) {
 	for _, p := range tb.peers {
 		for i := range p.use {
@@ -108,7 +108,7 @@
 			id, key := tb.digestName(t)
 			use := event.TargetUse{Target: id, Key: key, Running: t.InFlight, Tokens: t.InFlightTokens}
 			if t.Capacity > 0 {
-				// Other targets report their queue with their load.
+				// Targets without a Capacity report their queue with their load.
 				use.PendingPrefill = t.PendingPrefill
 			}
 			d.Use = append(d.Use, use)
@@ -117,9 +117,9 @@
 	return d
 }
 
-// dueDigests returns the digests that are due. The first one goes to all live peers and
-// contains the changes since the last one; at intervals it also goes to silent hosts, to
-// detect those that have come back. The second one goes to new peers and is complete.
+// dueDigests returns the digests that are due. An incremental digest goes to all live peers and
+// contains the changes since the last one; at intervals it also goes to silent hosts, to detect
+// those that have come back. A full digest goes to new peers.
 func (tb *Table) dueDigests(now ident.Time, regular bool) []event.Effect {
 	var effs []event.Effect
 	if regular || tb.heartbeat.urgent {
--- a/internal/member/draining.go
+++ b/internal/member/draining.go
@@ -15,7 +15,7 @@
 	// noticeRepeatTime is how long digests repeat that a target drains or was removed, for peers
 	// that missed a digest.
 	noticeRepeatTime = 10 * time.Second
-	// noticeTTL is how long the notice of an unknown target or of a former incarnation is kept.
+	// noticeTTL is how long the notice of an unknown target or a previous incarnation is kept.
 	noticeTTL = 10 * time.Minute
 )
 
@@ -78,7 +78,7 @@
 	return slices.SortedFunc(maps.Keys(tb.draining), cmp.Compare[ident.TargetID])
 }
 
-// expireNotices drops expired notices of unknown targets and former incarnations.
+// expireNotices drops expired notices of unknown targets and previous incarnations.
 func (tb *Table) expireNotices(now ident.Time) {
 	for id, n := range tb.draining {
 		t, ok := tb.byID[id]
--- a/internal/member/flow.go
+++ b/internal/member/flow.go
@@ -16,8 +16,8 @@
 	sampleInterval = HeartbeatInterval
 	// sampleWeight is the weight of the newest sample.
 	sampleWeight = 0.6
-	// prefillShareWeight is the weight of one prompt in the average fraction of prompts that engines
-	// prefill.
+	// prefillShareWeight is the weight of one prompt in the moving average of the fraction of
+	// prompt tokens that engines have to prefill.
 	prefillShareWeight = 1.0 / 64
 	// eventTokens is the work of one event of a stream, expressed in prompt tokens: an event has
 	// eight or nine tokens, each of which takes a tenth of a millisecond of the time of an engine
@@ -26,8 +26,8 @@
 	// spillThreshold is the fraction of their time that targets may be busy before any of their
 	// work is sent to another data centre.
 	spillThreshold = 0.25
-	// minLongPrefix is the number of tokens from which on a prefix is worth sending to the engines
-	// that cache it, whatever their region.
+	// minLongPrefix is the number of tokens from which on a shared prefix counts as long: its
+	// prompts are worth sending to the engines that cache it, in whatever region.
 	minLongPrefix = 2048
 )
 
@@ -35,8 +35,8 @@
 // targets are engines, otherwise in seconds of slot time.
 type serviceDemand struct {
 	service string
-	// unshared and shared are the work since sampleStart, without and with a long shared prefix. rate
-	// is the smoothed work a second.
+	// unshared and shared are the work since sampleStart, without and with a long shared prefix.
+	// rate is the smoothed work a second.
 	unshared, shared float64
 	sampleStart      ident.Time
 	rate             event.PrefillDemand
@@ -62,11 +62,11 @@
 		f.unshared += tb.serviceStats.RequestTime(r.Service).Seconds()
 		return
 	}
-	miss, ok := tb.prefillShares[r.Service]
+	share, ok := tb.prefillShares[r.Service]
 	if !ok {
-		miss = 1
+		share = 1
 	}
-	work := miss*float64(r.Prompt) + eventTokens*events
+	work := share*float64(r.Prompt) + eventTokens*events
 	f := tb.serviceDemandOf(now, r.Service)
 	f.closeSample(now)
 	if HasLongSharedPrefix(r) {
@@ -88,11 +88,11 @@
 		return
 	}
 	sample := min(1, float64(prefilled)/float64(prompt))
-	miss, ok := tb.prefillShares[service]
+	share, ok := tb.prefillShares[service]
 	if !ok {
-		miss = 1
+		share = 1
 	}
-	tb.prefillShares[service] = miss + prefillShareWeight*(sample-miss)
+	tb.prefillShares[service] = share + prefillShareWeight*(sample-share)
 }
 
 func (tb *Table) serviceDemandOf(now ident.Time, service string) *serviceDemand {
@@ -117,11 +117,11 @@
 
 // demand returns the work a second that the callers of all live hosts of this data centre send for
 // a service.
-func (tb *Table) demand(now ident.Time, service string) (alone, shared float64) {
+func (tb *Table) demand(now ident.Time, service string) (unshared, shared float64) {
 	for _, f := range tb.demands {
 		if f.service == service {
 			f.closeSample(now)
-			alone += f.rate.UnsharedPrefill
+			unshared += f.rate.UnsharedPrefill
 			shared += f.rate.SharedPrefill
 		}
 	}
@@ -131,15 +131,16 @@
 		}
 		for _, f := range p.demands {
 			if f.Service == service {
-				alone += f.UnsharedPrefill
+				unshared += f.UnsharedPrefill
 				shared += f.SharedPrefill
 			}
 		}
 	}
-	return alone, shared
+	return unshared, shared
 }
 
-// CentreAllocation is the work that a data centre may take.
+// CentreAllocation is the work that a data centre may take. The unit of work is a prompt token if
+// the targets of the service are engines, otherwise a second of slot time.
 type CentreAllocation struct {
 	// Centre is nil for this data centre.
 	Centre *Centre
@@ -151,64 +152,66 @@
 	capacity, unshared float64
 }
 
-// Spill returns how much work with a long shared prefix each data centre may take, and the fraction
-// of the other work of local callers that is sent to other data centres. The argument prompts says
-// that the targets of the service are engines, whose capacity is counted in engines and not in slots.
+// Spill returns the fraction of the work without a long shared prefix of local callers that is sent
+// to other data centres, and how much work with a long shared prefix each data centre may take,
+// this one first. If onEngines is set, the targets of the service are engines, and capacity is
+// counted in engines instead of slots. Spill reuses the memory of allocs.
 //
 // Free slots and the pace of streams lag behind the load, so the demand of callers is balanced
 // instead. All data centres know the demand of each other and compute the same balanced load.
 // Forwarding does not change the demand, so the balance does not oscillate.
 //
-// Below spillThreshold all work stays local. Between the threshold and twice its value the share of
+// While the balanced load is below spillThreshold, work stays local unless the work without a long
+// shared prefix exceeds the threshold here. Between the threshold and twice its value the share of
 // the shared prefixes that may go to other data centres grows from zero to all, so that a small
 // change in demand moves only few of them.
-func (tb *Table) Spill(now ident.Time, service string, prompts bool, rooms []CentreAllocation) (float64, []CentreAllocation) {
-	rooms = rooms[:0]
+func (tb *Table) Spill(now ident.Time, service string, onEngines bool, allocs []CentreAllocation) (float64, []CentreAllocation) {
+	allocs = allocs[:0]
 	id := PoolID{Service: service}
 	size, threshold := slotsOf, spillThreshold
-	if prompts {
+	if onEngines {
 		size, threshold = enginesOf, spillThreshold*tb.serviceStats.PrefillRate(service)
 	}
-	alone, shared := tb.demand(now, service)
-	own := CentreAllocation{unshared: alone}
+	unshared, shared := tb.demand(now, service)
+	own := CentreAllocation{unshared: unshared}
 	if p, ok := tb.pool(id); ok {
 		own.capacity = size(&p.Pool)
 	}
-	rooms = append(rooms, own)
+	allocs = append(allocs, own)
 	for _, c := range tb.centres {
 		if p := c.Pool(id); p != nil && !c.CutOff(now) {
-			rooms = append(rooms, CentreAllocation{Centre: c, capacity: size(p), unshared: p.UnsharedPrefill})
+			allocs = append(allocs, CentreAllocation{Centre: c, capacity: size(p), unshared: p.UnsharedPrefill})
 			shared += p.SharedPrefill
 		}
 	}
-	level := evenLevel(rooms, shared)
-	remoteShare := 1.0
+	level := evenLevel(allocs, shared)
+	spillShare := 1.0
 	if threshold > 0 {
-		remoteShare = min(1, max(0, level/threshold-1))
+		spillShare = min(1, max(0, level/threshold-1))
 	}
 	level = max(level, threshold)
-	for i := range rooms {
-		rooms[i].Work = max(0, level*rooms[i].capacity-rooms[i].unshared)
+	for i := range allocs {
+		allocs[i].Work = max(0, level*allocs[i].capacity-allocs[i].unshared)
 		if i > 0 && own.unshared <= level*own.capacity {
-			rooms[i].Work *= remoteShare
+			allocs[i].Work *= spillShare
 		}
 	}
-	if alone <= 0 {
-		return 0, rooms
+	if unshared <= 0 {
+		return 0, allocs
 	}
-	return max(0, 1-level*own.capacity/alone), rooms
+	return max(0, 1-level*own.capacity/unshared), allocs
 }
 
 func enginesOf(p *event.Pool) float64 { return float64(p.Targets) }
 
 func slotsOf(p *event.Pool) float64 { return float64(p.Slots) }
 
-// evenLevel returns the work for each engine or slot if all work is distributed evenly.
-func evenLevel(rooms []CentreAllocation, shared float64) float64 {
+// evenLevel returns the work a second for each engine or slot if all work is distributed evenly.
+func evenLevel(allocs []CentreAllocation, shared float64) float64 {
 	work, capacity := shared, 0.0
-	for _, r := range rooms {
-		work += r.unshared
-		capacity += r.capacity
+	for _, a := range allocs {
+		work += a.unshared
+		capacity += a.capacity
 	}
 	if capacity == 0 {
 		return 0
@@ -216,7 +219,7 @@
 	return work / capacity
 }
 
-// demandSteps is the number of steps in which the demand doubles. When the demand enters a new
+// demandSteps is the number of steps in each doubling of the demand. When the demand enters a new
 // step, the other data centres are notified at once.
 const demandSteps = 8
 
--- a/internal/member/flow_test.go
+++ b/internal/member/flow_test.go
@@ -12,24 +12,24 @@
 )
 
 // sharedPrompt returns a request with a prompt of 12,000 tokens, of which other prompts share
-// 6,000; alonePrompt returns one with 1,000 tokens and no long shared prefix.
+// 6,000; unsharedPrompt returns one with 1,000 tokens and no long shared prefix.
 func sharedPrompt() *event.Request {
 	return &event.Request{Service: "writers", Prompt: 12000, SharedBlocks: 12, Prefix: make([]uint64, 24)}
 }
 
-func alonePrompt() *event.Request {
+func unsharedPrompt() *event.Request {
 	return &event.Request{Service: "writers", Prompt: 1000, SharedBlocks: 1, Prefix: make([]uint64, 2)}
 }
 
 // sendDemand has callers send the given numbers of prompts to a host each second, and returns the
 // time after the last one.
-func sendDemand(tb *Table, at ident.Time, seconds, shared, alone int) ident.Time {
+func sendDemand(tb *Table, at ident.Time, seconds, shared, unshared int) ident.Time {
 	for range seconds {
 		for range shared {
 			tb.RecordDemand(at, sharedPrompt(), 0)
 		}
-		for range alone {
-			tb.RecordDemand(at, alonePrompt(), 0)
+		for range unshared {
+			tb.RecordDemand(at, unsharedPrompt(), 0)
 		}
 		at = at.Add(time.Second)
 		tb.Tick(at, LocalState{})
@@ -38,11 +38,11 @@
 }
 
 // reportDemand has the other region report its engines and the demand of its callers.
-func reportDemand(tb *Table, at ident.Time, seq uint64, targets int, alone, shared float64) {
+func reportDemand(tb *Table, at ident.Time, seq uint64, targets int, unshared, shared float64) {
 	tb.SummaryReceived(at, event.Summary{
 		From: "e1", Place: newPlace("east-a", "east"), Incarnation: 1, Seq: seq,
 		Hosts: []event.Host{newHost("e1", "east-a", "east")},
-		Pools: []event.Pool{{Service: "writers", Slots: 64 * targets, Free: 64 * targets, Targets: targets, UnsharedPrefill: alone, SharedPrefill: shared}},
+		Pools: []event.Pool{{Service: "writers", Slots: 64 * targets, Free: 64 * targets, Targets: targets, UnsharedPrefill: unshared, SharedPrefill: shared}},
 	})
 }
 
@@ -54,34 +54,34 @@
 	reportDemand(tb, at, 10, 2, 0, 0)
 	at = sendDemand(tb, at, 10, 0, 100)
 	reportDemand(tb, at, 11, 2, 0, 0)
-	part, rooms := tb.Spill(at, "writers", true, nil)
-	if math.Abs(part-0.5) > 0.02 {
-		t.Errorf("%.2f of the work goes to an idle region of the same size, want half", part)
+	share, allocs := tb.Spill(at, "writers", true, nil)
+	if math.Abs(share-0.5) > 0.02 {
+		t.Errorf("%.2f of the work goes to an idle region of the same size, want half", share)
 	}
-	if len(rooms) != 2 || rooms[0].Centre != nil || rooms[1].Work < 45000 || rooms[1].Work > 52000 {
-		t.Errorf("rooms %+v, want about 50,000 tokens a second in the other region", rooms)
+	if len(allocs) != 2 || allocs[0].Centre != nil || allocs[1].Work < 45000 || allocs[1].Work > 52000 {
+		t.Errorf("allocations %+v, want about 50,000 tokens a second in the other region", allocs)
 	}
 	reportDemand(tb, at, 12, 2, 100000, 0)
-	if part, _ := tb.Spill(at, "writers", true, nil); part > 0.02 {
-		t.Errorf("%.2f of the work goes to a region with the same demand", part)
+	if share, _ := tb.Spill(at, "writers", true, nil); share > 0.02 {
+		t.Errorf("%.2f of the work goes to a region with the same demand", share)
 	}
 	reportDemand(tb, at, 13, 2, 0, 100000)
-	if part, _ := tb.Spill(at, "writers", true, nil); part > 0.02 {
-		t.Errorf("%.2f of the work goes to a region although prompts with shared prefixes balance the load", part)
+	if share, _ := tb.Spill(at, "writers", true, nil); share > 0.02 {
+		t.Errorf("%.2f of the work goes to a region although prompts with shared prefixes balance the load", share)
 	}
 }
 
 // Guards against a region that gets more prompts with shared prefixes than its engines have
 // capacity for.
-func TestRoomForSharedPrefixesIsProportionalToEngines(t *testing.T) {
+func TestSharedPrefixesAreSplitByNumberOfEngines(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.HostsRead(at, listOf(1, newTarget("a"), newTarget("b")))
 	reportDemand(tb, at, 10, 6, 0, 0)
 	at = sendDemand(tb, at, 10, 10, 0)
 	reportDemand(tb, at, 11, 6, 0, 0)
-	_, rooms := tb.Spill(at, "writers", true, nil)
-	if ratio := rooms[1].Work / rooms[0].Work; math.Abs(ratio-3) > 0.01 {
+	_, allocs := tb.Spill(at, "writers", true, nil)
+	if ratio := allocs[1].Work / allocs[0].Work; math.Abs(ratio-3) > 0.01 {
 		t.Errorf("six engines get %.2f times the work of two, want 3", ratio)
 	}
 }
@@ -91,32 +91,32 @@
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
 	tb.DigestReceived(at, event.Digest{Host: newHost("w9", "west-a", "west"), Seq: 1, Demand: []event.PrefillDemand{{Service: "writers", UnsharedPrefill: 100, SharedPrefill: 50}}})
-	if alone, shared := tb.demand(at, "writers"); alone != 100 || shared != 50 {
-		t.Errorf("the demand at a peer counts as %v alone and %v shared, want 100 and 50", alone, shared)
+	if unshared, shared := tb.demand(at, "writers"); unshared != 100 || shared != 50 {
+		t.Errorf("the demand at a peer counts as %v unshared and %v shared, want 100 and 50", unshared, shared)
 	}
-	if alone, _ := tb.demand(at.Add(10*time.Second), "writers"); alone != 0 {
-		t.Errorf("the demand at a dead peer counts as %v", alone)
+	if unshared, _ := tb.demand(at.Add(10*time.Second), "writers"); unshared != 0 {
+		t.Errorf("the demand at a dead peer counts as %v", unshared)
 	}
 }
 
-// Guards against regions that end up at different loads: the room of all regions must equal the
-// work that can be moved.
-func TestRoomEqualsMovableWork(t *testing.T) {
+// Guards against regions that end up at different loads: the work that all regions may take must
+// equal the work that can be moved.
+func TestAllocationsEqualMovableWork(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		rooms := make([]CentreAllocation, rapid.IntRange(1, 12).Draw(rt, "regions"))
-		for i := range rooms {
-			rooms[i] = CentreAllocation{capacity: float64(rapid.IntRange(0, 40).Draw(rt, "engines")), unshared: rapid.Float64Range(0, 1e6).Draw(rt, "alone")}
+		allocs := make([]CentreAllocation, rapid.IntRange(1, 12).Draw(rt, "regions"))
+		for i := range allocs {
+			allocs[i] = CentreAllocation{capacity: float64(rapid.IntRange(0, 40).Draw(rt, "engines")), unshared: rapid.Float64Range(0, 1e6).Draw(rt, "alone")}
 		}
-		rooms[0].capacity++
+		allocs[0].capacity++
 		shared := rapid.Float64Range(0, 1e6).Draw(rt, "shared")
-		level := evenLevel(rooms, shared)
-		room, sent := 0.0, 0.0
-		for _, r := range rooms {
-			room += max(0, level*r.capacity-r.unshared)
-			sent += max(0, r.unshared-level*r.capacity)
+		level := evenLevel(allocs, shared)
+		allocated, sent := 0.0, 0.0
+		for _, a := range allocs {
+			allocated += max(0, level*a.capacity-a.unshared)
+			sent += max(0, a.unshared-level*a.capacity)
 		}
-		if want := shared + sent; math.Abs(room-want) > 1e-6*(1+want) {
-			rt.Errorf("room for %v, want %v as the work that can be moved", room, want)
+		if want := shared + sent; math.Abs(allocated-want) > 1e-6*(1+want) {
+			rt.Errorf("regions may take %v, want %v as the work that can be moved", allocated, want)
 		}
 	})
 }
@@ -128,9 +128,9 @@
 	tb.HostsRead(at, listOf(1, newTarget("a")))
 	tb.FirstTokenReceived("a", 10000, 0, time.Second)
 	tb.AddPrefill("a", 5000)
-	report := func(seq uint64, unread ident.Tokens) {
+	report := func(seq uint64, pending ident.Tokens) {
 		tb.DigestReceived(at, event.Digest{
-			Host: newHost("w9", "west-a", "west"), Seq: seq, Use: []event.TargetUse{{Target: "a", Running: 3, Tokens: 90000, PendingPrefill: unread}},
+			Host: newHost("w9", "west-a", "west"), Seq: seq, Use: []event.TargetUse{{Target: "a", Running: 3, Tokens: 90000, PendingPrefill: pending}},
 		})
 	}
 	tg, _ := tb.Target("a")
@@ -154,9 +154,9 @@
 	reportDemand(tb, at, 10, 2, 0, 0)
 	at = sendDemand(tb, at, 10, 1, 1)
 	reportDemand(tb, at, 11, 2, 0, 0)
-	part, rooms := tb.Spill(at, "writers", true, nil)
-	if part > 0 || rooms[1].Work > 0 {
-		t.Errorf("%.2f of the work goes to the other region, which gets room for %v", part, rooms[1].Work)
+	share, allocs := tb.Spill(at, "writers", true, nil)
+	if share > 0 || allocs[1].Work > 0 {
+		t.Errorf("%.2f of the work goes to the other region, which may take %v", share, allocs[1].Work)
 	}
 }
 
@@ -178,8 +178,8 @@
 		Hosts: []event.Host{newHost("e1", "east-a", "east")},
 		Pools: []event.Pool{{Service: "writers", Slots: 8, Free: 8, Targets: 1}},
 	})
-	part, rooms := tb.Spill(at, "writers", false, nil)
-	if math.Abs(part-0.5) > 0.02 || len(rooms) != 2 || rooms[1].Work < 7 {
-		t.Errorf("%.2f of the work of 16 slots goes to an idle region of the same size, want half: %+v", part, rooms)
+	share, allocs := tb.Spill(at, "writers", false, nil)
+	if math.Abs(share-0.5) > 0.02 || len(allocs) != 2 || allocs[1].Work < 7 {
+		t.Errorf("%.2f of the work of 16 slots goes to an idle region of the same size, want half: %+v", share, allocs)
 	}
 }
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -8,8 +8,8 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// outageGracePeriod is how long after an outage of the platform's store targets that are missing from its
-// list stay in use, so that entries that expired during the outage can be written again.
+// outageGracePeriod is how long targets that are missing from the platform's list stay in use after
+// an outage of its store, so that entries that expired during the outage can be written again.
 const outageGracePeriod = 2200 * time.Millisecond
 
 // ListFailed records that a read of the platform's list failed.
@@ -37,11 +37,12 @@
 	return tb.list.stableSince > 0 && now.Sub(tb.list.stableSince) >= outageGracePeriod
 }
 
-// HasList reports whether this host, or a peer on its behalf, has read the platform's list.
+// HasList reports whether this host has read the platform's list or knows a peer, which sends its
+// list.
 func (tb *Table) HasList() bool { return tb.list.readHere || len(tb.peers) > 0 }
 
-// markAbsentTargets marks the targets that are missing from the complete list that this host has just
-// read.
+// markAbsentTargets marks the targets that are missing from the complete list that this host has
+// just read.
 func (tb *Table) markAbsentTargets(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
@@ -51,8 +52,8 @@
 	tb.updateRemoved(now)
 }
 
-// removeAbsentTargets removes the targets that are missing from the complete list of a peer, even during
-// an outage of the store at this host.
+// removeAbsentTargets removes the targets that are missing from the complete list of a peer, even
+// during an outage of the store at this host.
 func (tb *Table) removeAbsentTargets(now ident.Time) {
 	for _, t := range tb.targets {
 		if !t.listed {
@@ -83,7 +84,7 @@
 	tb.updateRemoved(now)
 }
 
-// mergeRemovals applies the removals that a peer has observed.
+// mergeRemovals applies the removals that a peer has announced.
 func (tb *Table) mergeRemovals(now ident.Time, rs []event.RemovedTarget) {
 	for _, r := range rs {
 		if t, ok := tb.byID[r.Target]; ok && t.listedVersion < r.Version {
@@ -130,16 +131,17 @@
 
 // updateRemoved updates which targets are removed, based on the complete lists read so far. Some
 // targets never drain: their entry is removed, and they stop a few seconds later. During an outage
-// of the platform's store and for outageGrace after it no target is removed, since entries expire
-// although their targets are alive.
+// of the platform's store and for outageGracePeriod after it no target is removed here, since
+// entries expire although their targets are alive. Complete lists and removals from peers are
+// applied even then.
 func (tb *Table) updateRemoved(now ident.Time) {
 	inOutage := tb.list.readFailed || tb.list.recoveredAt > 0 && now.Sub(tb.list.recoveredAt) < outageGracePeriod
 	for _, t := range tb.targets {
-		gone := t.absent && (t.Removed || !inOutage)
-		if gone == t.Removed {
+		removed := t.absent && (t.Removed || !inOutage)
+		if removed == t.Removed {
 			continue
 		}
-		if gone {
+		if removed {
 			tb.remove(now, t, t.removedVersion)
 			tb.heartbeat.urgent = tb.heartbeat.urgent || !t.KnownDraining && tb.readsAreStable(now)
 			continue
@@ -149,8 +151,8 @@
 	}
 }
 
-// mergeColdState merges the cold time and the end of an evacuation of a target from a list. The list
-// of a peer may be out of date, so only a longer cold time counts.
+// mergeColdState merges the cold time and the end of an evacuation of a target from a list. The
+// list of a peer may be stale, so only a longer cold time counts.
 func (tb *Table) mergeColdState(now ident.Time, t *Target, d event.Target) {
 	until := now.Add(d.ColdFor)
 	if d.ColdFor > 0 && until > t.coldUntil {
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -43,10 +43,10 @@
 // Guards against an older list of a peer that ends an evacuation.
 func TestOlderListOfAPeerDoesNotEndEvacuation(t *testing.T) {
 	at := ident.Time(time.Second)
-	closed := newTarget("a")
-	closed.Evacuated = true
+	evacuated := newTarget("a")
+	evacuated.Evacuated = true
 	tb := New(newHost("w1", "west-a", "west"))
-	tb.HostsRead(at, listOf(5, closed))
+	tb.HostsRead(at, listOf(5, evacuated))
 	announce := func(seq, version uint64, tg event.Target) {
 		tb.DigestReceived(at, event.Digest{Host: newHost("w2", "west-a", "west"), Seq: seq, ListVersion: version, Targets: []event.Target{tg}})
 	}
@@ -58,7 +58,7 @@
 	if !usable(t, tb, at, "a") {
 		t.Error("a newer list of a peer is ignored")
 	}
-	tb.HostsRead(at, listOf(5, closed))
+	tb.HostsRead(at, listOf(5, evacuated))
 	if !usable(t, tb, at, "a") {
 		t.Error("an older list read by this host replaces a newer one of a peer")
 	}
@@ -87,10 +87,10 @@
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.SetColdLimits(ColdLimits{PerSecond: func(string) float64 { return 6 }, Duration: func(string) time.Duration { return 3 * time.Second }})
-	closed := newTarget("a")
-	closed.Evacuated = true
+	evacuated := newTarget("a")
+	evacuated.Evacuated = true
 	tb.HostsRead(at, listOf(1, newTarget("a")))
-	tb.HostsRead(at, listOf(2, closed))
+	tb.HostsRead(at, listOf(2, evacuated))
 	if usable(t, tb, at, "a") {
 		t.Error("a target of an evacuated data centre is usable")
 	}
--- a/internal/member/holders.go
+++ b/internal/member/holders.go
@@ -12,7 +12,7 @@
 
 // PrefixSent records that a target was sent a prompt with a long shared prefix, which is identified
 // by its last block. The next digest announces it.
-func (tb *Table) PrefixSent(id ident.TargetID, part uint64) {
+func (tb *Table) PrefixSent(id ident.TargetID, lastBlock uint64) {
 	t, ok := tb.byID[id]
 	if !ok || len(tb.heartbeat.holders) >= maxHolders {
 		return
@@ -21,7 +21,7 @@
 	if tb.byKey[key] != t {
 		return // The key is ambiguous.
 	}
-	h := event.PrefixHolder{Target: key, LastBlock: part}
+	h := event.PrefixHolder{Target: key, LastBlock: lastBlock}
 	if !slices.Contains(tb.heartbeat.holders, h) {
 		tb.heartbeat.holders = append(tb.heartbeat.holders, h)
 	}
--- a/internal/member/kept_fail_test.go
+++ b/internal/member/kept_fail_test.go
@@ -28,8 +28,8 @@
 		s.Age, s.Pools, s.PoolsOmitted = 0, nil, true
 		b.SummaryReceived(w.now, s)
 	}
-	if left := b.RemainingOffer(w.now, "dc0", scribePool); left != 0 {
-		t.Errorf("%d requests may be forwarded on an expired offer", left)
+	if remaining := b.RemainingOffer(w.now, "dc0", scribePool); remaining != 0 {
+		t.Errorf("%d requests may be forwarded on an expired offer", remaining)
 	}
 }
 
@@ -97,14 +97,15 @@
 		t.Errorf("hosts (-want +got):\n%s", d)
 	}
 	if d := cmp.Diff(tb.staleCentres(), []ident.DataCentre{"dc1"}); d != "" {
-		t.Errorf("lacking (-want +got):\n%s", d)
+		t.Errorf("data centres with stale hosts (-want +got):\n%s", d)
 	}
 	if s := c.summaryWithAge(w.now); !s.HostsOmitted || !s.PoolsOmitted {
 		t.Error("unknown parts are passed on as empty ones")
 	}
 }
 
-// Guards against a new recipient of summaries that misses parts sent only to the former recipient.
+// Guards against a new recipient of summaries that misses parts sent only to the previous
+// recipient.
 func TestNewRecipientGetsFullSummary(t *testing.T) {
 	w := newSimulation(23, 2, 1, 1)
 	w.run(20*time.Second, nil)
@@ -145,8 +146,8 @@
 }
 
 // Guards against a shortened report of a new incarnation that is completed with fields of the
-// former one.
-func TestShortReportOfNewIncarnationIsNotCompletedFromFormer(t *testing.T) {
+// previous one.
+func TestShortReportOfNewIncarnationIsNotCompletedFromPrevious(t *testing.T) {
 	w := newSimulation(26, 1, 2, 1)
 	w.run(5*time.Second, nil)
 	tb := w.nodes[0].tb
@@ -155,7 +156,7 @@
 	ld := event.Load{Key: targetKey(tg.ID), Incarnation: tg.Incarnation + 1, Seq: 1, Running: 1, StaticOmitted: true}
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1 << 20, Loads: []event.Load{ld}})
 	if tg.Load.Incarnation > 1 {
-		t.Errorf("%d slots of the former incarnation are attributed to incarnation %d", tg.Load.Slots, tg.Load.Incarnation)
+		t.Errorf("%d slots of the previous incarnation are attributed to incarnation %d", tg.Load.Slots, tg.Load.Incarnation)
 	}
 	ld.StaticOmitted, ld.Slots = false, 4
 	tb.DigestReceived(w.now, event.Digest{Host: peer, Seq: 1<<20 + 1, Loads: []event.Load{ld}})
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -62,8 +62,8 @@
 	return version < tb.list.version && now.Sub(tb.list.updatedAt) <= staleListTimeout
 }
 
-// mergeList merges a list that a peer has read, unless a newer one is in use. An older one
-// would revert evacuations.
+// mergeList merges a list that a peer has sent, unless a newer one is in use. An older one would
+// revert evacuations.
 func (tb *Table) mergeList(now ident.Time, d event.Digest) {
 	if len(d.Targets) == 0 && !d.Complete || tb.isStale(now, d.ListVersion) {
 		return
@@ -109,7 +109,7 @@
 	}
 	for _, h := range sortedHosts(hosts) {
 		if h.Place.Group() != tb.self.Place.Group() {
-			c := tb.centre(h.Place)
+			c := tb.ensureCentre(h.Place)
 			c.listed = append(c.listed, h)
 			continue
 		}
@@ -136,7 +136,7 @@
 	return p
 }
 
-// mergeListedTargets merges the targets of a list that this host or a peer has read.
+// mergeListedTargets merges the targets of a list that was read here or sent by a peer.
 func (tb *Table) mergeListedTargets(now ident.Time, targets []event.Target) {
 	for _, t := range tb.targets {
 		t.listed = false
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -37,10 +37,10 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Intervals and timeouts of the membership.
+// Intervals and timeouts of the membership protocol.
 const (
-	// HeartbeatInterval is the time between two digests, and between two load reports of a
-	// target.
+	// HeartbeatInterval is the time between two regular digests, and between two polls of a target
+	// for its load.
 	HeartbeatInterval = time.Second
 	// suspectTimeout allows for three missed digests and half an interval of network delay.
 	suspectTimeout = 3*HeartbeatInterval + HeartbeatInterval/2
@@ -79,11 +79,11 @@
 	LastCacheEvent func(ident.TargetID) uint64
 }
 
-func (o LocalState) lastCacheEvent(id ident.TargetID) uint64 {
-	if o.LastCacheEvent == nil {
+func (s LocalState) lastCacheEvent(id ident.TargetID) uint64 {
+	if s.LastCacheEvent == nil {
 		return 0
 	}
-	return o.LastCacheEvent(id)
+	return s.LastCacheEvent(id)
 }
 
 // PoolID names a pool: the targets of one data centre that serve one model or one plain
@@ -112,7 +112,7 @@
 	draining map[ident.TargetID]drainNotice
 	// restarted holds the targets that have restarted since the reducer last took them.
 	restarted []ident.TargetID
-	// coldProbeQueue holds the targets to probe for whether they are cold.
+	// coldProbeQueue holds the targets that are assumed to be cold and are to be probed.
 	coldProbeQueue []ident.TargetID
 	centres        []*Centre
 	pools          []*pool
@@ -127,8 +127,8 @@
 	cold         ColdLimits
 	// serviceStats holds the typical times and rates of the targets of each service.
 	serviceStats load.Services
-	// demands is the demand of the callers of this host by service, missRatios the fraction of
-	// the prompts of a service that its engines have to prefill.
+	// demands is the demand of the callers of this host by service, prefillShares the fraction of
+	// the prompt tokens of a service that its engines have to prefill.
 	demands       []*serviceDemand
 	prefillShares map[string]float64
 	// notes holds the changes since the last call of TakeNotes.
@@ -146,17 +146,16 @@
 	version   uint64
 	readHere  bool
 	updatedAt ident.Time
-	// source is the host that read the list in use from the store. complete reports whether
-	// that host is this one and the list names all targets.
+	// source is the host that sent the list in use or, if that is this host, read it from the
+	// store. complete reports whether this host read it and it names all targets.
 	source   ident.EntryID
 	complete bool
 	// nextRead is when this host reads the list again.
 	nextRead ident.Time
 	// unannounced reports whether the newest list has not been sent to peers yet.
 	unannounced bool
-	// readFailed reports whether the last read failed. recoveredAt is when a read last
-	// succeeded after a failure, steadySince when the first one succeeded since the last
-	// failure.
+	// readFailed reports whether the last read failed. recoveredAt is when a read last succeeded
+	// after a failure, stableSince when the first one succeeded since the last failure.
 	readFailed  bool
 	recoveredAt ident.Time
 	stableSince ident.Time
--- a/internal/member/member_fail_test.go
+++ b/internal/member/member_fail_test.go
@@ -10,9 +10,9 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Guards against a host that can't serve after a restart during an outage of the platform. It has
-// to get its state from its peers.
-func TestRestartedHostLearnsFromPeers(t *testing.T) {
+// Guards against a host that can't serve after a restart during an outage of the platform: it must
+// get its state from its peers.
+func TestRestartedHostGetsStateFromPeers(t *testing.T) {
 	w := newSimulation(1, 2, 3, 4)
 	w.run(10*time.Second, nil)
 	for _, n := range w.nodes {
@@ -70,8 +70,8 @@
 	s.Seq += 100
 	s.Age = 0
 	n.tb.SummaryReceived(now, s)
-	if left := n.tb.RemainingOffer(now, "dc0", scribePool); left != 0 {
-		t.Errorf("an offer of %d outlives the pause", left)
+	if remaining := n.tb.RemainingOffer(now, "dc0", scribePool); remaining != 0 {
+		t.Errorf("an offer of %d outlives the pause", remaining)
 	}
 }
 
@@ -282,8 +282,8 @@
 	}
 }
 
-// Guards against a digest of a former incarnation, or an older list, that reverts newer state.
-func TestFormerIncarnationsAndListsAreIgnored(t *testing.T) {
+// Guards against a digest of a previous incarnation, or an older list, that reverts newer state.
+func TestPreviousIncarnationsAndListsAreIgnored(t *testing.T) {
 	tb := New(event.Host{ID: "e0", Incarnation: 1, Place: event.Place{DataCentre: "dc0"}})
 	digest := func(now ident.Time, inc ident.Incarnation) ident.Incarnation {
 		h := event.Host{ID: "e1", Incarnation: inc, Place: event.Place{DataCentre: "dc0"}}
@@ -303,7 +303,7 @@
 		at  time.Duration
 		old bool
 	}{{time.Second, false}, {2 * time.Second, true}, {70 * time.Second, true}} {
-		// Time advances in steps of a period: a longer step would count as a pause.
+		// Time advances in steps of HeartbeatInterval: a longer step would count as a pause.
 		for tb.lastAdvance < ident.Time(step.at)-1 {
 			tb.Advance(min(tb.lastAdvance.Add(HeartbeatInterval), ident.Time(step.at)-1))
 		}
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -7,7 +7,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Requests to engines for the size of their memory.
+// Limits of the requests to engines for the size of their memory.
 const (
 	// memoryRequestInterval is the time between two requests to an engine that has not answered.
 	memoryRequestInterval = 10 * time.Second
@@ -16,8 +16,8 @@
 	maxMemoryRequests = 16
 )
 
-// memoryRequests returns the requests to engines whose memory size is unknown. Engines are the targets
-// of services with a known prefill rate.
+// memoryRequests returns the requests to engines whose memory size is unknown. Engines are the
+// targets of services with a known prefill rate.
 func (tb *Table) memoryRequests(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
--- a/internal/member/near.go
+++ b/internal/member/near.go
@@ -24,18 +24,18 @@
 //
 // Hosts that are silent are left out.
 func (tb *Table) Nearby(now ident.Time, near event.Place, homes []ident.Region) []event.Host {
-	all, draining := tb.reachable(now)
+	active, draining := tb.reachable(now)
 	inRegion := func(p event.Place) bool { return p.Region == near.Region }
 	for _, c := range []struct {
 		hosts []event.Host
 		fits  func(p event.Place) bool
 	}{
-		{all, func(p event.Place) bool { return p.DataCentre == near.DataCentre }},
-		{all, inRegion},
-		{all, func(p event.Place) bool { return slices.Contains(homes, p.Region) }},
+		{active, func(p event.Place) bool { return p.DataCentre == near.DataCentre }},
+		{active, inRegion},
+		{active, func(p event.Place) bool { return slices.Contains(homes, p.Region) }},
 		{draining, inRegion},
-		{all, func(p event.Place) bool { return len(homes) == 0 && p.Group() == tb.self.Place.Group() }},
-		{all, func(event.Place) bool { return len(homes) == 0 }},
+		{active, func(p event.Place) bool { return len(homes) == 0 && p.Group() == tb.self.Place.Group() }},
+		{active, func(event.Place) bool { return len(homes) == 0 }},
 	} {
 		if hs := hostsWhere(c.hosts, c.fits); len(hs) > 0 {
 			return hs
@@ -44,10 +44,10 @@
 	return nil
 }
 
-// reachable returns the hosts that are probably reachable, with those that drain in a separate
-// slice. Hosts of other data centres come from their summaries and, while the platform's list is
-// readable, from that list: it names a new host before any summary does.
-func (tb *Table) reachable(now ident.Time) (all, draining []event.Host) {
+// reachable returns the hosts that are probably reachable, those that drain separately. Hosts of
+// other data centres come from their summaries and, while the platform's list is readable, from
+// that list: it names a new host before any summary does.
+func (tb *Table) reachable(now ident.Time) (active, draining []event.Host) {
 	hosts := tb.liveHosts(now)
 	for _, c := range tb.centres {
 		seen := value.SetOf[ident.EntryID]()
@@ -68,9 +68,9 @@
 			draining = append(draining, h)
 			continue
 		}
-		all = append(all, h)
+		active = append(active, h)
 	}
-	return all, draining
+	return active, draining
 }
 
 func hostsWhere(hosts []event.Host, fits func(p event.Place) bool) []event.Host {
--- a/internal/member/note.go
+++ b/internal/member/note.go
@@ -9,8 +9,8 @@
 // maxNotes bounds the number of notes in one step.
 const maxNotes = 64
 
-// TakeNotes returns and clears the notes on changes in the state of targets whose capacity is
-// in the platform's list.
+// TakeNotes returns and clears the notes: on stale lists, and on changes in the state of targets
+// whose capacity is in the platform's list.
 func (tb *Table) TakeNotes() []event.Note {
 	ns := tb.notes
 	tb.notes = nil
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -13,12 +13,12 @@
 
 // Thresholds and times of offers. The thresholds are percentages of free slots in a pool.
 //
-// askPercent lies well below withdrawPercent, and withdrawPercent below offerPercent. So no data
-// centre asks and offers at the same time, and one whose load fluctuates around a threshold does
-// not flap.
+// requestPercent lies well below withdrawPercent, and withdrawPercent below offerPercent. So no
+// data centre requests and offers capacity at the same time, and one whose load fluctuates around a
+// threshold does not flap.
 const (
-	// A data centre asks for help at or below requestPercent. It keeps reservePercent for itself,
-	// withdraws its offer below withdrawPercent, and starts to offer at offerPercent.
+	// A data centre requests capacity at or below requestPercent. It keeps reservePercent for
+	// itself, withdraws its offer below withdrawPercent, and starts to offer at offerPercent.
 	requestPercent  = 10
 	reservePercent  = 20
 	withdrawPercent = 25
@@ -29,12 +29,13 @@
 	// maxTransitTime bounds how long a summary is in transit. The data centre that made an offer
 	// assumes that it is still held for this time after offerTTL.
 	maxTransitTime = 3 * time.Second
-	// maxForwardDelay bounds the time from sending a request to the moment when an offer can take
-	// it into account, in addition to the transit time of the offer. It covers the network delays
-	// of both.
+	// maxForwardDelay is how long before the computed time of an offer a request may have been
+	// forwarded without being included in it. It covers the network delays of the request and of
+	// the offer.
 	maxForwardDelay = 200 * time.Millisecond
-	// poolRequestTTL is how long a data centre asks for a pool without targets after the last request for
-	// it. maxWants bounds the number of such pools.
+	// poolRequestTTL is how long a data centre requests a pool without targets after the last
+	// request for it. Such a pool is added only while there are fewer than maxPools pools; maxPools
+	// also bounds the pools whose forwarded requests are counted for each data centre.
 	poolRequestTTL = 10 * time.Second
 	maxPools       = 64
 )
@@ -45,7 +46,7 @@
 	expiresAt ident.Time
 }
 
-// needsCapacity reports whether a data centre asks for help with a pool.
+// needsCapacity reports whether a data centre requests capacity for a pool.
 func needsCapacity(free, slots int) bool { return free*percent <= slots*requestPercent }
 
 // spareSlots returns the slots that may be offered: the free ones beyond the reserve for local
@@ -64,22 +65,22 @@
 		if !p.offering {
 			continue
 		}
-		askers := tb.requesters(now, p.id)
+		requesters := tb.requesters(now, p.id)
 		n := spareSlots(p.Free, p.Slots)
 		if tb.hasPace(p.id) {
 			n /= pacedOfferDivisor
 		}
-		for j, n := range split(n, len(askers)) {
-			rows[i][askers[j]] = n
+		for j, n := range split(n, len(requesters)) {
+			rows[i][requesters[j]] = n
 		}
 	}
 	return rows
 }
 
-// requesters returns the indexes of the data centres that may get an offer of a pool. The order differs
-// between pools, so that small offers do not always go to the same ones. A data centre is left out
-// while a host here may still hold an offer of it, so that the two do not exchange work in both
-// directions.
+// requesters returns the indexes of the data centres that may get an offer of a pool. The order
+// differs between pools, so that small offers do not always go to the same ones. Unless the pace of
+// streams is known, a data centre is left out while a host here may still hold an offer of it, so
+// that the two do not exchange work.
 func (tb *Table) requesters(now ident.Time, id PoolID) []int {
 	var is []int
 	for i, c := range tb.centres {
@@ -96,7 +97,8 @@
 }
 
 // mayOfferTo reports whether a data centre may get an offer of a pool. If the pace of streams is
-// known, the data centre need not ask: asking takes a round trip through both representatives.
+// known, the data centre need not request it, which takes a round trip through both
+// representatives.
 func (tb *Table) mayOfferTo(now ident.Time, c *Centre, id PoolID) bool {
 	if tb.hasPace(id) {
 		return c.Pool(id) != nil
@@ -153,7 +155,8 @@
 
 // RemainingOffer returns how many more requests this host may forward to a data centre: its share
 // of an unexpired offer, less what it has sent since the offer was made. It is zero while this data
-// centre has spare capacity of its own, or while the other may hold an offer of this one.
+// centre has spare capacity of its own or, unless the pace of streams is known, while the other may
+// hold an offer of this one.
 func (tb *Table) RemainingOffer(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
@@ -280,7 +283,8 @@
 	return tb.forwarded[i].Running
 }
 
-// ForwardStarted records that a request is forwarded to a data centre.
+// ForwardStarted records that a request is forwarded to a data centre. This data centre then
+// withdraws its own offer of the pool.
 func (tb *Table) ForwardStarted(dc ident.DataCentre, id PoolID) {
 	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
--- a/internal/member/pace.go
+++ b/internal/member/pace.go
@@ -8,8 +8,8 @@
 
 // Use of the stream pace, the time between two events of a stream.
 const (
-	// maxPaceRatio is the ratio to the best pace at which targets have no free slots for
-	// requests from other data centres.
+	// maxPaceRatio is the ratio of the current pace to the best one at which targets have no free
+	// slots left for requests from other data centres.
 	maxPaceRatio = 3
 	// pacedOfferDivisor divides the spare slots that a data centre offers at a time if the
 	// pace of streams is known. The effect of an offer on the pace shows only after the next
--- a/internal/member/pace_test.go
+++ b/internal/member/pace_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against a region that has no offer when its peak load starts. Where the pace is
-// known, offers do not wait for a request.
+// Guards against a region that has no offer when its peak load starts. If the pace is known, offers
+// do not wait for a request.
 func TestPoolsWithPaceOfferWithoutRequest(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := newNearbyTable(at)
--- a/internal/member/peer.go
+++ b/internal/member/peer.go
@@ -13,10 +13,10 @@
 // peer is another entry host of this data centre.
 type peer struct {
 	host event.Host
-	// lastSeen is when the last message of the host arrived. seen reports whether one has ever
+	// lastSeen is when the last message of the host arrived. everSeen reports whether one has ever
 	// arrived.
 	lastSeen ident.Time
-	seen     bool
+	everSeen bool
 	// linkDown reports whether the link to the host has failed and has not been restored.
 	linkDown bool
 	listed   bool
@@ -36,7 +36,7 @@
 // live reports whether the host was seen recently. A host whose link is down may be silent for
 // a shorter time.
 func (p *peer) live(now ident.Time) bool {
-	if !p.seen {
+	if !p.everSeen {
 		return false
 	}
 	if p.linkDown {
@@ -45,7 +45,7 @@
 	return now.Sub(p.lastSeen) <= suspectTimeout
 }
 
-func (p *peer) dead(now ident.Time) bool { return !p.seen || now.Sub(p.lastSeen) > deadTimeout }
+func (p *peer) dead(now ident.Time) bool { return !p.everSeen || now.Sub(p.lastSeen) > deadTimeout }
 
 func (tb *Table) peer(id ident.EntryID) (*peer, bool) {
 	i, ok := tb.peerIndex(id)
@@ -59,8 +59,8 @@
 	return slices.BinarySearchFunc(tb.peers, id, func(p *peer, id ident.EntryID) int { return cmp.Compare(p.host.ID, id) })
 }
 
-// putPeer adds or updates a host of this data centre. It returns nil for this host itself and
-// for an outdated incarnation.
+// putPeer adds or updates a host of this data centre. It returns nil for this host itself and,
+// unless the known incarnation is dead, for a previous incarnation.
 func (tb *Table) putPeer(now ident.Time, h event.Host) *peer {
 	if h.ID == tb.self.ID || h.Place.Group() != tb.self.Place.Group() {
 		return nil
@@ -86,13 +86,13 @@
 	return p
 }
 
-// observe records that a message of a host has arrived.
-func (tb *Table) observe(now ident.Time, p *peer) {
+// markPeerSeen records that a message of a host has arrived.
+func (tb *Table) markPeerSeen(now ident.Time, p *peer) {
 	if !p.live(now) {
 		// The host may have restarted, or missed messages in the meantime.
 		p.needsFullDigest = true
 	}
-	p.seen = true
+	p.everSeen = true
 	p.linkDown = false
 	p.lastSeen = max(p.lastSeen, now)
 	if p.needsFullDigest {
@@ -104,7 +104,7 @@
 func (tb *Table) PeerUp(now ident.Time, h event.Host) {
 	tb.Advance(now)
 	if h.Place.Group() != tb.self.Place.Group() {
-		c := tb.centre(h.Place)
+		c := tb.ensureCentre(h.Place)
 		c.putHost(h)
 		if c.lastSent.to == h.ID && c.lastSent.incarnation != h.Incarnation {
 			// The host has restarted and lost the parts that were sent to it.
@@ -113,7 +113,7 @@
 		return
 	}
 	if p := tb.putPeer(now, h); p != nil {
-		tb.observe(now, p)
+		tb.markPeerSeen(now, p)
 	}
 }
 
@@ -148,8 +148,8 @@
 
 // Hosts that read the platform's store continuously.
 const (
-	// activeReaderCount is the number of active readers in a data centre. A second one covers for
-	// a reader that freezes.
+	// activeReaderCount is the number of active readers in a data centre. The second one covers for
+	// the first if that freezes.
 	activeReaderCount = 2
 	// maxReaderSilence is the longest silence of a host that still counts as an active reader.
 	maxReaderSilence = 1800 * time.Millisecond
@@ -162,7 +162,7 @@
 	mine := dutyScore("watch", tb.self, tb.platformUnreachable)
 	before := 0
 	for _, p := range tb.peers {
-		if !p.seen || p.linkDown || now.Sub(p.lastSeen) > maxReaderSilence {
+		if !p.everSeen || p.linkDown || now.Sub(p.lastSeen) > maxReaderSilence {
 			continue
 		}
 		if dutyScore("watch", p.host, p.platformUnreachable) > mine {
@@ -184,7 +184,7 @@
 }
 
 // topRanked returns the live host that ranks first for a duty. Draining hosts rank after all
-// others, and so do hosts that cannot reach the platform if the duty needs it.
+// others. If the duty needs the platform, hosts that cannot reach it rank after those that can.
 func (tb *Table) topRanked(now ident.Time, duty string, needsPlatform bool) ident.EntryID {
 	best := tb.self.ID
 	bestScore := dutyScore(duty, tb.self, needsPlatform && tb.platformUnreachable)
@@ -214,7 +214,7 @@
 	return s
 }
 
-// reapPeers drops unlisted hosts after a long silence, and the work of dead hosts.
+// reapPeers drops unlisted hosts after a long silence, and the requests of dead hosts.
 func (tb *Table) reapPeers(now ident.Time) {
 	for _, p := range tb.peers {
 		if p.dead(now) {
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -80,8 +80,8 @@
 	p.requestedHere, p.requestedHereAt = true, now
 }
 
-// RequestsQueued records that requests are queued here for lack of capacity. The data centre
-// then requests help at once instead of at the next heartbeat.
+// RequestsQueued records that requests are queued here for lack of capacity. The data centre then
+// requests capacity at once instead of at the next heartbeat.
 func (tb *Table) RequestsQueued(now ident.Time) {
 	if tb.requestsQueuedAt > 0 && now.Sub(tb.requestsQueuedAt) < minSummaryGap {
 		return
@@ -177,9 +177,9 @@
 	p.priceSum += t.Price
 }
 
-// countForwarded returns how many requests of a pool the hosts of this data centre have
-// forwarded to others. A pool with such requests offers nothing, so that no two data centres
-// exchange work.
+// countForwarded returns how many requests of a pool the hosts of this data centre have forwarded
+// to others. A pool with such requests offers nothing unless the pace of streams is known, so that
+// no two data centres exchange work.
 func (tb *Table) countForwarded(now ident.Time, id PoolID) int {
 	n := sumForwarded(tb.forwarded, id)
 	for _, p := range tb.peers {
--- a/internal/member/reads_test.go
+++ b/internal/member/reads_test.go
@@ -20,7 +20,7 @@
 	}
 	now := ident.Time(time.Second)
 	seq := uint64(0)
-	beat := func(frozen map[int]bool) (reading []int) {
+	nextHeartbeat := func(frozen map[int]bool) (reading []int) {
 		now = now.Add(HeartbeatInterval)
 		seq++
 		for i, tb := range tables {
@@ -46,13 +46,13 @@
 			t.Fatalf("host %d knows no other host but is not an active reader", i)
 		}
 	}
-	first := beat(nil)
+	first := nextHeartbeat(nil)
 	if len(first) != activeReaderCount {
 		t.Fatalf("hosts %v are active readers, want %d of them", first, activeReaderCount)
 	}
 	frozen := map[int]bool{first[0]: true, first[1]: true}
-	beat(frozen)
-	second := beat(frozen)
+	nextHeartbeat(frozen)
+	second := nextHeartbeat(frozen)
 	if len(second) != activeReaderCount {
 		t.Errorf("hosts %v are active readers two seconds after both readers froze, want %d of them", second, activeReaderCount)
 	}
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -53,8 +53,8 @@
 	return t, true
 }
 
-// relayChangeDivisor sets the change in the number of requests at a target above which its
-// report is relayed at once: the number of slots divided by it.
+// relayChangeDivisor sets the change in the number of requests at a target above which the next
+// regular digest relays its report: the number of slots divided by relayChangeDivisor.
 const relayChangeDivisor = 8
 
 // similarLoad reports whether two load reports differ too little to relay the second.
@@ -73,11 +73,11 @@
 // report, in case one was lost.
 const staticPartInterval = 10 * time.Second
 
-// minRateChange is the relative change of a rate above which it is relayed at once.
+// minRateChange is the relative change of a rate above which the static part is relayed again.
 const minRateChange = 0.1
 
-// omitKnownFields removes the fields of a load report that peers already have. The report of a
-// draining target is sent in full, for hosts that do not know the target yet.
+// omitKnownFields removes the static part of a load report if peers already have it. The report of
+// a draining target is sent in full, for hosts that do not know the target yet.
 func (tb *Table) omitKnownFields(now ident.Time, t *Target, ld event.Load) event.Load {
 	if ld.Draining {
 		return ld
@@ -100,8 +100,8 @@
 
 func similarRate(a, b float64) bool { return math.Abs(a-b) <= minRateChange*a }
 
-// mergeRelayedLoad merges a load report that a peer has polled. It ignores a report that omits
-// fields which this host does not have.
+// mergeRelayedLoad merges a load report that a peer has relayed. It ignores a report without its
+// static part if this host does not have that part.
 func (tb *Table) mergeRelayedLoad(now ident.Time, ld event.Load) {
 	if t := tb.byKey[ld.Key]; ld.Target == "" && t != nil {
 		ld.Target = t.ID
--- a/internal/member/stale_test.go
+++ b/internal/member/stale_test.go
@@ -84,7 +84,7 @@
 	at = at.Add(outageGracePeriod)
 	tb.HostsRead(at, listOf(4, newTarget("b")))
 	if usable(t, tb, at, "a") {
-		t.Error("a removed target is still usable after outageGrace")
+		t.Error("a removed target is still usable after outageGracePeriod")
 	}
 }
 
--- a/internal/member/start.go
+++ b/internal/member/start.go
@@ -33,7 +33,7 @@
 	case d.Incarnation > t.Incarnation:
 		tb.restartTarget(now, t, d)
 	case now.Sub(t.lastSeen) > deadTimeout:
-		// The target's clock was set back, and its former incarnation is dead.
+		// The target's clock was set back, and its previous incarnation is dead.
 		if tb.draining[d.ID].incarnation > d.Incarnation {
 			delete(tb.draining, d.ID)
 		}
@@ -42,8 +42,9 @@
 	tb.updateDraining(now, t)
 }
 
-// adoptIncarnation sets the incarnation of a target whose list entry has none, from its first load
-// report. The target has not restarted, so requests that are running there continue.
+// adoptIncarnation sets the incarnation of a target whose list entry had none, from its first load
+// report or a later list. The target has not restarted, so requests that are running there
+// continue.
 func (tb *Table) adoptIncarnation(t *Target, inc ident.Incarnation) {
 	if t.Incarnation != 0 || inc == 0 {
 		return
@@ -57,8 +58,8 @@
 
 // restartTarget resets a target to a new incarnation.
 //
-// The requests and the cache of the former incarnation are lost. Two things are kept: the times of
-// sends to the cold target, because the limit holds for a target across incarnations, and the
+// The requests and the cache of the previous incarnation are lost. Two things are kept: the times
+// of sends to the cold target, because the limit holds for a target across incarnations, and the
 // typical request time of its service.
 func (tb *Table) restartTarget(now ident.Time, t *Target, d event.Target) {
 	for _, p := range tb.peers {
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -15,9 +15,9 @@
 	return tg
 }
 
-// Guards against breaking off the requests at a target when its incarnation becomes known for the
-// first time.
-func TestFirstKnownIncarnationIsNoRestart(t *testing.T) {
+// Guards against aborting the requests at a target when its incarnation becomes known for the first
+// time.
+func TestFirstKnownIncarnationIsNotARestart(t *testing.T) {
 	at := ident.Time(time.Second)
 	tb := New(newHost("w1", "west-a", "west"))
 	tb.HostsRead(at, listOf(1, newTargetWithoutIncarnation("a")))
@@ -38,7 +38,7 @@
 		t.Errorf("targets %v count as restarted, want a", ids)
 	}
 	if tb.IsCurrent("a", 0) || tb.IsCurrent("a", 7) {
-		t.Error("requests sent to a former incarnation count as running")
+		t.Error("requests sent to a previous incarnation count as running")
 	}
 }
 
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -52,8 +52,8 @@
 	return effs
 }
 
-// resetLastSent makes a new representative send all parts. Another representative may have
-// replaced the parts that this host sent in an earlier term.
+// resetLastSent has this host send all parts when it next becomes the representative. Another
+// representative may have replaced the parts that it sent before.
 func (tb *Table) resetLastSent() {
 	for _, c := range tb.centres {
 		c.lastSent = lastSent{}
@@ -61,8 +61,8 @@
 }
 
 // recordExpectedOffers records the offers that the representative probably makes now. Each host
-// computes them from the same loads, so that none uses the offer of a data centre that holds
-// an offer of this one.
+// computes them from the same loads, so that none uses the offer of a data centre that holds an
+// offer of this one.
 func (tb *Table) recordExpectedOffers(now ident.Time, offers [][]int) {
 	pools := make([]event.Pool, len(tb.pools))
 	for i, p := range tb.pools {
@@ -75,8 +75,8 @@
 
 // lastSent is the state that was last sent to a data centre.
 type lastSent struct {
-	// at is when the last summary was sent, to and incarnation its receiver. Any other
-	// receiver may lack every part.
+	// at is when the last summary was sent, to and incarnation its recipient. Any other recipient
+	// may lack every part.
 	at          ident.Time
 	everSent    bool
 	to          ident.EntryID
@@ -90,10 +90,10 @@
 	accountsAt  ident.Time
 }
 
-// omitKnownParts removes the parts of a summary that its receiver already has, and reports
-// whether the rest is worth a message. The pools are sent at the summary interval, on change,
-// and at the fast interval while they carry an offer; the accounts at an interval of their
-// own; the hosts on change and every hostsInterval, in case a summary was lost.
+// omitKnownParts removes the parts of a summary that its recipient already has, and reports whether
+// the rest is worth a message. The pools are sent at the summary interval, on change, and at the
+// fast interval while they carry an offer; the accounts at an interval of their own; the hosts on
+// change and every hostsInterval, in case a summary was lost.
 func (tb *Table) omitKnownParts(now ident.Time, c *Centre, to event.Host, s *event.Summary, repeat bool) bool {
 	t := &c.lastSent
 	if t.everSent && now.Sub(t.at) < minSummaryGap {
@@ -134,17 +134,17 @@
 	return s.InForce != t.inForce || s.Highest != t.highest
 }
 
-// behind reports whether a data centre has not yet confirmed the highest revision.
-func (c *Centre) behind(s event.Summary) bool {
+// isBehind reports whether a data centre has not yet confirmed the highest revision.
+func (c *Centre) isBehind(s event.Summary) bool {
 	return c.HasSummary && c.Summary.Highest < s.Highest
 }
 
-// needsRepeat reports whether to send a summary again because the data centre has not
-// confirmed its revision, and counts these repeats. Each repeat goes to the next host, since
-// the last receiver may be frozen.
+// needsRepeat reports whether to send a summary again because the data centre has not confirmed its
+// revision, and counts these repeats. Each repeat goes to the next host, since the last recipient
+// may be frozen.
 func (c *Centre) needsRepeat(now ident.Time, s event.Summary) bool {
 	t := &c.lastSent
-	if !t.everSent || s.Highest != t.highest || !c.behind(s) {
+	if !t.everSent || s.Highest != t.highest || !c.isBehind(s) {
 		c.unconfirmedRepeats = 0
 		return false
 	}
@@ -159,8 +159,9 @@
 	return slices.ContainsFunc(pools, func(p event.Pool) bool { return p.Offer > 0 })
 }
 
-// hashPools returns a hash of the state that another data centre acts on at once: the demand,
-// the size of the offers in powers of two, and the number of targets.
+// hashPools returns a hash of the state that another data centre acts on at once: whether capacity
+// is requested, the demand in steps, the size of the offers in powers of two, and the number of
+// targets.
 func hashPools(pools []event.Pool) uint64 {
 	h := uint64(0)
 	for _, p := range pools {
--- a/internal/member/summary_test.go
+++ b/internal/member/summary_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against a frozen receiver that delays a new revision in a data centre that is cut off
+// Guards against a frozen recipient that delays a new revision in a data centre that is cut off
 // from the platform. The revision is sent again to another host.
 func TestUnconfirmedRevisionIsSentToNextHost(t *testing.T) {
 	start := ident.Time(time.Hour)
@@ -68,7 +68,7 @@
 	}
 }
 
-// Guards against a change that is in force everywhere but reported seconds late, if the lowest
+// Guards against reporting seconds late that a change is in force everywhere, because the lowest
 // revision is sent only with the next regular summary.
 func TestLowestRevisionIsSentAtOnce(t *testing.T) {
 	start := ident.Time(time.Hour)
@@ -86,7 +86,7 @@
 	}
 }
 
-// Guards against work forwarded to a region that has lost its targets, if their loss does not
+// Guards against forwarding work to a region that has lost its targets, because their loss does not
 // count as a change of the pools.
 func TestPoolHashIncludesTargets(t *testing.T) {
 	two := []event.Pool{{Service: "writers", Targets: 2, Slots: 256, Free: 200}}
--- a/internal/member/target.go
+++ b/internal/member/target.go
@@ -23,8 +23,8 @@
 	// full share.
 	rampDuration = 10 * time.Second
 	rampStart    = 0.1
-	// startGracePeriod is the time after the start of this host in which newly seen targets get their
-	// full share without a ramp.
+	// startGracePeriod is the time after the start of this host in which newly seen targets get
+	// their full share without a ramp.
 	startGracePeriod = 5 * time.Second
 )
 
@@ -32,7 +32,7 @@
 type Target struct {
 	load.State
 	// MemoryTokens is the number of tokens that the target's memory holds, zero if unknown.
-	// memoryAskedAt is when the target was last asked for it.
+	// memoryRequestedAt is when the target was last asked for it.
 	MemoryTokens        ident.Tokens
 	memoryRequestedAt   ident.Time
 	ConsecutiveFailures int
@@ -50,13 +50,14 @@
 	listed             bool
 	// listedVersion is the newest version of the platform's list that names the target.
 	listedVersion uint64
-	// absent means that the newest complete list does not name the target. removedVersion is the
-	// version of the list from which on it is removed, removalSeenAt when this host found out.
+	// absent means that the newest complete list does not name the target, or that a peer has
+	// announced its removal. removedVersion is the version of the list from which on it is removed,
+	// removalSeenAt when this host found out.
 	absent         bool
 	removedVersion uint64
 	removalSeenAt  ident.Time
-	// coldUntil is when the target stops being cold by its own report. coldSends are the times of
-	// the most recent sends to it while cold.
+	// coldUntil is when the target stops being cold, by the platform's list, by its own report or
+	// by assumption. coldSends are the times of the most recent sends to it while cold.
 	coldUntil ident.Time
 	coldSends []ident.Time
 	// coldAssumed means that the target counts as cold without having reported it.
@@ -70,7 +71,7 @@
 
 	relayedLoad event.Load
 	relayedAt   ident.Time
-	// relayedStatic is the last report that was relayed including the fields that rarely change.
+	// relayedStatic is the last report that was relayed with its static part.
 	relayedStatic   event.Load
 	relayedStaticAt ident.Time
 }
@@ -133,15 +134,15 @@
 	return "", key
 }
 
-// reapTargets drops targets that are silent and not listed.
+// reapTargets drops unlisted targets after a long silence, unless requests are in flight there.
 func (tb *Table) reapTargets(now ident.Time) {
 	before := len(tb.targets)
 	tb.targets = slices.DeleteFunc(tb.targets, func(t *Target) bool {
-		gone := !t.listed && now.Sub(t.lastSeen) > dropTimeout && t.InFlight == 0 && t.PeerInFlight == 0
-		if gone {
+		drop := !t.listed && now.Sub(t.lastSeen) > dropTimeout && t.InFlight == 0 && t.PeerInFlight == 0
+		if drop {
 			delete(tb.byID, t.ID)
 		}
-		return gone
+		return drop
 	})
 	if len(tb.targets) < before {
 		tb.rebuildKeys()
--- a/internal/member/tick.go
+++ b/internal/member/tick.go
@@ -48,12 +48,12 @@
 	return tb.heartbeat.urgent || tb.heartbeat.fullDigestDue || tb.heartbeat.summaryDue || len(tb.coldProbeQueue) > 0
 }
 
-// Bounds of the announcements of the use of targets.
+// Limits of the announcements of the use of targets.
 const (
-	// minUseInterval is the interval between announcements in a small region.
+	// minUseInterval is the interval between announcements in a small data centre.
 	minUseInterval = 250 * time.Millisecond
-	// maxUseMessages bounds the announcements of a host to all peers in each
-	// HeartbeatInterval. With more peers only heartbeats include the use.
+	// maxUseMessages bounds the announcements of a host to all peers in each HeartbeatInterval.
+	// With that many peers or more, the use is announced only by heartbeats.
 	maxUseMessages = 12
 )
 
--- a/internal/member/turned.go
+++ b/internal/member/turned.go
@@ -9,7 +9,7 @@
 )
 
 // refusalBackoff is how long a data centre that has refused a request gets no further requests of
-// the same service that can be served elsewhere. Its next summary takes as long to arrive.
+// the same service that can be served elsewhere. Its next summary takes about as long to arrive.
 const refusalBackoff = 300 * time.Millisecond
 
 // RecordRefusal records that a data centre had no capacity for a request of a service.
--- a/internal/member/world_fail_test.go
+++ b/internal/member/world_fail_test.go
@@ -20,8 +20,8 @@
 	rapid.Check(t, runSimulation)
 }
 
-// Repeats seeds with which an invariant was once violated.
-func TestSimulationKeepsInvariantsOnFormerSeeds(t *testing.T) {
+// Repeats the seeds that once violated an invariant.
+func TestSimulationKeepsInvariantsOnFailedSeeds(t *testing.T) {
 	seed, checks := flag.Lookup("rapid.seed").Value.String(), flag.Lookup("rapid.checks").Value.String()
 	defer func() {
 		_ = flag.Set("rapid.seed", seed)
@@ -339,26 +339,26 @@
 	}
 	receiver.partitioned = true
 	w.run(20*time.Second, nil)
-	if left := receiver.tb.RemainingOffer(w.now, "dc0", scribePool); left != 0 {
-		t.Fatalf("offer is %d while the link is down, want 0", left)
+	if remaining := receiver.tb.RemainingOffer(w.now, "dc0", scribePool); remaining != 0 {
+		t.Fatalf("offer is %d while the link is down, want 0", remaining)
 	}
 	receiver.partitioned = false
 	var growth []int
 	var healed ident.Time
 	w.run(25*time.Second, func() {
-		left := receiver.tb.RemainingOffer(w.now, "dc0", scribePool)
-		if left > 0 && healed == 0 {
+		remaining := receiver.tb.RemainingOffer(w.now, "dc0", scribePool)
+		if remaining > 0 && healed == 0 {
 			healed = w.now
 		}
 		if healed > 0 && w.now.Sub(healed) < 12*time.Second {
-			growth = append(growth, left)
+			growth = append(growth, remaining)
 		}
 	})
 	if !slices.IsSorted(growth) || growth[0] > fullOffer/4 || growth[len(growth)-1] != fullOffer {
 		t.Errorf("offers after the partition healed were %v", growth)
 	}
-	if left := giver.tb.RemainingOffer(w.now, "dc1", scribePool); left != 0 {
-		t.Errorf("the data centre that made the offer may forward %d requests back", left)
+	if remaining := giver.tb.RemainingOffer(w.now, "dc1", scribePool); remaining != 0 {
+		t.Errorf("the data centre that made the offer may forward %d requests back", remaining)
 	}
 }
 
@@ -391,9 +391,9 @@
 		for range rapid.IntRange(1, 20).Draw(rt, "steps") {
 			p.Slots = 40
 			p.Free = rapid.IntRange(0, 40).Draw(rt, "free")
-			away := rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(rt, "away")
-			p.update(away)
-			history = append(history, pool{Pool: event.Pool{Free: p.Free, Targets: away}})
+			forwarded := rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(rt, "away")
+			p.update(forwarded)
+			history = append(history, pool{Pool: event.Pool{Free: p.Free, Targets: forwarded}})
 			// The reference rule looks back for the last time that a threshold was crossed.
 			want := false
 			for _, h := range slices.Backward(history) {
@@ -421,10 +421,10 @@
 	w.run(30*time.Second, nil)
 	sum := 0
 	for _, n := range w.nodes[2:] {
-		left := n.tb.RemainingOffer(w.now, "dc0", scribePool)
-		sum += left
-		if left < 5 || left > 6 {
-			t.Errorf("%s may forward %d requests, want 5 or 6", n.id, left)
+		remaining := n.tb.RemainingOffer(w.now, "dc0", scribePool)
+		sum += remaining
+		if remaining < 5 || remaining > 6 {
+			t.Errorf("%s may forward %d requests, want 5 or 6", n.id, remaining)
 		}
 	}
 	if sum != 32 {
@@ -481,7 +481,7 @@
 		return a.RemainingOffer(w.now, "dc1", scribePool)
 	}
 	if n := lateOffer(); n != 0 {
-		t.Errorf("%d requests may be forwarded with free slots in the own data centre", n)
+		t.Errorf("%d requests may be forwarded with free slots in this data centre", n)
 	}
 	w.setRunning("dc1", 10)
 	w.run(15*time.Second, nil)
@@ -492,6 +492,6 @@
 	w.setRunning("dc0", 8)
 	w.run(offerTTL+maxTransitTime+2*time.Second, nil)
 	if n := lateOffer(); n == 0 {
-		t.Error("no request may be forwarded after the own offer has expired")
+		t.Error("no request may be forwarded after the offer of this data centre has expired")
 	}
 }
--- a/internal/member/world_test.go
+++ b/internal/member/world_test.go
@@ -47,13 +47,13 @@
 	// that reached the node.
 	highestSeq map[string]uint64
 	// incarnations holds the last incarnation of each target that the node knew. droppedUseSeq
-	// holds, by peer and target, the number of the newest digest of the peer when the node saw
-	// a new incarnation of the target: the use in that digest belongs to the former
-	// incarnation.
+	// holds, by peer and target, the number of the newest digest of the peer when the node saw a
+	// new incarnation of the target: the use in that digest belongs to the previous incarnation.
 	incarnations  map[ident.TargetID]ident.Incarnation
 	droppedUseSeq map[string]uint64
 }
 
+// message is a message in flight between two nodes.
 type message struct {
 	at   ident.Time
 	sent ident.Time
@@ -179,9 +179,9 @@
 }
 
 func (w *simulation) deliver() {
-	post := w.inFlight
+	messages := w.inFlight
 	w.inFlight = nil
-	for _, l := range post {
+	for _, l := range messages {
 		to := w.node(l.to)
 		if l.at > w.now || to.frozenUntil > w.now {
 			w.inFlight = append(w.inFlight, l)
@@ -257,11 +257,11 @@
 	if n.partitioned || w.node(to).partitioned || w.rng.Float64() < w.lossRate {
 		return
 	}
-	times := 1
+	copies := 1
 	if w.lossRate > 0 && w.rng.Float64() < 0.1 {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		at := w.now.Add(time.Duration(w.rng.Int63n(int64(w.maxDelay))))
 		l := message{at: at, sent: w.now, from: n.id, to: to, eff: eff}
 		w.inFlight = append(w.inFlight, l)
