--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -58,7 +58,7 @@
 // target that dies breaks all its streams at once, and a resumed stream requests only the
 // remaining tokens, so load does not grow with failures.
 func (rd *Reducer) resumeStream(now ident.Time, r *request, a *attempt, ref refusal) {
-	if r.attemptCount >= retry.MaxTries {
+	if r.attemptCount >= retry.MaxAttempts {
 		rd.endRefused(now, r, ref)
 		return
 	}
@@ -102,7 +102,7 @@
 	}
 	rt := r.profile.Route
 	if rt == nil {
-		return spendAttempt(now, r, retry.MaxTries, &rd.budget)
+		return spendAttempt(now, r, retry.MaxAttempts, &rd.budget)
 	}
 	if e.Result == event.ResultNotRun && !reachedTarget(a, e) && (r.mayHaveRun || e.Code != codes.ForwardRefused.ID) {
 		r.attemptCount--
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -230,7 +230,7 @@
 	rd.table.DigestReceived(now, d)
 	rd.lastDigestAt[d.Host.ID] = now
 	if d.AccountsIncluded {
-		rd.quota.PeerDemand(now, d.Host.ID, d.Accounts)
+		rd.quota.SetPeerDemand(now, d.Host.ID, d.Accounts)
 	}
 	rd.emit(rd.spread.RevisionSeen(now, d.Host, d.Revision)...)
 	for _, s := range d.Summaries {
@@ -249,9 +249,9 @@
 // be frozen.
 func (rd *Reducer) handleSummary(now ident.Time, s event.Summary, direct bool) {
 	rd.quota.SetRegion(s.Place.Group(), s.Place.Region)
-	rd.quota.CentreSeen(now, s.Place.Group())
+	rd.quota.RecordCentreSeen(now, s.Place.Group())
 	if !s.AccountsOmitted {
-		rd.quota.CentreReport(now, s.Place.Group(), s.Accounts)
+		rd.quota.MergeCentreReport(now, s.Place.Group(), s.Accounts)
 	}
 	if !direct && !rd.table.IsRepresentative(now) {
 		return
@@ -323,11 +323,11 @@
 	rd.expirePeerDemand(now)
 	own := member.LocalState{
 		Revision:       rd.spread.Revision(),
-		CentreAccounts: func() []event.AccountUse { return rd.quota.CentreDemand(now) },
+		CentreAccounts: func() []event.AccountUse { return rd.quota.SummaryDemand(now) },
 		LastCacheEvent: rd.router.CacheSeq,
 	}
 	if now >= rd.nextDemandAt {
-		own.Accounts = rd.quota.Demand(now)
+		own.Accounts = rd.quota.DigestDemand(now)
 		own.AccountsIncluded = true
 		rd.nextDemandAt = now.Add(member.HeartbeatInterval * time.Duration((len(own.Accounts)+announcedAccountsPerSecond-1)/announcedAccountsPerSecond))
 	}
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -6,8 +6,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// UseKey decides on a request with an idempotency key of the caller. The key is given
-// as a digest that includes the account, the fingerprint is a digest of the request.
+// UseKey decides on a request with an idempotency key of the caller. The argument key is
+// a digest of the key and the account, fingerprint a digest of the request.
 func (rg *Registry) UseKey(now ident.Time, key, fingerprint string, req ident.RequestID) Verdict {
 	rg.advance(now)
 	if _, ok := rg.byRequest[req]; ok {
@@ -60,10 +60,10 @@
 	case event.ClaimTaken:
 		return rg.applyTakenClaim(r, req, rec)
 	}
-	// The write may still land. It then names this incarnation and claimID, and the
-	// next claim of this record recognises it. "Not run" refers to this request only:
-	// an earlier one with the same key may have run at a host that only the store
-	// could name.
+	// The write may still take effect. The store's record then names this incarnation
+	// and claimID, and the next claim of this record recognises it. "Not run" refers to
+	// this request only: an earlier one with the same key may have run at a host that
+	// only the store could name.
 	delete(rg.byRequest, req)
 	rg.release(r)
 	return refuse(codes.StoreDown, event.NotRun)
@@ -94,8 +94,8 @@
 	return rg.applyForeignRecord(r, rec)
 }
 
-// applyForeignRecord applies a store record that was written by another host, or by an
-// incarnation whose memory is lost.
+// applyForeignRecord applies a store record that was written by another host or
+// incarnation, or by this one for a record that it has dropped since.
 func (rg *Registry) applyForeignRecord(r *record, rec event.KeyRecord) Verdict {
 	if rec.Entry == rg.self && rec.Incarnation <= rg.inc {
 		r.state = ended
--- a/internal/once/key_test.go
+++ b/internal/once/key_test.go
@@ -10,8 +10,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Guards against a claim whose write is reported as failed but lands late: the key of a
-// request that never ran must not be blocked.
+// Guards against a claim whose write is reported as failed but takes effect late: the
+// key of a request that never ran must not be blocked.
 func TestLateClaimWriteIsRecognised(t *testing.T) {
 	rg := New("a", 5)
 	rg.usedKeyDropped = true // the usual state after an hour, when records have expired
@@ -32,16 +32,16 @@
 }
 
 // Guards against running a request again, or reporting it as not run, when its key is
-// on record for another run.
+// on record for another host or incarnation.
 func TestKeyTaken(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rec  event.KeyRecord
 		want Verdict
 	}{
-		"other host":    {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Fingerprint: "p"}, ownedBy("b", 3)},
-		"later run":     {event.KeyRecord{Entry: "a", Incarnation: 6, Request: "x", Fingerprint: "p"}, ownedBy("a", 6)},
-		"earlier run":   {event.KeyRecord{Entry: "a", Incarnation: 4, Request: "x", Fingerprint: "p"}, refuse(codes.OutcomeUnknown, event.Unknown)},
-		"other content": {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Fingerprint: "q"}, refuse(codes.KeyReused, event.NotRun)},
+		"other host":          {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Fingerprint: "p"}, ownedBy("b", 3)},
+		"later incarnation":   {event.KeyRecord{Entry: "a", Incarnation: 6, Request: "x", Fingerprint: "p"}, ownedBy("a", 6)},
+		"earlier incarnation": {event.KeyRecord{Entry: "a", Incarnation: 4, Request: "x", Fingerprint: "p"}, refuse(codes.OutcomeUnknown, event.Unknown)},
+		"other content":       {event.KeyRecord{Entry: "b", Incarnation: 3, Request: "x", Fingerprint: "q"}, refuse(codes.KeyReused, event.NotRun)},
 	} {
 		rg := New("a", 5)
 		rg.UseKey(0, "k", "p", "r1")
@@ -64,15 +64,15 @@
 		profile ident.Profile
 		want    Verdict
 	}{
-		"no ticket":     {0, "nonsense", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
-		"never issued":  {0, "a/5/2/s3cret", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
-		"wrong secret":  {0, "a/5/1/guessed", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
-		"other account": {0, text, "other", "book", refuse(codes.BadTicket, event.NotRun)},
-		"other profile": {0, text, "acme", "other", refuse(codes.BadTicket, event.NotRun)},
-		"other host":    {0, "b/3/1/s3cret", "acme", "book", ownedBy("b", 3)},
-		"later run":     {0, "a/6/1/s3cret", "acme", "book", ownedBy("a", 6)},
-		"earlier run":   {0, "a/4/1/s3cret", "acme", "book", refuse(codes.OutcomeUnknown, event.Unknown)},
-		"expired":       {late, text, "acme", "book", refuse(codes.BadTicket, event.NotRun)},
+		"no ticket":           {0, "nonsense", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
+		"never issued":        {0, "a/5/2/s3cret", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
+		"wrong secret":        {0, "a/5/1/guessed", "acme", "book", refuse(codes.BadTicket, event.NotRun)},
+		"other account":       {0, text, "other", "book", refuse(codes.BadTicket, event.NotRun)},
+		"other profile":       {0, text, "acme", "other", refuse(codes.BadTicket, event.NotRun)},
+		"other host":          {0, "b/3/1/s3cret", "acme", "book", ownedBy("b", 3)},
+		"later incarnation":   {0, "a/6/1/s3cret", "acme", "book", ownedBy("a", 6)},
+		"earlier incarnation": {0, "a/4/1/s3cret", "acme", "book", refuse(codes.OutcomeUnknown, event.Unknown)},
+		"expired":             {late, text, "acme", "book", refuse(codes.BadTicket, event.NotRun)},
 	} {
 		rg := New("a", 5)
 		if got, _, _ := rg.IssueTicket(0, "acme", "book", "s3cret"); got != text {
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -6,7 +6,7 @@
 // A caller requests a ticket and sends it with its request, or sends its own
 // idempotency key:
 //
-//	ticket, valid, code := rg.IssueTicket(now, account, profile, secret)
+//	ticket, ttl, code := rg.IssueTicket(now, account, profile, secret)
 //	v := rg.Redeem(now, ticket, account, profile, req, fingerprint)
 //	v := rg.UseKey(now, key, fingerprint, req)
 //
@@ -169,9 +169,10 @@
 	}
 }
 
-// Ended records the end of a running request or of an abandoned claim. NotRun must be
-// proved, since it makes the ticket or key usable again. Done and Unknown are final. A
-// second call for the same request has no effect.
+// Ended records the end of a running request or of an abandoned claim; kept reports
+// whether the answer is stored. NotRun must be proved, since it makes the ticket or key
+// usable again. Done and Unknown are final. A second call for the same request has no
+// effect.
 func (rg *Registry) Ended(now ident.Time, req ident.RequestID, outcome event.Outcome, kept bool) {
 	rg.advance(now)
 	rec, ok := rg.byRequest[req]
@@ -186,8 +187,8 @@
 	rec.state = ended
 	rec.outcome = outcome
 	rec.endedAt = rg.now
-	rec.kept = kept && outcome == event.Done
-	if rec.kept {
+	rec.answerKept = kept && outcome == event.Done
+	if rec.answerKept {
 		rg.setDue(rec, rg.now.Add(answerTTL))
 		return
 	}
@@ -200,7 +201,7 @@
 	rg.advance(now)
 	for len(rg.queue) > 0 && rg.queue[0].due <= rg.now {
 		rec := rg.queue[0]
-		if rec.state == ended && rec.kept {
+		if rec.state == ended && rec.answerKept {
 			rg.dropAnswer(rec)
 			rg.setDue(rec, rec.endedAt.Add(recordTTL))
 			continue
--- a/internal/once/peer.go
+++ b/internal/once/peer.go
@@ -42,9 +42,9 @@
 
 // AdmitAttempt decides on an attempt that a peer has forwarded. It answers "not run"
 // only with proof: the attempt is barred, was refused, or is addressed to another
-// incarnation, given that a sender writes an attempt to one connection only once. A
-// copy of an attempt that runs or ran is refused as unknown, because a "not run" for
-// the copy would be taken as one for the attempt.
+// incarnation. This requires that a sender writes an attempt only once, to one
+// connection. A copy of an attempt that runs or ran is refused as unknown, because the
+// sender would apply a "not run" for the copy to the attempt itself.
 func (rg *Registry) AdmitAttempt(now ident.Time, env event.Envelope) Verdict {
 	rg.advance(now)
 	if env.ToIncarnation != rg.inc {
@@ -129,8 +129,9 @@
 	return s
 }
 
-// addAttempt stores an attempt at index i. If there is no room it drops the lowest
-// numbers and raises the floor.
+// addAttempt stores an attempt at index i. If the sender then has too many attempts, it
+// drops the lowest and raises the floor; if all senders together have too many, it
+// clears the history of another one.
 func (rg *Registry) addAttempt(s *sender, i int, a attemptRecord) {
 	s.attempts = slices.Insert(s.attempts, i, a)
 	rg.attemptCount++
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -38,19 +38,20 @@
 	// claimID is the request named by every claim of this record, so that a late write
 	// of an earlier claim is recognised as its own.
 	claimID ident.RequestID
-	// stored reports whether the platform's store holds this record.
+	// stored reports whether the platform's store is known to hold this record.
 	stored bool
 	// noEarlierRun is set if no key that may have run had been dropped from memory when
 	// this record was created, so that this key can't have run before.
 	noEarlierRun bool
 	owner        event.KeyRecord
 
-	// print is the fingerprint of the request.
+	// print is the fingerprint, a digest of the request.
 	print   string
 	req     ident.RequestID
 	outcome event.Outcome
 	endedAt ident.Time
-	kept    bool
+	// answerKept reports whether the answer of the request req is stored.
+	answerKept bool
 
 	due       ident.Time
 	seq       uint64
@@ -117,8 +118,9 @@
 	return true
 }
 
-// drop removes a record. If it may have run, the floor or flag is updated: otherwise a
-// repeat would be answered with "not run", and the caller would run it a second time.
+// drop removes a record. If it may have run, ticketFloor or usedKeyDropped records
+// this: otherwise a repeat would be answered with "not run", and the caller would run it
+// a second time.
 func (rg *Registry) drop(rec *record) {
 	heap.Remove(&rg.queue, rec.heapIndex)
 	rg.dropAnswer(rec)
@@ -136,8 +138,8 @@
 }
 
 func (rg *Registry) dropAnswer(rec *record) {
-	if rec.kept {
-		rec.kept = false
+	if rec.answerKept {
+		rec.answerKept = false
 		rg.droppedAnswers = append(rg.droppedAnswers, rec.req)
 	}
 }
@@ -189,7 +191,7 @@
 		return refuse(codes.InProgress, event.Unknown)
 	case rec.outcome != event.Done:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case rec.kept:
+	case rec.answerKept:
 		return Verdict{Action: Replay, ReplayOf: rec.req, Outcome: event.Done}
 	}
 	return refuse(codes.NoOutcome, event.Done)
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -37,7 +37,7 @@
 	active        ident.RequestID
 	ran           bool
 	outcome       event.Outcome
-	kept          bool
+	answerKept    bool
 	endedAt       ident.Time
 	ranAs         ident.RequestID
 }
@@ -86,12 +86,12 @@
 	}
 	for _, j := range sim.jobs {
 		if j.active != "" && j.host == i {
-			j.ran, j.outcome, j.kept, j.active, j.endedAt = true, event.Unknown, false, "", sim.now
+			j.ran, j.outcome, j.answerKept, j.active, j.endedAt = true, event.Unknown, false, "", sim.now
 		}
 	}
 }
 
-// applyVerdict checks a verdict against the reference state and carries it out.
+// applyVerdict checks a verdict against the reference state and executes it.
 func (sim *simulation) applyVerdict(t *rapid.T, s operation, fingerprint string, v Verdict) {
 	j := s.job
 	switch {
@@ -104,7 +104,7 @@
 	case v.Action == Claim:
 		s.rec = v.Record
 		sim.claims = append(sim.claims, s)
-	case v.Action == Replay && (!j.kept || v.ReplayOf != j.ranAs):
+	case v.Action == Replay && (!j.answerKept || v.ReplayOf != j.ranAs):
 		t.Fatalf("replay of %q, whose answer is not stored", v.ReplayOf)
 	case v.Code == codes.StoreDown.ID || v.Code == codes.Overloaded.ID:
 		// For a key unknown to this host, "not run" refers to this request and not to
@@ -137,7 +137,7 @@
 		return refuse(codes.InProgress, event.Unknown)
 	case j.outcome == event.Unknown:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case j.kept && age < answerTTL:
+	case j.answerKept && age < answerTTL:
 		return Verdict{Action: Replay, ReplayOf: j.ranAs, Outcome: event.Done}
 	}
 	return refuse(codes.NoOutcome, event.Done)
@@ -216,7 +216,7 @@
 	sim.applyVerdict(t, s, s.rec.Fingerprint, sim.hosts[s.host].ClaimAnswered(sim.now, s.req, claim, rec))
 }
 
-func (sim *simulation) landLateWrite(t *rapid.T) {
+func (sim *simulation) applyLateWrite(t *rapid.T) {
 	if len(sim.lateWrites) > 0 {
 		sim.write(rapid.SampledFrom(sim.lateWrites).Draw(t, "late"))
 	}
@@ -232,7 +232,7 @@
 	if j := s.job; j.active == s.req {
 		j.active = ""
 		if o != event.NotRun {
-			j.ran, j.outcome, j.kept, j.endedAt = true, o, kept && o == event.Done, sim.now
+			j.ran, j.outcome, j.answerKept, j.endedAt = true, o, kept && o == event.Done, sim.now
 		}
 	}
 	sim.hosts[s.host].Ended(sim.now, s.req, o, kept)
@@ -248,7 +248,7 @@
 		for _, req := range rg.Expire(sim.now) {
 			for _, j := range sim.jobs {
 				if j.ranAs == req {
-					j.kept = false
+					j.answerKept = false
 				}
 			}
 		}
@@ -264,7 +264,7 @@
 func (sim *simulation) check(t *rapid.T) {
 	t.Repeat(map[string]func(*rapid.T){
 		"issue": sim.issue, "request": sim.request, "again": sim.request, "answer": sim.answer, "reply": sim.answer,
-		"land": sim.landLateWrite, "end": sim.end, "finish": sim.end, "pass": sim.advance,
+		"land": sim.applyLateWrite, "end": sim.end, "finish": sim.end, "pass": sim.advance,
 		"restart": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
 				sim.restart(rapid.IntRange(0, 1).Draw(t, "host"))
--- a/internal/proofs/circulate_test.go
+++ b/internal/proofs/circulate_test.go
@@ -126,7 +126,7 @@
 	tries, hops := 0, 0
 	for id, n := range ns {
 		tries = max(tries, n)
-		if n > retry.MaxTries {
+		if n > retry.MaxAttempts {
 			t.Errorf("%s was sent to engines %d times", id, n)
 		}
 	}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -61,9 +61,9 @@
 func (f *fleet) digests() {
 	for _, ls := range f.hosts {
 		for _, from := range ls {
-			uses := from.Demand(f.now)
+			uses := from.DigestDemand(f.now)
 			for _, to := range ls {
-				to.PeerDemand(f.now, from.self, uses)
+				to.SetPeerDemand(f.now, from.self, uses)
 			}
 		}
 	}
@@ -71,13 +71,13 @@
 
 func (f *fleet) summaries() {
 	for c, ls := range f.hosts {
-		uses := ls[0].CentreDemand(f.now)
+		uses := ls[0].SummaryDemand(f.now)
 		for o, to := range f.hosts {
 			if o == c || f.partitioned[c] || f.partitioned[o] {
 				continue
 			}
 			for _, l := range to {
-				l.CentreReport(f.now, centreName(c), uses)
+				l.MergeCentreReport(f.now, centreName(c), uses)
 			}
 		}
 	}
@@ -117,20 +117,20 @@
 // beyond the documented bound, or being refused after the move.
 func TestErrorBound(t *testing.T) {
 	for _, tc := range []struct {
-		name                   string
-		centres, cut, shift    int
-		steady, shifted, later [2]float64
+		name                        string
+		centres, partitioned, shift int
+		steady, shifted, later      [2]float64
 	}{
 		{"3 centres, moves", 3, 0, 1, [2]float64{0.98, 1.01}, [2]float64{0.5, 1.6}, [2]float64{0.98, 1.02}},
 		{"12 centres, moves", 12, 0, 1, [2]float64{0.98, 1.01}, [2]float64{0.5, 1.6}, [2]float64{0.98, 1.02}},
-		{"3 centres, 2 cut off and newly active", 3, 2, 0, [2]float64{0.98, 1.01}, [2]float64{1, 1 + 0.52*2 + 0.2}, [2]float64{1, 1 + 0.52*2}},
-		{"12 centres, 6 cut off and newly active", 12, 6, 0, [2]float64{0.98, 1.01}, [2]float64{1, 1 + 0.52*6 + 0.2}, [2]float64{1, 1 + 0.52*6}},
+		{"3 centres, 2 partitioned and newly active", 3, 2, 0, [2]float64{0.98, 1.01}, [2]float64{1, 1 + 0.52*2 + 0.2}, [2]float64{1, 1 + 0.52*2}},
+		{"12 centres, 6 partitioned and newly active", 12, 6, 0, [2]float64{0.98, 1.01}, [2]float64{1, 1 + 0.52*6 + 0.2}, [2]float64{1, 1 + 0.52*6}},
 	} {
 		f := newFleet(tc.centres, 2)
 		f.demand[0][0], f.demand[0][1] = 900, 300
 		f.run(limitedClient, 5*time.Minute)
 		steady := f.run(limitedClient, 5*time.Minute)
-		for i := 1; i <= tc.cut; i++ {
+		for i := 1; i <= tc.partitioned; i++ {
 			f.partitioned[i] = true
 			f.demand[i][0] = 1200
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -11,10 +11,10 @@
 //
 // Digests and summaries carry the demand:
 //
-//	digest.Accounts = l.Demand(now)
-//	summary.Accounts = l.CentreDemand(now) // once a round, the same to all
-//	l.PeerDemand(now, from, digest.Accounts)
-//	l.CentreReport(now, summary.Place.DataCentre, summary.Accounts)
+//	digest.Accounts = l.DigestDemand(now)
+//	summary.Accounts = l.SummaryDemand(now) // once a round, the same to all
+//	l.SetPeerDemand(now, from, digest.Accounts)
+//	l.MergeCentreReport(now, summary.Place.Group(), summary.Accounts)
 //
 // # Shares
 //
@@ -28,18 +28,18 @@
 //
 // # Error bound
 //
-// With L the limit, over a window of W seconds all hosts together admit at
-// most L*(W+burst)/60 plus one request per active host, once the demand
-// has been exchanged; burst is burstWindow in seconds. A data centre that becomes
-// active with demand d next to a known demand K adds (d+floor)/(d+K+2*floor) of L,
-// at most 0.52 when K is the whole limit, until the others have received its demand.
-// During a partition the last known demand remains in force, so the others keep their
-// shares and each newly active part adds that much for as long as the partition lasts:
-// k such parts next to a busy one admit at most 1+0.52*k times the limit. A data centre
-// that is unreachable and had no demand counts its floor. Parts that knew of no demand
+// With L the limit per minute, over a window of W seconds all hosts together admit at
+// most L*(W+burst)/60 plus one request per active host, once the demand has been
+// exchanged; burst is burstWindow in seconds. A data centre that becomes active with
+// demand d next to a known demand K adds (d+floor)/(d+K+2*floor) of L, at most 0.52
+// when K is the whole limit, until the others have received its demand. During a
+// partition the last known demand remains in force, so the others keep their shares and
+// each newly active part adds that much for as long as the partition lasts: k such
+// parts next to a busy one admit at most 1+0.52*k times the limit. A data centre that
+// is unreachable and had no demand counts with its floor. Parts that knew of no demand
 // for an account therefore admit at most 1.05/(1.05+0.05*s) of the limit each, where s
 // is the number of unreachable data centres. A data centre that has been silent for
-// centreTTL counts as gone, because its callers have moved.
+// centreTTL counts as gone: its callers are assumed to have moved.
 //
 // Fewer requests than the limit are admitted while demand that no longer exists is
 // still counted: for one exchange plus the decay of the demand (half in 7 s), or for
@@ -192,8 +192,8 @@
 }
 
 // ensureAccount returns the state of an account and creates it if needed. When the
-// ledger is full it evicts the account that has been idle longest, whose bucket is full
-// when it returns.
+// ledger is full it evicts the account that has been idle longest; if that account
+// becomes active again, it starts with full buckets.
 func (l *Ledger) ensureAccount(name ident.Account) *account {
 	a, ok := l.accounts[name]
 	if ok {
@@ -258,8 +258,8 @@
 // of map order.
 func (l *Ledger) accountNames() []ident.Account { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// Demand returns the local demand for a digest, sorted by account.
-func (l *Ledger) Demand(now ident.Time) []event.AccountUse {
+// DigestDemand returns this host's demand for a digest, sorted by account.
+func (l *Ledger) DigestDemand(now ident.Time) []event.AccountUse {
 	l.advance(now)
 	l.sweep()
 	var uses []event.AccountUse
@@ -283,9 +283,8 @@
 }
 
 func (b *bucket) refill(now ident.Time, limit ident.PerMinute, minCapacity float64) {
-	// A bucket that had no limit before starts full. What was taken from it is a debt
-	// that nothing has paid, and would block the account for hours once it is given a
-	// limit.
+	// A bucket that had no limit before starts full. Without a rate nothing refilled it,
+	// so the debt from earlier use could block the account for hours once it has a limit.
 	hadRate := b.rate > 0
 	b.rate = float64(limit) / time.Minute.Seconds()
 	b.capacity = max(b.rate*burstWindow.Seconds(), minCapacity)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -49,7 +49,7 @@
 			"digest": func(t *rapid.T) {
 				from := rapid.SampledFrom([]ident.EntryID{"me", "p", "q"}).Draw(t, "from")
 				uses := drawUses(t)
-				l.PeerDemand(now, from, uses)
+				l.SetPeerDemand(now, from, uses)
 				if from == "me" {
 					return
 				}
@@ -66,7 +66,7 @@
 			"summary": func(t *rapid.T) {
 				dc := rapid.SampledFrom([]ident.DataCentre{"here", "x", "y"}).Draw(t, "dc")
 				uses := drawUses(t)
-				l.CentreReport(now, dc, uses)
+				l.MergeCentreReport(now, dc, uses)
 				if dc == "here" {
 					return
 				}
@@ -79,8 +79,8 @@
 			},
 			"send": func(*rapid.T) {
 				now = now.Add(time.Second)
-				l.Demand(now)
-				l.CentreDemand(now)
+				l.DigestDemand(now)
+				l.SummaryDemand(now)
 			},
 			"": func(t *rapid.T) {
 				for _, name := range []ident.Account{"a", "b", "c"} {
@@ -110,14 +110,14 @@
 	now := ident.Time(0)
 	round := func(lost bool) {
 		now = now.Add(time.Second)
-		uses := from.CentreDemand(now)
+		uses := from.SummaryDemand(now)
 		if len(uses) > maxSummaryAccounts || !slices.IsSortedFunc(uses, func(a, b event.AccountUse) int {
 			return strings.Compare(string(a.Account), string(b.Account))
 		}) {
 			t.Fatalf("summary of %d accounts is too large or not sorted", len(uses))
 		}
 		if !lost {
-			to.CentreReport(now, "from", uses)
+			to.MergeCentreReport(now, "from", uses)
 		}
 	}
 	for i := range 100 {
@@ -149,10 +149,10 @@
 // ever.
 func TestStaleReportExpires(t *testing.T) {
 	l := New("me", "here")
-	l.CentreReport(0, "x", []event.AccountUse{{Account: "acme", Requests: 600}})
+	l.MergeCentreReport(0, "x", []event.AccountUse{{Account: "acme", Requests: 600}})
 	var got []bool
 	for range maxReportsSince + 1 {
-		l.CentreReport(0, "x", nil)
+		l.MergeCentreReport(0, "x", nil)
 		l.Take(0, limitedClient, 0)
 		got = append(got, l.shares(l.accounts["acme"]).requests == 1)
 	}
@@ -239,13 +239,13 @@
 	}
 }
 
-// Guards against invalid rates that corrupt the shares, and against unbounded memory
-// when accounts or data centres are without number.
+// Guards against invalid rates that corrupt the shares, and against memory that grows
+// without bound with the number of accounts or data centres.
 func TestLedgerBounded(t *testing.T) {
 	l := New("me", "here")
 	nan := ident.PerMinute(0)
 	nan /= nan
-	l.CentreReport(0, "x", []event.AccountUse{{Account: "a", Requests: nan, Tokens: 100}, {Account: "b", Requests: -1}})
+	l.MergeCentreReport(0, "x", []event.AccountUse{{Account: "a", Requests: nan, Tokens: 100}, {Account: "b", Requests: -1}})
 	want := []event.AccountUse{{Account: "a", Tokens: 100}}
 	var got []event.AccountUse
 	for _, name := range l.accountNames() {
@@ -255,8 +255,8 @@
 		t.Errorf("accounts (-want +got):\n%s", diff)
 	}
 	for i := range maxAccounts + 100 {
-		l.PeerDemand(0, "p", []event.AccountUse{{Account: ident.Account(fmt.Sprint(i)), Requests: 1}})
-		l.CentreReport(0, ident.DataCentre(fmt.Sprint(i)), []event.AccountUse{{Account: ident.Account(fmt.Sprint(i)), Requests: 1}})
+		l.SetPeerDemand(0, "p", []event.AccountUse{{Account: ident.Account(fmt.Sprint(i)), Requests: 1}})
+		l.MergeCentreReport(0, ident.DataCentre(fmt.Sprint(i)), []event.AccountUse{{Account: ident.Account(fmt.Sprint(i)), Requests: 1}})
 	}
 	if len(l.accounts) > maxAccounts || len(l.centres) > maxCentres {
 		t.Errorf("ledger exceeds its bounds: %d accounts, %d data centres", len(l.accounts), len(l.centres))
@@ -280,14 +280,14 @@
 				l.Take(0, clients[i], 100)
 			}
 			for i := range 7 {
-				l.PeerDemand(0, ident.EntryID(fmt.Sprint("p", i)), uses)
+				l.SetPeerDemand(0, ident.EntryID(fmt.Sprint("p", i)), uses)
 			}
 			for i := range 44 {
 				reported := uses
 				if i >= active {
 					reported = nil
 				}
-				l.CentreReport(0, ident.DataCentre(fmt.Sprint("dc", i)), reported)
+				l.MergeCentreReport(0, ident.DataCentre(fmt.Sprint("dc", i)), reported)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -13,21 +13,22 @@
 	// maxSummaryAccounts bounds the accounts in a summary, of 17 bytes each.
 	maxSummaryAccounts = 16
 	// An entry of a data centre's report expires after maxReportsSince later reports
-	// that don't repeat it. This exceeds the number of rounds in which every account is
-	// sent once. Reports are counted rather than time so that entries persist while the
-	// data centre is unreachable.
+	// that don't repeat it. Half of each summary goes to the accounts that were sent
+	// longest ago, so with up to 2,048 active accounts each is repeated in time.
+	// Reports are counted rather than time so that entries persist while the data
+	// centre is unreachable.
 	maxReportsSince = 256
 	// inactiveRepeats is the number of summaries that report an account as inactive.
 	inactiveRepeats = 3
 	// tokensPerRequest is the weight of a change in tokens relative to one in requests.
 	tokensPerRequest = 500
-	// minChange is the relative change of demand up to which it counts as unchanged.
+	// minChange is the relative change up to which a demand counts as unchanged.
 	minChange = 0.1
 )
 
-// PeerDemand stores the demand reported by a host of the local data centre, replacing
+// SetPeerDemand stores the demand reported by a host of the local data centre, replacing
 // its previous report.
-func (l *Ledger) PeerDemand(now ident.Time, from ident.EntryID, uses []event.AccountUse) {
+func (l *Ledger) SetPeerDemand(now ident.Time, from ident.EntryID, uses []event.AccountUse) {
 	l.advance(now)
 	if from == l.self {
 		return
@@ -57,9 +58,9 @@
 	delete(l.peers, entry)
 }
 
-// CentreSeen records that a message from another data centre has arrived, with or
+// RecordCentreSeen records that a message from another data centre has arrived, with or
 // without its demand.
-func (l *Ledger) CentreSeen(now ident.Time, dc ident.DataCentre) {
+func (l *Ledger) RecordCentreSeen(now ident.Time, dc ident.DataCentre) {
 	l.advance(now)
 	c, ok := l.centres[dc]
 	if dc == l.dc || (!ok && len(l.centres) >= maxCentres) {
@@ -73,10 +74,10 @@
 	l.updateUnreachable()
 }
 
-// CentreReport stores the demand of another data centre. Accounts missing from the
+// MergeCentreReport stores the demand of another data centre. Accounts missing from the
 // report keep their previous values.
-func (l *Ledger) CentreReport(now ident.Time, dc ident.DataCentre, uses []event.AccountUse) {
-	l.CentreSeen(now, dc)
+func (l *Ledger) MergeCentreReport(now ident.Time, dc ident.DataCentre, uses []event.AccountUse) {
+	l.RecordCentreSeen(now, dc)
 	c, ok := l.centres[dc]
 	if !ok {
 		return
@@ -115,10 +116,10 @@
 	change float64
 }
 
-// CentreDemand returns the demand of the local data centre for a summary. It records
+// SummaryDemand returns the demand of the local data centre for a summary. It records
 // what it returns, so call it once a round and send the same summary to all. A lost
 // summary is repaired when its accounts are next sent.
-func (l *Ledger) CentreDemand(now ident.Time) []event.AccountUse {
+func (l *Ledger) SummaryDemand(now ident.Time) []event.AccountUse {
 	l.advance(now)
 	l.sweep()
 	l.round++
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -56,9 +56,9 @@
 }
 
 // demand is an exponentially smoothed rate that loses a tenth of its value each second.
-// It decays continuously: with a step each second, a report made after the step would
-// be lower than the demand that its receiver compares it with, and the shares would add
-// up to more than the limit.
+// It decays continuously: with a step each second, a host could compare its own demand
+// from before a step with a report made after it, and the shares would add up to more
+// than the limit.
 type demand struct {
 	rate      rates
 	updatedAt ident.Time
@@ -167,7 +167,7 @@
 }
 
 // updateUnreachable finds the unreachable data centres. They may have become active
-// since their last report, so each counts its floor for every account.
+// since their last report, so shares counts the floor of each for every account.
 func (l *Ledger) updateUnreachable() {
 	l.reachabilityCheckedAt = l.now
 	l.unreachable = l.unreachable[:0]
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -5,16 +5,16 @@
 //
 //	var b retry.Budget
 //	b.RecordArrival(now) // for each request of a caller
-//	if tries < retry.MaxTries && b.Spend(now) {
-//		// try again after retry.Backoff(tries, id)
+//	if attempts < retry.MaxAttempts && b.Spend(now) {
+//		// retry after retry.Backoff(attempts, id)
 //	}
 //
-// Without a budget, each request that fails at a lost region is sent MaxTries
+// Without a budget, each request that fails at a lost region is sent MaxAttempts
 // times, and the other regions receive up to three times their load just when
 // capacity is short. With it, the sends of a window are at most its arrivals
 // times 1+Ratio, plus MinRetries. When a retry is refused, the request fails at
 // once. A stream that continues at another target after it has returned tokens
-// is limited by MaxTries alone, since it requests only the remaining tokens.
+// is limited by MaxAttempts alone, since it requests only the remaining tokens.
 //
 // # Bounds
 //
@@ -29,8 +29,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// MaxTries is the maximum number of tries of one request, including the first.
-const MaxTries = 3
+// MaxAttempts is the maximum number of attempts of one request, including the first.
+const MaxAttempts = 3
 
 const (
 	// defaultRatio is high enough for the failure of single targets, and low enough
@@ -120,8 +120,8 @@
 	return total
 }
 
-// Backoff returns the delay after the n-th try of a request, counted from 1. It doubles
-// with each try up to maxBackoff. A hash of the request id adds jitter over the upper
+// Backoff returns the delay after the n-th attempt of a request, counted from 1. It doubles
+// with each attempt up to maxBackoff. A hash of the request id adds jitter over the upper
 // half of the delay, so that requests that failed together are not retried together.
 // The hash needs no random number and makes runs reproducible.
 func Backoff(n int, id ident.RequestID) time.Duration {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -73,7 +73,7 @@
 		b.RecordArrival(now)
 		arrivals++
 		sends++
-		for tries := 1; tries < MaxTries && b.Spend(now); tries++ {
+		for attempts := 1; attempts < MaxAttempts && b.Spend(now); attempts++ {
 			sends++
 		}
 	}
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,7 +13,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// fleetSizes are the fleets that decisions are measured with. In the full ones every
+// fleetSizes are the fleets with which decisions are measured. If full is set, every
 // target is at its limit, so that the sample visits all of them.
 var fleetSizes = []struct {
 	targets, centres int
@@ -28,8 +28,8 @@
 	{400, 45, true},
 }
 
-// loadedFleet returns a table, a router with some cache state, and requests. Every
-// fourth request has a target that caches its prefix.
+// loadedFleet returns a table, a router with some cache state, and requests. Four
+// requests at a time share a prefix that one target caches.
 func loadedFleet(targets, centres int, full bool) (*member.Table, *Router, []Query) {
 	tb, r := fleet(targets, centres), New()
 	for i := range 7 {
@@ -71,7 +71,7 @@
 // Guards against decisions that take longer or allocate more as the fleet grows, which
 // happens if they visit all targets or data centres.
 func TestDecisionTimes(t *testing.T) {
-	const n, warmUp, perDecision = 20_000, 2_000, 500 * time.Microsecond
+	const n, warmUp, maxMedian = 20_000, 2_000, 500 * time.Microsecond
 	for _, size := range fleetSizes {
 		tb, r, qs := loadedFleet(size.targets, size.centres, size.full)
 		times := make([]time.Duration, 0, n)
@@ -91,7 +91,7 @@
 		allocs := float64(after.Mallocs-before.Mallocs) / n
 		t.Logf("targets %3d, data centres %2d, full %-5v: p50 %6v p99 %6v p99.9 %6v, %.2f allocations",
 			size.targets, size.centres, size.full, times[n/2], times[n*99/100], times[n*999/1000], allocs)
-		if p := times[n/2]; p > perDecision {
+		if p := times[n/2]; p > maxMedian {
 			t.Errorf("targets %d, data centres %d: median decision time is %v", size.targets, size.centres, p)
 		}
 		if allocs > 4 {
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -58,19 +58,21 @@
 	sentAt ident.Time
 }
 
-func (b block) holds(now ident.Time) bool { return b.confirmed || b.recentlySent(now) }
+func (b block) isCached(now ident.Time) bool { return b.confirmed || b.sentWithinTTL(now) }
 
-// recentlySent reports whether the block was sent within sentTTL.
-func (b block) recentlySent(now ident.Time) bool { return b.sent && now.Sub(b.sentAt) <= sentTTL }
+// sentWithinTTL reports whether the block was sent within sentTTL.
+func (b block) sentWithinTTL(now ident.Time) bool { return b.sent && now.Sub(b.sentAt) <= sentTTL }
 
-// holder is a target that probably caches a prefix of a prompt.
+// holder is a target that probably caches a prefix of a prompt, or that should because of
+// its rank.
 type holder struct {
 	target      ident.TargetID
 	incarnation ident.Incarnation
 	fraction    float64
-	// sent reports that the prefix was sent there, preferred that the target ranks
-	// first for the shared prefix of the prompt.
-	sent      bool
+	// cached reports that the prefix was sent there recently or confirmed by a cache
+	// event. It is false for a target that was added only because of its rank.
+	cached bool
+	// preferred reports that the target ranks first for the shared prefix of the prompt.
 	preferred bool
 }
 
@@ -205,7 +207,7 @@
 		if !ok || !b.confirmed {
 			continue
 		}
-		if !b.recentlySent(now) {
+		if !b.sentWithinTTL(now) {
 			cs.remove(id, c, key)
 			continue
 		}
@@ -284,8 +286,8 @@
 		return
 	}
 	c := rt.caches.byTarget[id]
-	if !c.blocks[key].holds(v.now) {
+	if !c.blocks[key].isCached(v.now) {
 		return
 	}
-	rt.warm = append(rt.warm, holder{target: id, incarnation: c.incarnation, fraction: fraction, sent: true})
+	rt.warm = append(rt.warm, holder{target: id, incarnation: c.incarnation, fraction: fraction, cached: true})
 }
--- a/internal/route/cache_test.go
+++ b/internal/route/cache_test.go
@@ -17,12 +17,12 @@
 	r.CacheChanged(start, event.CacheChanged{Target: "t000", Incarnation: 1, Seq: 4}, tb)
 	c := r.caches.byTarget["t000"]
 	for key, want := range map[uint64]bool{1: false, 2: true, 3: false, 4: true} {
-		if got := c.blocks[key].holds(start); got != want {
+		if got := c.blocks[key].isCached(start); got != want {
 			t.Errorf("block %d counts as cached: %v", key, got)
 		}
 	}
 	late := start.Add(sentTTL + time.Second)
-	if c.blocks[2].holds(late) || c.blocks[4].holds(late) {
+	if c.blocks[2].isCached(late) || c.blocks[4].isCached(late) {
 		t.Error("a sent block counts as cached after sentTTL")
 	}
 }
--- a/internal/route/choose_test.go
+++ b/internal/route/choose_test.go
@@ -129,7 +129,7 @@
 
 // naiveTarget reports by a direct reading of the rules whether a target may serve a
 // request, and whether it lacks only capacity.
-func naiveTarget(q Query, t *member.Target) (may, lacksRoom bool) {
+func naiveTarget(q Query, t *member.Target) (may, lacksCapacity bool) {
 	may = t.Kind == event.Service && t.Service == q.Profile.Service
 	if q.Profile.Service == "" && t.Kind == event.Engine {
 		for _, m := range q.Profile.Models {
@@ -143,12 +143,12 @@
 	if t.HasLoad {
 		slots = t.Load.Slots
 	}
-	room := slots + max(1, slots/4)
+	limit := slots + max(1, slots/4)
 	if q.Crossings > 0 {
-		room = slots - slots/5
+		limit = slots - slots/5
 	}
 	// Load reports and sends have the same time, so Outstanding may count a send twice.
-	return may && t.Outstanding(start) < room, may && t.Outstanding(start) >= room
+	return may && t.Outstanding(start) < limit, may && t.Outstanding(start) >= limit
 }
 
 func naiveRegion(q Query, r ident.Region) bool {
--- a/internal/route/copy.go
+++ b/internal/route/copy.go
@@ -28,18 +28,18 @@
 }
 
 // copySource returns the best engine to copy a prefix of the prompt from. It returns false if the
-// engine to was already sent at least as much of it. Engines that were sent the prefix rank before
-// the preferred engine, which may not cache it.
+// destination, engine to, probably caches at least as much of it. A preferred engine that is not
+// known to cache the prefix ranks last.
 func (rt *Router) copySource(to ident.TargetID) (best holder, ok bool) {
-	sentFraction := 0.0
+	cachedFraction := 0.0
 	for _, h := range rt.warm {
 		switch {
-		case h.target == to && h.sent:
-			sentFraction = h.fraction
+		case h.target == to && h.cached:
+			cachedFraction = h.fraction
 		case h.target == to:
-		case !ok || h.sent && !best.sent || h.sent == best.sent && h.fraction > best.fraction:
+		case !ok || h.cached && !best.cached || h.cached == best.cached && h.fraction > best.fraction:
 			best, ok = h, true
 		}
 	}
-	return best, ok && best.fraction > sentFraction
+	return best, ok && best.fraction > cachedFraction
 }
--- a/internal/route/cross.go
+++ b/internal/route/cross.go
@@ -71,11 +71,12 @@
 	}, true
 }
 
-// remoteCostFactor returns the fraction of the cost of the best local choice below which another
-// data centre must be. Load reports lag, so with a fixed fraction all work would oscillate between
-// the data centres with the fastest streams. For a request of a route that has a local target, the
-// fraction is therefore drawn by a hash, so that the probability of forwarding grows with the gain:
-// one half at half the local cost, zero at equal costs.
+// remoteCostFactor returns the fraction of the cost of the best local choice that the cost of
+// another data centre must not reach. Load reports lag, so with a fixed fraction all work would
+// oscillate between the data centres with the fastest streams. For a request of a route that needs
+// an engine and has a local target, the fraction is therefore derived from a hash, so that the
+// probability of forwarding grows with the gain: one half at half the local cost, zero at equal
+// costs.
 func (rt *Router) remoteCostFactor(v *view, best *candidate) float64 {
 	if best == nil || v.q.Profile.Route == nil || !v.q.needsEngine() {
 		return 1
@@ -166,10 +167,10 @@
 // minCentreCost returns a lower bound of the cost at any pool of a data centre.
 func minCentreCost(v *view, c *member.Centre) float64 {
 	least := math.Inf(1)
-	for want := range modelCount(&v.q.Profile) {
+	for modelIndex := range modelCount(&v.q.Profile) {
 		for i := range c.Summary.Pools {
 			p := &c.Summary.Pools[i]
-			if p.Offer <= 0 && !v.noLocalTarget || !poolMatches(&v.q.Profile, p, want) {
+			if p.Offer <= 0 && !v.noLocalTarget || !poolMatches(&v.q.Profile, p, modelIndex) {
 				continue
 			}
 			k := centreCost(v, c, p)
--- a/internal/route/fail_test.go
+++ b/internal/route/fail_test.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// advance lets time pass with a load report of each target every second, as a host
-// sees it that is not paused.
+// advance reports the load of each target once a second in the period from..to, as a
+// running host receives it, and returns to.
 func advance(tb *member.Table, from, to ident.Time) ident.Time {
 	for now := from; now <= to; now = now.Add(time.Second) {
 		for _, x := range tb.Targets() {
@@ -75,7 +75,7 @@
 func TestCacheMatchesNaiveModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb, r := fleet(1, 0), New()
-		held := make(map[uint64]bool)
+		cached := make(map[uint64]bool)
 		last, seen, inc := uint64(0), false, ident.Incarnation(1)
 		for range rapid.IntRange(1, 40).Draw(rt, "events") {
 			ev := event.CacheChanged{
@@ -89,20 +89,20 @@
 				continue
 			}
 			if ev.Incarnation > inc || seen && ev.Seq > last+1 {
-				clear(held)
+				clear(cached)
 			}
 			inc, last, seen = ev.Incarnation, ev.Seq, true
 			for _, b := range ev.Stored {
-				held[b] = true
+				cached[b] = true
 			}
 			for _, b := range ev.Dropped {
-				delete(held, b)
+				delete(cached, b)
 			}
 			got := make(map[uint64]bool)
 			for b, hs := range r.caches.holders {
 				got[b] = len(hs) == 1
 			}
-			if d := cmp.Diff(held, got); d != "" {
+			if d := cmp.Diff(cached, got); d != "" {
 				rt.Fatal(d)
 			}
 		}
--- a/internal/route/filter.go
+++ b/internal/route/filter.go
@@ -49,9 +49,9 @@
 	{codes.FilterOffer, noOffer},
 }
 
-// cheapFilters are the filters that need only the summary of a data centre. The
-// remaining one, which checks for an offer, runs only for data centres that may be
-// cheaper than the best found so far.
+// cheapFilters are the filters that need only the summary of a data centre. The last
+// one, which checks for an offer, runs only for data centres that may be cheaper than
+// the best found so far.
 var cheapFilters = centreFilters[:len(centreFilters)-1]
 
 func targetRuledOut(v *view, t *member.Target) (codes.ID, bool) {
@@ -156,8 +156,8 @@
 	return float64(t.OutstandingTokens()+q.Request.Prompt) > maxPromptMemoryFraction*float64(t.MemoryTokens)
 }
 
-// A request of a route may be predicted to wait at a target for a fraction of its
-// time-to-first-byte goal, and always for minWaitBound.
+// The maximum predicted wait at a target for a request of a route is a fraction of the
+// route's time-to-first-byte goal, but at least minWaitBound.
 //
 // An engine prefills long prompts in order of arrival, at most a few of them a
 // second. Further prompts would wait at the engine, where a more urgent request
@@ -177,10 +177,12 @@
 	return max(minWaitBound, time.Duration(waitBoundFraction*float64(q.Profile.Route.Goal())))
 }
 
-// The queue that a target may have is its slots divided by queueDivisor; the slots
-// that work from other regions may not use are those divided by reserveDivisor.
+// Limits of the requests that a target may have outstanding.
 const (
-	queueDivisor   = 4
+	// queueDivisor sets the maximum queue length at a target: its slots divided by it.
+	queueDivisor = 4
+	// reserveDivisor sets the slots that are reserved for local requests: the target's
+	// slots divided by it.
 	reserveDivisor = 5
 	// callQueueFraction is the fraction of its goal for which a call may wait in the queue of its
 	// target.
@@ -194,9 +196,10 @@
 // commit requests to it that other targets could start earlier. Requests from another region may
 // not queue and leave a reserve for local requests, which have no alternative.
 //
-// Calls that are short relative to their goal may queue at the target for a quarter of it, behind
-// at most as many others as the target has slots, because with many hosts and few slots a host
-// does not see when a slot becomes free.
+// Calls of a route with a goal, also those from another region, may instead queue for
+// callQueueFraction of the goal once the run time of the target is known, behind at most as many
+// others as the target has slots: with many hosts and few slots a host does not see when a slot
+// becomes free.
 func maxOutstanding(q *Query, t *member.Target) int {
 	slots := t.Slots()
 	if rt := q.Profile.Route; mech.On(codes.CallQueue) && rt != nil && !q.needsEngine() && t.RequestTime() > 0 && rt.GoalMs > 0 {
@@ -229,13 +232,13 @@
 	return false
 }
 
-// poolMatches reports whether a pool serves a profile. For a model profile, want is the
-// index of the model in its list.
-func poolMatches(p *rules.Profile, pool *event.Pool, want int) bool {
+// poolMatches reports whether a pool serves a profile. For a profile of models,
+// modelIndex selects the model of its list that the pool must serve.
+func poolMatches(p *rules.Profile, pool *event.Pool, modelIndex int) bool {
 	if p.Service != "" {
 		return pool.Service == p.Service
 	}
-	return pool.Service == "" && serveMatches(&p.Models[want], &pool.Serve)
+	return pool.Service == "" && serveMatches(&p.Models[modelIndex], &pool.Serve)
 }
 
 // modelCount returns the number of models in a profile, one for a service.
@@ -247,9 +250,9 @@
 }
 
 func hasPool(p *rules.Profile, c *member.Centre) bool {
-	for want := range modelCount(p) {
+	for modelIndex := range modelCount(p) {
 		for i := range c.Summary.Pools {
-			if poolMatches(p, &c.Summary.Pools[i], want) {
+			if poolMatches(p, &c.Summary.Pools[i], modelIndex) {
 				return true
 			}
 		}
@@ -267,13 +270,13 @@
 	if v.q.Profile.Route == nil || !v.noLocalTarget {
 		return nil
 	}
-	homeElsewhere := outsideResidency(v, v.localRegion)
+	localRegionExcluded := outsideResidency(v, v.localRegion)
 	for i := range c.Summary.Pools {
 		p := &c.Summary.Pools[i]
 		if p.Slots == 0 || !poolMatches(&v.q.Profile, p, 0) {
 			continue
 		}
-		if homeElsewhere || v.tb.RemainingSpare(v.now, c.Place.Group(), poolID(p)) > 0 || startsWithinGoal(v, c, p) {
+		if localRegionExcluded || v.tb.RemainingSpare(v.now, c.Place.Group(), poolID(p)) > 0 || startsWithinGoal(v, c, p) {
 			return p
 		}
 	}
@@ -311,10 +314,10 @@
 	if p := poolWithoutOffer(v, c); p != nil {
 		return p
 	}
-	for want := range modelCount(&v.q.Profile) {
+	for modelIndex := range modelCount(&v.q.Profile) {
 		for i := range c.Summary.Pools {
 			p := &c.Summary.Pools[i]
-			if p.Offer > 0 && poolMatches(&v.q.Profile, p, want) && v.tb.RemainingOffer(v.now, c.Place.Group(), poolID(p)) > 0 {
+			if p.Offer > 0 && poolMatches(&v.q.Profile, p, modelIndex) && v.tb.RemainingOffer(v.now, c.Place.Group(), poolID(p)) > 0 {
 				return p
 			}
 		}
--- a/internal/route/pace_test.go
+++ b/internal/route/pace_test.go
@@ -11,9 +11,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// pacedTable returns the table of a host whose local engines have free slots and emit
-// stream events at intervals of here. Another region offers capacity at intervals of
-// there.
+// pacedTable returns the table of a host whose local engines have free slots. Their
+// streams have an event every here, and those of another region, which offers capacity,
+// every there.
 func pacedTable(here, there time.Duration) (*member.Table, ident.Time) {
 	now := ident.Time(time.Second)
 	west := event.Place{DataCentre: "west-a", Region: "west", Reach: "west"}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -7,7 +7,7 @@
 //	dec := rt.Choose(now, route.Query{...}, table)
 //	switch {
 //	case dec.Centre != "":
-//		// forward to dec.Host, and count it: table.OfferTake(dec.Centre, dec.Pool)
+//		// forward to dec.Host, and count it: table.ForwardStarted(dec.Centre, dec.Pool)
 //	case dec.Target != nil:
 //		// send to dec.Target
 //	case dec.Full:
@@ -61,7 +61,7 @@
 	DeliveredTokens ident.Tokens
 	// MayHaveRun reports whether an earlier attempt may have run the request.
 	MayHaveRun bool
-	// ExpectedEvents is the usual number of events in a stream of this route, zero
+	// ExpectedEvents is the typical number of events in a stream of this route, zero
 	// if unknown.
 	ExpectedEvents float64
 	// Backlog is the predicted time that the request would wait in the queue of
@@ -89,9 +89,11 @@
 	// EventInterval is the time between two events of a stream at Centre, zero if
 	// unknown.
 	EventInterval time.Duration
-	// SpillShare is the share of the local callers' work that is forwarded to
-	// other data centres. RemoteRoom is the capacity that Centre has left, in
-	// prefill tokens a second. Both are zero if they did not affect the decision.
+	// SpillShare is the share of the local callers' work without a long shared
+	// prefix that is forwarded to other data centres. RemoteRoom is the work that
+	// Centre may take besides that of its own callers without a long shared
+	// prefix, in prefill tokens a second. Both are zero if they did not affect the
+	// decision.
 	SpillShare float64
 	RemoteRoom float64
 	// Full reports that targets exist that lack only capacity.
@@ -99,7 +101,8 @@
 	Code codes.ID
 }
 
-// sampleSize is how many targets a decision compares in addition to the warm ones.
+// sampleSize is how many targets a decision compares in addition to the warm ones,
+// which probably cache a prefix of the prompt.
 const sampleSize = 8
 
 // Router chooses where requests run. The zero value is ready to use.
@@ -113,12 +116,12 @@
 	recentCrossings []recentCrossing
 
 	// The fields below are scratch space for one decision, reused to avoid allocations.
-	q        Query
-	v        view
-	cands    []candidate
-	warm     []holder
-	eligible []*member.Target
-	rooms    []member.CentreRoom
+	q           Query
+	v           view
+	cands       []candidate
+	warm        []holder
+	eligible    []*member.Target
+	allocations []member.CentreRoom
 }
 
 // candidate is a target that passed the filters, with its cost.
@@ -242,8 +245,8 @@
 	return Decision{Code: codes.NoTarget.ID}
 }
 
-// strides are the step sizes of the sample. A prime that does not divide the
-// number of targets reaches all of them.
+// strides are the step sizes of the sample. A step that is a prime and does not divide
+// the number of targets reaches all of them, as does 1.
 var strides = [...]int{1, 3, 7, 11, 13, 17, 19, 23}
 
 // sampleOrder returns the index at which the sample starts and its step.
@@ -256,9 +259,8 @@
 }
 
 // sample collects the warm targets and a bounded number of other eligible ones as
-// candidates. It visits all targets only if too few are eligible. Of the first
-// sampleSize targets that lack only capacity, it returns the one with the shortest
-// wait.
+// candidates. It visits all targets only if too few are eligible. It returns the target
+// with the shortest wait among the first sampleSize targets that lack only capacity.
 func (rt *Router) sample(v *view) *member.Target {
 	rt.cands = rt.cands[:0]
 	for _, h := range rt.warm {
@@ -279,7 +281,7 @@
 		t := targets[i]
 		i = (i + step) % n
 		code := rt.addCandidate(v, t)
-		if lacksRoom(code) && numFull < sampleSize {
+		if lacksCapacity(code) && numFull < sampleSize {
 			numFull++
 			w := max(t.Wait(v.now, t.Outstanding(v.now), 1), v.tb.ColdWait(v.now, t))
 			if bestFull == nil || w < bestFullWait {
@@ -293,9 +295,11 @@
 	return bestFull
 }
 
-// lacksRoom reports whether a filter ruled a target out only for lack of capacity,
-// so that waiting for it makes sense.
-func lacksRoom(code codes.ID) bool { return code == codes.FilterFull.ID || code == codes.FilterCold.ID }
+// lacksCapacity reports whether the filter with this code rules a target out only for
+// lack of capacity, so that waiting for the target makes sense.
+func lacksCapacity(code codes.ID) bool {
+	return code == codes.FilterFull.ID || code == codes.FilterCold.ID
+}
 
 // addCandidate adds a target to the candidates unless a filter rules it out. It
 // returns the code of that filter.
--- a/internal/route/spill.go
+++ b/internal/route/spill.go
@@ -11,18 +11,18 @@
 // to the best target. A retry of a request that may have run stays local, where it may queue until
 // its deadline.
 func (rt *Router) decideRouted(v *view, best *candidate, bestFull *member.Target) Decision {
-	share, rooms := v.tb.Spill(v.now, v.q.Profile.Service, v.q.needsEngine(), rt.rooms)
-	rt.rooms = rooms
+	share, allocations := v.tb.Spill(v.now, v.q.Profile.Service, v.q.needsEngine(), rt.allocations)
+	rt.allocations = allocations
 	switch {
 	case v.q.MayHaveRun:
-		rooms = nil
+		allocations = nil
 	case member.HasLongSharedPrefix(&v.q.Request):
 	case best == nil || rank.Unit(rank.Mix(v.prefixHash())) < share:
-		rooms = rooms[1:]
+		allocations = allocations[1:]
 	default:
-		rooms = nil
+		allocations = nil
 	}
-	if dec, ok := rt.spillChoice(v, rooms); ok {
+	if dec, ok := rt.spillChoice(v, allocations); ok {
 		dec.SpillShare = share
 		return dec
 	}
@@ -41,23 +41,24 @@
 	return Decision{Target: best.t, Serve: best.serve, PrefillTokens: best.prefillTokens, Wait: best.ttft, CopyFrom: best.copyFrom}
 }
 
-// spillChoice returns the data centre with room that a request is assigned to, unless that is the
-// local one. Rendezvous hashing of the shared prefix, weighted by room, assigns it: the same engines
-// prefill a prefix, and each data centre gets prefixes in proportion to its room.
-func (rt *Router) spillChoice(v *view, rooms []member.CentreRoom) (Decision, bool) {
+// spillChoice assigns a request to one of the data centres and returns it, unless it is the local
+// one. The assignment is by rendezvous hashing of the shared prefix, weighted by the work that each
+// data centre may take: all requests with a prefix go to the same data centre, and each data centre
+// gets prefixes in proportion to its work.
+func (rt *Router) spillChoice(v *view, allocations []member.CentreRoom) (Decision, bool) {
 	var best *member.Centre
-	bestScore, bestRoom := 0.0, 0.0
-	for _, r := range rooms {
+	bestScore, bestWork := 0.0, 0.0
+	for _, a := range allocations {
 		place := v.tb.Self().Place
-		if r.Centre != nil {
-			place = r.Centre.Place
-			if _, out := centreRuledOut(v, r.Centre, cheapFilters); out || v.tb.RecentlyRefused(v.now, r.Centre, v.q.Profile.Service) {
+		if a.Centre != nil {
+			place = a.Centre.Place
+			if _, out := centreRuledOut(v, a.Centre, cheapFilters); out || v.tb.RecentlyRefused(v.now, a.Centre, v.q.Profile.Service) {
 				continue
 			}
 		}
-		score := rank.Score(rank.Combine(v.prefixHash(), rank.Hash(string(place.Group()))), r.Work)
+		score := rank.Score(rank.Combine(v.prefixHash(), rank.Hash(string(place.Group()))), a.Work)
 		if score > bestScore {
-			best, bestScore, bestRoom = r.Centre, score, r.Work
+			best, bestScore, bestWork = a.Centre, score, a.Work
 		}
 	}
 	if best == nil {
@@ -71,6 +72,6 @@
 	p := best.Pool(id)
 	return Decision{
 		Host: h, Centre: best.Place.Group(), Pool: id,
-		Wait: remoteTTFT(v, best, p), EventInterval: toDuration(secondsFor(1, p.DecodeRate)), RemoteRoom: bestRoom,
+		Wait: remoteTTFT(v, best, p), EventInterval: toDuration(secondsFor(1, p.DecodeRate)), RemoteRoom: bestWork,
 	}, true
 }
--- a/internal/route/spill_test.go
+++ b/internal/route/spill_test.go
@@ -18,7 +18,7 @@
 )
 
 // writersTable returns the table of a host with ten local engines, next to a region with as
-// many. here and there are the demand of the callers of each; see event.Flow.
+// many. here and there are the demand of the callers of each; see event.PrefillDemand.
 func writersTable(here, there event.PrefillDemand) (*member.Table, ident.Time) {
 	now := ident.Time(time.Second)
 	tb := member.New(event.Host{ID: "w1", Incarnation: 1, Place: west})
@@ -62,7 +62,7 @@
 }
 
 // Guards against a region at its peak that keeps all its work until its streams are slow,
-// because free slots and stream pace lag behind the demand.
+// because free slots and stream event rates lag behind the demand.
 func TestPeakSpillsBeforeStreamsAreSlow(t *testing.T) {
 	const numRequests = 400
 	for name, c := range map[string]struct {
@@ -236,7 +236,7 @@
 			Profile: rules.Profile{Service: "board", Route: &rules.Route{Kind: rules.Idempotent, GoalMs: 500}},
 		}, tb)
 		if accepted := dec.Target != nil; accepted != c.accepted {
-			t.Errorf("%s: sent on %v, want %v (%+v)", name, accepted, c.accepted, dec)
+			t.Errorf("%s: accepted %v, want %v (%+v)", name, accepted, c.accepted, dec)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	before := countForwarded(now)
 	tb.RecordRefusal(now, "east", "writers")
 	if got := countForwarded(now.Add(100 * time.Millisecond)); got > 0 || before == 0 {
-		t.Errorf("%d of 200 were passed on before, %d just after one was turned away", before, got)
+		t.Errorf("%d of 200 were passed on before, %d just after one was refused", before, got)
 	}
 	if got := countForwarded(now.Add(500 * time.Millisecond)); got == 0 {
 		t.Error("nothing is passed on half a second later")
@@ -279,7 +279,7 @@
 		forwarded++
 		q.TriedCentres = value.SetOf(dec.Centre)
 		if again := rt.Choose(now, q, tb); again.Centre != "" {
-			t.Fatalf("passed on to %q after %q had turned it away", again.Centre, dec.Centre)
+			t.Fatalf("passed on to %q after %q had refused it", again.Centre, dec.Centre)
 		}
 	}
 	if forwarded == 0 {
