--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -26,7 +26,7 @@
 				Deadline: w.Now.Add(5 * time.Second),
 			}
 			w.sent[req.ID] = req
-			w.Know(req)
+			w.RegisterRequest(req)
 			w.Send(hostID("uvs", host), req)
 		}
 	}
--- a/internal/core/promise_test.go
+++ b/internal/core/promise_test.go
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt.Fatalf)
 		w.seenEffects = seen
-		w.Early = func() (time.Duration, bool) { return 0, w.n%7 == 0 }
+		w.EarlyBreak = func() (time.Duration, bool) { return 0, w.n%7 == 0 }
 		w.LoseClaim = func() bool { return w.n%5 == 0 }
 		steps := rapid.IntRange(5, 40).Draw(rt, "steps")
 		for range steps {
@@ -56,7 +56,7 @@
 		w := newWorld(rt.Fatalf)
 		w.seenEffects = seen
 		early := rapid.IntRange(2, 9).Draw(rt, "early")
-		w.Early = func() (time.Duration, bool) {
+		w.EarlyBreak = func() (time.Duration, bool) {
 			return time.Duration(w.n%4) * 400 * time.Millisecond, w.n%early == 0
 		}
 		for _, tg := range w.Targets {
@@ -241,10 +241,10 @@
 		w.send(hostID("uvs", w.n%2), "bound", "", "", "", 5*time.Second)
 		w.Run(50 * time.Millisecond)
 	}
-	if late := tg.Last.Sub(drainedAt); late > 2*time.Second {
+	if late := tg.LastArrival.Sub(drainedAt); late > 2*time.Second {
 		t.Errorf("the last new request arrived %v after the target began to drain", late)
 	}
-	if tg.Last == 0 {
+	if tg.LastArrival == 0 {
 		t.Error("the target had no work before it drained; the test shows nothing")
 	}
 	w.settle()
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -138,7 +138,7 @@
 	w.sent[req.ID] = req
 	w.sentTo[req.ID] = to
 	w.jobs[req.ID] = job
-	w.Know(req)
+	w.RegisterRequest(req)
 	w.Send(to, req)
 	return req.ID
 }
--- a/internal/dev/ablate/ablate.go
+++ b/internal/dev/ablate/ablate.go
@@ -1,5 +1,5 @@
-// Package ablate measures what each mechanism is worth: it plays a command with all mechanisms and
-// with each of them left out, and compares a figure of its output.
+// Package ablate measures the contribution of each mechanism: it runs a command with
+// all mechanisms and with each of them disabled, and compares a figure of its output.
 //
 // # Usage
 //
@@ -9,9 +9,9 @@
 //	})
 //	table.Write(os.Stdout)
 //
-// The command plays one case with one seed. {off}, {case} and {seed} stand for the id of the
-// mechanism that is left out, the case and the seed; the first is also in the environment, as
-// builds with the tag ablate read it. Without a mechanism it is empty.
+// The command runs one case with one seed. {off}, {case} and {seed} are replaced by the
+// id of the disabled mechanism, the case and the seed. The id is also in the environment
+// variable that builds with the tag ablate read. It is empty if no mechanism is disabled.
 package ablate
 
 import (
@@ -30,48 +30,50 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// Config says what is played.
+// Config describes the runs.
 type Config struct {
 	Command []string
-	// Figure finds the figure in the output of the command, as its first group; the last match
-	// counts.
+	// Figure matches the figure in the output of the command as its first group. The last match
+	// is used.
 	Figure *regexp.Regexp
 	Cases  []string
 	Seeds  []int
-	// Mechanisms are those that are left out one by one, by id.
+	// Mechanisms are disabled one at a time, by id.
 	Mechanisms []codes.Code
-	// Out gets a line for each play.
+	// Out receives a line for each run of the command.
 	Out io.Writer
 }
 
-// Row is what the plays without one mechanism gave. Off is empty for all mechanisms.
+// Row holds the figures of the runs with one mechanism disabled. Disabled is empty for the row
+// of all mechanisms.
 type Row struct {
-	Off     codes.ID
-	Title   string
-	Figures []float64
+	Disabled codes.ID
+	Title    string
+	Figures  []float64
 }
 
-// Table holds the row of all mechanisms first.
+// Table holds the rows; the first is that of all mechanisms.
 type Table []Row
 
-// env is the variable that builds with the tag ablate read.
-const env = "VERBENADALE_OFF"
+// disabledEnv is the environment variable that builds with the tag ablate read.
+const disabledEnv = "VERBENADALE_OFF"
 
-// Run plays the command for each row, case and seed, one play at a time. It ends with the first
-// play that fails: a mean over fewer plays than the others' would compare other days.
+// Run runs the command for each row, case and seed, one at a time. It returns the error of the
+// first run that fails: a row with fewer runs than the others would be a mean over different
+// cases.
 func Run(ctx context.Context, cfg Config) (Table, error) {
 	table := Table{{Title: "all mechanisms"}}
 	for _, c := range cfg.Mechanisms {
-		table = append(table, Row{Off: c.ID, Title: c.Title})
+		table = append(table, Row{Disabled: c.ID, Title: c.Title})
 	}
 	for _, name := range cfg.Cases {
 		for _, seed := range cfg.Seeds {
 			for i := range table {
-				figure, err := play(ctx, cfg, table[i].Off, name, seed)
+				figure, err := runOnce(ctx, cfg, table[i].Disabled, name, seed)
 				if err != nil {
 					return nil, err
 				}
-				fmt.Fprintf(cfg.Out, "%s seed %d without %q: %g\n", name, seed, string(table[i].Off), figure)
+				fmt.Fprintf(cfg.Out, "%s seed %d without %q: %g\n", name, seed, string(table[i].Disabled), figure)
 				table[i].Figures = append(table[i].Figures, figure)
 			}
 		}
@@ -79,14 +81,14 @@
 	return table, nil
 }
 
-func play(ctx context.Context, cfg Config, off codes.ID, name string, seed int) (float64, error) {
+func runOnce(ctx context.Context, cfg Config, off codes.ID, name string, seed int) (float64, error) {
 	fill := strings.NewReplacer("{off}", string(off), "{case}", name, "{seed}", strconv.Itoa(seed))
 	args := make([]string, len(cfg.Command))
 	for i, arg := range cfg.Command {
 		args[i] = fill.Replace(arg)
 	}
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
-	cmd.Env = append(os.Environ(), env+"="+string(off))
+	cmd.Env = append(os.Environ(), disabledEnv+"="+string(off))
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		return 0, errors.Wrapf(err, "ablate: %s:\n%s", strings.Join(args, " "), out)
@@ -96,10 +98,10 @@
 		return 0, errors.Errorf("ablate: no figure %s in the output of %s:\n%s", cfg.Figure, strings.Join(args, " "), out)
 	}
 	figure, err := strconv.ParseFloat(string(found[len(found)-1][1]), 64)
-	return figure, errors.Wrap(err, "ablate: figure")
+	return figure, errors.Wrap(err, "ablate: parse figure")
 }
 
-// mean returns the mean of figures and its standard error.
+// mean returns the mean of xs and its standard error.
 func mean(xs []float64) (m, sem float64) {
 	for _, x := range xs {
 		m += x / float64(len(xs))
@@ -114,8 +116,9 @@
 	return m, math.Sqrt(sum/float64(len(xs)-1)) / math.Sqrt(float64(len(xs)))
 }
 
-// Worth returns what a mechanism gives: the mean difference, play by play, of the figure with all
-// mechanisms and that without it, and the standard error of this mean.
+// Worth returns the contribution of the mechanism of row i: the mean difference, case by case
+// and seed by seed, between the figure with all mechanisms and that without it, and the standard
+// error of this mean.
 func (t Table) Worth(i int) (worth, sem float64) {
 	diffs := make([]float64, len(t[i].Figures))
 	for j, x := range t[i].Figures {
@@ -135,8 +138,8 @@
 			continue
 		}
 		worth, sem := t.Worth(i)
-		fmt.Fprintf(&b, "| %s | %.4f | %+.4f ± %.4f | %s |\n", row.Off, m, worth, sem, row.Title)
+		fmt.Fprintf(&b, "| %s | %.4f | %+.4f ± %.4f | %s |\n", row.Disabled, m, worth, sem, row.Title)
 	}
 	_, err := io.WriteString(w, b.String())
-	return errors.Wrap(err, "ablate: write")
+	return errors.Wrap(err, "ablate: write table")
 }
--- a/internal/dev/ablate/ablate_test.go
+++ b/internal/dev/ablate/ablate_test.go
@@ -13,7 +13,7 @@
 
 var mechanisms = []codes.Code{{ID: "VB6001", Title: "one"}, {ID: "VB6002", Title: "two"}}
 
-// script is a command that earns 10 times the seed, and 1 less without VB6001.
+// script is a command whose figure is 10 times the seed plus 0.5, and 1 less without VB6001.
 const script = `
 echo "worth 999"
 n=$(({seed} * 10))
@@ -28,16 +28,17 @@
 	}
 }
 
-// Differences between days hide what a mechanism is worth.
-func TestWorthIsComparedPlayByPlay(t *testing.T) {
+// Guards against differences between cases and seeds that hide the contribution of a mechanism:
+// figures are compared run by run.
+func TestWorthIsComparedRunByRun(t *testing.T) {
 	table, err := Run(t.Context(), config(script))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Table{
 		{Title: "all mechanisms", Figures: []float64{10.5, 20.5, 10.5, 20.5}},
-		{Off: "VB6001", Title: "one", Figures: []float64{9.5, 19.5, 9.5, 19.5}},
-		{Off: "VB6002", Title: "two", Figures: []float64{10.5, 20.5, 10.5, 20.5}},
+		{Disabled: "VB6001", Title: "one", Figures: []float64{9.5, 19.5, 9.5, 19.5}},
+		{Disabled: "VB6002", Title: "two", Figures: []float64{10.5, 20.5, 10.5, 20.5}},
 	}
 	if diff := cmp.Diff(want, table); diff != "" {
 		t.Fatalf("table (-want +got):\n%s", diff)
@@ -57,8 +58,9 @@
 	}
 }
 
-// A play that fails, or says nothing, leaves a mean over other days than the rest.
-func TestFailedPlayEndsTheRun(t *testing.T) {
+// Guards against means over different cases: a run that fails, or prints no figure, ends the
+// whole measurement.
+func TestFailedRunEndsTheMeasurement(t *testing.T) {
 	for name, command := range map[string]string{
 		"exit":      `echo "worth 1"; exit 3`,
 		"no figure": `echo nothing`,
--- a/internal/dev/bench/bench_test.go
+++ b/internal/dev/bench/bench_test.go
@@ -14,7 +14,8 @@
 	"verbenadale.example/verbenadale/internal/dev/bench"
 )
 
-// The report of a bench mixes up the policies that took turns.
+// Guards against a report that attributes figures to the wrong policy, when policies take turns
+// in one fleet.
 func TestPoliciesTakeTurns(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -25,7 +26,7 @@
 	}
 	rep, err := bench.Run(context.Background(), bench.Config{
 		Program: program, Deployment: "clydeside", Scenario: "over1", Policies: []string{"cost", "random"},
-		For: 2 * time.Second, Rounds: 1, Warm: time.Second, Scale: 2, Seed: 1,
+		Duration: 2 * time.Second, Rounds: 1, Warmup: time.Second, Scale: 2, Seed: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +34,7 @@
 	var policies []string
 	for _, r := range rep.Rows {
 		policies = append(policies, r.Policy)
-		if r.Load.Done == 0 || r.Cost <= 0 || r.Sends <= 0 || r.Load.Wrong > 0 {
+		if r.Load.Done == 0 || r.Cost <= 0 || r.Attempts <= 0 || r.Load.Wrong > 0 {
 			t.Errorf("%+v", r)
 		}
 	}
--- a/internal/dev/bench/config.go
+++ b/internal/dev/bench/config.go
@@ -14,17 +14,17 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// callWait bounds each call of the bench itself.
-const callWait = 10 * time.Second
+// callTimeout bounds each HTTP call that the bench itself makes.
+const callTimeout = 10 * time.Second
 
-// call sends a JSON body, unless it is nil, and reads the answer into out,
-// unless that is nil.
+// call sends body as JSON, unless it is nil, and decodes the answer into out, unless that is
+// nil.
 func (f *fleet) call(ctx context.Context, method, url string, body, out any) error {
 	var rd io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
 		if err != nil {
-			return errors.Wrap(err, "bench: encode")
+			return errors.Wrap(err, "bench: encode request body")
 		}
 		rd = bytes.NewReader(b)
 	}
@@ -45,23 +45,23 @@
 	if out == nil {
 		return nil
 	}
-	return errors.Wrap(json.NewDecoder(res.Body).Decode(out), "bench: answer")
+	return errors.Wrap(json.NewDecoder(res.Body).Decode(out), "bench: decode answer")
 }
 
-// usePolicy has every entry host change its policy.
+// usePolicy sets the policy of every entry host.
 func (f *fleet) usePolicy(ctx context.Context, policy string) error {
 	return f.eachHost(func(_ *site, h *host) error {
-		return f.call(ctx, http.MethodPut, "http://"+h.control()+"/dev/policy?name="+policy, nil, nil)
+		return f.call(ctx, http.MethodPut, "http://"+h.controlAddr()+"/dev/policy?name="+policy, nil, nil)
 	})
 }
 
-// configure puts the profiles and accounts in force at every host.
+// configure writes the profiles and accounts, and waits until they are in force at every host.
 func (f *fleet) configure(ctx context.Context) error {
 	models := []rules.Serve{{Model: model}}
 	w := f.shape.weights
 	items := []rules.Item{
-		itemOf(rules.KindProfile, string(profileFree), rules.Profile{Name: profileFree, Models: models, MaxCrossings: 1, Weights: w}),
-		itemOf(rules.KindProfile, string(profileBound), rules.Profile{Name: profileBound, Models: models, HomeOnly: true, Weights: w}),
+		itemOf(rules.KindProfile, string(profileAnywhere), rules.Profile{Name: profileAnywhere, Models: models, MaxCrossings: 1, Weights: w}),
+		itemOf(rules.KindProfile, string(profileHomeOnly), rules.Profile{Name: profileHomeOnly, Models: models, HomeOnly: true, Weights: w}),
 	}
 	for _, s := range f.sites {
 		name := string(s.place.DataCentre)
@@ -70,11 +70,11 @@
 		}))
 	}
 	ch := rules.Change{ID: "bench", Items: items}
-	if err := f.call(ctx, http.MethodPost, f.sites[0].hosts[0].operators()+"/v1/changes", ch, nil); err != nil {
+	if err := f.call(ctx, http.MethodPost, f.sites[0].hosts[0].operatorsURL()+"/v1/changes", ch, nil); err != nil {
 		return err
 	}
 	return f.eachHost(func(_ *site, h *host) error {
-		return f.await(ctx, h.operators()+"/readyz")
+		return f.await(ctx, h.operatorsURL()+"/readyz")
 	})
 }
 
@@ -83,16 +83,16 @@
 	return rules.Item{Kind: kind, Name: name, Doc: b}
 }
 
-// Times of waiting for a process.
+// Waiting for a process to answer.
 const (
-	waitLimit = 20 * time.Second
-	lookStep  = 50 * time.Millisecond
+	startTimeout = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// await waits until a URL answers well.
+// await waits until a URL answers with success. The error is ErrStart after startTimeout.
 func (f *fleet) await(ctx context.Context, url string) error {
-	end := f.clock.Now().Add(waitLimit)
-	sub := f.clock.Every(lookStep)
+	end := f.clock.Now().Add(startTimeout)
+	sub := f.clock.Every(pollInterval)
 	defer sub.Close()
 	for f.clock.Now() < end && ctx.Err() == nil {
 		if f.call(ctx, http.MethodGet, url, nil, nil) == nil {
--- a/internal/dev/bench/count.go
+++ b/internal/dev/bench/count.go
@@ -7,29 +7,29 @@
 	"verbenadale.example/verbenadale/internal/dev/engine"
 )
 
-// counts are sums over the whole fleet.
+// counts are totals of the whole fleet.
 type counts struct {
 	cost      float64
 	blocks    float64
 	hits      float64
-	sends     float64
+	attempts  float64
 	crossings float64
 }
 
-func (n counts) less(old counts) counts {
+func (n counts) minus(old counts) counts {
 	return counts{
 		cost: n.cost - old.cost, blocks: n.blocks - old.blocks, hits: n.hits - old.hits,
-		sends: n.sends - old.sends, crossings: n.crossings - old.crossings,
+		attempts: n.attempts - old.attempts, crossings: n.crossings - old.crossings,
 	}
 }
 
-// counter is a counter as the operators' address gives it out.
+// counter is a counter as the operators' listener reports it.
 type counter struct {
 	Count float64 `json:"count"`
 }
 
-// count reads the ledgers of the engines and the counters of the entry hosts.
-func (f *fleet) count(ctx context.Context) (counts, error) {
+// readCounts sums the ledgers of the engines and the counters of the entry hosts.
+func (f *fleet) readCounts(ctx context.Context) (counts, error) {
 	var n counts
 	for _, s := range f.sites {
 		for _, e := range s.engines {
@@ -37,15 +37,15 @@
 			if err := f.call(ctx, http.MethodGet, e.url+"/dev/ledger", nil, &l); err != nil {
 				return n, err
 			}
-			l = e.with(l)
+			l = e.addEarlier(l)
 			n.cost += l.BusyMs / 1000 * s.price
 			n.blocks += float64(l.Blocks)
 			n.hits += float64(l.Hits)
-			n.sends += float64(l.Ran)
+			n.attempts += float64(l.Ran)
 		}
 		for _, h := range s.hosts {
 			ms := map[string]counter{}
-			if err := f.call(ctx, http.MethodGet, h.operators()+"/metrics", nil, &ms); err != nil {
+			if err := f.call(ctx, http.MethodGet, h.operatorsURL()+"/metrics", nil, &ms); err != nil {
 				return n, err
 			}
 			n.crossings += ms["peers.crossings"].Count
--- a/internal/dev/bench/fleet.go
+++ b/internal/dev/bench/fleet.go
@@ -21,7 +21,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Ports of the processes, each of which has an IP number of its own.
+// Ports of the processes. Each process has an IP address of its own.
 const (
 	callersPort   = 8080
 	peersPort     = 7070
@@ -31,22 +31,22 @@
 	targetPort    = 8000
 )
 
-// Names in the configuration of the fleet.
+// Names and sizes in the configuration of the fleet.
 const (
-	profileFree   ident.Profile = "draft"
-	profileBound  ident.Profile = "bound"
-	model         ident.Model   = "draft"
-	operatorToken               = "bench-operator"
-	hostsPerSite                = 2
+	profileAnywhere ident.Profile = "draft"
+	profileHomeOnly ident.Profile = "bound"
+	model           ident.Model   = "draft"
+	operatorToken                 = "bench-operator"
+	hostsPerSite                  = 2
 )
 
-// Delays of one way between entry hosts.
+// One-way latency between entry hosts, within a region and between regions.
 const (
 	nearDelay = time.Millisecond
 	farDelay  = 80 * time.Millisecond
 )
 
-// fleet is a platform, engines and entry hosts as processes.
+// fleet runs a platform, engines and entry hosts as processes.
 type fleet struct {
 	cfg      Config
 	clock    *clock.Service
@@ -59,47 +59,47 @@
 	regionOf map[string]ident.Region
 }
 
-// site is one data centre.
+// site is one data centre with its processes.
 type site struct {
 	centre
 	engines []*engineProc
 	hosts   []*host
 }
 
-// key is the API key of the account whose home the data centre is.
+// key returns the API key of the account whose home is this data centre.
 func (s *site) key() string { return "key-" + string(s.place.DataCentre) }
 
-func (s *site) callers() []string {
+func (s *site) callerURLs() []string {
 	var urls []string
 	for _, h := range s.hosts {
-		urls = append(urls, "http://"+h.set.Callers.Listen)
+		urls = append(urls, "http://"+h.settings.Callers.Listen)
 	}
 	return urls
 }
 
-// host is one entry host, and the relay that its peers reach it through.
+// host is one entry host and the relay that its peers connect to.
 type host struct {
-	ip     string
-	set    config.Settings
-	before *relay.Relay
+	ip       string
+	settings config.Settings
+	relay    *relay.Relay
 }
 
-func (h *host) control() string { return fmt.Sprintf("%s:%d", h.ip, controlPort) }
+func (h *host) controlAddr() string { return fmt.Sprintf("%s:%d", h.ip, controlPort) }
 
-func (h *host) operators() string { return "http://" + h.set.Operators.Listen }
+func (h *host) operatorsURL() string { return "http://" + h.settings.Operators.Listen }
 
 func newFleet(cfg Config, svc *clock.Service, sh shape) *fleet {
 	return &fleet{
-		cfg: cfg, clock: svc, shape: sh, http: &http.Client{Timeout: callWait},
+		cfg: cfg, clock: svc, shape: sh, http: &http.Client{Timeout: callTimeout},
 		regionOf: make(map[string]ident.Region),
 	}
 }
 
-// start starts everything and waits until every host serves.
+// start starts all processes and waits until every host serves.
 func (f *fleet) start(ctx context.Context) error {
 	var err error
 	if f.dir, err = os.MkdirTemp("", "bench"); err != nil {
-		return errors.Wrap(err, "bench: settings")
+		return errors.Wrap(err, "bench: create settings folder")
 	}
 	addr := fmt.Sprintf("%s:%d", ports.IP(), platformPort)
 	f.platform = "http://" + addr
@@ -112,7 +112,7 @@
 		if err := f.startEngines(ctx, s); err != nil {
 			return err
 		}
-		f.plan(s)
+		f.assignAddresses(s)
 	}
 	if err := f.call(ctx, http.MethodPut, f.platform+"/dev/hosts", store.Hosts{Targets: f.targets()}, nil); err != nil {
 		return err
@@ -128,8 +128,8 @@
 		p.kill()
 	}
 	_ = f.eachHost(func(_ *site, h *host) error {
-		if h.before != nil {
-			h.before.Stop()
+		if h.relay != nil {
+			h.relay.Stop()
 		}
 		return nil
 	})
@@ -157,12 +157,12 @@
 	return ts
 }
 
-// plan gives the hosts of a data centre their addresses.
-func (f *fleet) plan(s *site) {
+// assignAddresses makes the settings of the hosts of a data centre, with their addresses.
+func (f *fleet) assignAddresses(s *site) {
 	for n := range hostsPerSite {
 		ip := ports.IP()
 		f.regionOf[ip] = s.place.Region
-		s.hosts = append(s.hosts, &host{ip: ip, set: config.Settings{
+		s.hosts = append(s.hosts, &host{ip: ip, settings: config.Settings{
 			Entry:      ident.EntryID(fmt.Sprintf("%s-%d", s.place.DataCentre, n+1)),
 			DataCentre: s.place.DataCentre, Region: s.place.Region,
 			Callers: config.Callers{Listen: fmt.Sprintf("%s:%d", ip, callersPort)},
@@ -184,11 +184,11 @@
 	}
 }
 
-// startHost starts an entry host and the relay before it.
+// startHost starts an entry host and its relay.
 func (f *fleet) startHost(ctx context.Context, s *site, h *host) error {
 	var err error
-	h.before, err = relay.Start(relay.Config{
-		Listen: h.set.Peers.Advertise, To: h.set.Peers.Listen, Clock: f.clock,
+	h.relay, err = relay.Start(relay.Config{
+		Listen: h.settings.Peers.Advertise, To: h.settings.Peers.Listen, Clock: f.clock,
 		Delay: func(sender string) time.Duration {
 			if f.regionOf[sender] == s.place.Region {
 				return nearDelay
@@ -204,30 +204,30 @@
 			if p == h {
 				continue
 			}
-			h.set.Peers.Seeds = append(h.set.Peers.Seeds, config.Seed{
-				Entry: p.set.Entry, Addr: p.set.Peers.Advertise, DataCentre: o.place.DataCentre, Region: o.place.Region,
+			h.settings.Peers.Seeds = append(h.settings.Peers.Seeds, config.Seed{
+				Entry: p.settings.Entry, Addr: p.settings.Peers.Advertise, DataCentre: o.place.DataCentre, Region: o.place.Region,
 			})
 		}
 	}
-	b, err := json.Marshal(h.set)
+	b, err := json.Marshal(h.settings)
 	if err != nil {
-		return errors.Wrap(err, "bench: settings")
+		return errors.Wrap(err, "bench: encode settings")
 	}
-	file := filepath.Join(f.dir, string(h.set.Entry)+".json")
+	file := filepath.Join(f.dir, string(h.settings.Entry)+".json")
 	if err := os.WriteFile(file, b, 0o600); err != nil {
-		return errors.Wrap(err, "bench: settings")
+		return errors.Wrap(err, "bench: write settings")
 	}
-	_, err = f.run(ctx, h.operators()+"/healthz", "entry", "-settings", file, "-control", h.control())
+	_, err = f.run(ctx, h.operatorsURL()+"/healthz", "entry", "-settings", file, "-control", h.controlAddr())
 	return err
 }
 
-// cutOff cuts or heals all links between a data centre and the others.
-func (f *fleet) cutOff(s *site, cut bool) {
+// setPartitioned cuts or restores all links between a data centre and the others.
+func (f *fleet) setPartitioned(s *site, cut bool) {
 	for _, mine := range s.hosts {
 		_ = f.eachHost(func(o *site, h *host) error {
 			if o != s {
-				h.before.Cut(mine.ip, cut)
-				mine.before.Cut(h.ip, cut)
+				h.relay.Cut(mine.ip, cut)
+				mine.relay.Cut(h.ip, cut)
 			}
 			return nil
 		})
--- a/internal/dev/bench/harm.go
+++ b/internal/dev/bench/harm.go
@@ -10,54 +10,51 @@
 	"verbenadale.example/verbenadale/internal/dev/engine"
 )
 
-// harm is what happens to the first data centre in the second quarter of a
-// load.
-type harm int
+// fault is a fault of the first data centre during the second quarter of a load.
+type fault int
 
-// The kinds of harm.
 const (
-	harmNone harm = iota
-	// harmRestart ends all engines but one; new ones with cold caches come
-	// back.
-	harmRestart
-	// harmLinks cuts the data centre off from the others.
-	harmLinks
-	// harmErrors has every engine fail every request.
-	harmErrors
+	faultNone fault = iota
+	// faultRestart stops all engines but one. They are restarted with cold caches.
+	faultRestart
+	// faultLinks partitions the data centre from the others.
+	faultLinks
+	// faultErrors makes every engine of the data centre fail every request.
+	faultErrors
 )
 
-// breaker does the harm and mends it.
-type breaker struct {
+// faultInjector injects the fault of the scenario and removes it.
+type faultInjector struct {
 	t   tomb.Tomb
 	b   *bench
 	ctx context.Context
 }
 
-func startBreaker(ctx context.Context, b *bench) *breaker {
-	k := &breaker{b: b, ctx: ctx}
+func startFaultInjector(ctx context.Context, b *bench) *faultInjector {
+	k := &faultInjector{b: b, ctx: ctx}
 	k.t.Go(k.run)
 	return k
 }
 
-func (k *breaker) stop() {
+func (k *faultInjector) stop() {
 	k.t.Kill(nil)
 	_ = k.t.Wait()
 }
 
-func (k *breaker) run() error {
-	if k.b.scene.harm == harmNone {
+func (k *faultInjector) run() error {
+	if k.b.scenario.fault == faultNone {
 		return nil
 	}
-	if !k.wait(k.b.cfg.For / 4) {
+	if !k.wait(k.b.cfg.Duration / 4) {
 		return nil
 	}
-	k.set(true)
-	k.wait(k.b.cfg.For / 4)
-	k.set(false)
+	k.setActive(true)
+	k.wait(k.b.cfg.Duration / 4)
+	k.setActive(false)
 	return nil
 }
 
-func (k *breaker) wait(d time.Duration) bool {
+func (k *faultInjector) wait(d time.Duration) bool {
 	sub := k.b.clock.At(k.b.clock.Now().Add(d))
 	defer sub.Close()
 	select {
@@ -68,17 +65,17 @@
 	}
 }
 
-func (k *breaker) set(on bool) {
+func (k *faultInjector) setActive(on bool) {
 	f := k.b.fleet
 	first := f.sites[0]
-	switch k.b.scene.harm {
-	case harmRestart:
+	switch k.b.scenario.fault {
+	case faultRestart:
 		for _, e := range first.engines[1:] {
-			f.swap(e, on)
+			f.setEngineStopped(e, on)
 		}
-	case harmLinks:
-		f.cutOff(first, on)
-	case harmErrors:
+	case faultLinks:
+		f.setPartitioned(first, on)
+	case faultErrors:
 		var bad engine.Faults
 		if on {
 			bad = engine.Faults{Every: 1, Kinds: []string{engine.FaultError}}
--- a/internal/dev/bench/proc.go
+++ b/internal/dev/bench/proc.go
@@ -15,13 +15,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// proc is one process.
 type proc struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// run starts a process of verbdev and waits until it answers at a URL.
+// run starts a verbdev process and waits until it answers at a URL.
 func (f *fleet) run(ctx context.Context, url string, args ...string) (*proc, error) {
 	p, err := f.spawn(args...)
 	if err != nil {
@@ -34,7 +33,7 @@
 	p := &proc{cmd: exec.Command(f.cfg.Program, args...), done: make(chan struct{})}
 	p.cmd.Stderr = f.cfg.Log
 	if err := p.cmd.Start(); err != nil {
-		return nil, errors.Wrap(err, "bench: start")
+		return nil, errors.Wrap(err, "bench: start process")
 	}
 	go p.run()
 	f.procs = append(f.procs, p)
@@ -51,22 +50,22 @@
 	<-p.done
 }
 
-// engineProc is an engine, which may be ended and started anew.
+// engineProc is an engine, which may be stopped and restarted.
 type engineProc struct {
 	*proc
 	id   ident.TargetID
 	url  string
 	args []string
-	// past is what earlier processes of the engine did.
-	past engine.Ledger
+	// earlier is the total of the ledgers of the earlier processes of the engine.
+	earlier engine.Ledger
 }
 
-// with adds what earlier processes of the engine did.
-func (e *engineProc) with(l engine.Ledger) engine.Ledger {
-	l.BusyMs += e.past.BusyMs
-	l.Blocks += e.past.Blocks
-	l.Hits += e.past.Hits
-	l.Ran += e.past.Ran
+// addEarlier adds the totals of the earlier processes of the engine to a ledger.
+func (e *engineProc) addEarlier(l engine.Ledger) engine.Ledger {
+	l.BusyMs += e.earlier.BusyMs
+	l.Blocks += e.earlier.Blocks
+	l.Hits += e.earlier.Hits
+	l.Ran += e.earlier.Ran
 	return l
 }
 
@@ -94,13 +93,13 @@
 	return time.Duration(float64(d) * scale).String()
 }
 
-// swap ends an engine, or starts it anew with a cold cache.
-func (f *fleet) swap(e *engineProc, end bool) {
+// setEngineStopped stops an engine, or restarts it with a cold cache.
+func (f *fleet) setEngineStopped(e *engineProc, end bool) {
 	ctx := context.Background()
 	if end {
 		var l engine.Ledger
 		if f.call(ctx, http.MethodGet, e.url+"/dev/ledger", nil, &l) == nil {
-			e.past = e.with(l)
+			e.earlier = e.addEarlier(l)
 		}
 		e.kill()
 		return
--- a/internal/dev/bench/scene.go
+++ b/internal/dev/bench/scene.go
@@ -12,8 +12,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// centre is one data centre: its engines and what a second of a slot costs
-// there.
+// centre is one data centre: its engines and the price of a slot-second there.
 type centre struct {
 	place   event.Place
 	engines int
@@ -21,13 +20,13 @@
 	price   float64
 }
 
-// shape is a whole system.
+// shape describes a deployment.
 type shape struct {
 	centres []centre
 	weights rules.Weights
 }
 
-// The engines of all deployments, before the scale.
+// Parameters of the engines of all deployments, before Scale.
 const (
 	slots       = 6
 	tokenTime   = 6 * time.Millisecond
@@ -38,17 +37,17 @@
 	cacheGap    = 50
 )
 
-// The requests: about a thousand tokens of prompt, three quarters of which are
-// shared with one request in families.
+// Parameters of the requests. A prompt has about a thousand tokens; three quarters of it is one
+// of sharedPrefixes shared prefixes.
 const (
-	answerTokens = 32
-	promptBytes  = 4000
-	families     = 30
-	deadline     = 3 * time.Second
-	// engineRate is about the requests a second that an engine answers when it
-	// finds a quarter of the prompts in its cache, by its times above: six at
-	// once, each in 192 ms of steps and 210 ms of the prefill of all six. With
-	// a cold cache it is 12, with a warm one 22.
+	answerTokens    = 32
+	promptBytes     = 4000
+	sharedPrefixes  = 30
+	requestDeadline = 3 * time.Second
+	// engineRate is about the requests per second that an engine answers if it finds a quarter
+	// of the prompts in its cache, by the parameters above: six at once, each with 192 ms of
+	// decode steps and 210 ms for the prefill of all six. With a cold cache the rate is 12, with
+	// a warm one 22.
 	engineRate = 15
 )
 
@@ -56,8 +55,8 @@
 	return event.Place{DataCentre: ident.DataCentre(name), Region: ident.Region(name)}
 }
 
-// deployments are the two users' sizes and weights. The Foundation gives more
-// for less cost and fewer requests sent away, Clydeside for a shorter tail.
+// deployments are the sizes and weights of the two users. The Foundation weighs cost and
+// forwarded requests more, Clydeside a short tail.
 var deployments = map[string]shape{
 	"foundation": {
 		centres: []centre{
@@ -77,76 +76,74 @@
 	},
 }
 
-// scene is one scenario.
-type scene struct {
-	// offered is the load of each data centre as a part of what its engines
-	// can do when all are whole.
+type scenario struct {
+	// offered is the load of each data centre as a fraction of the capacity of its engines
+	// without faults.
 	offered []float64
-	// only, where set, is the number of data centres.
-	only int
-	// tenth says that the first data centre has a tenth of its capacity.
-	tenth bool
-	// bound is the share of requests that may not leave their region.
-	bound float64
-	// harm is done to the first data centre in the second quarter of a load.
-	harm harm
-	// pause is the time between two loads on top of the usual.
-	pause time.Duration
-	// retry has callers come back when the refusal says so.
+	// centres, if set, limits the number of data centres.
+	centres int
+	// reduced leaves the first data centre about a tenth of its capacity.
+	reduced bool
+	// homeOnlyRatio is the share of requests that may not leave their region.
+	homeOnlyRatio float64
+	// fault is injected into the first data centre during the second quarter of a load.
+	fault fault
+	// extraDelay is added to settleDelay before each load, for faults whose effects last.
+	extraDelay time.Duration
+	// retry makes callers send a refused request again after its Retry-After.
 	retry bool
 }
 
-// scenes are the scenarios by name.
-var scenes = map[string]scene{
+var scenarios = map[string]scenario{
 	"steady": {offered: []float64{0.6, 0.6, 0.6}},
 	"peak":   {offered: []float64{1.4, 0.3, 0.3}},
-	"tenth":  {offered: []float64{0.5, 0.4, 0.4}, tenth: true},
-	"bound":  {offered: []float64{1.3, 0.4, 0.4}, bound: 0.11},
-	"heal":   {offered: []float64{0.6, 0.4, 0.4}, harm: harmRestart, pause: 4 * time.Second},
-	"links":  {offered: []float64{1.4, 0.3, 0.3}, harm: harmLinks, pause: 4 * time.Second},
-	"storm":  {offered: []float64{0.6, 0.4, 0.4}, harm: harmErrors, pause: 8 * time.Second},
-	"over1":  {offered: []float64{1}, only: 1},
-	"over2":  {offered: []float64{2}, only: 1},
-	"over10": {offered: []float64{10}, only: 1},
-	"retry2": {offered: []float64{2}, only: 1, retry: true},
+	"tenth":  {offered: []float64{0.5, 0.4, 0.4}, reduced: true},
+	"bound":  {offered: []float64{1.3, 0.4, 0.4}, homeOnlyRatio: 0.11},
+	"heal":   {offered: []float64{0.6, 0.4, 0.4}, fault: faultRestart, extraDelay: 4 * time.Second},
+	"links":  {offered: []float64{1.4, 0.3, 0.3}, fault: faultLinks, extraDelay: 4 * time.Second},
+	"storm":  {offered: []float64{0.6, 0.4, 0.4}, fault: faultErrors, extraDelay: 8 * time.Second},
+	"over1":  {offered: []float64{1}, centres: 1},
+	"over2":  {offered: []float64{2}, centres: 1},
+	"over10": {offered: []float64{10}, centres: 1},
+	"retry2": {offered: []float64{2}, centres: 1, retry: true},
 }
 
-// Scenes returns the names of the scenarios.
-func Scenes() []string { return slices.Sorted(maps.Keys(scenes)) }
+// Scenarios returns the names of the scenarios.
+func Scenarios() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
 // Deployments returns the names of the deployments.
 func Deployments() []string { return slices.Sorted(maps.Keys(deployments)) }
 
-// shape returns the system of a deployment in this scenario.
-func (sc scene) shape(dep shape) shape {
+// shape returns the deployment as this scenario changes it.
+func (sc scenario) shape(dep shape) shape {
 	dep.centres = slices.Clone(dep.centres)
-	if sc.only > 0 {
-		dep.centres = dep.centres[:sc.only]
+	if sc.centres > 0 {
+		dep.centres = dep.centres[:sc.centres]
 	}
-	if sc.tenth {
+	if sc.reduced {
 		dep.centres[0].engines = 1
 		dep.centres[0].slots = 2
 	}
 	return dep
 }
 
-// loads returns the loads of one turn, one for each data centre and one more
-// for what is bound to it.
-func (b *bench) loads(policy string, round int, long time.Duration) []load.Config {
+// loads returns the loads of one measurement: one for each data centre, and one more for its
+// bound requests if the scenario has any.
+func (b *bench) loads(policy string, round int, duration time.Duration) []load.Config {
 	var cfgs []load.Config
 	dep := deployments[b.cfg.Deployment]
 	for i, s := range b.fleet.sites {
-		rate := b.scene.offered[i] * float64(dep.centres[i].engines) * engineRate / b.cfg.Scale
+		rate := b.scenario.offered[i] * float64(dep.centres[i].engines) * engineRate / b.cfg.Scale
 		cfg := load.Config{
-			Entries: s.callers(), Key: s.key(), Profile: profileFree, Rate: rate * (1 - b.scene.bound), For: long,
-			Tokens: answerTokens, Prompt: promptBytes, Prefixes: families, Stream: true,
-			Deadline: time.Duration(float64(deadline) * b.cfg.Scale),
-			Seed:     b.cfg.Seed + uint64(1000*round+10*i), Retry: b.scene.retry,
+			Entries: s.callerURLs(), Key: s.key(), Profile: profileAnywhere, Rate: rate * (1 - b.scenario.homeOnlyRatio), Duration: duration,
+			AnswerTokens: answerTokens, PromptBytes: promptBytes, Prefixes: sharedPrefixes, Stream: true,
+			Deadline: time.Duration(float64(requestDeadline) * b.cfg.Scale),
+			Seed:     b.cfg.Seed + uint64(1000*round+10*i), Retry: b.scenario.retry,
 			Salt: fmt.Sprintf(" %s %d %s", policy, round, s.place.DataCentre),
 		}
 		cfgs = append(cfgs, cfg)
-		if b.scene.bound > 0 {
-			cfg.Profile, cfg.Rate = profileBound, rate*b.scene.bound
+		if b.scenario.homeOnlyRatio > 0 {
+			cfg.Profile, cfg.Rate = profileHomeOnly, rate*b.scenario.homeOnlyRatio
 			cfg.Seed++
 			cfgs = append(cfgs, cfg)
 		}
--- a/internal/dev/bench/table.go
+++ b/internal/dev/bench/table.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/internal/dev/load"
 )
 
-// Table writes a row for each load as a table of Markdown.
+// Table writes the report as a Markdown table with a row for each load.
 func (rep Report) Table(w io.Writer) {
 	fmt.Fprintf(w, "%s, %s\n\n", rep.Deployment, rep.Scenario)
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
@@ -18,15 +18,15 @@
 		ft := r.Load.FirstToken
 		other := r.Load.Wrong + r.Load.Cut + r.Load.Errors + r.Load.Dropped
 		fmt.Fprintf(tw, "| %s\t| %d\t| %.0f\t| %.0f\t| %.0f\t| %.0f\t| %.3f\t| %.3f\t| %.1f\t| %.3f\t| %d\t| %.3f\t| %.0f\t|\n",
-			r.Policy, r.Round+1, r.Cost, ft.P50Ms, ft.P99Ms, ft.P999Ms, r.Away, r.Hits,
-			r.Load.Goodput, r.Refused, other, r.Sends, r.Load.RefusedIn.P99Ms)
+			r.Policy, r.Round+1, r.Cost, ft.P50Ms, ft.P99Ms, ft.P999Ms, r.Forwarded, r.Hits,
+			r.Load.Goodput, r.Refused, other, r.Attempts, r.Load.RefusalTime.P99Ms)
 	}
 	_ = tw.Flush()
 	fmt.Fprintln(w)
 }
 
-// Plot writes the quantiles of the time to the first token of each policy's
-// last round.
+// Plot writes the quantiles of the time to the first token in each policy's last round, as a PNG
+// or SVG.
 func (rep Report) Plot(file string) error {
 	res := make(map[string]load.Result)
 	for _, r := range rep.Rows {
--- a/internal/dev/chart/chart.go
+++ b/internal/dev/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws what the logs of entry hosts say of a time under load.
+// Package chart plots and tabulates the decision logs of entry hosts under load.
 //
 // # Usage
 //
@@ -6,9 +6,9 @@
 //	err = chart.Goodput("goodput.svg", []chart.Series{before, after})
 //	err = chart.Predictions("predictions.svg", []chart.Series{before, after})
 //
-// The lines are those of package trail. Lines of several hosts may be mixed, and other text may
-// stand before or between them. Requests are counted by the clocks of the hosts, which are taken
-// to agree.
+// It reads the lines that package trail writes. Lines of several hosts may be
+// interleaved, and other text may precede a line or stand between lines. Requests are
+// assigned to seconds by the clocks of the hosts, which are assumed to agree.
 package chart
 
 import (
@@ -23,109 +23,110 @@
 	"github.com/pkg/errors"
 )
 
-// Series is what the logs of one time say.
+// Series is the content of the logs of one run.
 type Series struct {
 	Name    string
 	Seconds []Second
 	Waits   []Wait
-	// Kinds, Refusals and Targets are sorted by name.
-	Kinds    []Kind
+	// Profiles, Refusals and Targets are sorted by name.
+	Profiles []ProfileStats
 	Refusals []Refusal
 	Targets  []Target
-	// LeftOut counts the lines that hosts have left out, so that what is counted is too low.
-	LeftOut int
+	// OmittedLines counts the lines that hosts dropped. If it is not zero, all counts are too
+	// low.
+	OmittedLines int
 }
 
-// Second counts the requests that came in one second, and those of them whose answer was whole
-// and began within the goal.
+// Second counts the requests that arrived in one second, and those of them that got a complete
+// answer whose first byte came within the goal.
 type Second struct {
 	Offered int
 	InTime  int
 }
 
-// Wait is the predicted time from sending a request to the first byte of its answer, and the
-// real one.
+// Wait is the predicted and the actual time from sending a request to the first byte of its
+// answer.
 type Wait struct {
 	Predicted time.Duration
-	Real      time.Duration
+	Actual    time.Duration
 }
 
-// Kind is what became of the requests of one profile.
-type Kind struct {
+// ProfileStats summarises the requests of one profile.
+type ProfileStats struct {
 	Profile string
 	Sent    int
 	Refused int
-	// First and Whole are the times from sending a request to the first and to the last byte of
-	// its answer, of the attempts that were answered whole.
-	First Quantiles
-	Whole Quantiles
+	// FirstByte and Total are the times from sending a request to the first and to the last byte
+	// of its answer, over the attempts with a complete answer.
+	FirstByte Quantiles
+	Total     Quantiles
 }
 
-// Refusal counts the refusals of one code.
+// Refusal is the number of refusals with one code.
 type Refusal struct {
 	Code  string
 	Title string
 	Count int
 }
 
-// Target is the work that was sent to one target.
+// Target counts the attempts that were sent to one target.
 type Target struct {
 	ID   string
 	Sent int
-	// Done, Failed and Shed count the attempts that were answered whole, broke off or failed, and
-	// were not run.
+	// Done counts the attempts with a complete answer, Failed those that were aborted or failed,
+	// NotRun those that did not run.
 	Done   int
 	Failed int
-	Shed   int
-	// MostBusy is the largest number of requests that a host believed to be there.
-	MostBusy int
+	NotRun int
+	// MaxBusy is the largest number of requests that a host assumed to be running at the target.
+	MaxBusy int
 }
 
-// Quantiles are quantiles of a time.
+// Quantiles are percentiles of a duration.
 type Quantiles struct {
 	P50, P95, P99 time.Duration
 }
 
-// request is what is known of one request.
+// request is the state of one request.
 type request struct {
-	came   time.Time
-	inTime bool
+	arrived time.Time
+	inTime  bool
 }
 
-// attempt names one attempt of a request, by the target that it went to.
+// attempt identifies an attempt by its request and target.
 type attempt struct{ request, target string }
 
-// reader gathers the lines of a series.
+// reader accumulates the lines of a series.
 type reader struct {
-	goal     time.Duration
-	requests map[string]*request
-	open     map[attempt]sent
-	waits    []Wait
-	leftOut  int
-	kinds    map[string]*kind
-	refusals map[string]*Refusal
-	targets  map[string]*Target
+	goal         time.Duration
+	requests     map[string]*request
+	inFlight     map[attempt]openAttempt
+	waits        []Wait
+	omittedLines int
+	profiles     map[string]*profileTimes
+	refusals     map[string]*Refusal
+	targets      map[string]*Target
 }
 
-// sent is an attempt that has not ended.
-type sent struct {
+// openAttempt is an attempt in flight.
+type openAttempt struct {
 	predicted time.Duration
 	profile   string
 }
 
-// kind gathers the times of a Kind.
-type kind struct {
-	Kind
-	first, whole []time.Duration
+// profileTimes collects the times behind a ProfileStats.
+type profileTimes struct {
+	ProfileStats
+	firstByte, total []time.Duration
 }
 
-// maxLine is the longest line that is read, in bytes.
+// maxLine is the maximum length of a line, in bytes.
 const maxLine = 1 << 20
 
 // Read returns the series of the logs in r. An answer is in time if its first byte came within
-// goal of its request.
+// goal of the arrival of the request. It is an error if no line belongs to a request.
 func Read(r io.Reader, name string, goal time.Duration) (Series, error) {
-	rd := &reader{goal: goal, requests: make(map[string]*request), open: make(map[attempt]sent), kinds: make(map[string]*kind), refusals: make(map[string]*Refusal), targets: make(map[string]*Target)}
+	rd := &reader{goal: goal, requests: make(map[string]*request), inFlight: make(map[attempt]openAttempt), profiles: make(map[string]*profileTimes), refusals: make(map[string]*Refusal), targets: make(map[string]*Target)}
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
@@ -138,19 +139,18 @@
 		return Series{}, errors.Errorf("chart: %s has no line of a request; log at level 0 or higher", name)
 	}
 	return Series{
-		Name: name, Seconds: rd.seconds(), Waits: rd.waits, LeftOut: rd.leftOut,
-		Kinds: rd.sortedKinds(), Refusals: sorted(rd.refusals), Targets: sorted(rd.targets),
+		Name: name, Seconds: rd.seconds(), Waits: rd.waits, OmittedLines: rd.omittedLines,
+		Profiles: rd.sortedProfiles(), Refusals: sorted(rd.refusals), Targets: sorted(rd.targets),
 	}, nil
 }
 
-// line counts one line.
 func (rd *reader) line(s string) {
 	f := fields(s)
-	// Hosts add a suffix of their own to the id of a request.
+	// Hosts append a suffix of their own to the id of a request.
 	f["request"], _, _ = strings.Cut(f["request"], ".")
 	if f["msg"] == "decision lines left out" {
 		n, _ := strconv.Atoi(f["lines"])
-		rd.leftOut += n
+		rd.omittedLines += n
 		return
 	}
 	at, err := time.Parse(time.RFC3339Nano, f["time"])
@@ -159,20 +159,20 @@
 	}
 	switch f["msg"] {
 	case "sent to a target":
-		rd.came(f["request"], at.Add(-millis(f["waitedMs"])))
-		rd.sent(f)
+		rd.recordArrival(f["request"], at.Add(-millis(f["waitedMs"])))
+		rd.recordSent(f)
 	case "passed on":
-		rd.came(f["request"], at.Add(-millis(f["waitedMs"])))
+		rd.recordArrival(f["request"], at.Add(-millis(f["waitedMs"])))
 	case "refused":
-		rd.came(f["request"], at.Add(-millis(f["waitedMs"])))
+		rd.recordArrival(f["request"], at.Add(-millis(f["waitedMs"])))
 		entry(rd.refusals, f["code"], Refusal{Code: f["code"], Title: f["title"]}).Count++
-		entry(rd.kinds, f["profile"], kind{Kind: Kind{Profile: f["profile"]}}).Refused++
+		entry(rd.profiles, f["profile"], profileTimes{ProfileStats: ProfileStats{Profile: f["profile"]}}).Refused++
 	case "attempt ended":
-		rd.ended(f, at)
+		rd.recordEnd(f, at)
 	}
 }
 
-// entry returns the entry of a key, made from first if it is new.
+// entry returns the value of a key, which is set to first if there is none.
 func entry[T any](m map[string]*T, key string, first T) *T {
 	v, ok := m[key]
 	if !ok {
@@ -182,7 +182,7 @@
 	return v
 }
 
-// sorted returns the values of a map by key.
+// sorted returns the values of a map in the order of the keys.
 func sorted[T any](m map[string]*T) []T {
 	var out []T
 	for _, key := range slices.Sorted(maps.Keys(m)) {
@@ -191,37 +191,37 @@
 	return out
 }
 
-// sent counts an attempt at a target.
-func (rd *reader) sent(f map[string]string) {
-	rd.open[attempt{f["request"], f["target"]}] = sent{millis(f["predictedMs"]), f["profile"]}
-	entry(rd.kinds, f["profile"], kind{Kind: Kind{Profile: f["profile"]}}).Sent++
+// recordSent counts an attempt that was sent to a target.
+func (rd *reader) recordSent(f map[string]string) {
+	rd.inFlight[attempt{f["request"], f["target"]}] = openAttempt{millis(f["predictedMs"]), f["profile"]}
+	entry(rd.profiles, f["profile"], profileTimes{ProfileStats: ProfileStats{Profile: f["profile"]}}).Sent++
 	t := entry(rd.targets, f["target"], Target{ID: f["target"]})
 	t.Sent++
 	busy, _ := strconv.Atoi(f["busy"])
-	t.MostBusy = max(t.MostBusy, busy)
+	t.MaxBusy = max(t.MaxBusy, busy)
 }
 
-// came records when a request came, by the first line that names it.
-func (rd *reader) came(id string, at time.Time) {
+// recordArrival records the arrival of a request, from the first line that names it.
+func (rd *reader) recordArrival(id string, at time.Time) {
 	if _, ok := rd.requests[id]; !ok {
-		rd.requests[id] = &request{came: at}
+		rd.requests[id] = &request{arrived: at}
 	}
 }
 
-// ended counts the end of an attempt at a target.
-func (rd *reader) ended(f map[string]string, at time.Time) {
+// recordEnd counts the result of an attempt and records its times.
+func (rd *reader) recordEnd(f map[string]string, at time.Time) {
 	key := attempt{f["request"], f["target"]}
-	s, ok := rd.open[key]
+	s, ok := rd.inFlight[key]
 	if !ok {
 		return
 	}
-	delete(rd.open, key)
+	delete(rd.inFlight, key)
 	t := rd.targets[key.target]
 	switch f["result"] {
 	case "done":
 		t.Done++
 	case "notRun":
-		t.Shed++
+		t.NotRun++
 	default:
 		t.Failed++
 	}
@@ -229,23 +229,23 @@
 	if first < 0 || f["firstMs"] == "" {
 		return
 	}
-	rd.waits = append(rd.waits, Wait{Predicted: s.predicted, Real: first})
+	rd.waits = append(rd.waits, Wait{Predicted: s.predicted, Actual: first})
 	if f["result"] != "done" {
 		return
 	}
-	k := rd.kinds[s.profile]
-	k.first, k.whole = append(k.first, first), append(k.whole, took)
-	if r := rd.requests[key.request]; at.Add(first-took).Sub(r.came) <= rd.goal {
+	k := rd.profiles[s.profile]
+	k.firstByte, k.total = append(k.firstByte, first), append(k.total, took)
+	if r := rd.requests[key.request]; at.Add(first-took).Sub(r.arrived) <= rd.goal {
 		r.inTime = true
 	}
 }
 
-// sortedKinds returns the kinds by profile.
-func (rd *reader) sortedKinds() []Kind {
-	var out []Kind
-	for _, k := range sorted(rd.kinds) {
-		k.First, k.Whole = quantiles(k.first), quantiles(k.whole)
-		out = append(out, k.Kind)
+// sortedProfiles returns the statistics in the order of the profiles.
+func (rd *reader) sortedProfiles() []ProfileStats {
+	var out []ProfileStats
+	for _, k := range sorted(rd.profiles) {
+		k.FirstByte, k.Total = quantiles(k.firstByte), quantiles(k.total)
+		out = append(out, k.ProfileStats)
 	}
 	return out
 }
@@ -259,17 +259,17 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// seconds counts the requests by the second in which they came.
+// seconds counts the requests by the second of their arrival.
 func (rd *reader) seconds() []Second {
 	var start time.Time
 	for _, r := range rd.requests {
-		if start.IsZero() || r.came.Before(start) {
-			start = r.came
+		if start.IsZero() || r.arrived.Before(start) {
+			start = r.arrived
 		}
 	}
 	var out []Second
 	for _, r := range rd.requests {
-		i := int(r.came.Sub(start) / time.Second)
+		i := int(r.arrived.Sub(start) / time.Second)
 		if i >= len(out) {
 			out = append(out, make([]Second, i+1-len(out))...)
 		}
@@ -281,7 +281,7 @@
 	return out
 }
 
-// millis returns a number of milliseconds, zero for none.
+// millis parses a number of milliseconds; zero if s is not a number.
 func millis(s string) time.Duration {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
@@ -290,7 +290,7 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// fields returns the pairs of a line in logfmt.
+// fields parses the pairs of a logfmt line.
 func fields(s string) map[string]string {
 	f := make(map[string]string)
 	for s != "" {
@@ -305,7 +305,7 @@
 	return f
 }
 
-// cutValue returns the first value of s, without quotes, and what follows.
+// cutValue returns the first value of s, unquoted, and the rest of s.
 func cutValue(s string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(s); err == nil {
 		value, _ = strconv.Unquote(quoted)
@@ -315,21 +315,21 @@
 	return value, rest
 }
 
-// Step is the share of requests answered in time where about as many were offered.
+// Step is one point of the goodput curve: a group of seconds with about the same offered load.
 type Step struct {
-	// Offered and InTime are means of the seconds of the step, a second.
+	// Offered and InTime are means over the seconds of the group, in requests per second.
 	Offered float64
 	InTime  float64
 }
 
-// steps is how many steps a curve of goodput has at the most.
-const steps = 12
+// maxSteps is the maximum number of points of a goodput curve.
+const maxSteps = 12
 
-// Curve returns the goodput by the offered load, over groups of seconds with about the same load.
+// Curve returns the goodput by offered load, over groups of seconds with about the same load.
 func (s Series) Curve() []Step {
 	secs := slices.Clone(s.Seconds)
 	slices.SortFunc(secs, func(a, b Second) int { return a.Offered - b.Offered })
-	size := max(1, (len(secs)+steps-1)/steps)
+	size := max(1, (len(secs)+maxSteps-1)/maxSteps)
 	var out []Step
 	for group := range slices.Chunk(secs, size) {
 		var st Step
@@ -342,19 +342,22 @@
 	return out
 }
 
-// Spread is the real time to a first byte where about the same was predicted.
+// Spread is the distribution of the actual time to the first byte over attempts with about the
+// same prediction.
 type Spread struct {
-	// Predicted is the middle of the predictions; Median and P90 are quantiles of the real time.
+	// Predicted is the median of the predictions; Median and P90 are quantiles of the actual
+	// time.
 	Predicted time.Duration
 	Median    time.Duration
 	P90       time.Duration
 	Count     int
 }
 
-// leastGroup is the least number of attempts that a quantile is taken of.
-const leastGroup = 20
+// minGroupSize is the smallest number of attempts from which quantiles are computed.
+const minGroupSize = 20
 
-// Spreads returns the real times by the predicted ones, in groups of predictions that double.
+// Spreads returns the actual times by predicted time, in groups whose bounds double. Groups of
+// fewer than minGroupSize attempts are omitted.
 func (s Series) Spreads() []Spread {
 	groups := make(map[int][]Wait)
 	for _, w := range s.Waits {
@@ -366,13 +369,13 @@
 	}
 	var out []Spread
 	for _, ws := range groups {
-		if len(ws) < leastGroup {
+		if len(ws) < minGroupSize {
 			continue
 		}
 		slices.SortFunc(ws, func(a, b Wait) int { return int(a.Predicted - b.Predicted) })
 		mid := ws[len(ws)/2].Predicted
-		slices.SortFunc(ws, func(a, b Wait) int { return int(a.Real - b.Real) })
-		out = append(out, Spread{Predicted: mid, Median: ws[len(ws)/2].Real, P90: ws[len(ws)*9/10].Real, Count: len(ws)})
+		slices.SortFunc(ws, func(a, b Wait) int { return int(a.Actual - b.Actual) })
+		out = append(out, Spread{Predicted: mid, Median: ws[len(ws)/2].Actual, P90: ws[len(ws)*9/10].Actual, Count: len(ws)})
 	}
 	slices.SortFunc(out, func(a, b Spread) int { return int(a.Predicted - b.Predicted) })
 	return out
--- a/internal/dev/chart/chart_test.go
+++ b/internal/dev/chart/chart_test.go
@@ -28,7 +28,8 @@
 	return s
 }
 
-// Requests that were forwarded or tried twice count twice, or as late by one attempt only.
+// Guards against wrong counts of requests that were forwarded or sent more than once: each
+// counts once, and is in time if one of its attempts is.
 func TestReadCountsEachRequestOnce(t *testing.T) {
 	got := readLog(t)
 	ms := time.Millisecond
@@ -36,30 +37,31 @@
 		Name:    "day",
 		Seconds: []Second{{Offered: 3, InTime: 1}, {Offered: 2, InTime: 1}},
 		Waits:   []Wait{{40 * ms, 30 * ms}, {60 * ms, 500 * ms}, {0, 20 * ms}, {0, 50 * ms}},
-		Kinds: []Kind{
-			{Profile: "book", Sent: 2, First: Quantiles{500 * ms, 500 * ms, 500 * ms}, Whole: Quantiles{550 * ms, 550 * ms, 550 * ms}},
-			{Profile: "draft", Sent: 3, Refused: 1, First: Quantiles{50 * ms, 50 * ms, 50 * ms}, Whole: Quantiles{100 * ms, 100 * ms, 100 * ms}},
+		Profiles: []ProfileStats{
+			{Profile: "book", Sent: 2, FirstByte: Quantiles{500 * ms, 500 * ms, 500 * ms}, Total: Quantiles{550 * ms, 550 * ms, 550 * ms}},
+			{Profile: "draft", Sent: 3, Refused: 1, FirstByte: Quantiles{50 * ms, 50 * ms, 50 * ms}, Total: Quantiles{100 * ms, 100 * ms, 100 * ms}},
 		},
-		Refusals: []Refusal{{Code: "VB1009", Title: "no room, a=b", Count: 1}},
-		Targets:  []Target{{ID: "t1", Sent: 3, Done: 1, Failed: 1, Shed: 1, MostBusy: 2}, {ID: "t2", Sent: 2, Done: 2, MostBusy: 4}},
-		LeftOut:  7,
+		Refusals:     []Refusal{{Code: "VB1009", Title: "no room, a=b", Count: 1}},
+		Targets:      []Target{{ID: "t1", Sent: 3, Done: 1, Failed: 1, NotRun: 1, MaxBusy: 2}, {ID: "t2", Sent: 2, Done: 2, MaxBusy: 4}},
+		OmittedLines: 7,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("series (-want +got):\n%s", diff)
 	}
 }
 
-// A log of another kind draws an empty plot without a word.
+// Guards against an empty plot, instead of an error, from a log without requests.
 func TestLogWithoutRequestsIsAnError(t *testing.T) {
 	if _, err := Read(strings.NewReader("msg=serving\n"), "day", time.Second); err == nil {
 		t.Error("no error")
 	}
 }
 
-// Quiet seconds and busy ones fall into one mean, which hides that goodput falls under overload.
-func TestCurveGoesByOfferedLoad(t *testing.T) {
+// Guards against a mean over seconds of low and high load, which would hide that goodput falls
+// under overload.
+func TestCurveGroupsByOfferedLoad(t *testing.T) {
 	var s Series
-	for range steps {
+	for range maxSteps {
 		s.Seconds = append(s.Seconds, Second{Offered: 100, InTime: 90}, Second{Offered: 500, InTime: 40})
 	}
 	c := s.Curve()
@@ -68,14 +70,14 @@
 	}
 }
 
-// A few attempts give a quantile that means nothing.
+// Guards against quantiles of too few attempts, which mean nothing.
 func TestSpreadsLeaveOutSmallGroups(t *testing.T) {
 	var s Series
-	for i := range leastGroup {
-		s.Waits = append(s.Waits, Wait{Predicted: 60 * time.Millisecond, Real: time.Duration(i) * time.Millisecond})
+	for i := range minGroupSize {
+		s.Waits = append(s.Waits, Wait{Predicted: 60 * time.Millisecond, Actual: time.Duration(i) * time.Millisecond})
 	}
-	s.Waits = append(s.Waits, Wait{Predicted: 3 * time.Second, Real: time.Second})
-	want := []Spread{{Predicted: 60 * time.Millisecond, Median: 10 * time.Millisecond, P90: 18 * time.Millisecond, Count: leastGroup}}
+	s.Waits = append(s.Waits, Wait{Predicted: 3 * time.Second, Actual: time.Second})
+	want := []Spread{{Predicted: 60 * time.Millisecond, Median: 10 * time.Millisecond, P90: 18 * time.Millisecond, Count: minGroupSize}}
 	if diff := cmp.Diff(want, s.Spreads()); diff != "" {
 		t.Errorf("spreads (-want +got):\n%s", diff)
 	}
@@ -86,7 +88,7 @@
 	s.Name = "day"
 	for i := range 30 {
 		s.Seconds = append(s.Seconds, Second{Offered: 100 + i, InTime: 90})
-		s.Waits = append(s.Waits, Wait{Predicted: 60 * time.Millisecond, Real: 70 * time.Millisecond})
+		s.Waits = append(s.Waits, Wait{Predicted: 60 * time.Millisecond, Actual: 70 * time.Millisecond})
 	}
 	dir := t.TempDir()
 	for name, draw := range map[string]func(string, []Series) error{"a.svg": Goodput, "b.svg": Predictions} {
@@ -95,7 +97,7 @@
 			t.Fatal(err)
 		}
 		if b, err := os.ReadFile(file); err != nil || !bytes.Contains(b, []byte("day")) {
-			t.Errorf("%s names no series: %v", name, err)
+			t.Errorf("%s does not name the series: %v", name, err)
 		}
 		if err := draw(file, nil); err == nil {
 			t.Errorf("%s of nothing is drawn", name)
@@ -103,7 +105,8 @@
 	}
 }
 
-// A name from a log changes the page, or a small log gives none.
+// Guards against unescaped names of series in the page, and against an error from a log that is
+// too small for a plot.
 func TestPageOfASmallLog(t *testing.T) {
 	s := readLog(t)
 	s.Name = "day <script>"
--- a/internal/dev/chart/draw.go
+++ b/internal/dev/chart/draw.go
@@ -12,14 +12,13 @@
 
 var errTooFew = errors.New("chart: too few requests to draw")
 
-// Size of a plot.
 const (
 	width  = 18 * vg.Centimeter
 	height = 12 * vg.Centimeter
 )
 
-// Goodput draws the goodput of each series by the offered load, as a PNG or SVG by the ending of
-// the file. The dashed line is what an unbounded system would answer.
+// Goodput plots the goodput of each series by offered load, as a PNG or SVG depending on the
+// extension of the file. The dashed line is a system that answers every request in time.
 func Goodput(file string, ss []Series) error {
 	p, err := goodput(ss)
 	if err != nil {
@@ -31,23 +30,23 @@
 func goodput(ss []Series) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "goodput by offered load"
-	p.X.Label.Text = "requests a second"
-	p.Y.Label.Text = "answers that began in time, a second"
-	most := 0.0
+	p.X.Label.Text = "requests per second"
+	p.Y.Label.Text = "answers that began in time, per second"
+	maxValue := 0.0
 	var lines []any
 	for _, s := range ss {
-		xys := make(plotter.XYs, 0, steps)
+		xys := make(plotter.XYs, 0, maxSteps)
 		for _, st := range s.Curve() {
 			xys = append(xys, plotter.XY{X: st.Offered, Y: st.InTime})
-			most = max(most, headroom*st.InTime)
+			maxValue = max(maxValue, headroom*st.InTime)
 		}
 		lines = append(lines, s.Name, xys)
 	}
-	return p, finish(p, lines, most)
+	return p, addLines(p, lines, maxValue)
 }
 
-// Predictions draws the real time to a first byte of each series by the predicted one, its median
-// and its 90th percentile. The dashed line is a prediction that always holds.
+// Predictions plots the median and the 90th percentile of the actual time to the first byte of
+// each series by its prediction. The dashed line is an exact prediction.
 func Predictions(file string, ss []Series) error {
 	p, err := predictions(ss)
 	if err != nil {
@@ -60,43 +59,44 @@
 	p := plot.New()
 	p.Title.Text = "time to the first byte by its prediction"
 	p.X.Label.Text = "predicted, ms"
-	p.Y.Label.Text = "real, ms"
-	most := 0.0
+	p.Y.Label.Text = "actual, ms"
+	maxValue := 0.0
 	var lines []any
 	for _, s := range ss {
-		var mid, high plotter.XYs
+		var median, p90 plotter.XYs
 		for _, sp := range s.Spreads() {
 			x := inMillis(sp.Predicted)
-			mid = append(mid, plotter.XY{X: x, Y: inMillis(sp.Median)})
-			high = append(high, plotter.XY{X: x, Y: inMillis(sp.P90)})
-			most = max(most, x)
+			median = append(median, plotter.XY{X: x, Y: inMillis(sp.Median)})
+			p90 = append(p90, plotter.XY{X: x, Y: inMillis(sp.P90)})
+			maxValue = max(maxValue, x)
 		}
-		if len(mid) > 0 {
-			lines = append(lines, s.Name+", median", mid, s.Name+", 90th percentile", high)
+		if len(median) > 0 {
+			lines = append(lines, s.Name+", median", median, s.Name+", 90th percentile", p90)
 		}
 	}
-	return p, finish(p, lines, most)
+	return p, addLines(p, lines, maxValue)
 }
 
 func inMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// headroom is how much higher than the highest goodput the dashed line goes.
+// headroom is the length of the dashed line relative to the highest goodput.
 const headroom = 1.3
 
-// finish adds the lines and the diagonal up to most.
-func finish(p *plot.Plot, lines []any, most float64) error {
+// addLines adds the lines and the dashed diagonal up to maxValue. The error is errTooFew if
+// there are no lines.
+func addLines(p *plot.Plot, lines []any, maxValue float64) error {
 	if len(lines) == 0 {
 		return errors.Wrap(errTooFew, p.Title.Text)
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return errors.Wrap(err, "chart: draw")
 	}
-	same, err := plotter.NewLine(plotter.XYs{{}, {X: most, Y: most}})
+	diagonal, err := plotter.NewLine(plotter.XYs{{}, {X: maxValue, Y: maxValue}})
 	if err != nil {
 		return errors.Wrap(err, "chart: draw")
 	}
-	same.Dashes = []vg.Length{vg.Points(4), vg.Points(4)}
-	p.Add(same)
+	diagonal.Dashes = []vg.Length{vg.Points(4), vg.Points(4)}
+	p.Add(diagonal)
 	p.X.Min, p.Y.Min = 0, 0
 	p.Legend.Top, p.Legend.Left = true, true
 	return nil
--- a/internal/dev/chart/page.go
+++ b/internal/dev/chart/page.go
@@ -18,9 +18,8 @@
 	"ms": func(d time.Duration) int64 { return d.Milliseconds() },
 }).Parse(pageText))
 
-// Page writes one self-contained HTML page on the series: the plots that there are
-// enough requests for, and for each series times
-// by profile, refusals by code and work by target.
+// Page writes a self-contained HTML page on the series: the plots for which there are enough
+// requests, and for each series its times by profile, refusals by code and attempts by target.
 func Page(w io.Writer, ss []Series) error {
 	data := struct {
 		Series []Series
@@ -43,8 +42,8 @@
 	return errors.Wrap(page.Execute(w, data), "chart: page")
 }
 
-// inline returns a plot as an SVG element. Its texts are names of series, which are escaped by
-// the plotting library.
+// inline renders a plot as an SVG element. It contains names of series, which the plotting
+// library escapes.
 func inline(p *plot.Plot) (template.HTML, error) {
 	wt, err := p.WriterTo(width, height, "svg")
 	if err != nil {
@@ -56,7 +55,7 @@
 	}
 	i := bytes.Index(b.Bytes(), []byte("<svg"))
 	if i < 0 {
-		return "", errors.New("chart: the plot is no SVG")
+		return "", errors.New("chart: plot library wrote no <svg> element")
 	}
 	return template.HTML(b.Bytes()[i:]), nil
 }
--- a/internal/dev/cmds/bench.go
+++ b/internal/dev/cmds/bench.go
@@ -38,15 +38,15 @@
 
   Example:
     verbdev bench -scenario peak -deployment foundation -rounds 2
-`, strings.Join(bench.Scenes(), ", "), strings.Join(bench.Deployments(), ", "))
+`, strings.Join(bench.Scenarios(), ", "), strings.Join(bench.Deployments(), ", "))
 }
 
 func (c *benchCmd) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.scenes, "scenario", "steady", "scenarios, with commas")
 	fs.StringVar(&c.cfg.Deployment, "deployment", "foundation", "deployment")
 	fs.StringVar(&c.policies, "policies", strings.Join(base.Names, ","), "policies, with commas")
-	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "length of one load")
-	fs.DurationVar(&c.cfg.Warm, "warm", 10*time.Second, "length of the load before the first that counts")
+	fs.DurationVar(&c.cfg.Duration, "for", 10*time.Second, "length of one load")
+	fs.DurationVar(&c.cfg.Warmup, "warm", 10*time.Second, "length of the load before the first that counts")
 	fs.IntVar(&c.cfg.Rounds, "rounds", 2, "turns of each policy")
 	fs.Float64Var(&c.cfg.Scale, "scale", 1, "stretches the engines' time and thins out the load")
 	fs.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of times and prompts")
--- a/internal/dev/cmds/load.go
+++ b/internal/dev/cmds/load.go
@@ -37,13 +37,13 @@
 
 func (c *loadCmd) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.entries, "entries", "http://127.0.0.1:8080", "base URLs of entry hosts, with commas")
-	fs.BoolVar(&c.cfg.Follow, "follow", false, "use the hosts that the system names")
+	fs.BoolVar(&c.cfg.FollowEntries, "follow", false, "use the hosts that the system names")
 	fs.StringVar(&c.cfg.Key, "key", "demo-key", "API key")
 	fs.StringVar(&c.profile, "profile", "draft", "profile")
 	fs.Float64Var(&c.cfg.Rate, "rate", 100, "requests a second")
-	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "how long")
-	fs.IntVar(&c.cfg.Tokens, "tokens", 32, "length of an answer in tokens")
-	fs.IntVar(&c.cfg.Prompt, "prompt", 1000, "length of a prompt in bytes")
+	fs.DurationVar(&c.cfg.Duration, "for", 10*time.Second, "how long")
+	fs.IntVar(&c.cfg.AnswerTokens, "tokens", 32, "length of an answer in tokens")
+	fs.IntVar(&c.cfg.PromptBytes, "prompt", 1000, "length of a prompt in bytes")
 	fs.IntVar(&c.cfg.Prefixes, "prefixes", 0, "different prefixes that prompts share, 0 for none")
 	fs.BoolVar(&c.cfg.Stream, "stream", true, "ask for streams")
 	fs.DurationVar(&c.cfg.Deadline, "deadline", 0, "deadline of each request")
--- a/internal/dev/cmds/plot.go
+++ b/internal/dev/cmds/plot.go
@@ -74,8 +74,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if s.LeftOut > 0 {
-			fmt.Fprintf(os.Stderr, "verbdev: %s: hosts left out %d lines, what is counted at peaks is too low\n", name, s.LeftOut)
+		if s.OmittedLines > 0 {
+			fmt.Fprintf(os.Stderr, "verbdev: %s: hosts left out %d lines, what is counted at peaks is too low\n", name, s.OmittedLines)
 		}
 		ss = append(ss, s)
 	}
--- a/internal/dev/cmds/slope.go
+++ b/internal/dev/cmds/slope.go
@@ -56,7 +56,7 @@
 		sizes = append(sizes, slope.Config{Centres: 45, Regions: 12, Hosts: 8, Targets: 40, Accounts: 890})
 	}
 	for i := range sizes {
-		sizes[i].Rate, sizes[i].ChangesADay, sizes[i].For = perHost, changesADay, c.span
+		sizes[i].Rate, sizes[i].ChangesPerDay, sizes[i].Duration = perHost, changesADay, c.span
 	}
 	return sizes
 }
@@ -84,8 +84,8 @@
 			calls += k
 		}
 		fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.0f\t%.0f\t%.2f\t%.3f\t%.3f\t%.3f\t%.0f\t%.2f\t%v\t%v\t%d\t%d\n",
-			r.Fleet, r.Config.Centres, r.Config.Accounts, r.MessagesEach, r.BytesEach, r.MostBytes, r.PollsEach,
-			100*r.Core, 100*r.Coding, 100*r.Traffic, r.StateKB, calls, r.InForceP50, r.InForceMax, r.Done, r.Refused)
+			r.Fleet, r.Config.Centres, r.Config.Accounts, r.MessagesPerHost, r.BytesPerHost, r.MaxBytes, r.PollsPerHost,
+			100*r.ControlCPU, 100*r.CodingCPU, 100*r.TrafficCPU, r.StateKB, calls, r.InForceP50, r.InForceMax, r.Done, r.Refused)
 	}
 	_ = w.Flush()
 	for _, r := range all {
@@ -99,7 +99,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "hosts\tshock\tsteady calls/s\tpeak calls/s\tpeak B/s of a host\trecovered after\trefused\tof")
 	for _, cfg := range c.sizes() {
-		for _, s := range slope.Shocks(cfg) {
+		for _, s := range slope.Disruptions(cfg) {
 			fmt.Fprintf(w, "%d\t%s\t%.2f\t%d\t%d\t%v\t%d\t%d\n",
 				s.Fleet, s.Name, s.SteadyCalls, s.PeakCalls, s.PeakBytes, s.Recovered, s.Refused, s.Requests)
 		}
--- a/internal/dev/cmds/soak.go
+++ b/internal/dev/cmds/soak.go
@@ -48,7 +48,7 @@
 	fs.Uint64Var(&c.cfg.Seed, "seed", 0, "first seed, 0 for a fresh one")
 	fs.IntVar(&c.seeds, "seeds", 1, "seeds to run, one after the other from the first on")
 	fs.IntVar(&c.parallel, "parallel", 1, "seeds that run at the same time")
-	fs.DurationVar(&c.cfg.For, "for", 20*time.Second, "how long faults begin")
+	fs.DurationVar(&c.cfg.Duration, "for", 20*time.Second, "how long faults begin")
 	fs.IntVar(&c.cfg.Hosts, "hosts", 2, "entry hosts of each of the two regions")
 	fs.IntVar(&c.cfg.Callers, "callers", 3, "callers in each region")
 	fs.BoolVar(&c.cfg.Planned, "planned", false, "overlapping series of planned work alone, beside long streams that pause")
@@ -116,7 +116,7 @@
 		return false
 	}
 	fmt.Print(rep)
-	if len(rep.Broken) > 0 {
+	if len(rep.Violations) > 0 {
 		fmt.Println("  logs    ", log.Name())
 		return false
 	}
--- a/internal/dev/drive/carry.go
+++ b/internal/dev/drive/carry.go
@@ -8,8 +8,8 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// carry turns an effect of one host into events.
-func (d *Driver) carry(h *Host, eff event.Effect) {
+// execute executes an effect of a host: it turns it into later events.
+func (d *Driver) execute(h *Host, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Wake:
 		d.wakeAt(h, e)
@@ -28,18 +28,18 @@
 	case event.Replay:
 		d.answer(h, e.Request, event.Done, e)
 	default:
-		d.carryPeer(h, eff)
+		d.executePeer(h, eff)
 	}
 }
 
 func (d *Driver) wakeAt(h *Host, e event.Wake) {
-	h.wake = e.At
-	d.order++
-	heap.Push(&d.queue, delivery{at: max(e.At, d.Now), order: d.order, to: h.ID, incarnation: h.Incarnation, ev: event.Tick{}, wake: true})
-	h.wake = max(e.At, d.Now)
+	h.nextTick = e.At
+	d.lastSeq++
+	heap.Push(&d.queue, delivery{at: max(e.At, d.Now), seq: d.lastSeq, to: h.ID, incarnation: h.Incarnation, ev: event.Tick{}, timer: true})
+	h.nextTick = max(e.At, d.Now)
 }
 
-func (d *Driver) carryPeer(h *Host, eff event.Effect) {
+func (d *Driver) executePeer(h *Host, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.SendDigest:
 		for _, to := range e.To {
@@ -62,11 +62,11 @@
 			d.message(h.Host, to.Host, e, event.BarAnswered{Attempt: e.Attempt, Answer: e.Answer})
 		}
 	default:
-		d.carryOutside(h, eff)
+		d.executeOutside(h, eff)
 	}
 }
 
-func (d *Driver) carryOutside(h *Host, eff event.Effect) {
+func (d *Driver) executeOutside(h *Host, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.PollLoad:
 		d.poll(h, e)
@@ -83,13 +83,12 @@
 	}
 }
 
-// receivedAs is the id under which a host runs a request that was passed to
-// it.
-func receivedAs(id ident.RequestID, a ident.Attempt) ident.RequestID {
+// forwardedID returns the id under which a host runs a request that was forwarded to it.
+func forwardedID(id ident.RequestID, a ident.Attempt) ident.RequestID {
 	return id + "~" + ident.RequestID(a.String())
 }
 
-// forward brings a request to another host and its end back.
+// forward delivers a request to another host and its result back.
 func (d *Driver) forward(h *Host, e event.Forward) {
 	a := e.Envelope.Attempt
 	d.Post(h.ID, 0, event.AttemptSent{Attempt: a})
@@ -97,21 +96,20 @@
 	if !ok {
 		return
 	}
-	req.ID = receivedAs(e.Request, a)
+	req.ID = forwardedID(e.Request, a)
 	req.Deadline = e.Deadline
 	req.Ticket, req.Key = "", ""
 	req.Envelope = value.Some(e.Envelope)
 	d.platform.requests[req.ID] = req
-	d.passed[req.ID] = passedOn{from: h.ID, incarnation: h.Incarnation, attempt: a}
+	d.forwarded[req.ID] = forwardedRequest{from: h.ID, incarnation: h.Incarnation, attempt: a}
 	broken := event.AttemptEnded{Attempt: a, Result: event.ResultBroken}
 	after, lost := d.Delay(h.Host, e.To)
-	late, early := d.Early()
-	after += late
+	extra, early := d.EarlyBreak()
+	after += extra
 	if lost || early {
-		d.Post(h.ID, brokenAfter, broken)
+		d.Post(h.ID, breakDelay, broken)
 	}
-	// A receiver that dies or freezes gives no answer; the sender stops
-	// waiting at the deadline.
+	// A host that dies or freezes does not answer; the sender stops waiting at the deadline.
 	d.Post(h.ID, max(e.Deadline.Sub(d.Now), 0), broken)
 	if lost {
 		return
@@ -122,10 +120,9 @@
 	d.postAs(e.To, after, event.RequestArrived{Request: req})
 }
 
-// answer takes a final answer: to a caller, or to the host that passed the
-// request on.
+// answer delivers a final answer to the caller, or to the host that forwarded the request.
 func (d *Driver) answer(h *Host, id ident.RequestID, outcome event.Outcome, eff event.Effect) {
-	p, ok := d.passed[id]
+	p, ok := d.forwarded[id]
 	if !ok {
 		d.Answers = append(d.Answers, Answer{At: d.Now, Host: h.ID, Request: id, Outcome: outcome, Effect: eff})
 		return
@@ -147,7 +144,7 @@
 	}
 	after, lost := d.Delay(h.Host, from.Host)
 	if lost {
-		after = brokenAfter
+		after = breakDelay
 		end = event.AttemptEnded{Attempt: p.attempt, Result: event.ResultBroken}
 	}
 	d.Post(p.from, after, end)
--- a/internal/dev/drive/drive.go
+++ b/internal/dev/drive/drive.go
@@ -1,6 +1,6 @@
-// Package drive steps several reducers in one process and passes the effects
-// of each to the others as events, in virtual time. Links can be slow, cut
-// one way or both, and lose messages; hosts can be frozen and restarted.
+// Package drive steps several reducers in one process, in virtual time, and
+// delivers the effects of each to the others as events. Links can be slow, cut in one
+// or both directions, and lose messages; hosts can be frozen and restarted.
 //
 // # Usage
 //
@@ -11,9 +11,9 @@
 //	d.Send("uvs-1", request)
 //	d.Run(5 * time.Second)
 //
-// It is no model of a network or of an engine: messages take a fixed time,
-// and a target runs each request for a fixed time. What it is for is to bring
-// events in every order before the decisions.
+// It models neither a network nor an engine: messages take a fixed time, and a
+// target runs each request for a fixed time. Its purpose is to present events to the
+// reducers in every order.
 package drive
 
 import (
@@ -25,7 +25,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Reducer is what is stepped for one host.
+// Reducer decides for one host: Step handles one event and returns its effects.
 type Reducer interface {
 	Step(now ident.Time, ev event.Event) []event.Effect
 }
@@ -33,75 +33,75 @@
 // Host is one entry host.
 type Host struct {
 	event.Host
-	red Reducer
-	// wake is the time of the Tick that is asked for.
-	wake ident.Time
-	// frozen is until when the host takes no event.
-	frozen ident.Time
-	// dead says that the host takes no event until it is restarted.
+	reducer Reducer
+	// nextTick is the time of the Tick that the reducer requested last.
+	nextTick ident.Time
+	// frozenUntil is the time until which the host handles no event.
+	frozenUntil ident.Time
+	// dead is set if the host handles no event until it is restarted.
 	dead bool
-	// Revision is the revision in force, Drained whether a drain has ended.
+	// Revision is the revision in force. Drained is set once a drain has ended.
 	Revision ident.Revision
 	Drained  bool
-	// Busy is the processor time of the steps for control: all events but those
-	// of requests, whose time is Traffic.
-	Busy    time.Duration
-	Traffic time.Duration
+	// ControlTime is the wall time spent in steps for control, TrafficTime that in steps for
+	// events of requests.
+	ControlTime time.Duration
+	TrafficTime time.Duration
 }
 
-// Answer is the answer to a caller.
+// Answer is a final answer to a caller.
 type Answer struct {
 	At      ident.Time
 	Host    ident.EntryID
 	Request ident.RequestID
 	Outcome event.Outcome
-	// Effect is the Refuse, Finish or Replay.
+	// Effect is a Refuse, Finish or Replay.
 	Effect event.Effect
 }
 
-// Driver is the whole.
+// Driver owns the simulated hosts, targets and platform, and their event queue.
 type Driver struct {
 	Now     ident.Time
 	Hosts   []*Host
 	Targets []*Target
 	Answers []Answer
 
-	// Delay gives the time that a message takes, and whether it is lost.
+	// Delay returns the latency of a message and whether it is lost.
 	Delay func(from, to event.Host) (time.Duration, bool)
-	// PlatformDown reports whether a host is cut off from the platform.
+	// PlatformDown reports whether the platform is unreachable for a host.
 	PlatformDown func(h event.Host) bool
 	// LoseClaim reports whether the reply to a claim is lost after the write.
 	LoseClaim func() bool
-	// Early reports whether the sender of a passed-on request sees its link
-	// break while the request still arrives, and how much later it arrives.
-	Early func() (time.Duration, bool)
-	// OnMessage, where set, sees each message between hosts, and OnCall each
-	// call to the platform by name.
+	// EarlyBreak reports whether the sender of a forwarded request sees its link break although
+	// the request still arrives, and how much later it arrives.
+	EarlyBreak func() (time.Duration, bool)
+	// OnMessage, if set, is called with each message between hosts, and OnCall with the name of
+	// each call to the platform.
 	OnMessage func(from, to event.Host, eff event.Effect)
 	OnCall    func(from event.Host, op string)
-	// OnPoll, where set, sees each load report that is asked for.
+	// OnPoll, if set, is called for each load report that a host requests.
 	OnPoll func(from event.Host)
-	// OnStep, where set, sees each step.
+	// OnStep, if set, is called after each step.
 	OnStep func(h *Host, ev event.Event, effs []event.Effect)
-	// NewReducer makes the reducer of a host.
+	// NewReducer returns the reducer of a host that starts.
 	NewReducer func(self event.Host) Reducer
 
-	byHost   map[ident.EntryID]*Host
-	byTarget map[ident.TargetID]*Target
-	queue    deliveries
-	order    uint64
-	platform platform
-	passed   map[ident.RequestID]passedOn
+	byHost    map[ident.EntryID]*Host
+	byTarget  map[ident.TargetID]*Target
+	queue     deliveries
+	lastSeq   uint64
+	platform  platform
+	forwarded map[ident.RequestID]forwardedRequest
 }
 
-// passedOn is a request that a host has passed to another.
-type passedOn struct {
+// forwardedRequest identifies the sender of a forwarded request.
+type forwardedRequest struct {
 	from        ident.EntryID
 	incarnation ident.Incarnation
 	attempt     ident.Attempt
 }
 
-// defaultDelay is the time that a message takes where nothing else is said.
+// defaultDelay is the latency of a message unless Delay is replaced.
 const defaultDelay = time.Millisecond
 
 // New returns a driver without hosts.
@@ -110,18 +110,18 @@
 		Delay:        func(_, _ event.Host) (time.Duration, bool) { return defaultDelay, false },
 		PlatformDown: func(event.Host) bool { return false },
 		LoseClaim:    func() bool { return false },
-		Early:        func() (time.Duration, bool) { return 0, false },
+		EarlyBreak:   func() (time.Duration, bool) { return 0, false },
 		NewReducer:   func(self event.Host) Reducer { return core.New(self) },
 		byHost:       make(map[ident.EntryID]*Host),
 		byTarget:     make(map[ident.TargetID]*Target),
 		platform:     newPlatform(),
-		passed:       make(map[ident.RequestID]passedOn),
+		forwarded:    make(map[ident.RequestID]forwardedRequest),
 	}
 }
 
-// AddHost starts a host.
+// AddHost starts a host and adds it to the list of the platform.
 func (d *Driver) AddHost(self event.Host) *Host {
-	h := &Host{Host: self, red: d.NewReducer(self)}
+	h := &Host{Host: self, reducer: d.NewReducer(self)}
 	d.Hosts = append(d.Hosts, h)
 	d.byHost[h.ID] = h
 	d.platform.hosts = append(d.platform.hosts, self)
@@ -130,10 +130,10 @@
 	return h
 }
 
-// Host returns a host by id.
+// Host returns the host with an id, or nil.
 func (d *Driver) Host(id ident.EntryID) *Host { return d.byHost[id] }
 
-// Connect makes links between all hosts, as the seeds of the settings do.
+// Connect establishes links between all hosts, as the seeds in their settings do.
 func (d *Driver) Connect() {
 	for _, a := range d.Hosts {
 		for _, b := range d.Hosts {
@@ -144,17 +144,17 @@
 	}
 }
 
-// Kill ends a host. What it knew is lost.
+// Kill stops a host. Its state is lost.
 func (d *Driver) Kill(id ident.EntryID) { d.Host(id).dead = true }
 
-// Restart starts a host anew with a higher incarnation.
+// Restart starts a host with empty state and a higher incarnation.
 func (d *Driver) Restart(id ident.EntryID) {
 	h := d.Host(id)
 	h.Incarnation++
-	h.red = d.NewReducer(h.Host)
+	h.reducer = d.NewReducer(h.Host)
 	h.dead = false
-	h.frozen = 0
-	h.wake = 0
+	h.frozenUntil = 0
+	h.nextTick = 0
 	h.Revision = 0
 	d.Post(id, 0, event.Tick{})
 	for _, o := range d.Hosts {
@@ -165,33 +165,32 @@
 	}
 }
 
-// Freeze stops a host for a time. It wakes to all that has come meanwhile.
+// Freeze stops a host for span. It then handles all events that arrived meanwhile.
 func (d *Driver) Freeze(id ident.EntryID, span time.Duration) {
-	d.Host(id).frozen = d.Now.Add(span)
+	d.Host(id).frozenUntil = d.Now.Add(span)
 }
 
-// Send brings a caller's request to a host.
+// Send delivers a caller's request to a host.
 func (d *Driver) Send(to ident.EntryID, req event.Request) {
 	d.Post(to, 0, event.RequestArrived{Request: req})
 }
 
-// Post brings an event to a host after a time.
+// Post delivers an event to the current incarnation of a host after a delay.
 func (d *Driver) Post(to ident.EntryID, after time.Duration, ev event.Event) {
-	d.order++
+	d.lastSeq++
 	heap.Push(&d.queue, delivery{
-		at: d.Now.Add(after), order: d.order, to: to, incarnation: d.Host(to).Incarnation, ev: ev,
+		at: d.Now.Add(after), seq: d.lastSeq, to: to, incarnation: d.Host(to).Incarnation, ev: ev,
 	})
 }
 
-// postAs is Post to one incarnation of a host.
+// postAs is Post that does nothing if the host is no longer of the given incarnation.
 func (d *Driver) postAs(to event.Host, after time.Duration, ev event.Event) {
 	if d.Host(to.ID).Incarnation == to.Incarnation {
 		d.Post(to.ID, after, ev)
 	}
 }
 
-// message brings an event from one host to another, as the link between them
-// allows.
+// message sends an event from one host to another, subject to Delay.
 func (d *Driver) message(from, to event.Host, eff event.Effect, ev event.Event) {
 	if d.Host(to.ID) == nil {
 		return
@@ -205,7 +204,7 @@
 	}
 }
 
-// Run lets a span of time go by.
+// Run advances the virtual time by span and delivers the events that fall due.
 func (d *Driver) Run(span time.Duration) {
 	end := d.Now.Add(span)
 	for len(d.queue) > 0 && d.queue[0].at <= end {
@@ -217,58 +216,59 @@
 }
 
 func (d *Driver) deliver(dl delivery) {
-	if dl.do != nil {
-		dl.do()
+	if dl.run != nil {
+		dl.run()
 		return
 	}
 	h := d.Host(dl.to)
 	if h.dead || h.Incarnation != dl.incarnation {
 		return
 	}
-	if h.frozen > d.Now {
-		dl.at = h.frozen
+	if h.frozenUntil > d.Now {
+		dl.at = h.frozenUntil
 		heap.Push(&d.queue, dl)
 		return
 	}
-	if _, ok := dl.ev.(event.Tick); ok && dl.wake && h.wake != dl.at {
+	if _, ok := dl.ev.(event.Tick); ok && dl.timer && h.nextTick != dl.at {
 		return
 	}
 	began := time.Now()
-	effs := h.red.Step(d.Now, dl.ev)
-	h.spent(dl.ev, time.Since(began))
+	effs := h.reducer.Step(d.Now, dl.ev)
+	h.addTime(dl.ev, time.Since(began))
 	if d.OnStep != nil {
 		d.OnStep(h, dl.ev, effs)
 	}
 	for _, eff := range effs {
-		d.carry(h, eff)
+		d.execute(h, eff)
 	}
 }
 
-// spent adds the time of a step to what it was for.
-func (h *Host) spent(ev event.Event, took time.Duration) {
+// addTime adds the duration of a step to the total of its kind.
+func (h *Host) addTime(ev event.Event, took time.Duration) {
 	switch ev.(type) {
 	case event.RequestArrived, event.AttemptSent, event.FirstToken, event.AttemptEnded, event.CallerLeft:
-		h.Traffic += took
+		h.TrafficTime += took
 	default:
-		h.Busy += took
+		h.ControlTime += took
 	}
 }
 
-// delivery is an event on its way.
+// delivery is a scheduled event.
 type delivery struct {
 	at          ident.Time
-	order       uint64
+	seq         uint64
 	to          ident.EntryID
 	incarnation ident.Incarnation
 	ev          event.Event
-	// wake says that a Tick was asked for and is void if another one has been
-	// asked for since.
-	wake bool
-	// do, where set, changes the outside instead.
-	do func()
+	// timer marks a Tick that the reducer requested. It is dropped if the reducer has requested
+	// another one since.
+	timer bool
+	// run, if set, is called instead of delivering an event. It changes the state of a target or
+	// of the platform.
+	run func()
 }
 
-// deliveries is a heap by time, then by order.
+// deliveries is a heap ordered by time, then by order of scheduling.
 type deliveries []delivery
 
 func (q deliveries) Len() int { return len(q) }
@@ -277,7 +277,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].seq < q[j].seq
 }
 
 func (q deliveries) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
--- a/internal/dev/drive/outside.go
+++ b/internal/dev/drive/outside.go
@@ -9,18 +9,18 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Times of the outside.
+// Durations of calls to targets and to the platform.
 const (
-	callTime    = 2 * time.Millisecond
-	downAfter   = time.Second
-	brokenAfter = 500 * time.Millisecond
-	idleAfter   = 20 * time.Second
+	callDelay    = 2 * time.Millisecond
+	failureDelay = time.Second
+	breakDelay   = 500 * time.Millisecond
+	watchTimeout = 20 * time.Second
 )
 
 // TargetConfig describes a target.
 type TargetConfig struct {
 	Slots int
-	// Work is how long a request runs.
+	// Work is the running time of each request.
 	Work   time.Duration
 	Serves []rules.Serve
 }
@@ -32,14 +32,14 @@
 	Running int
 	Queued  int
 	seq     uint64
-	// Draining makes it refuse new requests; Dead gives no answer.
+	// Draining makes the target refuse new requests. A Dead target does not answer.
 	Draining bool
 	Dead     bool
-	// Runs counts the runs of each request of a caller, Last is when the last
-	// new one came.
-	Runs map[ident.RequestID]int
-	Last ident.Time
-	// Break, where set, reports whether the link breaks after the run.
+	// Runs counts the runs by the id that the caller gave the request. LastArrival is when the
+	// last request was sent to the target.
+	Runs        map[ident.RequestID]int
+	LastArrival ident.Time
+	// Break, if set, reports whether the link breaks after the run.
 	Break func() bool
 }
 
@@ -52,11 +52,11 @@
 	return tg
 }
 
-// Target returns a target by id.
+// Target returns the target with an id, or nil.
 func (d *Driver) Target(id ident.TargetID) *Target { return d.byTarget[id] }
 
-// origin is the caller's id of a request that may have been passed on.
-func origin(id ident.RequestID) ident.RequestID {
+// originalID returns the caller's id of a request, which may have been forwarded.
+func originalID(id ident.RequestID) ident.RequestID {
 	for i := range id {
 		if id[i] == '~' {
 			return id[:i]
@@ -68,30 +68,30 @@
 func (d *Driver) dispatch(h *Host, e event.Dispatch) {
 	t := d.Target(e.Target.ID)
 	if t == nil || t.Dead {
-		d.Post(h.ID, callTime, event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultNotRun})
+		d.Post(h.ID, callDelay, event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultNotRun})
 		return
 	}
 	d.Post(h.ID, 0, event.AttemptSent{Attempt: e.Attempt})
-	t.Last = d.Now
+	t.LastArrival = d.Now
 	if t.Draining {
-		d.Post(h.ID, callTime, event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultNotRun, Draining: true})
+		d.Post(h.ID, callDelay, event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultNotRun, Draining: true})
 		return
 	}
-	t.Runs[origin(e.Request)]++
+	t.Runs[originalID(e.Request)]++
 	t.Running++
 	wait := time.Duration(max(t.Running-t.Slots, 0)/max(t.Slots, 1)) * t.Work
 	end := event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultDone, Generated: 1, OutcomeStored: e.KeepOutcome}
 	if t.Break != nil && t.Break() {
 		end = event.AttemptEnded{Attempt: e.Attempt, Result: event.ResultBroken}
 	}
-	d.later(t.Work+wait, func() { t.Running-- })
-	d.Post(h.ID, t.Work+wait+callTime, end)
+	d.schedule(t.Work+wait, func() { t.Running-- })
+	d.Post(h.ID, t.Work+wait+callDelay, end)
 }
 
-// later changes the outside after a time.
-func (d *Driver) later(after time.Duration, do func()) {
-	d.order++
-	heap.Push(&d.queue, delivery{at: d.Now.Add(after), order: d.order, do: do})
+// schedule calls run after a delay.
+func (d *Driver) schedule(after time.Duration, run func()) {
+	d.lastSeq++
+	heap.Push(&d.queue, delivery{at: d.Now.Add(after), seq: d.lastSeq, run: run})
 }
 
 func (d *Driver) poll(h *Host, e event.PollLoad) {
@@ -100,7 +100,7 @@
 	}
 	t := d.Target(e.Target.ID)
 	if t == nil || t.Dead {
-		d.Post(h.ID, downAfter, event.LoadFailed{Target: e.Target.ID, Incarnation: e.Target.Incarnation})
+		d.Post(h.ID, failureDelay, event.LoadFailed{Target: e.Target.ID, Incarnation: e.Target.Incarnation})
 		return
 	}
 	t.seq++
@@ -109,10 +109,10 @@
 		Running: min(t.Running, t.Slots), Queued: max(t.Running-t.Slots, 0),
 		PrefillRate: 20000, DecodeRate: 100, Serves: t.Serves, Draining: t.Draining,
 	}
-	d.Post(h.ID, callTime, event.LoadReported{Load: ld})
+	d.Post(h.ID, callDelay, event.LoadReported{Load: ld})
 }
 
-// platform is the platform's service.
+// platform is a fake of the platform's service.
 type platform struct {
 	changes      []rules.Change
 	book         *rules.Book
@@ -131,10 +131,10 @@
 	}
 }
 
-// Know makes a request known, so that it can be passed on between hosts.
-func (d *Driver) Know(req event.Request) { d.platform.requests[req.ID] = req }
+// RegisterRequest records a request, so that hosts can forward it.
+func (d *Driver) RegisterRequest(req event.Request) { d.platform.requests[req.ID] = req }
 
-// Change appends a change to the log of the store.
+// Change appends a change to the log of the store and returns its revision.
 func (d *Driver) Change(items ...rules.Item) ident.Revision {
 	c := rules.Change{Revision: ident.Revision(len(d.platform.changes) + 1), Items: items}
 	d.platform.changes = append(d.platform.changes, c)
@@ -147,13 +147,13 @@
 		after, ok := d.platform.watchers[h.ID]
 		if ok && after < c.Revision && !d.PlatformDown(h.Host) {
 			delete(d.platform.watchers, h.ID)
-			d.Post(h.ID, callTime, event.ChangesReceived{Changes: []rules.Change{c}})
+			d.Post(h.ID, callDelay, event.ChangesReceived{Changes: []rules.Change{c}})
 		}
 	}
 	return c.Revision
 }
 
-func (d *Driver) called(h *Host, op string) bool {
+func (d *Driver) platformReachable(h *Host, op string) bool {
 	if d.OnCall != nil {
 		d.OnCall(h.Host, op)
 	}
@@ -161,20 +161,20 @@
 }
 
 func (d *Driver) watch(h *Host, e event.WatchChange) {
-	if !d.called(h, "watch") {
-		d.Post(h.ID, downAfter, event.PlatformFailed{Op: event.OpWatchChange})
+	if !d.platformReachable(h, "watch") {
+		d.Post(h.ID, failureDelay, event.PlatformFailed{Op: event.OpWatchChange})
 		return
 	}
 	if int(e.After) < len(d.platform.changes) {
-		d.Post(h.ID, callTime, event.ChangesReceived{Changes: d.platform.changes[e.After : e.After+1]})
+		d.Post(h.ID, callDelay, event.ChangesReceived{Changes: d.platform.changes[e.After : e.After+1]})
 		return
 	}
 	d.platform.watchers[h.ID] = e.After
 	inc := h.Incarnation
-	d.later(idleAfter, func() {
+	d.schedule(watchTimeout, func() {
 		if after, ok := d.platform.watchers[h.ID]; ok && after == e.After && h.Incarnation == inc {
 			delete(d.platform.watchers, h.ID)
-			d.Post(h.ID, callTime, event.WatchIdle(e))
+			d.Post(h.ID, callDelay, event.WatchIdle(e))
 		}
 	})
 }
@@ -182,32 +182,32 @@
 func (d *Driver) stopWatch(h *Host) { delete(d.platform.watchers, h.ID) }
 
 func (d *Driver) readSnapshot(h *Host) {
-	if !d.called(h, "snapshot") {
-		d.Post(h.ID, downAfter, event.PlatformFailed{Op: event.OpReadSnapshot})
+	if !d.platformReachable(h, "snapshot") {
+		d.Post(h.ID, failureDelay, event.PlatformFailed{Op: event.OpReadSnapshot})
 		return
 	}
 	book := d.platform.book
 	if book == nil {
 		book = &rules.Book{}
 	}
-	d.Post(h.ID, callTime, event.SnapshotReceived{Book: book})
+	d.Post(h.ID, callDelay, event.SnapshotReceived{Book: book})
 }
 
 func (d *Driver) readHosts(h *Host) {
-	if !d.called(h, "hosts") {
-		d.Post(h.ID, downAfter, event.PlatformFailed{Op: event.OpReadHosts})
+	if !d.platformReachable(h, "hosts") {
+		d.Post(h.ID, failureDelay, event.PlatformFailed{Op: event.OpReadHosts})
 		return
 	}
 	ev := event.HostsRead{Version: d.platform.hostsVersion, Hosts: d.platform.hosts}
 	for _, t := range d.Targets {
 		ev.Targets = append(ev.Targets, t.Target)
 	}
-	d.Post(h.ID, callTime, ev)
+	d.Post(h.ID, callDelay, ev)
 }
 
 func (d *Driver) claim(h *Host, e event.ClaimKey) {
-	if !d.called(h, "claim") {
-		d.Post(h.ID, downAfter, event.KeyClaimed{Request: e.Request, Claim: event.ClaimFailed})
+	if !d.platformReachable(h, "claim") {
+		d.Post(h.ID, failureDelay, event.KeyClaimed{Request: e.Request, Claim: event.ClaimFailed})
 		return
 	}
 	rec, taken := d.platform.keys[e.Key]
@@ -215,12 +215,12 @@
 		d.platform.keys[e.Key] = e.Record
 	}
 	if d.LoseClaim() {
-		d.Post(h.ID, downAfter, event.KeyClaimed{Request: e.Request, Claim: event.ClaimFailed})
+		d.Post(h.ID, failureDelay, event.KeyClaimed{Request: e.Request, Claim: event.ClaimFailed})
 		return
 	}
 	if taken {
-		d.Post(h.ID, callTime, event.KeyClaimed{Request: e.Request, Claim: event.ClaimTaken, Owner: rec})
+		d.Post(h.ID, callDelay, event.KeyClaimed{Request: e.Request, Claim: event.ClaimTaken, Owner: rec})
 		return
 	}
-	d.Post(h.ID, callTime, event.KeyClaimed{Request: e.Request, Claim: event.ClaimWon, Owner: e.Record})
+	d.Post(h.ID, callDelay, event.KeyClaimed{Request: e.Request, Claim: event.ClaimWon, Owner: e.Record})
 }
--- a/internal/dev/load/load.go
+++ b/internal/dev/load/load.go
@@ -2,16 +2,15 @@
 //
 // # Usage
 //
-//	res := load.Run(ctx, load.Config{Entries: []string{url}, Key: "k", Profile: "draft", Rate: 100, For: 10 * time.Second})
+//	res := load.Run(ctx, load.Config{Entries: []string{url}, Key: "k", Profile: "draft", Rate: 100, Duration: 10 * time.Second})
 //	fmt.Println(res.FirstToken.P99Ms)
 //
 // Requests start at times drawn beforehand, whether or not earlier ones have
-// ended, and every latency counts from the time drawn. A load that waited for
-// answers would slow down with the system and hide the very tail that it is
-// meant to show.
+// ended, and every latency is measured from the time drawn. A closed-loop load would
+// slow down with the system and hide the tail that it is meant to show.
 //
-// The answer of the engine stand-in depends on the prompt alone, so that each
-// answer is checked to be whole and to be the one asked for.
+// The answer of the fake engine depends on the prompt alone, so each answer is
+// checked to be complete and to belong to its prompt.
 package load
 
 import (
@@ -27,23 +26,23 @@
 
 // Config describes a load.
 type Config struct {
-	// Entries are the base URLs of entry hosts. With Follow, they are only
-	// asked which hosts to use.
-	Entries []string
-	Follow  bool
-	Key     string
-	Profile ident.Profile
-	// Rate is requests a second; For is how long it lasts.
-	Rate float64
-	For  time.Duration
-	// Tokens is the length of an answer, Prompt that of a prompt in bytes.
-	Tokens int
-	Prompt int
-	// Prefixes is the number of different prefixes that prompts share;
-	// zero makes every prompt new.
+	// Entries are the base URLs of entry hosts. With FollowEntries, they are only asked which
+	// hosts to use.
+	Entries       []string
+	FollowEntries bool
+	Key           string
+	Profile       ident.Profile
+	// Rate is in requests per second, Duration is the length of the load.
+	Rate     float64
+	Duration time.Duration
+	// AnswerTokens is the length of an answer in tokens, PromptBytes that of a prompt in bytes.
+	AnswerTokens int
+	PromptBytes  int
+	// Prefixes is the number of distinct prefixes that prompts share. Zero makes every prompt
+	// unique.
 	Prefixes int
-	// Salt distinguishes the prefixes of one load from those of another, so that
-	// neither finds in a cache what the other left there.
+	// Salt distinguishes the prefixes of one load from those of another, so that no load finds
+	// prompts of another in a cache.
 	Salt     string
 	Stream   bool
 	Deadline time.Duration
@@ -52,11 +51,11 @@
 	Retry bool
 }
 
-// maxInFlight bounds the requests that run at once, so that a load that is
-// too high ends as an error and not as a machine out of memory.
+// maxInFlight limits the concurrent requests, so that an excessive load is reported as dropped
+// requests instead of exhausting the memory of the machine.
 const maxInFlight = 20000
 
-// Runner is a load that runs.
+// Runner runs one load.
 type Runner struct {
 	cfg    Config
 	http   *http.Client
@@ -68,7 +67,7 @@
 	wg     sync.WaitGroup
 }
 
-// Run sends loads at the same time and returns what came of all of them.
+// Run runs loads concurrently and returns their combined result.
 func Run(ctx context.Context, cfgs ...Config) Result {
 	svc := clock.New()
 	defer svc.Stop()
@@ -89,15 +88,15 @@
 
 func (rn *Runner) run() {
 	defer rn.loads.Done()
-	rn.fire(rn.ctx)
+	rn.startRequests(rn.ctx)
 	rn.wg.Wait()
 }
 
-// fire starts the requests at their times.
-func (rn *Runner) fire(ctx context.Context) {
+// startRequests starts each request at its drawn time.
+func (rn *Runner) startRequests(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(rn.cfg.Seed, 1))
 	at := rn.clock.Now()
-	end := at.Add(rn.cfg.For)
+	end := at.Add(rn.cfg.Duration)
 	sub := rn.clock.At(at)
 	defer sub.Close()
 	slots := make(chan struct{}, maxInFlight)
@@ -113,10 +112,10 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			rn.tally.dropped()
+			rn.tally.addDropped()
 			continue
 		}
-		s := &shot{Runner: rn, ctx: ctx, n: n, due: at, slots: slots, prefix: rnd.IntN(max(rn.cfg.Prefixes, 1))}
+		s := &request{Runner: rn, ctx: ctx, n: n, due: at, slots: slots, prefixIndex: rnd.IntN(max(rn.cfg.Prefixes, 1))}
 		rn.wg.Add(1)
 		go s.run()
 	}
--- a/internal/dev/load/pick.go
+++ b/internal/dev/load/pick.go
@@ -12,54 +12,55 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// picker chooses the entry host of a request: in turn, or as the system says.
+// picker chooses the entry host of a request: round robin over the configured ones, or with
+// FollowEntries the first of the list that the system returns.
 type picker struct {
 	cfg   Config
 	http  *http.Client
 	clock *clock.Service
 
-	mu    sync.Mutex
-	use   []string
-	until ident.Time
+	mu      sync.Mutex
+	entries []string
+	expires ident.Time
 }
 
-// entryList is the answer of the system to which hosts to use.
+// entryList is the list of hosts to use, as an entry host returns it.
 type entryList struct {
-	Entries    []string `json:"entries"`
-	ValidForMs int64    `json:"validForMs"`
+	Entries []string `json:"entries"`
+	TTLMs   int64    `json:"validForMs"`
 }
 
-// pick returns a base URL for the n-th request.
+// pick returns the base URL of the host for the n-th request.
 func (p *picker) pick(ctx context.Context, n int) string {
-	if !p.cfg.Follow {
+	if !p.cfg.FollowEntries {
 		return p.cfg.Entries[n%len(p.cfg.Entries)]
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.use) == 0 || p.clock.Now() >= p.until {
-		p.ask(ctx, n)
+	if len(p.entries) == 0 || p.clock.Now() >= p.expires {
+		p.refresh(ctx, n)
 	}
-	if len(p.use) == 0 {
+	if len(p.entries) == 0 {
 		return p.cfg.Entries[n%len(p.cfg.Entries)]
 	}
-	return p.use[0]
+	return p.entries[0]
 }
 
-// ask asks the entry hosts in turn until one answers.
-func (p *picker) ask(ctx context.Context, n int) {
+// refresh asks the entry hosts in turn for the list until one answers.
+func (p *picker) refresh(ctx context.Context, n int) {
 	for i := range p.cfg.Entries {
 		base := p.cfg.Entries[(n+i)%len(p.cfg.Entries)]
-		list, ok := p.askOne(ctx, base)
+		list, ok := p.fetchEntries(ctx, base)
 		if ok && len(list.Entries) > 0 {
-			p.use = list.Entries
-			p.until = p.clock.Now().Add(time.Duration(list.ValidForMs) * time.Millisecond)
+			p.entries = list.Entries
+			p.expires = p.clock.Now().Add(time.Duration(list.TTLMs) * time.Millisecond)
 			return
 		}
 	}
-	p.use = nil
+	p.entries = nil
 }
 
-func (p *picker) askOne(ctx context.Context, base string) (entryList, bool) {
+func (p *picker) fetchEntries(ctx context.Context, base string) (entryList, bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/entries?profile="+url.QueryEscape(string(p.cfg.Profile)), nil)
 	if err != nil {
 		return entryList{}, false
@@ -77,20 +78,21 @@
 	return list, true
 }
 
-// failed forgets a host that could not be reached.
-func (p *picker) failed(base string) {
+// markUnreachable removes a host that could not be reached from the list.
+func (p *picker) markUnreachable(base string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.use) > 0 && p.use[0] == base {
-		p.use = p.use[1:]
+	if len(p.entries) > 0 && p.entries[0] == base {
+		p.entries = p.entries[1:]
 	}
 }
 
-// moved takes the hosts that a refusal names in place of the one that refused.
-func (p *picker) moved(base string, to []string) {
+// redirect replaces the list by the hosts that a refusal names, unless the list no longer begins
+// with the host that refused.
+func (p *picker) redirect(base string, to []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.use) == 0 || p.use[0] == base {
-		p.use = to
+	if len(p.entries) == 0 || p.entries[0] == base {
+		p.entries = to
 	}
 }
--- a/internal/dev/load/plot.go
+++ b/internal/dev/load/plot.go
@@ -10,17 +10,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// least is the least time that is drawn, in milliseconds.
-const least = 0.001
+// minPlotMs is the smallest time in a plot, in milliseconds: a logarithmic axis has no zero.
+const minPlotMs = 0.001
 
-// Size of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot writes the quantiles of the time to the first token of several results
-// as a PNG or SVG, by the ending of the file.
+// Plot writes the quantiles of the time to the first token of several results as a PNG or SVG,
+// depending on the extension of the file.
 func Plot(file string, results map[string]Result) error {
 	p := plot.New()
 	p.Title.Text = "time to first token"
@@ -41,10 +40,10 @@
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return errors.Wrap(err, "load: plot")
 	}
-	// A scale of logarithms ends in a panic where its range reaches zero, as it
-	// does around equal values: those of a load that got no answer.
-	p.Y.Min = max(p.Y.Min/2, least)
-	p.Y.Max = max(p.Y.Max*2, 10*least)
+	// A logarithmic axis panics if its range reaches zero, as it does around equal values: those
+	// of a load without any answer.
+	p.Y.Min = max(p.Y.Min/2, minPlotMs)
+	p.Y.Max = max(p.Y.Max*2, 10*minPlotMs)
 	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "load: plot")
 }
 
@@ -52,7 +51,7 @@
 	ys := []float64{q.P50Ms, q.P95Ms, q.P99Ms, q.P999Ms}
 	xys := make(plotter.XYs, len(ys))
 	for i, y := range ys {
-		xys[i] = plotter.XY{X: float64(i), Y: max(y, least)}
+		xys[i] = plotter.XY{X: float64(i), Y: max(y, minPlotMs)}
 	}
 	return xys
 }
--- a/internal/dev/load/plot_test.go
+++ b/internal/dev/load/plot_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A load whose requests all failed, or took the same time, ends the program while it plots.
+// Guards against a panic while plotting: the range of the logarithmic axis reaches zero if all
+// requests failed or took the same time.
 func TestPlotOfAnyResult(t *testing.T) {
 	for name, q := range map[string]Quantiles{
 		"nothing": {}, "equal": {5, 5, 5, 5, 5}, "usual": {1, 20, 300, 4000, 5000},
--- a/internal/dev/load/result.go
+++ b/internal/dev/load/result.go
@@ -7,21 +7,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is what came of one request.
+// outcome is the result of one attempt of a request.
 type outcome struct {
-	// kind is done, refused, cut, wrong or error; code says more.
-	kind  string
-	code  string
-	first time.Duration
-	total time.Duration
-	gaps  []time.Duration
-	later time.Duration
-	// moved says that a refusal named other hosts, which is followed.
-	moved  bool
-	inTime bool
+	// kind is done, refused, cut, wrong or error. code is the code of a refusal or the cause of
+	// an error.
+	kind       string
+	code       string
+	firstToken time.Duration
+	total      time.Duration
+	gaps       []time.Duration
+	retryAfter time.Duration
+	// redirected is set if the refusal named other hosts and the request follows them.
+	redirected bool
+	inTime     bool
 }
 
-// Quantiles are the quantiles of a latency in milliseconds.
+// Quantiles are percentiles of a latency in milliseconds.
 type Quantiles struct {
 	P50Ms  float64 `json:"p50Ms"`
 	P95Ms  float64 `json:"p95Ms"`
@@ -30,68 +31,69 @@
 	MaxMs  float64 `json:"maxMs"`
 }
 
-// Result is what came of a load.
+// Result is the result of a load.
 type Result struct {
-	// Requests counts all; Done those answered whole and rightly, InTime those
-	// of them within the deadline.
+	// Requests counts all requests, Done those with a complete and correct answer, InTime those
+	// of them answered within the deadline.
 	Requests int `json:"requests"`
 	Done     int `json:"done"`
 	InTime   int `json:"inTime"`
-	// Wrong counts whole answers with another text, Cut those that broke off.
+	// Wrong counts complete answers with a wrong text, Cut those that ended early.
 	Wrong   int            `json:"wrong"`
 	Cut     int            `json:"cut"`
 	Errors  int            `json:"errors"`
 	Dropped int            `json:"dropped"`
 	Refused map[string]int `json:"refused"`
-	// Retries counts the requests sent again after Retry-After.
+	// Retries counts the requests that were sent again after Retry-After or to the hosts that a
+	// refusal named.
 	Retries    int       `json:"retries"`
 	FirstToken Quantiles `json:"firstToken"`
 	Total      Quantiles `json:"total"`
-	Between    Quantiles `json:"between"`
-	// RefusedIn is how long a refusal took.
-	RefusedIn Quantiles `json:"refusedIn"`
-	// Goodput is answers in time a second.
+	TokenGap   Quantiles `json:"between"`
+	// RefusalTime is the time from the due time of a request to its refusal.
+	RefusalTime Quantiles `json:"refusedIn"`
+	// Goodput is in-time answers per second.
 	Goodput float64 `json:"goodput"`
 	Seconds float64 `json:"seconds"`
 }
 
-// tally adds outcomes up.
+// tally accumulates outcomes.
 type tally struct {
-	mu                            sync.Mutex
-	res                           Result
-	first, total, between, refuse *hdrhistogram.Histogram
+	mu                                       sync.Mutex
+	res                                      Result
+	firstToken, total, tokenGap, refusalTime *hdrhistogram.Histogram
 }
 
-// Range and precision of the histograms, in microseconds.
+// Range in microseconds, and precision, of the histograms.
 const (
-	lowest    = 1
-	highest   = int64(10 * time.Minute / time.Microsecond)
-	precision = 3
+	minMicros          = 1
+	maxMicros          = int64(10 * time.Minute / time.Microsecond)
+	significantFigures = 3
 )
 
 func newTally() *tally {
-	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, precision) }
+	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, significantFigures) }
 	return &tally{
-		res: Result{Refused: make(map[string]int)}, first: hist(), total: hist(), between: hist(), refuse: hist(),
+		res: Result{Refused: make(map[string]int)}, firstToken: hist(), total: hist(), tokenGap: hist(), refusalTime: hist(),
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(min(d.Microseconds(), highest), lowest))
+	_ = h.RecordValue(max(min(d.Microseconds(), maxMicros), minMicros))
 }
 
-func (t *tally) dropped() {
+func (t *tally) addDropped() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.res.Requests++
 	t.res.Dropped++
 }
 
-func (t *tally) again(o outcome) {
+func (t *tally) addRetry(o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.res.Retries++
-	record(t.refuse, o.total)
+	record(t.refusalTime, o.total)
 }
 
 func (t *tally) add(o outcome) {
@@ -104,14 +106,14 @@
 		if o.inTime {
 			t.res.InTime++
 		}
-		record(t.first, o.first)
+		record(t.firstToken, o.firstToken)
 		record(t.total, o.total)
 		for _, g := range o.gaps {
-			record(t.between, g)
+			record(t.tokenGap, g)
 		}
 	case "refused":
 		t.res.Refused[o.code]++
-		record(t.refuse, o.total)
+		record(t.refusalTime, o.total)
 	case "wrong":
 		t.res.Wrong++
 	case "cut":
@@ -125,10 +127,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	res := t.res
-	res.FirstToken = quantiles(t.first)
+	res.FirstToken = quantiles(t.firstToken)
 	res.Total = quantiles(t.total)
-	res.Between = quantiles(t.between)
-	res.RefusedIn = quantiles(t.refuse)
+	res.TokenGap = quantiles(t.tokenGap)
+	res.RefusalTime = quantiles(t.refusalTime)
 	res.Seconds = took.Seconds()
 	res.Goodput = float64(res.InTime) / took.Seconds()
 	return res
--- a/internal/dev/load/shot.go
+++ b/internal/dev/load/shot.go
@@ -16,27 +16,27 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// shot is one request.
-type shot struct {
+// request is one request of a load.
+type request struct {
 	*Runner
-	ctx    context.Context
-	n      int
-	prefix int
-	due    ident.Time
-	slots  chan struct{}
-
-	// moves counts how often the request was sent to other hosts.
-	moves  int
-	prompt []byte
-	first  ident.Time
-	last   ident.Time
-	gaps   []time.Duration
+	ctx         context.Context
+	n           int
+	prefixIndex int
+	due         ident.Time
+	slots       chan struct{}
+
+	// redirects counts how often the request followed a refusal to other hosts.
+	redirects int
+	prompt    []byte
+	first     ident.Time
+	last      ident.Time
+	gaps      []time.Duration
 }
 
-// maxMoves bounds how often a request follows the addresses of refusals.
-const maxMoves = 4
+// maxRedirects limits how often a request follows the hosts that refusals name.
+const maxRedirects = 4
 
-// chat is the body of a request.
+// chat is the JSON body of a request.
 type chat struct {
 	Model     ident.Profile `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -49,7 +49,7 @@
 	Content string `json:"content"`
 }
 
-func (s *shot) run() {
+func (s *request) run() {
 	defer s.wg.Done()
 	defer func() { <-s.slots }()
 	body := s.body()
@@ -60,51 +60,52 @@
 		defer cancel()
 	}
 	for {
-		out := s.try(ctx, body)
-		if out.moved && s.moves < maxMoves {
-			s.moves++
-			s.tally.again(out)
+		out := s.attempt(ctx, body)
+		if out.redirected && s.redirects < maxRedirects {
+			s.redirects++
+			s.tally.addRetry(out)
 			continue
 		}
-		if !s.cfg.Retry || out.later == 0 || s.left() < out.later {
+		if !s.cfg.Retry || out.retryAfter == 0 || s.remaining() < out.retryAfter {
 			s.tally.add(out)
 			return
 		}
-		s.tally.again(out)
-		sub := s.clock.At(s.clock.Now().Add(out.later))
+		s.tally.addRetry(out)
+		sub := s.clock.At(s.clock.Now().Add(out.retryAfter))
 		<-sub.C()
 	}
 }
 
-func (s *shot) left() time.Duration {
+func (s *request) remaining() time.Duration {
 	if s.cfg.Deadline == 0 {
 		return time.Minute
 	}
 	return s.due.Add(s.cfg.Deadline).Sub(s.clock.Now())
 }
 
-// body makes the prompt: a shared prefix and an end of its own.
-func (s *shot) body() []byte {
+// body returns the JSON body. The prompt is a shared prefix, three quarters of its length,
+// followed by a unique part. Without Prefixes the first part is unique as well.
+func (s *request) body() []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "family %d%s ", s.prefix, s.cfg.Salt)
+	fmt.Fprintf(&b, "family %d%s ", s.prefixIndex, s.cfg.Salt)
 	if s.cfg.Prefixes == 0 {
 		fmt.Fprintf(&b, "alone %d.%d ", s.cfg.Seed, s.n)
 	}
-	for b.Len() < s.cfg.Prompt*3/4 {
-		fmt.Fprintf(&b, "memory %d of %d ", b.Len(), s.prefix)
+	for b.Len() < s.cfg.PromptBytes*3/4 {
+		fmt.Fprintf(&b, "memory %d of %d ", b.Len(), s.prefixIndex)
 	}
 	fmt.Fprintf(&b, "request %d.%d ", s.cfg.Seed, s.n)
-	for b.Len() < s.cfg.Prompt {
+	for b.Len() < s.cfg.PromptBytes {
 		b.WriteString("more ")
 	}
 	msgs := []message{{Role: "user", Content: b.String()}}
 	s.prompt, _ = json.Marshal(msgs)
-	body, _ := json.Marshal(chat{Model: s.cfg.Profile, Stream: s.cfg.Stream, MaxTokens: s.cfg.Tokens, Messages: msgs})
+	body, _ := json.Marshal(chat{Model: s.cfg.Profile, Stream: s.cfg.Stream, MaxTokens: s.cfg.AnswerTokens, Messages: msgs})
 	return body
 }
 
-// try sends the request once.
-func (s *shot) try(ctx context.Context, body []byte) outcome {
+// attempt sends the request once and reads the answer.
+func (s *request) attempt(ctx context.Context, body []byte) outcome {
 	entry := s.picker.pick(ctx, s.n)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, entry+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -113,24 +114,24 @@
 	req.Header.Set("Authorization", "Bearer "+s.cfg.Key)
 	req.Header.Set("Content-Type", "application/json")
 	if s.cfg.Deadline > 0 {
-		req.Header.Set("Verbenadale-Deadline-Ms", strconv.FormatInt(max(s.left().Milliseconds(), 1), 10))
+		req.Header.Set("Verbenadale-Deadline-Ms", strconv.FormatInt(max(s.remaining().Milliseconds(), 1), 10))
 	}
 	res, err := s.http.Do(req)
 	if err != nil {
-		s.picker.failed(entry)
+		s.picker.markUnreachable(entry)
 		return outcome{kind: "error", code: "transport"}
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return s.refused(entry, res)
+		return s.readRefusal(entry, res)
 	}
 	if s.cfg.Stream {
-		return s.stream(res.Body)
+		return s.readStream(res.Body)
 	}
-	return s.whole(res.Body)
+	return s.readAnswer(res.Body)
 }
 
-// refusal is what is read of a refusal.
+// refusal is the part of the body of a refusal that is used.
 type refusal struct {
 	Error struct {
 		Code         string   `json:"code"`
@@ -139,21 +140,21 @@
 	} `json:"error"`
 }
 
-func (s *shot) refused(entry string, res *http.Response) outcome {
+func (s *request) readRefusal(entry string, res *http.Response) outcome {
 	var ref refusal
 	_ = json.NewDecoder(res.Body).Decode(&ref)
-	moved := s.cfg.Follow && len(ref.Error.Entries) > 0
+	moved := s.cfg.FollowEntries && len(ref.Error.Entries) > 0
 	if moved {
-		s.picker.moved(entry, ref.Error.Entries)
+		s.picker.redirect(entry, ref.Error.Entries)
 	}
 	return outcome{
-		moved: moved,
-		kind:  "refused", code: ref.Error.Code, total: s.clock.Now().Sub(s.due),
-		later: time.Duration(ref.Error.RetryAfterMs) * time.Millisecond,
+		redirected: moved,
+		kind:       "refused", code: ref.Error.Code, total: s.clock.Now().Sub(s.due),
+		retryAfter: time.Duration(ref.Error.RetryAfterMs) * time.Millisecond,
 	}
 }
 
-// answerPart is what is read of an event or of a whole answer.
+// answerPart is the part of a stream event or of a complete answer that is used.
 type answerPart struct {
 	Choices []struct {
 		Delta   message `json:"delta"`
@@ -162,7 +163,7 @@
 	Error json.RawMessage `json:"error"`
 }
 
-func (s *shot) stream(body io.Reader) outcome {
+func (s *request) readStream(body io.Reader) outcome {
 	sc := bufio.NewScanner(body)
 	text := strings.Builder{}
 	for sc.Scan() {
@@ -171,19 +172,19 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return s.judge(text.String())
+			return s.checkAnswer(text.String())
 		}
 		var part answerPart
 		if json.Unmarshal([]byte(data), &part) != nil || len(part.Error) > 0 || len(part.Choices) == 0 {
 			return s.failed("cut")
 		}
 		text.WriteString(part.Choices[0].Delta.Content)
-		s.token()
+		s.recordToken()
 	}
 	return s.failed("cut")
 }
 
-func (s *shot) token() {
+func (s *request) recordToken() {
 	now := s.clock.Now()
 	if s.first == 0 {
 		s.first = now
@@ -193,27 +194,27 @@
 	s.last = now
 }
 
-func (s *shot) whole(body io.Reader) outcome {
+func (s *request) readAnswer(body io.Reader) outcome {
 	var part answerPart
 	if json.NewDecoder(body).Decode(&part) != nil || len(part.Choices) == 0 {
 		return s.failed("cut")
 	}
-	s.token()
-	return s.judge(part.Choices[0].Message.Content)
+	s.recordToken()
+	return s.checkAnswer(part.Choices[0].Message.Content)
 }
 
-// judge holds the text against the one that belongs to the prompt.
-func (s *shot) judge(text string) outcome {
-	if text != engine.Text(s.prompt, s.cfg.Tokens) {
+// checkAnswer compares the text with the one that the engine generates for the prompt.
+func (s *request) checkAnswer(text string) outcome {
+	if text != engine.Text(s.prompt, s.cfg.AnswerTokens) {
 		return s.failed("wrong")
 	}
 	now := s.clock.Now()
 	return outcome{
-		kind: "done", first: s.first.Sub(s.due), total: now.Sub(s.due), gaps: s.gaps,
+		kind: "done", firstToken: s.first.Sub(s.due), total: now.Sub(s.due), gaps: s.gaps,
 		inTime: s.cfg.Deadline == 0 || now.Sub(s.due) <= s.cfg.Deadline,
 	}
 }
 
-func (s *shot) failed(kind string) outcome {
+func (s *request) failed(kind string) outcome {
 	return outcome{kind: kind, total: s.clock.Now().Sub(s.due)}
 }
--- a/internal/dev/routes/routes.go
+++ b/internal/dev/routes/routes.go
@@ -1,10 +1,10 @@
-// Package routes runs a small deployment of the platform of routes in one
-// process: a stand-in of the store, workers of two services in two regions, and
-// an entry host in each.
+// Package routes runs a small deployment of the routes platform in one process: a
+// fake of the store, and in each of two regions an entry host and workers of two
+// services.
 //
 // # Usage
 //
-//	fl, err := routes.Start(routes.Config{Log: log})
+//	fl, err := routes.Start(routes.Config{Log: log, Addr: ports.Next})
 //	defer fl.Stop()
 //	fl.Show(os.Stdout)
 package routes
@@ -30,10 +30,10 @@
 	"verbenadale.example/verbenadale/platform"
 )
 
-// Config is what a fleet needs.
+// Config configures a fleet.
 type Config struct {
 	Log logr.Logger
-	// Addr returns a loopback address that nothing else uses.
+	// Addr returns an unused loopback address.
 	Addr func() string
 }
 
@@ -49,8 +49,8 @@
 	store *kvstub.Server
 	url   string
 	nodes []*platform.Node
-	fronts,
-	directories []string
+	callerAddrs,
+	directoryAddrs []string
 	servers []*http.Server
 }
 
@@ -65,11 +65,11 @@
 	f.store.Put("op/config", configuration())
 	var seeds []string
 	for _, region := range regions {
-		if err := f.workers(region); err != nil {
+		if err := f.startWorkers(region); err != nil {
 			f.Stop()
 			return nil, err
 		}
-		peerAddr, err := f.node(region, seeds)
+		peerAddr, err := f.startNode(region, seeds)
 		if err != nil {
 			f.Stop()
 			return nil, err
@@ -79,7 +79,7 @@
 	return f, nil
 }
 
-// Stop ends all of it.
+// Stop stops all hosts, workers and the store.
 func (f *Fleet) Stop() {
 	for _, n := range f.nodes {
 		n.Stop()
@@ -102,8 +102,8 @@
 	return l.Net.Addr().String(), nil
 }
 
-// configuration has a stream that may be resumed, a call that may not be
-// repeated and one that is confined to the west.
+// configuration returns routes for a resumable stream, for a call that must not be repeated and
+// for a call that is confined to the west.
 func configuration() []byte {
 	route := func(name, kind, service string, homes ...string) map[string]any {
 		return map[string]any{
@@ -123,11 +123,11 @@
 	return b
 }
 
-const eventPause = 50 * time.Millisecond
+const eventInterval = 50 * time.Millisecond
 
-func (f *Fleet) workers(region string) error {
+func (f *Fleet) startWorkers(region string) error {
 	for _, cfg := range []worker.Config{
-		{ID: "writer-" + region, Service: "writers", Events: 6, Pause: eventPause, Slots: 8},
+		{ID: "writer-" + region, Service: "writers", Events: 6, Pause: eventInterval, Slots: 8},
 		{ID: "board-" + region, Service: "board", Slots: 4},
 	} {
 		cfg.DataCentre = region + "-a"
@@ -141,11 +141,11 @@
 	return nil
 }
 
-func (f *Fleet) node(region string, seeds []string) (string, error) {
+func (f *Fleet) startNode(region string, seeds []string) (string, error) {
 	peerAddr := f.cfg.Addr()
 	ip, _, err := net.SplitHostPort(peerAddr)
 	if err != nil {
-		return "", errors.Wrap(err, "routes: address")
+		return "", errors.Wrap(err, "routes: split peer address")
 	}
 	set := config.Defaults()
 	set.Entry = ident.EntryID(ip)
@@ -162,59 +162,59 @@
 		return "", err
 	}
 	f.nodes = append(f.nodes, n)
-	f.fronts = append(f.fronts, set.Callers.Listen)
-	f.directories = append(f.directories, set.Fleet.Directory)
+	f.callerAddrs = append(f.callerAddrs, set.Callers.Listen)
+	f.directoryAddrs = append(f.directoryAddrs, set.Fleet.Directory)
 	return peerAddr, nil
 }
 
-// Show sends requests as a caller does and writes what comes back.
+// Show sends sample requests and writes the answers, and commands to try next.
 func (f *Fleet) Show(w io.Writer) error {
-	east := len(f.fronts) - 1
+	east := len(f.callerAddrs) - 1
 	for _, c := range []struct{ what, path, body string }{
 		{"a stream in the east", "/draft/life", "memories"},
 		{"a call that runs once", "/publish/notice", "notice"},
 		{"a call whose home is the west, from the east", "/home/record", ""},
 		{"a path without a route", "/nowhere/", ""},
 	} {
-		text, err := f.ask(east, c.path, c.body)
+		text, err := f.send(east, c.path, c.body)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(w, "%s\n%s\n\n", c.what, text)
 	}
-	fmt.Fprintf(w, "ask which hosts to use:\n  curl 'http://%s/-/resolve?Name=%s&Region=east&Zone=east-a'\n", f.directories[east], hostName)
-	fmt.Fprintf(w, "send a request of your own:\n  curl -N -H 'Host: %s' -H 'Verbenadale-Request-Id: mine' -d memories http://%s/draft/life\n", hostName, f.fronts[east])
+	fmt.Fprintf(w, "ask which hosts to use:\n  curl 'http://%s/-/resolve?Name=%s&Region=east&Zone=east-a'\n", f.directoryAddrs[east], hostName)
+	fmt.Fprintf(w, "send a request of your own:\n  curl -N -H 'Host: %s' -H 'Verbenadale-Request-Id: mine' -d memories http://%s/draft/life\n", hostName, f.callerAddrs[east])
 	return nil
 }
 
-// Times of the first request, which waits until the hosts know their targets.
+// The first request is repeated until the hosts have discovered their targets.
 const (
-	firstTries = 50
-	firstPause = 100 * time.Millisecond
+	maxRetries = 50
+	retryDelay = 100 * time.Millisecond
 )
 
-func (f *Fleet) ask(at int, path, body string) (string, error) {
+func (f *Fleet) send(host int, path, body string) (string, error) {
 	for n := 0; ; n++ {
-		status, text, err := f.once(at, path, body, n)
-		if err != nil || status != http.StatusServiceUnavailable || n == firstTries {
+		status, text, err := f.sendOnce(host, path, body, n)
+		if err != nil || status != http.StatusServiceUnavailable || n == maxRetries {
 			return text, err
 		}
-		time.Sleep(firstPause)
+		time.Sleep(retryDelay)
 	}
 }
 
-func (f *Fleet) once(at int, path, body string, n int) (int, string, error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+f.fronts[at]+path, strings.NewReader(body))
+func (f *Fleet) sendOnce(host int, path, body string, n int) (int, string, error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+f.callerAddrs[host]+path, strings.NewReader(body))
 	if err != nil {
-		return 0, "", errors.Wrap(err, "routes: ask")
+		return 0, "", errors.Wrap(err, "routes: send request")
 	}
 	req.Host = hostName
 	req.Header.Set("Verbenadale-Request-Id", fmt.Sprintf("demo%s-%d", strings.ReplaceAll(path, "/", "-"), n))
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, "", errors.Wrap(err, "routes: ask")
+		return 0, "", errors.Wrap(err, "routes: send request")
 	}
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
-	return res.StatusCode, fmt.Sprintf("%s\n%s", res.Status, strings.TrimSpace(string(text))), errors.Wrap(err, "routes: ask")
+	return res.StatusCode, fmt.Sprintf("%s\n%s", res.Status, strings.TrimSpace(string(text))), errors.Wrap(err, "routes: send request")
 }
--- a/internal/dev/routes/routes_test.go
+++ b/internal/dev/routes/routes_test.go
@@ -9,7 +9,7 @@
 	"verbenadale.example/verbenadale/internal/dev/ports"
 )
 
-// The second command of the README shows a newcomer something that does not work.
+// Guards against a demo, the second command of the README, that does not work.
 func TestShow(t *testing.T) {
 	f, err := Start(Config{Log: logr.Discard(), Addr: ports.Next})
 	if err != nil {
--- a/internal/dev/slope/event.go
+++ b/internal/dev/slope/event.go
@@ -15,73 +15,74 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Shock is what a fleet does when something large goes and comes back.
-type Shock struct {
+// Disruption is the behaviour of a fleet when something large fails and comes back.
+type Disruption struct {
 	Name  string `json:"name"`
 	Fleet int    `json:"fleet"`
-	// SteadyCalls and PeakCalls are calls to the platform in a second, before
-	// and at most after the return. PeakBytes is the most that one host sent
-	// in a second after it.
+	// SteadyCalls and PeakCalls are calls to the platform per second: the mean before the
+	// disruption and the maximum after its end. PeakBytes is the maximum that one host sent in a
+	// second after its end.
 	SteadyCalls float64 `json:"steadyCalls"`
 	PeakCalls   int     `json:"peakCalls"`
 	PeakBytes   int     `json:"peakBytes"`
-	// Recovered is how long after the return every host had the newest
-	// configuration, and Refused how many requests were refused from the
-	// start of the shock on, of all.
+	// Recovered is how long after the end of the disruption every host had the newest
+	// configuration; zero means that this did not happen while the fleet was observed. Refused
+	// is the number of requests, of all Requests since the disruption began, that did not end
+	// with Done.
 	Recovered time.Duration `json:"recovered"`
 	Refused   int           `json:"refused"`
 	Requests  int           `json:"requests"`
 }
 
-// Spans of a shock.
+// Duration of a disruption and of the observation before it and after it.
 const (
-	shockSpan   = time.Minute
-	watchedSpan = 30 * time.Second
+	disruptionTime  = time.Minute
+	observationTime = 30 * time.Second
 )
 
-// Shocks runs a fleet of a size through an outage of the platform, the restart
-// of all hosts of a data centre, and the cut of a region.
-func Shocks(cfg Config) []Shock {
+// Disruptions runs a fleet through an outage of the platform, the restart of all hosts of a data
+// centre, and the partition of a region.
+func Disruptions(cfg Config) []Disruption {
 	kinds := []struct {
-		name   string
-		strike func(r *run)
-		heal   func(r *run)
+		name  string
+		begin func(r *run)
+		end   func(r *run)
 	}{
-		{"platform away for a minute", (*run).dropPlatform, (*run).healPlatform},
+		{"platform away for a minute", (*run).disconnectPlatform, (*run).reconnectPlatform},
 		{"all hosts of a data centre restarted at once", func(*run) {}, (*run).restartCentre},
-		{"a region cut off for a minute", (*run).cutRegion, (*run).healLinks},
+		{"a region cut off for a minute", (*run).partitionRegion, (*run).healLinks},
 	}
-	var out []Shock
+	var out []Disruption
 	for _, k := range kinds {
 		r := newRun(cfg)
 		r.Run(warmUp)
-		r.count()
-		r.load(watchedSpan)
-		sh := Shock{Name: k.name, Fleet: len(r.Hosts), SteadyCalls: float64(r.allCalls()) / watchedSpan.Seconds()}
+		r.resetCounters()
+		r.generateLoad(observationTime)
+		sh := Disruption{Name: k.name, Fleet: len(r.Hosts), SteadyCalls: float64(r.totalCalls()) / observationTime.Seconds()}
 		r.Answers = nil
-		k.strike(r)
-		r.load(shockSpan)
+		k.begin(r)
+		r.generateLoad(disruptionTime)
 		r.Change(r.account(0))
-		k.heal(r)
-		r.watch(&sh)
+		k.end(r)
+		r.observe(&sh)
 		out = append(out, sh)
 	}
 	return out
 }
 
-// watch follows the fleet second by second after the return.
-func (r *run) watch(sh *Shock) {
-	back := r.Now
-	newest := r.revision()
-	for range int(watchedSpan / time.Second) {
+// observe records the behaviour of the fleet second by second after the end of a disruption.
+func (r *run) observe(sh *Disruption) {
+	ended := r.Now
+	newest := r.newestRevision()
+	for range int(observationTime / time.Second) {
 		r.nextSecond()
-		r.load(time.Second)
-		sh.PeakCalls = max(sh.PeakCalls, r.allCalls())
+		r.generateLoad(time.Second)
+		sh.PeakCalls = max(sh.PeakCalls, r.totalCalls())
 		for _, n := range r.bytes {
 			sh.PeakBytes = max(sh.PeakBytes, n)
 		}
-		if sh.Recovered == 0 && r.allAt(newest) {
-			sh.Recovered = r.Now.Sub(back)
+		if sh.Recovered == 0 && r.allHostsAt(newest) {
+			sh.Recovered = r.Now.Sub(ended)
 		}
 	}
 	for _, a := range r.Answers {
@@ -92,13 +93,13 @@
 	}
 }
 
-// nextSecond begins a second without dropping the answers.
+// nextSecond clears the counters of a second; the answers are kept.
 func (r *run) nextSecond() {
 	clear(r.bytes)
 	clear(r.calls)
 }
 
-func (r *run) allCalls() int {
+func (r *run) totalCalls() int {
 	n := 0
 	for _, k := range r.calls {
 		n += k
@@ -106,15 +107,15 @@
 	return n
 }
 
-func (r *run) revision() ident.Revision {
-	top := ident.Revision(0)
-	for rev := range r.changed {
-		top = max(top, rev)
+func (r *run) newestRevision() ident.Revision {
+	newest := ident.Revision(0)
+	for rev := range r.changedAt {
+		newest = max(newest, rev)
 	}
-	return top
+	return newest
 }
 
-func (r *run) allAt(rev ident.Revision) bool {
+func (r *run) allHostsAt(rev ident.Revision) bool {
 	for _, h := range r.Hosts {
 		if h.Revision < rev {
 			return false
@@ -123,8 +124,8 @@
 	return true
 }
 
-func (r *run) dropPlatform() { r.PlatformDown = func(event.Host) bool { return true } }
-func (r *run) healPlatform() { r.PlatformDown = func(event.Host) bool { return false } }
+func (r *run) disconnectPlatform() { r.PlatformDown = func(event.Host) bool { return true } }
+func (r *run) reconnectPlatform()  { r.PlatformDown = func(event.Host) bool { return false } }
 
 func (r *run) restartCentre() {
 	dc := r.Hosts[0].Place.DataCentre
@@ -135,22 +136,22 @@
 	}
 }
 
-func (r *run) cutRegion() {
-	gone := r.Hosts[0].Place.Region
+func (r *run) partitionRegion() {
+	partitioned := r.Hosts[0].Place.Region
 	r.Delay = func(from, to event.Host) (time.Duration, bool) {
 		d, _ := delay(from, to)
-		return d, (from.Place.Region == gone) != (to.Place.Region == gone)
+		return d, (from.Place.Region == partitioned) != (to.Place.Region == partitioned)
 	}
 }
 
 func (r *run) healLinks() { r.Delay = delay }
 
-// PollCost is the bytes on the wire of reading one load report and the cache
-// events since the last, by which way they go, with 40 bytes of TCP and IP for
-// each packet each way.
+// PollCost is the number of bytes on the wire, by direction, of reading one load report and the
+// cache events since the last one, with 40 bytes of TCP and IP headers for each packet in each
+// direction.
 type PollCost struct{ Sent, Received int }
 
-// Poll measures what reading one load report and no cache events costs.
+// Poll measures the cost of reading one load report and no cache events.
 func Poll() (PollCost, error) {
 	eng := engine.New(engine.Config{ID: "centre-0-engine-1", Incarnation: 1_700_000_000_000_000_000, Serves: []rules.Serve{{Model: "draft"}}, Slots: 32, TokenTime: 10 * time.Millisecond, PrefillRate: 20000})
 	defer eng.Stop()
@@ -173,11 +174,11 @@
 			return PollCost{}, err
 		}
 	}
-	return PollCost{Sent: int(cl.read.Load())/polls + 2*packet, Received: int(cl.written.Load())/polls + 2*packet}, nil
+	return PollCost{Sent: int(cl.read.Load())/polls + 2*packetOverhead, Received: int(cl.written.Load())/polls + 2*packetOverhead}, nil
 }
 
-// packet is what TCP and IP add to a packet.
-const packet = 40
+// packetOverhead is the size of the TCP and IP headers of a packet, in bytes.
+const packetOverhead = 40
 
 type httpServer struct {
 	http *http.Server
--- a/internal/dev/slope/slope.go
+++ b/internal/dev/slope/slope.go
@@ -1,16 +1,16 @@
-// Package slope measures what control costs as the system grows: it runs the
-// reducers of a whole fleet in virtual time under a steady load and counts
-// messages, bytes, calls to the platform, processor time and memory for each
+// Package slope measures how the cost of control grows with the size of the
+// system. It runs the reducers of a whole fleet in virtual time under a steady load and
+// counts messages, bytes, calls to the platform, processor time and memory for each
 // host.
 //
 // # Usage
 //
-//	res := slope.Run(slope.Config{Centres: 3, Hosts: 2, Targets: 5, Accounts: 100, Rate: 20, For: 30 * time.Second})
-//	fmt.Println(res.BytesPerSecond)
+//	res := slope.Run(slope.Config{Centres: 3, Hosts: 2, Targets: 5, Accounts: 100, Rate: 20, Duration: 30 * time.Second})
+//	fmt.Println(res.BytesPerHost)
 //
-// Bytes are those of the messages on the wire with the framing of the session
-// and of TLS and TCP/IP for each. Processor time is that of the reducer's
-// steps and of writing and reading the messages; sockets are not in it.
+// Bytes are those of the messages on the wire, with the framing of the session, of
+// TLS and of TCP/IP for each message. Processor time covers the steps of the reducer and
+// the encoding and decoding of messages, but not the sockets.
 package slope
 
 import (
@@ -29,83 +29,81 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Config is a size.
+// Config is the size of a system and its load.
 type Config struct {
-	// Centres is the number of data centres, Regions that of regions; Hosts
-	// and Targets are those of each data centre.
+	// Centres and Regions are the numbers of data centres and regions; Hosts and Targets are the
+	// numbers in each data centre.
 	Centres  int `json:"centres"`
 	Regions  int `json:"regions"`
 	Hosts    int `json:"hosts"`
 	Targets  int `json:"targets"`
 	Accounts int `json:"accounts"`
-	// Rate is requests a second at each host, ChangesADay changes of the
-	// configuration.
-	Rate        float64       `json:"rate"`
-	ChangesADay float64       `json:"changesADay"`
-	For         time.Duration `json:"for"`
+	// Rate is in requests per second at each host, ChangesPerDay in changes of the configuration
+	// per day.
+	Rate          float64       `json:"rate"`
+	ChangesPerDay float64       `json:"changesADay"`
+	Duration      time.Duration `json:"for"`
 }
 
-// Result is what a size costs each host, on average over the hosts but where
-// it says most.
+// Result is the cost of control per host: the mean over the hosts unless a field is a maximum.
 type Result struct {
-	Config       Config  `json:"config"`
-	Fleet        int     `json:"fleet"`
-	MessagesEach float64 `json:"messagesEach"`
-	// BytesEach is bytes a second sent, MostBytes those of the host that sends
-	// the most: it represents its data centre.
-	BytesEach float64 `json:"bytesEach"`
-	MostBytes float64 `json:"mostBytes"`
-	PollsEach float64 `json:"pollsEach"`
-	// Core is the share of a core for control, Coding that for writing and
-	// reading messages, Traffic that for the decisions of requests.
-	Core    float64 `json:"core"`
-	Coding  float64 `json:"coding"`
-	Traffic float64 `json:"traffic"`
-	// Parts is bytes a second of each part of digests, summaries and changes.
+	Config          Config  `json:"config"`
+	Fleet           int     `json:"fleet"`
+	MessagesPerHost float64 `json:"messagesEach"`
+	// BytesPerHost is in bytes sent per second. MaxBytes is that of the host that sends the
+	// most, which is the representative of its data centre.
+	BytesPerHost float64 `json:"bytesEach"`
+	MaxBytes     float64 `json:"mostBytes"`
+	PollsPerHost float64 `json:"pollsEach"`
+	// ControlCPU is the share of a core spent on control, CodingCPU that on encoding and
+	// decoding messages, TrafficCPU that on decisions about requests.
+	ControlCPU float64 `json:"core"`
+	CodingCPU  float64 `json:"coding"`
+	TrafficCPU float64 `json:"traffic"`
+	// Parts is the bytes per second of each part of digests, summaries and changes.
 	Parts map[string]float64 `json:"parts"`
-	// PlatformCalls is calls a second of the whole fleet, by name.
+	// PlatformCalls is the calls per second of the whole fleet, by name.
 	PlatformCalls map[string]float64 `json:"platformCalls"`
-	// StateKB is the heap of one host's reducer.
+	// StateKB is the heap of the reducer of one host, in KiB.
 	StateKB float64 `json:"stateKB"`
-	// InForceP50 and InForceMax are the times until a change was in force at
-	// every host.
+	// InForceP50 and InForceMax are the median and the maximum of the time until a change was in
+	// force at every host.
 	InForceP50 time.Duration `json:"inForceP50"`
 	InForceMax time.Duration `json:"inForceMax"`
 	Done       int           `json:"done"`
 	Refused    int           `json:"refused"`
 }
 
-// framing is what a message costs beside itself: 12 bytes of the session, 22
-// of a TLS record, 40 of TCP and IP.
+// framing is the overhead of a message in bytes: 12 of the session, 22 of a TLS record, 40 of
+// TCP and IP.
 const framing = 12 + 22 + 40
 
 // warmUp is how long the fleet runs before anything is counted.
 const warmUp = 15 * time.Second
 
-// run is one measurement.
 type run struct {
 	*drive.Driver
-	cfg      Config
-	bytes    map[ident.EntryID]int
-	messages int
-	polls    int
-	calls    map[string]int
-	coding   time.Duration
-	parts    map[string]int
-	order    uint64
-	changed  map[ident.Revision]ident.Time
-	reached  map[ident.Revision]int
-	inForce  []time.Duration
+	cfg          Config
+	bytes        map[ident.EntryID]int
+	messages     int
+	polls        int
+	calls        map[string]int
+	coding       time.Duration
+	parts        map[string]int
+	requestSeq   uint64
+	changedAt    map[ident.Revision]ident.Time
+	hostsInForce map[ident.Revision]int
+	inForce      []time.Duration
 }
 
-// Run runs a fleet of a size.
+// Run measures a fleet of one size.
 func Run(cfg Config) Result {
 	before := heap()
 	r := newRun(cfg)
 	r.Run(warmUp)
-	r.load(warmUp / 2)
-	r.count()
-	r.load(cfg.For)
+	r.generateLoad(warmUp / 2)
+	r.resetCounters()
+	r.generateLoad(cfg.Duration)
 	res := r.result()
 	res.StateKB = float64(heap()-before) / 1024 / float64(len(r.Hosts))
 	runtime.KeepAlive(r)
@@ -115,13 +113,14 @@
 func newRun(cfg Config) *run {
 	r := &run{
 		Driver: drive.New(), cfg: cfg, bytes: make(map[ident.EntryID]int), calls: make(map[string]int),
-		parts: make(map[string]int), changed: make(map[ident.Revision]ident.Time), reached: make(map[ident.Revision]int),
+		parts: make(map[string]int), changedAt: make(map[ident.Revision]ident.Time), hostsInForce: make(map[ident.Revision]int),
 	}
 	r.build()
 	return r
 }
 
-// delay is the time of a message: short in a region, long between regions.
+// delay returns the latency of a message, which depends on whether it stays within a region. No
+// message is lost.
 func delay(from, to event.Host) (time.Duration, bool) {
 	if from.Place.Region == to.Place.Region {
 		return time.Millisecond, false
@@ -129,7 +128,7 @@
 	return 80 * time.Millisecond, false
 }
 
-// heap returns the live heap.
+// heap returns the size of the live heap in bytes.
 func heap() uint64 {
 	runtime.GC()
 	var ms runtime.MemStats
@@ -139,10 +138,10 @@
 
 func (r *run) build() {
 	r.Delay = delay
-	r.OnMessage = r.message
+	r.OnMessage = r.countMessage
 	r.OnPoll = func(event.Host) { r.polls++ }
 	r.OnCall = func(_ event.Host, op string) { r.calls[op]++ }
-	r.OnStep = r.step
+	r.OnStep = r.recordInForce
 	for c := range r.cfg.Centres {
 		place := event.Place{
 			DataCentre: ident.DataCentre(fmt.Sprintf("centre-%d", c)),
@@ -165,7 +164,7 @@
 	r.Change(r.items()...)
 }
 
-// models are the models in steady use.
+// models are the models that requests ask for.
 var models = []ident.Model{"draft", "check", "letter"}
 
 func (r *run) items() []rules.Item {
@@ -195,32 +194,32 @@
 	return rules.Item{Kind: kind, Name: name, Doc: b}
 }
 
-// load sends requests and changes at steady rates for a span.
-func (r *run) load(span time.Duration) {
+// generateLoad sends requests and changes at steady rates for span.
+func (r *run) generateLoad(span time.Duration) {
 	end := r.Now.Add(span)
 	gap := time.Duration(float64(time.Second) / (r.cfg.Rate * float64(len(r.Hosts))))
-	changeGap := time.Duration(float64(24*time.Hour) / max(r.cfg.ChangesADay, 1))
+	changeGap := time.Duration(float64(24*time.Hour) / max(r.cfg.ChangesPerDay, 1))
 	next := r.Now.Add(changeGap / 2)
 	for n := 0; r.Now < end; n++ {
 		h := r.Hosts[n%len(r.Hosts)]
-		r.order++
+		r.requestSeq++
 		req := event.Request{
-			ID:      ident.RequestID(fmt.Sprintf("req-%030d", r.order)),
-			Account: r.accountAt(h, r.order),
+			ID:      ident.RequestID(fmt.Sprintf("req-%030d", r.requestSeq)),
+			Account: r.accountAt(h, r.requestSeq),
 			Profile: ident.Profile(models[n%len(models)]), Prompt: 600, MaxTokens: 240,
 		}
-		r.Know(req)
+		r.RegisterRequest(req)
 		r.Send(h.ID, req)
 		r.Run(gap)
-		if r.cfg.ChangesADay > 0 && r.Now >= next {
+		if r.cfg.ChangesPerDay > 0 && r.Now >= next {
 			next = next.Add(changeGap)
 			rev := r.Change(r.account(n % max(r.cfg.Accounts, 1)))
-			r.changed[rev] = r.Now
+			r.changedAt[rev] = r.Now
 		}
 	}
 }
 
-// accountAt returns an account that calls the region of a host.
+// accountAt returns an account that calls hosts in the region of h.
 func (r *run) accountAt(h *drive.Host, n uint64) ident.Account {
 	var region int
 	_, _ = fmt.Sscanf(string(h.Place.Region), "region-%d", &region)
@@ -229,25 +228,25 @@
 	return ident.Account(fmt.Sprintf("account-%d", int(n/7919+n*31)%each*regions+region))
 }
 
-// count begins the counting.
-func (r *run) count() {
+// resetCounters clears what was counted so far.
+func (r *run) resetCounters() {
 	clear(r.bytes)
 	clear(r.calls)
 	clear(r.parts)
 	r.messages, r.polls, r.coding = 0, 0, 0
 	r.Answers = nil
 	for _, h := range r.Hosts {
-		h.Busy, h.Traffic = 0, 0
+		h.ControlTime, h.TrafficTime = 0, 0
 	}
 }
 
-// message counts a message and the time to write and read it.
-func (r *run) message(from, _ event.Host, eff event.Effect) {
+// countMessage counts a message and measures the time to encode and decode it.
+func (r *run) countMessage(from, _ event.Host, eff event.Effect) {
 	var m proto.Message
 	switch e := eff.(type) {
 	case event.SendDigest:
 		m = &wire.Frame{Body: &wire.Frame_Digest{Digest: wire.FromDigest(e.Digest)}}
-		r.digestParts(e.Digest)
+		r.countDigestParts(e.Digest)
 	case event.SendSummary:
 		m = &wire.Frame{Body: &wire.Frame_Summary{Summary: wire.FromSummary(e.Summary)}}
 		r.parts["summaries"] += proto.Size(m)
@@ -263,7 +262,7 @@
 		panic(err)
 	}
 	if err := proto.Unmarshal(b[1:], &wire.Frame{}); err != nil {
-		// The length before the frame takes one byte or two.
+		// The length prefix of the frame takes one or two bytes.
 		_ = proto.Unmarshal(b[2:], &wire.Frame{})
 	}
 	r.coding += time.Since(began)
@@ -272,8 +271,8 @@
 	r.bytes[from.ID] += len(b) + framing
 }
 
-// digestParts counts the parts of a digest by leaving the others out.
-func (r *run) digestParts(d event.Digest) {
+// countDigestParts counts the size of each part of a digest, encoded without the others.
+func (r *run) countDigestParts(d event.Digest) {
 	sizes := []struct {
 		name string
 		d    event.Digest
@@ -290,16 +289,16 @@
 	}
 }
 
-// step notes when a change has come into force everywhere.
-func (r *run) step(_ *drive.Host, _ event.Event, effs []event.Effect) {
+// recordInForce records when a change is in force at every host.
+func (r *run) recordInForce(_ *drive.Host, _ event.Event, effs []event.Effect) {
 	for _, eff := range effs {
 		e, ok := eff.(event.InForceNow)
 		if !ok {
 			continue
 		}
 		rev := e.Book.Rev()
-		r.reached[rev]++
-		if at, ok := r.changed[rev]; ok && r.reached[rev] == len(r.Hosts) {
+		r.hostsInForce[rev]++
+		if at, ok := r.changedAt[rev]; ok && r.hostsInForce[rev] == len(r.Hosts) {
 			r.inForce = append(r.inForce, r.Now.Sub(at))
 		}
 	}
@@ -307,18 +306,18 @@
 
 func (r *run) result() Result {
 	n := float64(len(r.Hosts))
-	secs := r.cfg.For.Seconds()
+	secs := r.cfg.Duration.Seconds()
 	res := Result{
 		Config: r.cfg, Fleet: len(r.Hosts), PlatformCalls: make(map[string]float64),
-		MessagesEach: float64(r.messages) / n / secs, PollsEach: float64(r.polls) / n / secs,
-		Coding: r.coding.Seconds() / n / secs,
+		MessagesPerHost: float64(r.messages) / n / secs, PollsPerHost: float64(r.polls) / n / secs,
+		CodingCPU: r.coding.Seconds() / n / secs,
 	}
 	for _, h := range r.Hosts {
-		res.Core += h.Busy.Seconds() / n / secs
-		res.Traffic += h.Traffic.Seconds() / n / secs
+		res.ControlCPU += h.ControlTime.Seconds() / n / secs
+		res.TrafficCPU += h.TrafficTime.Seconds() / n / secs
 		sent := float64(r.bytes[h.ID]) / secs
-		res.BytesEach += sent / n
-		res.MostBytes = max(res.MostBytes, sent)
+		res.BytesPerHost += sent / n
+		res.MaxBytes = max(res.MaxBytes, sent)
 	}
 	res.Parts = make(map[string]float64, len(r.parts))
 	for name, k := range r.parts {
--- a/internal/dev/soak/caller.go
+++ b/internal/dev/soak/caller.go
@@ -19,7 +19,7 @@
 	"verbenadale.example/verbenadale/internal/dev/worker"
 )
 
-// The kinds of requests, which are the paths of their routes.
+// Kinds of requests. Each kind is also the path of its route.
 const (
 	kindDraft   = "draft"
 	kindPublish = "publish"
@@ -29,72 +29,71 @@
 
 var kinds = []string{kindDraft, kindPublish, kindFetch, kindHome}
 
-// Times of callers.
 const (
-	callerPause = 20 * time.Millisecond
-	listFor     = time.Second
+	callerInterval = 20 * time.Millisecond
+	listTTL        = time.Second
 )
 
-// asked is one request as its caller saw it.
-type asked struct {
+// observation is one request as its caller saw it.
+type observation struct {
 	id, kind string
-	// host is an index, run counts its processes.
-	host, run int
-	// route is the first part of the path.
+	// host is the index of the entry host, process the number of its process.
+	host, process int
+	// route is the first segment of the path.
 	route      string
 	began, end time.Time
 	status     int
 	header     http.Header
 	body       string
-	// err says that there was no whole answer.
+	// err is set if no complete answer was received.
 	err error
-	// calm says that no fault was near, termAt when the process got SIGTERM.
-	calm   bool
-	termAt time.Time
+	// settled is set if no fault was active shortly before or during the request. termAt is the
+	// time at which the process received SIGTERM.
+	settled bool
+	termAt  time.Time
 }
 
-// crowd is all callers.
-type crowd struct {
-	site *site
-	t    tomb.Tomb
-	mu   sync.Mutex
-	n    int
-	// asked is what was asked so far.
-	asked []asked
+// callerPool runs all callers and records their requests.
+type callerPool struct {
+	deployment   *deployment
+	t            tomb.Tomb
+	mu           sync.Mutex
+	n            int
+	observations []observation
 }
 
-func newCrowd(s *site) *crowd { return &crowd{site: s} }
+func newCallerPool(s *deployment) *callerPool { return &callerPool{deployment: s} }
 
-func (c *crowd) start() {
+func (c *callerPool) start() {
 	for _, region := range regions {
-		for n := range c.site.cfg.Callers {
+		for n := range c.deployment.cfg.Callers {
 			k := newCaller(c, region, uint64(n))
 			c.t.Go(k.run)
 		}
 	}
 }
 
-func (c *crowd) stop() {
+func (c *callerPool) stop() {
 	c.t.Kill(nil)
 	_ = c.t.Wait()
 }
 
-func (c *crowd) newID(kind string) string {
+func (c *callerPool) newID(kind string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n++
-	return kind + "-" + strconv.FormatUint(c.site.cfg.Seed, 36) + "-" + strconv.Itoa(c.n)
+	return kind + "-" + strconv.FormatUint(c.deployment.cfg.Seed, 36) + "-" + strconv.Itoa(c.n)
 }
 
-func (c *crowd) note(a asked) {
+func (c *callerPool) record(a observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, a)
+	c.observations = append(c.observations, a)
 }
 
-func (c *crowd) outcomes() map[string]int {
+func (c *callerPool) outcomes() map[string]int {
 	out := make(map[string]int)
-	for _, a := range c.asked {
+	for _, a := range c.observations {
 		name := strconv.Itoa(a.status)
 		if a.err != nil {
 			name = "cut"
@@ -104,14 +103,15 @@
 	return out
 }
 
-// served waits until every host serves every kind.
-func (c *crowd) served(ctx context.Context, most time.Duration) bool {
-	until := time.Now().Add(most)
+// awaitServing waits until every host answers every kind of request with 200, and reports
+// whether it did within timeout.
+func (c *callerPool) awaitServing(ctx context.Context, timeout time.Duration) bool {
+	until := time.Now().Add(timeout)
 	k := newCaller(c, regions[0], 0)
-	for n := range c.site.hosts {
+	for n := range c.deployment.hosts {
 		for _, kind := range kinds {
-			for k.ask(ctx, n, kind).status != http.StatusOK {
-				if time.Now().After(until) || !rest(ctx, 5*callerPause) {
+			for k.request(ctx, n, kind).status != http.StatusOK {
+				if time.Now().After(until) || !sleep(ctx, 5*callerInterval) {
 					return false
 				}
 			}
@@ -120,37 +120,39 @@
 	return true
 }
 
-// caller sends one request after the other.
+// caller sends requests one after the other.
 type caller struct {
-	crowd  *crowd
-	region string
-	rnd    *rand.Rand
-	http   *http.Client
-	list   []string
-	listAt time.Time
+	pool       *callerPool
+	region     string
+	rnd        *rand.Rand
+	http       *http.Client
+	addresses  []string
+	resolvedAt time.Time
 }
 
-func newCaller(c *crowd, region string, n uint64) *caller {
+func newCaller(c *callerPool, region string, n uint64) *caller {
 	return &caller{
-		crowd: c, region: region, rnd: rand.New(rand.NewPCG(c.site.cfg.Seed, n)),
+		pool: c, region: region, rnd: rand.New(rand.NewPCG(c.deployment.cfg.Seed, n)),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}},
 	}
 }
 
 func (k *caller) run() error {
-	ctx := k.crowd.t.Context(context.Background())
+	ctx := k.pool.t.Context(context.Background())
 	defer k.http.CloseIdleConnections()
-	for rest(ctx, callerPause) {
-		n := k.choose(ctx)
-		// A request under way is finished: a caller that leaves sees nothing.
-		k.ask(context.Background(), n, k.kind())
+	for sleep(ctx, callerInterval) {
+		n := k.chooseHost(ctx)
+		// The request in flight is completed when the pool stops: an aborted one would show
+		// nothing about the system.
+		k.request(context.Background(), n, k.drawKind())
 	}
 	return nil
 }
 
-// kind draws what to ask for, now and then a route of a late configuration.
-func (k *caller) kind() string {
-	s := k.crowd.site
+// drawKind draws the kind of the next request: in one of eight cases a route that a later
+// configuration added.
+func (k *caller) drawKind() string {
+	s := k.pool.deployment
 	s.mu.Lock()
 	v := s.version
 	s.mu.Unlock()
@@ -160,21 +162,21 @@
 	return kinds[k.rnd.IntN(len(kinds))]
 }
 
-// choose goes by the list that a host gave out, as callers do, and asks for a new
-// one when it is old. It keeps to it where nobody answers.
-func (k *caller) choose(ctx context.Context) int {
-	s := k.crowd.site
-	if time.Since(k.listAt) > listFor {
-		ask := s.hosts[k.rnd.IntN(len(s.hosts))]
-		if list := k.resolve(ctx, ask); len(list) > 0 {
-			k.list, k.listAt = list, time.Now()
+// chooseHost draws a host from the address list of the directory, as real callers do, and
+// resolves again once the list has expired. It keeps the expired list if no directory answers.
+func (k *caller) chooseHost(ctx context.Context) int {
+	s := k.pool.deployment
+	if time.Since(k.resolvedAt) > listTTL {
+		resolver := s.hosts[k.rnd.IntN(len(s.hosts))]
+		if list := k.resolve(ctx, resolver); len(list) > 0 {
+			k.addresses, k.resolvedAt = list, time.Now()
 		}
 	}
-	if len(k.list) == 0 {
+	if len(k.addresses) == 0 {
 		return k.rnd.IntN(len(s.hosts))
 	}
-	addr := k.list[k.rnd.IntN(len(k.list))]
-	n := slices.IndexFunc(s.hosts, func(h *host) bool { return h.set.Callers.Listen == addr })
+	addr := k.addresses[k.rnd.IntN(len(k.addresses))]
+	n := slices.IndexFunc(s.hosts, func(h *host) bool { return h.settings.Callers.Listen == addr })
 	return max(n, 0)
 }
 
@@ -182,7 +184,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	q := url.Values{"Name": {hostName}, "Region": {k.region}, "Zone": {centreOf(k.region)}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.set.Fleet.Directory+"/-/resolve?"+q.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.settings.Fleet.Directory+"/-/resolve?"+q.Encode(), nil)
 	if err != nil {
 		return nil
 	}
@@ -198,29 +200,29 @@
 	return doc.Addresses
 }
 
-// ask sends one request and notes what came back.
-func (k *caller) ask(ctx context.Context, n int, kind string) asked {
-	h := k.crowd.site.hosts[n]
-	a := asked{id: k.crowd.newID(kind), kind: kind, host: n, route: kind, began: time.Now(), calm: k.crowd.site.calm()}
-	a.run, _ = h.state()
+// request sends one request and records its outcome.
+func (k *caller) request(ctx context.Context, n int, kind string) observation {
+	h := k.pool.deployment.hosts[n]
+	a := observation{id: k.pool.newID(kind), kind: kind, host: n, route: kind, began: time.Now(), settled: k.pool.deployment.settled()}
+	a.process, _ = h.state()
 	k.send(ctx, h, &a)
 	a.end = time.Now()
-	a.calm = a.calm && k.crowd.site.calm()
-	if run, termAt := h.state(); run == a.run {
+	a.settled = a.settled && k.pool.deployment.settled()
+	if run, termAt := h.state(); run == a.process {
 		a.termAt = termAt
 	}
-	k.crowd.note(a)
+	k.pool.record(a)
 	return a
 }
 
-func (k *caller) send(ctx context.Context, h *host, a *asked) {
-	deadline := k.crowd.site.cfg.tempo().deadline
+func (k *caller) send(ctx context.Context, h *host, a *observation) {
+	deadline := k.pool.deployment.cfg.timing().deadline
 	ctx, cancel := context.WithTimeout(ctx, deadline+time.Second)
 	defer cancel()
-	// The body can not be rewound, so that the library can't send a
-	// request twice by itself.
+	// The body cannot be rewound, so that net/http does not send the request a second time on
+	// its own.
 	body := io.MultiReader(strings.NewReader("body of " + a.id))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.set.Callers.Listen+"/"+a.route+"/x?of="+a.id, body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.settings.Callers.Listen+"/"+a.route+"/x?of="+a.id, body)
 	if err != nil {
 		a.err = err
 		return
@@ -238,9 +240,9 @@
 	a.status, a.header, a.body, a.err = res.StatusCode, res.Header, string(text), err
 }
 
-// whole is the answer that a request must get if it gets a success, as far as it
-// is known before a target is chosen.
-func (a asked) whole() string {
+// wantBody returns the body that a successful answer must have, or for calls its prefix: the
+// target that ends it is not known beforehand.
+func (a observation) wantBody() string {
 	if a.kind == kindDraft {
 		return worker.Stream(streamEvents)
 	}
--- a/internal/dev/soak/fault.go
+++ b/internal/dev/soak/fault.go
@@ -15,92 +15,94 @@
 	"verbenadale.example/verbenadale/internal/dev/worker"
 )
 
-// fault is one harm: begin does it, end mends it after a time.
+// fault is one entry of a plan: begin injects the fault, end removes it after duration.
 type fault struct {
-	name  string
-	at    time.Duration
-	lasts time.Duration
-	begin func(ctx context.Context)
-	end   func(ctx context.Context)
-	// planned work is no harm: it cuts no request.
+	name     string
+	at       time.Duration
+	duration time.Duration
+	begin    func(ctx context.Context)
+	end      func(ctx context.Context)
+	// planned marks planned work, which must not abort a request.
 	planned bool
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%6.2fs for %.2fs %s", f.at.Seconds(), f.lasts.Seconds(), f.name)
+	return fmt.Sprintf("%6.2fs for %.2fs %s", f.at.Seconds(), f.duration.Seconds(), f.name)
 }
 
-// Sizes of a plan.
+// Frequency and length of the faults of a plan.
 const (
-	// faultsEach is the usual time between two faults. Each lasts up to longest,
-	// so that two or three are at work at once.
-	faultsEach = 1200 * time.Millisecond
-	shortest   = 300 * time.Millisecond
-	longest    = 4 * time.Second
-	// seriesOf is how often a fault comes again, one time in seriesPart.
-	seriesOf   = 3
-	seriesPart = 4
-	// restartAfter is the pause before an ended process is started again.
-	restartAfter = 300 * time.Millisecond
-	// afterwards is when planned work comes alone in half of the plans: all faults
-	// are over and forgotten by then, so that bounds without faults are checked.
-	afterwards = 2*longest + longest + quiet
+	// meanFaultInterval is the mean time between two faults. Each lasts up to maxFaultTime, so
+	// that two or three are active at once.
+	meanFaultInterval = 1200 * time.Millisecond
+	minFaultTime      = 300 * time.Millisecond
+	maxFaultTime      = 4 * time.Second
+	// One fault in seriesRatio is repeated, and occurs seriesLength times in all.
+	seriesLength = 3
+	seriesRatio  = 4
+	// restartDelay is the time between the end of a process and its restart.
+	restartDelay = 300 * time.Millisecond
+	// finalDelay is the time after the span of faults at which half of the plans begin one item
+	// of planned work. All faults have ended and settled by then, so that the bounds that hold
+	// without faults are checked.
+	finalDelay = 2*maxFaultTime + maxFaultTime + settleTime
 )
 
-// maker makes one kind of fault from a source of chance.
-type maker func(rnd *rand.Rand, s *site) fault
+// generator makes a fault of one kind with random parameters.
+type generator func(rnd *rand.Rand, s *deployment) fault
 
-// planned is work that may cut nothing, and that is in force everywhere in time.
-var planned = []maker{stopHost, evacuate, leaveWorker, reconfigure}
+// plannedWork generates work that must not abort a request and must be in force at every host in
+// time.
+var plannedWork = []generator{stopHost, evacuate, replaceWorker, reconfigure}
 
-// draw makes the plan of a seed.
-func draw(rnd *rand.Rand, span time.Duration, s *site) []fault {
-	makers := []maker{stopHost, killHost, pauseHost, hupHost, harmStore, harmStore, linkStore, linkPeers, linkWorker, harmWorker, harmWorker, reconfigure, evacuate, leaveWorker}
+// drawPlan draws a plan of faults that begin within span.
+func drawPlan(rnd *rand.Rand, span time.Duration, s *deployment) []fault {
+	generators := []generator{stopHost, killHost, pauseHost, reloadHost, faultStore, faultStore, faultStoreLink, faultPeerLink, faultWorkerLink, faultWorker, faultWorker, reconfigure, evacuate, replaceWorker}
 	var plan []fault
-	for at := time.Duration(0); at < span; at += time.Duration(rnd.Int64N(int64(2 * faultsEach))) {
-		f := makers[rnd.IntN(len(makers))](rnd, s)
+	for at := time.Duration(0); at < span; at += time.Duration(rnd.Int64N(int64(2 * meanFaultInterval))) {
+		f := generators[rnd.IntN(len(generators))](rnd, s)
 		f.at = at
-		f.lasts = shortest + time.Duration(rnd.Int64N(int64(longest-shortest)))
-		times := 1
-		if rnd.IntN(seriesPart) == 0 {
-			times = seriesOf
+		f.duration = minFaultTime + time.Duration(rnd.Int64N(int64(maxFaultTime-minFaultTime)))
+		count := 1
+		if rnd.IntN(seriesRatio) == 0 {
+			count = seriesLength
 		}
-		for n := range times {
-			again := f
-			again.at += time.Duration(n) * (f.lasts/2 + shortest)
-			plan = append(plan, again)
+		for n := range count {
+			repeat := f
+			repeat.at += time.Duration(n) * (f.duration/2 + minFaultTime)
+			plan = append(plan, repeat)
 		}
 	}
 	if rnd.IntN(2) == 0 {
-		f := planned[rnd.IntN(len(planned))](rnd, s)
-		f.at, f.lasts = span+afterwards, quiet+longest
+		f := plannedWork[rnd.IntN(len(plannedWork))](rnd, s)
+		f.at, f.duration = span+finalDelay, settleTime+maxFaultTime
 		plan = append(plan, f)
 	}
 	slices.SortStableFunc(plan, func(a, b fault) int { return int(a.at - b.at) })
 	return plan
 }
 
-// plannedEach is the usual time between two series of planned work.
-const plannedEach = 900 * time.Millisecond
+// meanPlannedInterval is the mean time between two series of planned work.
+const meanPlannedInterval = 900 * time.Millisecond
 
-// drawPlanned makes a plan of overlapping series of planned work.
-func drawPlanned(rnd *rand.Rand, span time.Duration, s *site) []fault {
-	makers := []maker{stopHost, stopHost, hupHost, reconfigure, leaveWorker, pauseStreams, pauseStreams}
+// drawPlanned draws a plan of overlapping series of planned work.
+func drawPlanned(rnd *rand.Rand, span time.Duration, s *deployment) []fault {
+	generators := []generator{stopHost, stopHost, reloadHost, reconfigure, replaceWorker, pauseStreams, pauseStreams}
 	var plan []fault
-	for at := time.Duration(0); at < span; at += time.Duration(rnd.Int64N(int64(2 * plannedEach))) {
-		f := makers[rnd.IntN(len(makers))](rnd, s)
-		for n := range 1 + rnd.IntN(seriesOf) {
-			again := f
-			again.at, again.lasts = at+time.Duration(n)*shortest, longest
-			plan = append(plan, again)
+	for at := time.Duration(0); at < span; at += time.Duration(rnd.Int64N(int64(2 * meanPlannedInterval))) {
+		f := generators[rnd.IntN(len(generators))](rnd, s)
+		for n := range 1 + rnd.IntN(seriesLength) {
+			repeat := f
+			repeat.at, repeat.duration = at+time.Duration(n)*minFaultTime, maxFaultTime
+			plan = append(plan, repeat)
 		}
 	}
 	slices.SortStableFunc(plan, func(a, b fault) int { return int(a.at - b.at) })
 	return plan
 }
 
-// pauseStreams has the next streams at a target pause for longer than hosts wait for an event.
-func pauseStreams(rnd *rand.Rand, s *site) fault {
+// pauseStreams pauses the next streams at a target for longer than hosts wait for an event.
+func pauseStreams(rnd *rand.Rand, s *deployment) fault {
 	var ws []*target
 	for _, w := range s.targets() {
 		if w.service == "writers" {
@@ -111,12 +113,12 @@
 	return fault{name: fmt.Sprintf("target %s: next %d pause", w.id, n), planned: true, begin: func(context.Context) { w.Fault(worker.Paused, n) }}
 }
 
-// play plays a plan and returns when all is mended.
-func (s *site) play(ctx context.Context, plan []fault) {
+// runPlan runs a plan and returns when all its faults have ended.
+func (s *deployment) runPlan(ctx context.Context, plan []fault) {
 	var t tomb.Tomb
 	began := time.Now()
 	for _, f := range plan {
-		p := &player{site: s, fault: f, ctx: ctx, began: began}
+		p := &faultRun{deployment: s, fault: f, ctx: ctx, began: began}
 		t.Go(p.run)
 	}
 	if len(plan) > 0 {
@@ -124,77 +126,77 @@
 	}
 }
 
-// player plays one fault.
-type player struct {
-	site  *site
-	fault fault
-	ctx   context.Context
-	began time.Time
+// faultRun runs one fault.
+type faultRun struct {
+	deployment *deployment
+	fault      fault
+	ctx        context.Context
+	began      time.Time
 }
 
-func (p *player) run() error {
-	if !rest(p.ctx, time.Until(p.began.Add(p.fault.at))) {
+func (p *faultRun) run() error {
+	if !sleep(p.ctx, time.Until(p.began.Add(p.fault.at))) {
 		return nil
 	}
 	if !p.fault.planned {
-		p.site.harmed()
+		p.deployment.recordFault()
 	}
 	p.fault.begin(p.ctx)
-	rest(p.ctx, p.fault.lasts)
+	sleep(p.ctx, p.fault.duration)
 	if p.fault.end != nil {
 		p.fault.end(p.ctx)
 	}
 	if !p.fault.planned {
-		p.site.harmed()
+		p.deployment.recordFault()
 	}
 	return nil
 }
 
-func anyHost(rnd *rand.Rand, s *site) (int, *host) {
+func randomHost(rnd *rand.Rand, s *deployment) (int, *host) {
 	n := rnd.IntN(len(s.hosts))
 	return n, s.hosts[n]
 }
 
-// again starts the host anew once its process has ended.
-func (h *host) again(ctx context.Context, done <-chan struct{}) {
+// restartAfterExit starts the host again once its process has ended.
+func (h *host) restartAfterExit(ctx context.Context, done <-chan struct{}) {
 	select {
 	case <-done:
 	case <-ctx.Done():
 		return
 	}
-	rest(ctx, restartAfter)
+	sleep(ctx, restartDelay)
 	h.mu.Lock()
 	same := h.done == done
 	h.mu.Unlock()
 	if same {
-		_ = h.boot()
+		_ = h.startProcess()
 	}
 }
 
-func stopHost(rnd *rand.Rand, s *site) fault {
-	n, h := anyHost(rnd, s)
-	return fault{name: fmt.Sprint("stop host ", n), planned: true, begin: func(ctx context.Context) { h.again(ctx, h.signal(syscall.SIGTERM)) }}
+func stopHost(rnd *rand.Rand, s *deployment) fault {
+	n, h := randomHost(rnd, s)
+	return fault{name: fmt.Sprint("stop host ", n), planned: true, begin: func(ctx context.Context) { h.restartAfterExit(ctx, h.signal(syscall.SIGTERM)) }}
 }
 
-func killHost(rnd *rand.Rand, s *site) fault {
-	n, h := anyHost(rnd, s)
-	return fault{name: fmt.Sprint("kill host ", n), begin: func(ctx context.Context) { h.again(ctx, h.signal(syscall.SIGKILL)) }}
+func killHost(rnd *rand.Rand, s *deployment) fault {
+	n, h := randomHost(rnd, s)
+	return fault{name: fmt.Sprint("kill host ", n), begin: func(ctx context.Context) { h.restartAfterExit(ctx, h.signal(syscall.SIGKILL)) }}
 }
 
-func pauseHost(rnd *rand.Rand, s *site) fault {
-	n, h := anyHost(rnd, s)
+func pauseHost(rnd *rand.Rand, s *deployment) fault {
+	n, h := randomHost(rnd, s)
 	return fault{
 		name: fmt.Sprint("pause host ", n), begin: func(context.Context) { h.signal(syscall.SIGSTOP) },
 		end: func(context.Context) { h.signal(syscall.SIGCONT) },
 	}
 }
 
-func hupHost(rnd *rand.Rand, s *site) fault {
-	n, h := anyHost(rnd, s)
+func reloadHost(rnd *rand.Rand, s *deployment) fault {
+	n, h := randomHost(rnd, s)
 	return fault{name: fmt.Sprint("settings of host ", n), planned: true, begin: func(context.Context) { h.signal(syscall.SIGHUP) }}
 }
 
-func harmStore(rnd *rand.Rand, s *site) fault {
+func faultStore(rnd *rand.Rand, s *deployment) fault {
 	kinds := []kvstub.Failure{kvstub.Busy, kvstub.Silent, kvstub.Reset, kvstub.Many, kvstub.Lost}
 	k := rnd.IntN(len(kinds) + 3)
 	switch k - len(kinds) {
@@ -211,8 +213,8 @@
 	}
 }
 
-// link makes a fault of a relay.
-func link(rnd *rand.Rand, what string, r func() *relay.Relay) fault {
+// linkFault makes a fault of a link that passes through a relay.
+func linkFault(rnd *rand.Rand, what string, r func() *relay.Relay) fault {
 	kinds := []struct {
 		name string
 		f    relay.Fault
@@ -232,29 +234,29 @@
 	}
 }
 
-func resetIf(r *relay.Relay, yes bool) {
-	if yes {
+func resetIf(r *relay.Relay, reset bool) {
+	if reset {
 		r.Reset()
 	}
 }
 
-func linkStore(rnd *rand.Rand, s *site) fault {
-	n, h := anyHost(rnd, s)
-	return link(rnd, fmt.Sprint("of host ", n, " to the store"), func() *relay.Relay { return h.toStore })
+func faultStoreLink(rnd *rand.Rand, s *deployment) fault {
+	n, h := randomHost(rnd, s)
+	return linkFault(rnd, fmt.Sprint("of host ", n, " to the store"), func() *relay.Relay { return h.storeRelay })
 }
 
-func linkPeers(rnd *rand.Rand, s *site) fault {
-	n, h := anyHost(rnd, s)
-	return link(rnd, fmt.Sprint("of peers to host ", n), func() *relay.Relay { return h.before })
+func faultPeerLink(rnd *rand.Rand, s *deployment) fault {
+	n, h := randomHost(rnd, s)
+	return linkFault(rnd, fmt.Sprint("of peers to host ", n), func() *relay.Relay { return h.peerRelay })
 }
 
-func linkWorker(rnd *rand.Rand, s *site) fault {
+func faultWorkerLink(rnd *rand.Rand, s *deployment) fault {
 	ws := s.targets()
 	w := ws[rnd.IntN(len(ws))]
-	return link(rnd, "to target "+w.id, func() *relay.Relay { return w.relay })
+	return linkFault(rnd, "to target "+w.id, func() *relay.Relay { return w.relay })
 }
 
-func harmWorker(rnd *rand.Rand, s *site) fault {
+func faultWorker(rnd *rand.Rand, s *deployment) fault {
 	kinds := []worker.Fault{
 		worker.Crash, worker.Reset, worker.Lost, worker.Errors, worker.Shed, worker.Unsigned, worker.Crossed, worker.Unframed, worker.Extra,
 	}
@@ -263,25 +265,26 @@
 	return fault{name: fmt.Sprintf("target %s: next %d %s", w.id, n, k), begin: func(context.Context) { w.Fault(k, n) }}
 }
 
-func reconfigure(_ *rand.Rand, s *site) fault {
+func reconfigure(_ *rand.Rand, s *deployment) fault {
 	return fault{name: "new configuration", planned: true, begin: func(context.Context) { s.configure() }}
 }
 
-func evacuate(rnd *rand.Rand, s *site) fault {
+func evacuate(rnd *rand.Rand, s *deployment) fault {
 	region := regions[rnd.IntN(len(regions))]
 	return fault{
-		name: "empty " + centreOf(region), planned: true, begin: func(context.Context) { s.empty(region, true) },
-		end: func(context.Context) { s.empty(region, false) },
+		name: "empty " + centreOf(region), planned: true, begin: func(context.Context) { s.setEvacuated(region, true) },
+		end: func(context.Context) { s.setEvacuated(region, false) },
 	}
 }
 
-// leaveWorker replaces a worker: the new one is listed first, the old one leaves.
-func leaveWorker(rnd *rand.Rand, s *site) fault {
+// replaceWorker replaces a worker: the new one is listed first, then the old one is listed as
+// draining.
+func replaceWorker(rnd *rand.Rand, s *deployment) fault {
 	ws := s.targets()
 	w, salt := ws[rnd.IntN(len(ws))], rnd.Uint32()
 	return fault{name: "replace target " + w.id, planned: true, begin: func(context.Context) {
 		if err := s.addWorker(fmt.Sprintf("%s.%x", w.id, salt+uint32(time.Since(s.began))), w.service, w.region); err == nil {
-			s.leave(w)
+			s.drainWorker(w)
 		}
 	}, end: func(context.Context) { s.store.Remove(w.Key()) }}
 }
--- a/internal/dev/soak/site.go
+++ b/internal/dev/soak/site.go
@@ -32,14 +32,14 @@
 
 func centreOf(region string) string { return region + "-a" }
 
-// events of the streams, and the work of calls.
+// Number of events of a stream, and running time of a call.
 const (
 	streamEvents = 30
-	callWork     = 5 * time.Millisecond
+	callRunTime  = 5 * time.Millisecond
 )
 
-// site is the deployment that is harmed.
-type site struct {
+// deployment is the system under test: store, workers, entry hosts and the relays between them.
+type deployment struct {
 	t     tomb.Tomb
 	cfg   Config
 	clock *clock.Service
@@ -53,14 +53,14 @@
 	workers []*target
 	version int
 	servers []*http.Server
-	// harmedAt is when a fault last began or ended.
-	harmedAt time.Time
-	// words are the configurations that the operators have written, evacuated when
-	// they evacuated data centres.
-	words     []word
+	// lastFaultAt is when a fault last began or ended.
+	lastFaultAt time.Time
+	// configs are the configurations that were written, evacuated the evacuations of data
+	// centres.
+	configs   []configWrite
 	evacuated []evacuation
-	// ended are the processes that ended by themselves.
-	ended []string
+	// selfExits describes the processes that ended without a signal.
+	selfExits []string
 }
 
 // target is one incarnation of a worker behind its relay.
@@ -68,21 +68,20 @@
 	*worker.Worker
 	id, service, region string
 	relay               *relay.Relay
-	// leftAt is when it was listed as leaving.
-	leftAt time.Time
+	// drainingSince is when it was listed as draining.
+	drainingSince time.Time
 }
 
-// evacuation is a time in which a region was to get nothing; to is zero while it goes
-// on.
+// evacuation is a period in which no request may be sent to a region. to is zero while it lasts.
 type evacuation struct {
 	region   string
 	from, to time.Time
 }
 
-// empty evacuates a region or ends that.
-func (s *site) empty(region string, yes bool) {
+// setEvacuated begins or ends the evacuation of a region.
+func (s *deployment) setEvacuated(region string, evacuated bool) {
 	key := "op/evacuate/" + centreOf(region)
-	if yes {
+	if evacuated {
 		s.store.Put(key, []byte("{}"))
 	} else {
 		s.store.Remove(key)
@@ -94,18 +93,18 @@
 			e.to = time.Now()
 		}
 	}
-	if yes {
+	if evacuated {
 		s.evacuated = append(s.evacuated, evacuation{region: region, from: time.Now()})
 	}
 }
 
-// word is a configuration that the operators have written.
-type word struct {
+// configWrite records that a configuration was written to the store.
+type configWrite struct {
 	at      time.Time
 	version int
 }
 
-func (s *site) start() error {
+func (s *deployment) start() error {
 	var err error
 	if s.dir, err = os.MkdirTemp("", "soak"); err != nil {
 		return errors.Wrap(ErrStart, err.Error())
@@ -137,17 +136,17 @@
 	return nil
 }
 
-func (s *site) stop() {
+func (s *deployment) stop() {
 	for _, h := range s.hosts {
-		h.end()
+		h.shutdown()
 	}
 	s.store.Stop()
 	for _, srv := range s.servers {
 		_ = srv.Close()
 	}
 	for _, h := range s.hosts {
-		h.toStore.Stop()
-		h.before.Stop()
+		h.storeRelay.Stop()
+		h.peerRelay.Stop()
 	}
 	for _, w := range s.workers {
 		w.relay.Stop()
@@ -160,8 +159,8 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// serve serves a stand-in and returns its address.
-func (s *site) serve(h http.Handler) (string, error) {
+// serve serves a fake and returns its address.
+func (s *deployment) serve(h http.Handler) (string, error) {
 	l, err := httpsv.Listen(ports.Next(), &http.Server{Handler: h, ReadHeaderTimeout: time.Minute})
 	if err != nil {
 		return "", errors.Wrap(ErrStart, err.Error())
@@ -171,20 +170,21 @@
 	return l.Net.Addr().String(), nil
 }
 
-func (s *site) relayTo(addr string) (*relay.Relay, error) {
+func (s *deployment) relayTo(addr string) (*relay.Relay, error) {
 	r, err := relay.Start(relay.Config{Listen: ports.Next(), To: addr, Clock: s.clock})
 	return r, errors.Wrap(err, ErrStart.Error())
 }
 
-// configure writes the next version, which adds a route of its own.
-func (s *site) configure() {
+// configure writes the next version of the configuration, which adds a route named after the
+// version.
+func (s *deployment) configure() {
 	s.mu.Lock()
 	s.version++
 	v := s.version
 	s.mu.Unlock()
 	route := func(name, kind, service string, homes ...string) map[string]any {
 		return map[string]any{
-			"Name": "r-" + name, "Host": hostName, "Prefix": "/" + name + "/", "Kind": kind, "TimeoutMs": s.cfg.tempo().timeoutMs, "TargetLatencyMs": 500,
+			"Name": "r-" + name, "Host": hostName, "Prefix": "/" + name + "/", "Kind": kind, "TimeoutMs": s.cfg.timing().timeoutMs, "TargetLatencyMs": 500,
 			"GapTargetMs": 300, "Service": service, "MaxAttempts": 2, "Resumable": kind == "streaming", "HomeRegions": homes,
 		}
 	}
@@ -205,14 +205,14 @@
 	}
 	s.store.Put("op/config", b)
 	s.mu.Lock()
-	s.words = append(s.words, word{at: time.Now(), version: v})
+	s.configs = append(s.configs, configWrite{at: time.Now(), version: v})
 	s.mu.Unlock()
 }
 
-func (s *site) addWorker(id, service, region string) error {
-	cfg := worker.Config{ID: id, Service: service, DataCentre: centreOf(region), Slots: 16, Work: callWork}
+func (s *deployment) addWorker(id, service, region string) error {
+	cfg := worker.Config{ID: id, Service: service, DataCentre: centreOf(region), Slots: 16, Work: callRunTime}
 	if service == "writers" {
-		cfg.Events, cfg.Pause = streamEvents, s.cfg.tempo().pause
+		cfg.Events, cfg.Pause = streamEvents, s.cfg.timing().eventInterval
 	}
 	w := &target{Worker: worker.New(cfg), id: id, service: service, region: region}
 	addr, err := s.serve(w.Worker)
@@ -229,83 +229,85 @@
 	return nil
 }
 
-// leave lists a worker as leaving.
-func (s *site) leave(w *target) {
+// drainWorker lists a worker as draining.
+func (s *deployment) drainWorker(w *target) {
 	s.store.Put(w.Key(), w.Entry(w.relay.Addr(), "draining", 0))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.leftAt = time.Now()
+	w.drainingSince = time.Now()
 }
 
-func (s *site) targets() []*target {
+func (s *deployment) targets() []*target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*target(nil), s.workers...)
 }
 
-// harmed records that a fault begins or ends.
-func (s *site) harmed() {
+// recordFault records that a fault has begun or ended.
+func (s *deployment) recordFault() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.harmedAt = time.Now()
+	s.lastFaultAt = time.Now()
 }
 
-func (s *site) calm() bool {
+func (s *deployment) settled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.harmedAt) > quiet
+	return time.Since(s.lastFaultAt) > settleTime
 }
 
-// host is an entry host and its relays.
+// host is an entry host and the relays of its links: storeRelay to the store, peerRelay from its
+// peers.
 type host struct {
-	site            *site
-	set             config.Settings
-	region, file    string
-	toStore, before *relay.Relay
+	deployment            *deployment
+	settings              config.Settings
+	region, file          string
+	storeRelay, peerRelay *relay.Relay
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	// run counts its processes, termAt is when the newest got SIGTERM, ending
-	// that it was made to end.
-	run    int
-	termAt time.Time
-	ending bool
-	over   bool
+	// processes counts the processes started so far. termAt is when the current one received
+	// SIGTERM; stopping is set once it was sent SIGTERM or SIGKILL.
+	processes int
+	termAt    time.Time
+	stopping  bool
+	closed    bool
 }
 
-func (s *site) addHost(region string) error {
-	h := &host{site: s, region: region}
-	own := ports.Next()
+func (s *deployment) addHost(region string) error {
+	h := &host{deployment: s, region: region}
+	peerAddr := ports.Next()
 	var err error
-	if h.before, err = s.relayTo(own); err != nil {
+	if h.peerRelay, err = s.relayTo(peerAddr); err != nil {
 		return err
 	}
-	if h.toStore, err = s.relayTo(s.url); err != nil {
+	if h.storeRelay, err = s.relayTo(s.url); err != nil {
 		return err
 	}
-	// A seed is named by its address, so the host goes by that of its relay.
-	name, _, err := net.SplitHostPort(h.before.Addr())
+	// Peers derive the name of a seed from its address, so the host is named after the address
+	// of its relay.
+	name, _, err := net.SplitHostPort(h.peerRelay.Addr())
 	if err != nil {
 		return errors.Wrap(ErrStart, err.Error())
 	}
-	h.set = config.Defaults()
-	h.set.Entry = ident.EntryID(name)
-	h.set.DataCentre, h.set.Region = ident.DataCentre(centreOf(region)), ident.Region(region)
-	h.set.Callers.Listen = ports.Next()
-	h.set.Peers = config.Peers{Listen: own, Advertise: h.before.Addr(), Plain: true}
-	h.set.Operators.Listen = ports.Next()
-	h.set.Platform.URL = "http://" + h.toStore.Addr()
-	h.set.Fleet.Directory, h.set.Fleet.Ready, h.set.Fleet.Metrics = ports.Next(), ports.Next(), ports.Next()
-	h.set.Fleet.GraceSeconds = s.cfg.tempo().graceSeconds
+	h.settings = config.Defaults()
+	h.settings.Entry = ident.EntryID(name)
+	h.settings.DataCentre, h.settings.Region = ident.DataCentre(centreOf(region)), ident.Region(region)
+	h.settings.Callers.Listen = ports.Next()
+	h.settings.Peers = config.Peers{Listen: peerAddr, Advertise: h.peerRelay.Addr(), Plain: true}
+	h.settings.Operators.Listen = ports.Next()
+	h.settings.Platform.URL = "http://" + h.storeRelay.Addr()
+	h.settings.Fleet.Directory, h.settings.Fleet.Ready, h.settings.Fleet.Metrics = ports.Next(), ports.Next(), ports.Next()
+	h.settings.Fleet.GraceSeconds = s.cfg.timing().graceSeconds
 	for _, r := range regions {
-		h.set.Fleet.Places = append(h.set.Fleet.Places, config.FleetPlace{DataCentre: ident.DataCentre(centreOf(r)), Region: ident.Region(r)})
+		h.settings.Fleet.Places = append(h.settings.Fleet.Places, config.FleetPlace{DataCentre: ident.DataCentre(centreOf(r)), Region: ident.Region(r)})
 	}
 	for _, o := range s.hosts {
-		h.set.Fleet.Seeds = append(h.set.Fleet.Seeds, o.before.Addr())
+		h.settings.Fleet.Seeds = append(h.settings.Fleet.Seeds, o.peerRelay.Addr())
 	}
 	h.file = filepath.Join(s.dir, name+".json")
-	b, err := json.Marshal(h.set)
+	b, err := json.Marshal(h.settings)
 	if err == nil {
 		err = os.WriteFile(h.file, b, 0o600)
 	}
@@ -313,81 +315,82 @@
 		return errors.Wrap(ErrStart, err.Error())
 	}
 	s.hosts = append(s.hosts, h)
-	return h.boot()
+	return h.startProcess()
 }
 
-// boot starts a process of the host.
-func (h *host) boot() error {
+// startProcess starts a process of the host.
+func (h *host) startProcess() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over {
+	if h.closed {
 		return nil
 	}
-	cmd := exec.Command(h.site.cfg.Program, "edge", "-settings", h.file)
-	cmd.Stdout, cmd.Stderr = h.site.cfg.Log, h.site.cfg.Log
+	cmd := exec.Command(h.deployment.cfg.Program, "edge", "-settings", h.file)
+	cmd.Stdout, cmd.Stderr = h.deployment.cfg.Log, h.deployment.cfg.Log
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(ErrStart, err.Error())
 	}
 	h.cmd, h.done = cmd, make(chan struct{})
-	h.run++
-	h.termAt, h.ending = time.Time{}, false
+	h.processes++
+	h.termAt, h.stopping = time.Time{}, false
 	p := &process{host: h, cmd: cmd, done: h.done}
 	go p.run()
 	return nil
 }
 
-// process waits for the end of one process.
+// process watches one process of a host.
 type process struct {
 	host *host
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// run starts the host again where its process ended by itself, as the platform does.
+// run waits for the process to end and restarts the host if it ended without a signal, as the
+// platform does.
 func (p *process) run() {
 	err := p.cmd.Wait()
 	h := p.host
 	h.mu.Lock()
-	own := h.done == p.done && !h.ending && !h.over
+	unexpected := h.done == p.done && !h.stopping && !h.closed
 	h.mu.Unlock()
 	close(p.done)
-	if own {
-		h.site.endedByItself(h, err)
-		_ = h.boot()
+	if unexpected {
+		h.deployment.recordSelfExit(h, err)
+		_ = h.startProcess()
 	}
 }
 
-// endedByItself records a process that ended without a signal.
-func (s *site) endedByItself(h *host, err error) {
+// recordSelfExit records a process that ended without a signal.
+func (s *deployment) recordSelfExit(h *host, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = append(s.ended, fmt.Sprintf("host %s at %.2fs: %v", h.set.Entry, time.Since(s.began).Seconds(), err))
+	s.selfExits = append(s.selfExits, fmt.Sprintf("host %s at %.2fs: %v", h.settings.Entry, time.Since(s.began).Seconds(), err))
 }
 
-// signal sends a signal to the process of the host, by its id, and returns a
-// channel that is closed when that process has ended.
+// signal sends a signal to the process of the host by its id, and returns a channel that is
+// closed when that process has ended.
 func (h *host) signal(sig syscall.Signal) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if sig == syscall.SIGTERM {
 		h.termAt = time.Now()
 	}
-	h.ending = h.ending || sig == syscall.SIGTERM || sig == syscall.SIGKILL
+	h.stopping = h.stopping || sig == syscall.SIGTERM || sig == syscall.SIGKILL
 	_ = h.cmd.Process.Signal(sig)
 	return h.done
 }
 
-// state returns which process of the host runs and when it got SIGTERM.
-func (h *host) state() (run int, termAt time.Time) {
+// state returns the number of the current process and when it received SIGTERM.
+func (h *host) state() (process int, termAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.run, h.termAt
+	return h.processes, h.termAt
 }
 
-// end ends the host for good.
-func (h *host) end() {
+// shutdown kills the process of the host, which is not restarted.
+func (h *host) shutdown() {
 	h.mu.Lock()
-	h.over = true
+	h.closed = true
 	cmd, done := h.cmd, h.done
 	h.mu.Unlock()
 	if cmd == nil {
--- a/internal/dev/soak/soak.go
+++ b/internal/dev/soak/soak.go
@@ -1,22 +1,22 @@
-// Package soak runs entry hosts as separate processes before stand-ins of the
-// platform's store and of targets, harms them from outside in an order drawn from
-// a seed, and checks what callers and targets see meanwhile.
+// Package soak runs entry hosts as separate processes with fakes of the platform's
+// store and of targets, injects faults in an order drawn from a seed, and checks what
+// callers and targets see meanwhile.
 //
 // # Usage
 //
-//	rep, err := soak.Run(ctx, soak.Config{Program: "bin/verbenadale", Seed: 7, For: 20 * time.Second})
-//	for _, b := range rep.Broken {
-//		fmt.Println(b)
+//	rep, err := soak.Run(ctx, soak.Config{Program: "bin/verbenadale", Seed: 7, Duration: 20 * time.Second})
+//	for _, v := range rep.Violations {
+//		fmt.Println(v)
 //	}
 //
 // Each host reaches the store, its peers and the targets through loopback relays
-// that can delay, reset, refuse or silence connections, also one way. Processes are
-// stopped, killed, paused and made to read their settings again. Faults come alone,
-// in series and at the same time. The plan of a seed is always the same; what it
-// meets depends on the machine, so that a seed which fails is run again a few times.
+// that can delay, reset, refuse or silence connections, also in one direction only.
+// Processes are stopped, killed, paused and made to reload their settings. Faults occur
+// alone, in series and at the same time. A seed always gives the same plan; its effect
+// depends on the timing of the machine, so a seed that fails is run a few more times.
 //
-// The wall clocks of processes can't be set apart without privileges, and hosts
-// have no storage: neither is harmed here.
+// Two kinds of fault are not covered: the wall clocks of processes cannot be skewed
+// without privileges, and hosts have no storage.
 package soak
 
 import (
@@ -31,65 +31,66 @@
 	"verbenadale.example/verbenadale/internal/clock"
 )
 
-// ErrStart says that the deployment could not be started.
+// ErrStart is returned if the deployment could not be started.
 var ErrStart = errors.New("soak: start")
 
 // Config describes a run.
 type Config struct {
-	// Program is the entry host's.
+	// Program is the path of the entry host executable.
 	Program string
 	Seed    uint64
-	// For is how long faults begin.
-	For time.Duration
-	// Hosts and Callers are those of each region.
+	// Duration is the span in which faults begin.
+	Duration time.Duration
+	// Hosts and Callers are the numbers of entry hosts and callers in each region.
 	Hosts, Callers int
-	// Planned draws overlapping series of planned work alone, beside streams of several seconds
-	// that pause at their targets. No request that has run may then be cut.
+	// Planned replaces faults by overlapping series of planned work, beside streams of several
+	// seconds that pause at their targets. No request that has run may then be aborted.
 	Planned bool
-	// Log takes what the hosts print; nil drops it.
+	// Log receives the output of the hosts; nil discards it.
 	Log io.Writer
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
-	Seed    uint64
-	Plan    []string
-	Broken  []string
-	Asked   int
-	Outcome map[string]int
+	Seed       uint64
+	Plan       []string
+	Violations []string
+	Requests   int
+	Outcomes   map[string]int
 }
 
-// Times of a run.
 const (
-	// recovery is how long after the last fault everything must be served again:
-	// a lease, a round of suspicion and a few digests.
-	recovery = 12 * time.Second
-	// quiet is the time without a fault after which bounds hold again: the longest
-	// silence that a part bears before it takes another way.
-	quiet = 6 * time.Second
-	// inForce bounds the time until a draining target, an evacuated data centre or a
-	// new configuration counts everywhere, without faults.
-	inForce = 4 * time.Second
+	// recoveryTimeout is how long after the last fault every host must serve again: enough for a
+	// lease to expire, a round of suspicion and a few digests.
+	recoveryTimeout = 12 * time.Second
+	// settleTime is the time after a fault from which the bounds hold again: the longest silence
+	// that a component tolerates before it chooses another route.
+	settleTime = 6 * time.Second
+	// maxPropagation bounds the time until a draining target, an evacuated data centre or a new
+	// configuration takes effect at every host, without faults.
+	maxPropagation = 4 * time.Second
 )
 
-// tempo is how long requests and stops take.
-type tempo struct {
-	// pause is the time between two events of a stream, deadline what a caller waits.
-	pause, deadline time.Duration
-	timeoutMs       int
-	graceSeconds    float64
+// timing holds the durations of requests and stops.
+type timing struct {
+	// eventInterval is the time between two events of a stream, deadline how long a caller
+	// waits.
+	eventInterval, deadline time.Duration
+	timeoutMs               int
+	graceSeconds            float64
 }
 
-// tempo returns the times of a run. With planned work the grace is longer than a stream that
-// pauses at both of its targets.
-func (cfg Config) tempo() tempo {
+// timing returns the durations of a run. With planned work the grace period is longer than a
+// stream that pauses at both of its targets.
+func (cfg Config) timing() timing {
 	if cfg.Planned {
-		return tempo{pause: 60 * time.Millisecond, deadline: 7 * time.Second, timeoutMs: 8000, graceSeconds: 14}
+		return timing{eventInterval: 60 * time.Millisecond, deadline: 7 * time.Second, timeoutMs: 8000, graceSeconds: 14}
 	}
-	return tempo{pause: 30 * time.Millisecond, deadline: 3 * time.Second, timeoutMs: 4000, graceSeconds: 4}
+	return timing{eventInterval: 30 * time.Millisecond, deadline: 3 * time.Second, timeoutMs: 4000, graceSeconds: 4}
 }
 
-// Run runs one seed.
+// Run runs the plan of one seed and checks the guarantees. The error is ErrStart if the
+// deployment did not start; violations are in the report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if cfg.Hosts == 0 {
 		cfg.Hosts = 2
@@ -100,56 +101,56 @@
 	if cfg.Log == nil {
 		cfg.Log = io.Discard
 	}
-	s := &site{cfg: cfg, clock: clock.New(), began: time.Now()}
+	s := &deployment{cfg: cfg, clock: clock.New(), began: time.Now()}
 	defer s.stop()
 	if err := s.start(); err != nil {
 		return Report{Seed: cfg.Seed}, err
 	}
-	c := newCrowd(s)
-	if !c.served(ctx, recovery) {
-		return Report{Seed: cfg.Seed}, errors.Wrap(ErrStart, "the hosts do not serve")
+	c := newCallerPool(s)
+	if !c.awaitServing(ctx, recoveryTimeout) {
+		return Report{Seed: cfg.Seed}, errors.Wrap(ErrStart, "not every host answers every kind of request with 200")
 	}
 	c.start()
 	plan := cfg.plan(s)
-	s.play(ctx, plan)
-	healed := c.served(ctx, recovery)
+	s.runPlan(ctx, plan)
+	healed := c.awaitServing(ctx, recoveryTimeout)
 	c.stop()
-	chk := &checker{site: s, crowd: c}
+	chk := &checker{deployment: s, pool: c}
 	chk.check()
 	if !healed {
-		chk.broken("recovery: not every host serves %v after the last fault", recovery)
+		chk.report("recovery: not every host serves %v after the last fault", recoveryTimeout)
 	}
-	rep := Report{Seed: cfg.Seed, Broken: chk.found, Asked: len(c.asked), Outcome: c.outcomes()}
+	rep := Report{Seed: cfg.Seed, Violations: chk.violations, Requests: len(c.observations), Outcomes: c.outcomes()}
 	for _, f := range plan {
 		rep.Plan = append(rep.Plan, f.String())
 	}
 	return rep, nil
 }
 
-// plan makes the plan of the seed.
-func (cfg Config) plan(s *site) []fault {
+// plan draws the plan of the seed.
+func (cfg Config) plan(s *deployment) []fault {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, cfg.Seed))
 	if cfg.Planned {
-		return drawPlanned(rnd, cfg.For, s)
+		return drawPlanned(rnd, cfg.Duration, s)
 	}
-	return draw(rnd, cfg.For, s)
+	return drawPlan(rnd, cfg.Duration, s)
 }
 
-// rest waits for a time and reports false when ctx ended first.
-func rest(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports false if ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	ctx2, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	<-ctx2.Done()
 	return ctx.Err() == nil
 }
 
-// String gives a report for people.
+// String formats the report for the terminal.
 func (r Report) String() string {
-	text := fmt.Sprintf("seed %d: %d requests %v, %d faults, %d promises broken\n", r.Seed, r.Asked, r.Outcome, len(r.Plan), len(r.Broken))
-	if len(r.Broken) == 0 {
+	text := fmt.Sprintf("seed %d: %d requests %v, %d faults, %d promises broken\n", r.Seed, r.Requests, r.Outcomes, len(r.Plan), len(r.Violations))
+	if len(r.Violations) == 0 {
 		return text
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		text += "  broken  " + b + "\n"
 	}
 	for _, f := range r.Plan {
--- a/internal/proofs/leave_test.go
+++ b/internal/proofs/leave_test.go
@@ -37,7 +37,7 @@
 	done := make(chan load.Result, 1)
 	go func() {
 		done <- load.Run(context.Background(), load.Config{
-			Entries: urls, Key: "key-1", Profile: "draft", Rate: 200, For: 10 * time.Second, Tokens: 10, Stream: true, Retry: true,
+			Entries: urls, Key: "key-1", Profile: "draft", Rate: 200, Duration: 10 * time.Second, AnswerTokens: 10, Stream: true, Retry: true,
 		})
 	}()
 	eventually(t, "all engines work", func() bool {
--- a/internal/proofs/rolling_test.go
+++ b/internal/proofs/rolling_test.go
@@ -67,8 +67,8 @@
 	defer close(c.done)
 	for !c.over.Load() {
 		r := load.Run(context.Background(), load.Config{
-			Entries: c.urls, Follow: true, Key: "key-1", Profile: "draft", Rate: 20, For: 5 * time.Second,
-			Tokens: 100, Stream: true, Retry: true, Seed: c.seed,
+			Entries: c.urls, FollowEntries: true, Key: "key-1", Profile: "draft", Rate: 20, Duration: 5 * time.Second,
+			AnswerTokens: 100, Stream: true, Retry: true, Seed: c.seed,
 		})
 		c.seed += 2
 		c.sum.Requests += r.Requests
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -82,8 +82,8 @@
 // stream sends an open load of streams, each with a text of its own.
 func stream(entries []string, rate float64, d time.Duration, seed uint64) load.Result {
 	return load.Run(context.Background(), load.Config{
-		Entries: entries, Key: "key-1", Profile: "draft", Rate: rate, For: d,
-		Tokens: 40, Prompt: 120, Stream: true, Seed: seed, Retry: true,
+		Entries: entries, Key: "key-1", Profile: "draft", Rate: rate, Duration: d,
+		AnswerTokens: 40, PromptBytes: 120, Stream: true, Seed: seed, Retry: true,
 	})
 }
 
@@ -193,8 +193,8 @@
 		engine.FaultCut, engine.FaultShort, engine.FaultCrossed, engine.FaultError,
 	}})
 	r := load.Run(context.Background(), load.Config{
-		Entries: f.urls("uvs-1", "uvs-2"), Key: "key-1", Profile: "draft", Rate: 500, For: 2 * time.Second,
-		Tokens: 20, Prompt: 120, Seed: 2, Retry: true,
+		Entries: f.urls("uvs-1", "uvs-2"), Key: "key-1", Profile: "draft", Rate: 500, Duration: 2 * time.Second,
+		AnswerTokens: 20, PromptBytes: 120, Seed: 2, Retry: true,
 	})
 	mostly(t, r, share(r.Requests, 1))
 }
