--- a/internal/conns/conn.go
+++ b/internal/conns/conn.go
@@ -37,8 +37,8 @@
 	mu        sync.Mutex
 	state     connState
 	idleSince ident.Time
-	// nextRequestBegun is set if the last read asked for a single byte. net/http does so while it
-	// serves a request: the byte is the first of the next request.
+	// nextRequestBegun is set if the last read that returned data asked for a single byte. net/http
+	// reads one byte while it serves a request: it is the first byte of the next request.
 	nextRequestBegun bool
 	// readDeadline is the read deadline that the server has set.
 	readDeadline time.Time
@@ -118,8 +118,9 @@
 	return c.SetWriteDeadline(t)
 }
 
-// CloseWrite closes the sending side, as net/http does after an answer that unread bytes may
-// follow: closing both sides would reset the connection, and the caller would lose the answer.
+// CloseWrite closes the sending side. net/http calls it after an answer if the caller may have sent
+// bytes that were not read: closing both sides would reset the connection, and the caller would lose
+// the answer.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -16,9 +16,9 @@
 //
 // net/http reports a connection as active only once it has read all headers, so that its own
 // state doesn't show whether a request has begun to arrive; its Shutdown closes such connections.
-// A Tracker never closes an idle connection itself. It expires the read that waits for the next
-// request, and the goroutine of the connection closes it if that read returns no data. A byte
-// that was read before is always served.
+// Except in CloseAll, a Tracker does not close a connection itself. It expires the read that waits
+// for the next request, and the goroutine of the connection closes it if that read returns no data.
+// If a byte has been read before, its request is served.
 package conns
 
 import (
@@ -203,9 +203,9 @@
 	c := &conn{Conn: nc, tracker: l.tracker, state: stateIdle, idleSince: l.tracker.cfg.Clock.Now()}
 	l.tracker.mu.Lock()
 	l.tracker.conns[c] = struct{}{}
-	retired := l.tracker.draining
+	draining := l.tracker.draining
 	l.tracker.mu.Unlock()
-	if retired {
+	if draining {
 		c.expire()
 	}
 	return c, nil
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -26,8 +26,8 @@
 	clock       *clock.Service
 	idleTimeout time.Duration
 	srv         *httptest.Server
-	// A request for /held waits for release before it is answered, or sends the ending of its
-	// connection to ended.
+	// The handler of /held waits for release before it answers. If the connection ends first, the
+	// handler sends the ending to ended.
 	release chan struct{}
 	arrived chan struct{}
 	ended   chan event.Ending
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// setBodyDeadline limits the time for reading the body. Without it, slow senders could occupy all
-// requests allowed in flight, and an idle host would refuse callers. The limit also applies to a
-// body that is refused unread, since the server reads some of it to keep the connection.
+// setBodyDeadline limits the time for reading the body. Without it, slow senders could use up
+// MaxRequests, and the host would refuse callers although it has no work. The limit also applies to
+// a body that is refused unread, since the server reads some of it to keep the connection.
 func (x *exchange) setBodyDeadline() {
 	if x.cfg.BodyTimeout > 0 && x.r.Body != nil && x.r.Body != http.NoBody {
 		_ = x.rc.SetReadDeadline(time.Now().Add(x.cfg.BodyTimeout))
@@ -90,9 +90,10 @@
 	return nil
 }
 
-// closeIfBodyUnread has the connection closed after a refusal if the body has not been read. The
-// server would otherwise read the rest before it answers, and a sender that is slow or waits for an
-// answer would receive the refusal late.
+// closeIfBodyUnread has the connection closed after a refusal if the body has been read in part, or
+// is unread and longer than maxDrainedBody or of unknown length. The server would otherwise read the
+// rest before it answers, and a sender that is slow or waits for an answer would receive the refusal
+// late.
 func (x *exchange) closeIfBodyUnread() {
 	if x.bodyComplete || x.r.Body == nil || x.r.Body == http.NoBody {
 		return
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -6,9 +6,10 @@
 //	fr := front.New(front.Config{Self: host, Loop: lp, Runner: rn, Book: book.Load})
 //	srv := &http.Server{Handler: fr}
 //
-// The front checks the headers before it reads the body, so that a body that may not enter this
-// host is never read. The reducer decides everything that depends on state; the front checks only
-// the form of a request, and its account and profile against the configuration in force.
+// The front checks the headers before it reads the body. If the headers or the path name the profile,
+// a body that may not enter this host is therefore never read. The reducer decides everything that
+// depends on state; the front checks only the form of a request, and its account and profile against
+// the configuration in force.
 package front
 
 import (
@@ -144,8 +145,8 @@
 	}
 }
 
-// finish records the end of an exchange. It also runs if a panic cuts the connection, which is how
-// a net/http handler cuts one.
+// finish records the end of an exchange. It also runs after a panic with http.ErrAbortHandler, which
+// aborts an answer that has begun.
 func (f *Front) finish(x *exchange) {
 	f.inFlight.Add(-1)
 	f.cfg.Meter.AddInFlight(-1)
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -100,8 +100,8 @@
 	return false
 }
 
-// isVisibleASCII reports whether a value is short enough and consists of visible ASCII; an empty
-// one does.
+// isVisibleASCII reports whether a value has at most maxHeaderValue characters, all of them visible
+// ASCII. An empty value passes.
 func isVisibleASCII(v string) bool {
 	if len(v) > maxHeaderValue {
 		return false
@@ -150,7 +150,7 @@
 	return x.checkVia()
 }
 
-// truncate limits the text of a caller that is quoted in a message.
+// truncate limits the length of a caller's text that is quoted in a message.
 func truncate(s string) string {
 	const maxLen = 64
 	if len(s) > maxLen {
@@ -195,8 +195,8 @@
 	return x.startedAt.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
-// newRequest checks everything that the headers determine and returns the request; it checks the
-// profile if the caller gives it before the body.
+// newRequest returns the request after checking its headers. It checks profile too, unless it is
+// empty because only the body names the profile.
 func (x *exchange) newRequest(profile ident.Profile) (event.Request, *event.Refuse) {
 	if ref := x.authenticate(); ref != nil {
 		return event.Request{}, ref
--- a/internal/front/refuse_test.go
+++ b/internal/front/refuse_test.go
@@ -29,9 +29,9 @@
 }{
 	{"no key", call{"POST", chatPath, goodChat, []string{"Authorization: "}}},
 	{"unknown key", call{"POST", chatPath, goodChat, []string{"Authorization: Bearer nobody"}}},
-	{"key of another kind", call{"POST", chatPath, goodChat, []string{"Authorization: Basic key"}}},
+	{"key of another scheme", call{"POST", chatPath, goodChat, []string{"Authorization: Basic key"}}},
 	{"broken json", call{"POST", chatPath, `{"model":`, nil}},
-	{"json with a tail", call{"POST", chatPath, goodChat + "{}", nil}},
+	{"json with trailing data", call{"POST", chatPath, goodChat + "{}", nil}},
 	{"no body", call{"POST", chatPath, "", nil}},
 	{"array", call{"POST", chatPath, "[]", nil}},
 	{"no messages", call{"POST", chatPath, `{"model":"draft"}`, nil}},
@@ -41,7 +41,7 @@
 	{"model of a wrong type", call{"POST", chatPath, `{"model":7,"messages":[1]}`, nil}},
 	{"negative tokens", call{"POST", chatPath, `{"model":"draft","messages":[1],"max_tokens":-1}`, nil}},
 	{"absurd tokens", call{"POST", chatPath, `{"model":"draft","messages":[1],"max_tokens":99999999}`, nil}},
-	{"tokens past any number", call{"POST", chatPath, `{"model":"draft","messages":[1],"max_tokens":1e99}`, nil}},
+	{"tokens beyond an integer", call{"POST", chatPath, `{"model":"draft","messages":[1],"max_tokens":1e99}`, nil}},
 	{"two answers", call{"POST", chatPath, `{"model":"draft","messages":[1],"n":2}`, nil}},
 	{"long body", call{"POST", chatPath, strings.Repeat(" ", maxTestBody+1), nil}},
 	{"wrong content type", call{"POST", chatPath, goodChat, []string{"Content-Type: text/plain"}}},
@@ -49,18 +49,18 @@
 	{"unknown model", call{"POST", chatPath, `{"model":"nope","messages":[1]}`, nil}},
 	{"unknown profile", call{"POST", chatPath, goodChat, []string{"Verbenadale-Profile: nope"}}},
 	{"forbidden profile", call{"POST", "/v1/services/vans/jobs", "", []string{"Authorization: Bearer few"}}},
-	{"outside by header", call{"POST", chatPath, goodChat, []string{"Verbenadale-Profile: far"}}},
-	{"outside by body", call{"POST", chatPath, `{"model":"far","messages":[1]}`, nil}},
+	{"outside residency by header", call{"POST", chatPath, goodChat, []string{"Verbenadale-Profile: far"}}},
+	{"outside residency by body", call{"POST", chatPath, `{"model":"far","messages":[1]}`, nil}},
 	{"service as a model", call{"POST", chatPath, `{"model":"vans","messages":[1]}`, nil}},
 	{"model as a service", call{"GET", "/v1/services/draft/x", "", nil}},
 	{"forged attempt", call{"POST", chatPath, goodChat, []string{"Verbenadale-Attempt: a/1/1"}}},
 	{"forged hops", call{"POST", chatPath, goodChat, []string{"verbenadale-hops: 0"}}},
 	{"forged envelope", call{"POST", chatPath, goodChat, []string{"Verbenadale-Envelope: {}"}}},
-	{"round by a proxy", call{"POST", chatPath, goodChat, []string{"Via: 1.1 verbenadale, 1.1 proxy", "Via: 1.1 verbenadale"}}},
+	{"returned by a proxy", call{"POST", chatPath, goodChat, []string{"Via: 1.1 verbenadale, 1.1 proxy", "Via: 1.1 verbenadale"}}},
 	{"deadline past", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: 0"}}},
 	{"negative deadline", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: -5"}}},
 	{"absurd deadline", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: 99999999999999"}}},
-	{"deadline of words", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: soon"}}},
+	{"deadline not a number", call{"POST", chatPath, goodChat, []string{"Verbenadale-Deadline-Ms: soon"}}},
 	{"ticket and key", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: t", "Idempotency-Key: k"}}},
 	{"two tickets", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: t", "Verbenadale-Ticket: u"}}},
 	{"long ticket", call{"POST", chatPath, goodChat, []string{"Verbenadale-Ticket: " + strings.Repeat("t", maxHeaderValue+1)}}},
@@ -68,10 +68,10 @@
 	{"unknown path", call{"GET", "/v2/models", "", nil}},
 	{"wrong method", call{"DELETE", chatPath, "", nil}},
 	{"dot segments", call{"GET", "/v1/services/vans/%2e%2e/admin", "", nil}},
-	{"hidden slash", call{"GET", "/v1/services/vans/a%2Fb", "", nil}},
+	{"escaped slash", call{"GET", "/v1/services/vans/a%2Fb", "", nil}},
 	{"two profiles", call{"GET", "/v1/services/vans/a", "", []string{"Verbenadale-Profile: draft"}}},
 	{"entries without profile", call{"GET", "/v1/entries", "", nil}},
-	{"ticket outside", call{"POST", "/v1/tickets?profile=far", "", nil}},
+	{"ticket outside residency", call{"POST", "/v1/tickets?profile=far", "", nil}},
 }
 
 // Guards against a malformed or forged request that reaches a target.
@@ -179,7 +179,7 @@
 	close(proceed)
 	check(t, "status", http.StatusServiceUnavailable, rep.status)
 	check(t, "wait", "1", rep.header.Get("Retry-After"))
-	check(t, "the first", http.StatusOK, (<-s.done).status)
+	check(t, "status of the first request", http.StatusOK, (<-s.done).status)
 }
 
 // Guards against a Retry-After that is rounded down, with which callers would retry too early.
@@ -198,7 +198,7 @@
 	if err := json.Unmarshal([]byte(rep.body), &ans); err != nil {
 		t.Fatal(err)
 	}
-	check(t, "wait in ms", int64(1200), ans.Error.RetryAfterMs)
+	check(t, "delay in ms", int64(1200), ans.Error.RetryAfterMs)
 	check(t, "entries", []string{"http://192.0.2.9:1"}, ans.Error.Entries)
 }
 
@@ -215,7 +215,7 @@
 	first := ask(path, "k1", "a")
 	again := ask(path, "k1", "a")
 	check(t, "same key", first.Key, again.Key)
-	check(t, "same print", first.Fingerprint, again.Fingerprint)
+	check(t, "same fingerprint", first.Fingerprint, again.Fingerprint)
 	check(t, "another body", true, ask(path, "k1", "b").Fingerprint != first.Fingerprint)
 	check(t, "another path", true, ask(path+"?x=1", "k1", "a").Fingerprint != first.Fingerprint)
 	check(t, "another key", true, ask(path, "k2", "a").Key != first.Key)
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -68,8 +68,8 @@
 }
 
 // splitServicePath splits the escaped path of a service call into the profile and the path at the
-// service. The path is forwarded as written; a path with dot segments is refused, since the next
-// reader could resolve it to a place outside the service.
+// service. The path is forwarded as written. A path with an ambiguous segment, such as a dot segment,
+// is refused, since a later parser could resolve it to a place outside the service.
 func splitServicePath(path string) (ident.Profile, string, bool) {
 	rest, ok := strings.CutPrefix(path, servicePrefix)
 	if !ok {
@@ -88,8 +88,7 @@
 	return ident.Profile(profile), "/" + tail, true
 }
 
-// isUnambiguous reports whether every reader understands a segment of an escaped path in the same
-// way.
+// isUnambiguous reports whether every parser interprets a segment of an escaped path in the same way.
 func isUnambiguous(seg string) bool {
 	text, err := url.PathUnescape(seg)
 	if err != nil || text == "." || text == ".." || strings.ContainsAny(seg, "?#") {
--- a/internal/halt/halt.go
+++ b/internal/halt/halt.go
@@ -1,5 +1,5 @@
 // Package halt shuts an entry host down in one ordered sequence that drops no request which can
-// still complete.
+// complete within the grace period.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	...
 //	h.MarkDrained()  // when the reducer reports the end of the drain
 //	...
-//	<-h.Done()       // every request has had its final answer
+//	<-h.Done()       // requests have had their final answers, or FinalTimeout has passed
 //	h.Close(servers) // connections end
 //
 // # Order
@@ -16,8 +16,8 @@
 // A draining host accepts the requests that it can complete, until the reducer reports the end of
 // the drain or the grace period expires. After that the reducer refuses new requests. A request that
 // still runs when the grace period expires gets its final answer: it is refused, or cut if its answer
-// has begun. Then the listeners close, idle connections end, the others end with their answers, and
-// the remaining ones are closed.
+// has begun. Then the listeners close, idle connections end, and the others end with their answers.
+// Connections that are still open after FinalTimeout are closed.
 package halt
 
 import (
@@ -44,8 +44,8 @@
 	Log   logr.Logger
 	// GracePeriod is the time from Run after which running requests are cut; zero means no limit.
 	GracePeriod time.Duration
-	// FinalTimeout bounds the time for the last answers after the drain, and again the time for the
-	// connections to end.
+	// FinalTimeout bounds three waits, each separately: for the last answers after the drain, for the
+	// connections to end, and for the HTTP/2 shutdown of each listener.
 	FinalTimeout time.Duration
 	// Running returns the number of requests without a final answer.
 	Running func() int
@@ -71,7 +71,8 @@
 	s.drainedOnce.Do(func() { close(s.drained) })
 }
 
-// Done returns a channel that is closed when every request has had its final answer.
+// Done returns a channel that is closed when Run returns: every request has had its final answer,
+// FinalTimeout has passed, or the context of Run has ended.
 func (s *Sequence) Done() <-chan struct{} {
 	s.initChannels()
 	return s.done
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -29,7 +29,7 @@
 type fixture struct {
 	rn           *Runner
 	targets      []event.Target
-	once         bool
+	atMostOnce   bool
 	deadline     time.Duration
 	idleTimeouts event.IdleTimeouts
 	// ignoreSilence is set if silent attempts are not aborted; silences counts their reports.
@@ -91,7 +91,7 @@
 		switch {
 		case e.Result == event.ResultDone:
 			return []event.Effect{event.Finish{Request: testID, Outcome: event.Done}}
-		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !f.once:
+		case e.Result == event.ResultNotRun, e.Resumable, e.Delivered == 0 && !f.atMostOnce:
 			return f.dispatchNext(now, e.Delivered)
 		}
 		return []event.Effect{event.Refuse{Request: testID, Code: codes.TargetFailed.ID, Outcome: event.Unknown}}
@@ -106,7 +106,7 @@
 	f.attempts++
 	return []event.Effect{event.Dispatch{
 		Request: testID, Attempt: ident.Attempt{Entry: "e", Incarnation: 1, Number: f.attempts}, Target: f.targets[f.attempts-1],
-		Deadline: now.Add(f.deadline), ResumeAfter: resume, AtMostOnce: f.once, KeepOutcome: f.once, IdleTimeouts: f.idleTimeouts,
+		Deadline: now.Add(f.deadline), ResumeAfter: resume, AtMostOnce: f.atMostOnce, KeepOutcome: f.atMostOnce, IdleTimeouts: f.idleTimeouts,
 	}}
 }
 
--- a/internal/serve/held.go
+++ b/internal/serve/held.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// size returns the memory that a stored answer is counted with. The fixed part accounts for the
+// size returns the size of the answer as counted by AnswerCache. The fixed part accounts for the
 // maps and the id, so that the number of empty answers is bounded too.
 func (a *BufferedAnswer) size() int {
 	const overhead = 1 << 10
@@ -41,10 +41,10 @@
 	return n
 }
 
-// maxKeptAnswer bounds the size of one stored answer, and maxKeptTotal the size of all of them.
+// maxStoredAnswer bounds the size of one stored answer, and maxStoredTotal the size of all of them.
 const (
-	maxKeptAnswer = 64 << 10
-	maxKeptTotal  = 32 << 20
+	maxStoredAnswer = 64 << 10
+	maxStoredTotal  = 32 << 20
 )
 
 // AnswerCache stores answers for repeats of their requests, in bounded memory. The reducer decides
@@ -58,13 +58,13 @@
 // Put stores an answer and reports whether there was room for it.
 func (c *AnswerCache) Put(id ident.RequestID, a BufferedAnswer) bool {
 	n := a.size()
-	if n > maxKeptAnswer {
+	if n > maxStoredAnswer {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deleteLocked(id)
-	if c.size+n > maxKeptTotal {
+	if c.size+n > maxStoredTotal {
 		return false
 	}
 	if c.answers == nil {
--- a/internal/serve/routed_test.go
+++ b/internal/serve/routed_test.go
@@ -79,7 +79,7 @@
 // Guards against relaying a failure of a target before the reducer can try another one.
 func TestServerErrorIsBuffered(t *testing.T) {
 	f := newFixture(t, jsonAnswer(500, "broken"))
-	f.once = true
+	f.atMostOnce = true
 	f.run(t.Context(), routedCall)
 	check(t, "result", event.ResultFailed, f.ends[0].Result)
 	check(t, "held", true, f.ends[0].AnswerBuffered)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Guards against ending a silent attempt that the reducer decided to keep.
+// Guards against aborting a silent attempt that the reducer decided not to abort.
 func TestSilentAttemptContinuesIfNotAborted(t *testing.T) {
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		streamAnswer(routedEvents(1, 1))(w, r)
@@ -133,10 +133,10 @@
 
 // Guards against aborting an attempt that has received data since its silence was reported.
 func TestProgressSinceSilence(t *testing.T) {
-	tr := &attempt{}
-	tr.lastByteAt.Store(100)
+	a := &attempt{}
+	a.lastByteAt.Store(100)
 	for since, want := range map[ident.Time]bool{0: false, 99: true, 100: false} {
-		check(t, fmt.Sprint("silent since ", since), want, tr.progressedSince(event.Silence{Since: since}))
+		check(t, fmt.Sprint("silent since ", since), want, a.progressedSince(event.Silence{Since: since}))
 	}
 }
 
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -34,7 +34,7 @@
 	if send == nil {
 		send = a.Targets.Send
 	}
-	res, err := send(ctx, a.newOrder(d), a.markSent)
+	res, err := send(ctx, a.newAttemptRequest(d), a.markSent)
 	if err != nil && !a.sent {
 		return event.AttemptEnded{Result: event.ResultNotRun}
 	}
@@ -49,8 +49,8 @@
 	return end
 }
 
-// markSent reports once that bytes of the request may have been sent. The transport calls it again
-// when it uses another connection.
+// markSent reports that bytes of the request may have been sent. Only its first call has an effect:
+// the transport calls it again when it uses another connection.
 func (a *attempt) markSent() {
 	if a.sent {
 		return
@@ -59,7 +59,7 @@
 	a.Loop.Post(event.AttemptSent{Attempt: a.id})
 }
 
-func (a *attempt) newOrder(d event.Dispatch) target.AttemptRequest {
+func (a *attempt) newAttemptRequest(d event.Dispatch) target.AttemptRequest {
 	body := a.call.Body
 	if a.call.Engine {
 		body = withModel(body, d.Serve.Model)
@@ -136,8 +136,8 @@
 	return end
 }
 
-// checkEcho compares the attempt that the answer echoes with the one sent, before a byte is
-// forwarded. It detects a target or proxy that confuses two connections.
+// checkEcho compares the attempt id in the answer with the one sent, before a byte is relayed. It
+// detects a target or proxy that confuses two connections. Only engines must send the id.
 func (a *attempt) checkEcho(res *http.Response, id ident.Attempt) error {
 	echo := res.Header.Get(target.HeaderAttempt)
 	if echo == "" && !a.call.Engine {
@@ -193,8 +193,8 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// checkEngineAnswer detects an incomplete answer, or one to another request, from an engine that
-// closed the connection properly all the same.
+// checkEngineAnswer detects an answer that is incomplete or belongs to another request although the
+// HTTP message is complete. It also records the usage that the engine reports.
 func (a *attempt) checkEngineAnswer() error {
 	if !a.call.Engine || a.buffered.Status != http.StatusOK {
 		return nil
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// copyEngineStream relays events up to the end marker, which is held back until the reducer has
-// recorded the end of the attempt.
+// copyEngineStream relays the events before the end marker. The marker itself is not relayed: the
+// front writes one when the reducer finishes the request.
 func (a *attempt) copyEngineStream(body io.Reader) error {
 	s := &engineStream{
 		br:       bufio.NewReaderSize(body, streamBufferSize),
@@ -268,8 +268,8 @@
 	return time.Duration(n) * time.Second
 }
 
-// forwardedHeaders are the headers of an answer that are forwarded to the caller.
-var forwardedHeaders = []string{
+// relayedHeaders are the headers of an answer that are relayed to the caller.
+var relayedHeaders = []string{
 	"Cache-Control", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Type",
 	"Etag", "Last-Modified", "Link", "Location", "Retry-After", "Vary",
 }
@@ -278,8 +278,8 @@
 	if a.call.Routed {
 		return h
 	}
-	out := make(http.Header, len(forwardedHeaders))
-	for _, k := range forwardedHeaders {
+	out := make(http.Header, len(relayedHeaders))
+	for _, k := range relayedHeaders {
 		if vs := h.Values(k); len(vs) > 0 {
 			out[k] = vs
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,6 +1,6 @@
 // Package serve runs one request from its arrival to its final answer: it posts events to the
-// reducer and carries out the decisions of the reducer. Requests of callers and requests forwarded
-// by other entry hosts are run alike.
+// reducer and executes the effects that the reducer returns. Requests of callers and requests
+// forwarded by other entry hosts are handled in the same way.
 //
 // # Usage
 //
@@ -90,10 +90,10 @@
 	Log     logr.Logger
 	Targets *target.Client
 	// Send, if set, sends attempts in place of Targets.
-	Send func(ctx context.Context, o target.AttemptRequest, sent func()) (*http.Response, error)
-	// Forward runs an attempt at another entry host. It calls sent before the first byte can reach
+	Send func(ctx context.Context, req target.AttemptRequest, onSend func()) (*http.Response, error)
+	// Forward runs an attempt at another entry host. It calls onSend before the first byte can reach
 	// that host.
-	Forward func(ctx context.Context, p ForwardedRequest, sent func(), out Relay) event.AttemptEnded
+	Forward func(ctx context.Context, req ForwardedRequest, onSend func(), relay Relay) event.AttemptEnded
 	// Answers stores the answers that are replayed to repeats of a request.
 	Answers *AnswerCache
 	// MaxAnswer bounds an answer that is buffered until it is complete.
@@ -136,8 +136,8 @@
 	sink Sink
 	// current is the running attempt, or nil.
 	current *attempt
-	// onceStarted is set once an attempt that may not be repeated has started.
-	onceStarted bool
+	// atMostOnceStarted is set once an attempt that may not be repeated has started.
+	atMostOnceStarted bool
 	// sinkFailed is set once the caller no longer accepts data.
 	sinkFailed bool
 	// sinkBegun is set once the sink has been given the status, streaming if the answer is relayed
@@ -147,12 +147,13 @@
 	keepCopy bool
 	// delivered is the number of tokens that the sink has been given.
 	delivered ident.Tokens
-	// buffered is the answer that is kept until it is complete; reserved is its share of the budget.
+	// buffered is the answer that is kept until it is complete or for repeats; reserved is its share
+	// of the budget.
 	buffered BufferedAnswer
 	reserved int
 }
 
-// process carries out the decisions of the reducer until the request is over.
+// process executes the effects of the reducer until the request is over.
 func (r *run) process(ctx context.Context, effects <-chan event.Effect) {
 	for {
 		select {
@@ -189,7 +190,7 @@
 // started: if it were aborted, nobody would know whether it ran, whereas its outcome can still be
 // given to a repeat of the caller.
 func (r *run) callerDone(ctx context.Context) <-chan struct{} {
-	if r.onceStarted {
+	if r.atMostOnceStarted {
 		return nil
 	}
 	return ctx.Done()
@@ -217,8 +218,8 @@
 	return e
 }
 
-// reportNotRun reports as not run an attempt that the reducer started before it knew that the caller
-// had disconnected, so that the reducer does not wait for its end.
+// reportNotRun reports that an attempt has not run. The reducer decided on the attempt before it
+// knew that the caller had disconnected, and would otherwise wait for its end.
 func (r *run) reportNotRun(eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Dispatch:
@@ -228,10 +229,11 @@
 	}
 }
 
-// stopAttempt aborts the current attempt and reports its end.
+// stopAttempt aborts the current attempt for a reason other than silence.
 func (r *run) stopAttempt() { r.abortAttempt(false) }
 
-// abortAttempt is stopAttempt with the cause: silent is set if the attempt was silent for too long.
+// abortAttempt aborts the current attempt and reports its end; silent is set if the attempt sent no
+// data for too long.
 func (r *run) abortAttempt(silent bool) {
 	if r.current == nil {
 		return
@@ -243,31 +245,31 @@
 	r.current = nil
 }
 
-// finishAttempt reports the end of the current attempt. It returns true if the attempt found that
-// the caller has disconnected.
+// finishAttempt reports the end of the current attempt. It returns true if the request is over
+// because the caller did not accept the answer.
 func (r *run) finishAttempt() bool {
 	a := r.current
 	r.current = nil
-	if a.atMostOnce && a.keepAnswer && a.end.Result == event.ResultDone {
+	if a.atMostOnce && a.keepOutcome && a.end.Result == event.ResultDone {
 		a.end.OutcomeStored = r.Answers.Put(r.req.ID, r.buffered)
 	}
 	r.Loop.Post(a.end)
-	if r.sinkFailed && !r.onceStarted {
+	if r.sinkFailed && !r.atMostOnceStarted {
 		r.Loop.Post(r.callerLeftEvent())
 		return true
 	}
 	return false
 }
 
-// apply carries out one effect and reports whether the request is over.
+// apply executes one effect and reports whether the request is over.
 func (r *run) apply(ctx context.Context, eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.Dispatch:
-		a := &attempt{run: r, id: e.Attempt, atMostOnce: e.AtMostOnce, keepAnswer: e.KeepOutcome, deadline: e.Deadline, resume: e.ResumeAfter, idleTimeouts: e.IdleTimeouts}
+		a := &attempt{run: r, id: e.Attempt, atMostOnce: e.AtMostOnce, keepOutcome: e.KeepOutcome, deadline: e.Deadline, resume: e.ResumeAfter, idleTimeouts: e.IdleTimeouts}
 		a.do = func(ctx context.Context) event.AttemptEnded { return a.send(ctx, e) }
 		return r.startAttempt(ctx, a)
 	case event.Forward:
-		a := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.AtMostOnce, keepAnswer: e.KeepOutcome, deadline: e.Deadline, resume: e.ResumeAfter, idleTimeouts: e.IdleTimeouts}
+		a := &attempt{run: r, id: e.Envelope.Attempt, atMostOnce: e.AtMostOnce, keepOutcome: e.KeepOutcome, deadline: e.Deadline, resume: e.ResumeAfter, idleTimeouts: e.IdleTimeouts}
 		a.do = func(ctx context.Context) event.AttemptEnded { return a.forward(ctx, e) }
 		return r.startAttempt(ctx, a)
 	case event.BreakOff:
@@ -300,8 +302,8 @@
 	if !r.sinkBegun {
 		r.discardBuffer()
 	}
-	r.onceStarted = r.onceStarted || a.atMostOnce
-	r.keepCopy = a.keepAnswer
+	r.atMostOnceStarted = r.atMostOnceStarted || a.atMostOnce
+	r.keepCopy = a.keepOutcome
 	r.delivered = max(r.delivered, a.resume)
 	if a.atMostOnce {
 		ctx = context.WithoutCancel(ctx)
@@ -361,8 +363,8 @@
 	if !r.streaming {
 		return r.buffer(b)
 	}
-	if r.keepCopy && len(r.buffered.Body) <= maxKeptAnswer {
-		// A body that exceeds the limit of the cache stays too large, and the cache rejects it.
+	if r.keepCopy && len(r.buffered.Body) <= maxStoredAnswer {
+		// Buffering stops once the body exceeds maxStoredAnswer, and the cache rejects the answer.
 		_ = r.buffer(b)
 	}
 	if r.sinkFailed {
@@ -375,7 +377,7 @@
 	r.delivered = max(r.delivered, tokens)
 	if err := r.sink.Data(b, tokens); err != nil {
 		r.sinkFailed = true
-		if !r.onceStarted {
+		if !r.atMostOnceStarted {
 			return errors.Wrap(errCallerGone, err.Error())
 		}
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -79,18 +79,18 @@
 	good := fmt.Sprintf(`{"id":"%s","usage":{"completion_tokens":7}}`, testID)
 	other := strings.ReplaceAll(token(1), string(testID), "req-0002")
 	for name, bad := range map[string]http.HandlerFunc{
-		"crossed body":    jsonAnswer(200, `{"id":"req-0002"}`),
-		"cut json":        jsonAnswer(200, good[:9]),
-		"empty":           jsonAnswer(200, ""),
-		"too large":       jsonAnswer(200, strings.Repeat(" ", 1<<20)+good),
-		"status 500":      jsonAnswer(500, "{}"),
-		"status 429":      jsonAnswer(429, "{}"),
-		"crossed stream":  streamAnswer(other + doneEvent),
-		"no echo":         func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, good) },
-		"short of length": truncatedAnswer(good),
-		"not run":         notRun,
-		"endless line":    streamAnswer("id: 1\ndata: " + string(testID) + strings.Repeat("x", maxEventBytes+1)),
-		"no end":          func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"other request body":      jsonAnswer(200, `{"id":"req-0002"}`),
+		"truncated json":          jsonAnswer(200, good[:9]),
+		"empty":                   jsonAnswer(200, ""),
+		"too large":               jsonAnswer(200, strings.Repeat(" ", 1<<20)+good),
+		"status 500":              jsonAnswer(500, "{}"),
+		"status 429":              jsonAnswer(429, "{}"),
+		"other request stream":    streamAnswer(other + doneEvent),
+		"no echo":                 func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, good) },
+		"short of Content-Length": truncatedAnswer(good),
+		"not run":                 notRun,
+		"endless line":            streamAnswer("id: 1\ndata: " + string(testID) + strings.Repeat("x", maxEventBytes+1)),
+		"aborted":                 func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			call, want := plainCall, callerResult{Status: 200, Body: good, Outcome: event.Done}
@@ -132,7 +132,7 @@
 		<-ended
 		jsonAnswer(200, fmt.Sprintf(`{"id":"%s"}`, testID))(w, r)
 	})
-	f.once = true
+	f.atMostOnce = true
 	f.deadline = 50 * time.Millisecond
 	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, f.run(t.Context(), plainCall))
 	close(ended)
@@ -182,7 +182,7 @@
 		w.WriteHeader(http.StatusCreated)
 		fmt.Fprint(w, "booked")
 	})
-	f.once = true
+	f.atMostOnce = true
 	check(t, "caller", callerResult{Status: 201, Body: "booked", Outcome: event.Done}, f.run(ctx, serviceCall))
 	kept, ok := f.rn.Answers.Get(testID)
 	check(t, "kept", true, ok && f.ends[0].OutcomeStored)
@@ -191,10 +191,10 @@
 	check(t, "kept header", "/jobs/7", kept.Header.Get("Location"))
 }
 
-// Guards against having no answer for the repeat of a stream that ran once.
+// Guards against having no stored answer for the repeat of an at-most-once stream.
 func TestAtMostOnceStreamKept(t *testing.T) {
 	f := newFixture(t, streamAnswer(tokens(1, 3)+doneEvent))
-	f.once = true
+	f.atMostOnce = true
 	f.run(t.Context(), streamCall)
 	kept, _ := f.rn.Answers.Get(testID)
 	check(t, "kept body", tokens(1, 3), string(kept.Body))
@@ -205,7 +205,7 @@
 func TestAnswersShareBudget(t *testing.T) {
 	f := newFixture(t, jsonAnswer(200, strings.Repeat(" ", 8<<10)+fmt.Sprintf(`{"id":"%s"}`, testID)))
 	f.rn.Budget = NewBudget(4 << 10)
-	f.once = true
+	f.atMostOnce = true
 	check(t, "caller", callerResult{Code: codes.TargetFailed.ID, Outcome: event.Unknown}, f.run(t.Context(), plainCall))
 	check(t, "memory released", ident.Bytes(0), f.rn.Budget.Used())
 }
@@ -221,13 +221,13 @@
 
 // Checks that the stored answers for repeats are bounded in number and size.
 func TestAnswerCacheBounded(t *testing.T) {
-	var o AnswerCache
-	check(t, "too large", false, o.Put("big", BufferedAnswer{Body: make([]byte, maxKeptAnswer+1)}))
+	var c AnswerCache
+	check(t, "too large", false, c.Put("big", BufferedAnswer{Body: make([]byte, maxStoredAnswer+1)}))
 	n := 0
-	for o.Put(ident.RequestID(fmt.Sprint(n)), BufferedAnswer{}) {
+	for c.Put(ident.RequestID(fmt.Sprint(n)), BufferedAnswer{}) {
 		n++
 	}
-	check(t, "bounded", true, n > 0 && n <= maxKeptTotal>>10)
-	o.Delete("0")
-	check(t, "room again", true, o.Put("again", BufferedAnswer{}))
+	check(t, "bounded", true, n > 0 && n <= maxStoredTotal>>10)
+	c.Delete("0")
+	check(t, "room again", true, c.Put("again", BufferedAnswer{}))
 }
--- a/internal/serve/stream.go
+++ b/internal/serve/stream.go
@@ -24,8 +24,8 @@
 	doneMarker       = "[DONE]"
 )
 
-// engineStream reads one stream of server-sent events of an engine. Every event that adds a token
-// carries as its id the number of tokens up to its end.
+// engineStream reads one stream of server-sent events of an engine. An event that adds a token has
+// an id: the number of tokens of the answer up to and including this one.
 type engineStream struct {
 	br *bufio.Reader
 	// quotedID is the quoted request id, which the data of each event must contain.
@@ -36,22 +36,22 @@
 	// skipOpening is set if the caller has the events up to lastID from an earlier attempt and this
 	// one has not produced a token yet.
 	skipOpening bool
-	// ev is the event being read, pending the events read before it that add no token. They are
-	// held until the next token or the end marker: relayed at once, they would reach the caller
-	// twice if the stream broke after them and were resumed.
+	// ev is the event being read, pending the events without a token that precede it. They are
+	// relayed with the next token or at the end marker: if they were relayed at once, a stream that
+	// breaks after them and is resumed would repeat them.
 	ev, pending []byte
 }
 
 // eventInfo is the parsed content of one event.
 type eventInfo struct {
-	id    ident.Tokens
-	hasID bool
-	data  bool
-	end   bool
+	id          ident.Tokens
+	hasID       bool
+	hasData     bool
+	isEndMarker bool
 }
 
-// next returns the bytes to relay, up to and including the next token. After the end marker it
-// returns io.EOF with the events that preceded the marker.
+// next returns the bytes to relay, up to and including the next token. At the end marker it returns
+// the pending events and io.EOF.
 func (s *engineStream) next() ([]byte, error) {
 	for {
 		f, err := s.readEvent()
@@ -59,9 +59,9 @@
 			return nil, err
 		}
 		switch {
-		case f.end:
+		case f.isEndMarker:
 			return s.pending, io.EOF
-		case !f.data:
+		case !f.hasData:
 			continue
 		case !f.hasID:
 			if len(s.pending)+len(s.ev) > maxEventBytes {
@@ -113,7 +113,7 @@
 		if len(text) == 0 {
 			return f, nil
 		}
-		if err := s.parseField(&f, text); err != nil || f.end {
+		if err := s.parseField(&f, text); err != nil || f.isEndMarker {
 			return f, err
 		}
 	}
@@ -132,9 +132,9 @@
 		f.id = ident.Tokens(n)
 		f.hasID = true
 	case "data":
-		f.data = true
-		f.end = string(val) == doneMarker
-		if !f.end && !bytes.Contains(val, s.quotedID) {
+		f.hasData = true
+		f.isEndMarker = string(val) == doneMarker
+		if !f.isEndMarker && !bytes.Contains(val, s.quotedID) {
 			return errWrongRequest
 		}
 	}
--- a/internal/serve/try.go
+++ b/internal/serve/try.go
@@ -13,8 +13,8 @@
 )
 
 // attempt is one attempt at a request. It runs in a goroutine of its own, so that the goroutine of
-// the request can abort it when the reducer decides so. The attempt owns the answer of the request
-// from its start until t is dead.
+// the request can abort it when the reducer decides to. Only the attempt accesses the answer of the
+// request, from its start until t is dead.
 type attempt struct {
 	*run
 	t            tomb.Tomb
@@ -23,7 +23,7 @@
 	deadline     ident.Time
 	resume       ident.Tokens
 	atMostOnce   bool
-	keepAnswer   bool
+	keepOutcome  bool
 	do           func(ctx context.Context) event.AttemptEnded
 	idleTimeouts event.IdleTimeouts
 	sent         bool
@@ -72,8 +72,9 @@
 	return end
 }
 
-// receiveRelayed takes a piece of the answer that another entry host relays. That host has checked
-// that the pieces are contiguous; a piece that goes back would reach the caller twice.
+// receiveRelayed receives a piece of the answer that another entry host relays. That host has checked
+// that the pieces are contiguous. A piece whose token count is lower than that of the previous one
+// is rejected, since the caller would receive text twice.
 func (a *attempt) receiveRelayed(b []byte, tokens ident.Tokens) error {
 	if tokens < a.delivered {
 		return errOutOfSequence
@@ -82,11 +83,11 @@
 	return a.deliver(b, tokens)
 }
 
-// silenceReportInterval is the time between two reports of an attempt that stays silent.
+// silenceReportInterval is the time between two reports while an attempt sends no data.
 const silenceReportInterval = 500 * time.Millisecond
 
-// silenceWatch reports an attempt that is silent for longer than its idle timeout. Whether to abort
-// it is the decision of the reducer, which knows whether another attempt can follow.
+// silenceWatch reports an attempt that sends no data for longer than its idle timeout. The reducer
+// decides whether to abort it, since it knows whether another attempt can follow.
 type silenceWatch struct {
 	*attempt
 	ctx context.Context
