--- a/internal/proofs/caller_test.go
+++ b/internal/proofs/caller_test.go
@@ -36,20 +36,20 @@
 
 // callerHTTP is the client of the callers. It uses each connection once, so
 // that the death of a host is seen by the request in flight alone.
-var callerHTTP = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * waitLimit}
+var callerHTTP = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
 
-// ask sends one request and never fails the test: a connection that breaks is
+// sendRequest sends one request and never fails the test: a connection that breaks is
 // an answer without a word.
-func ask(ctx context.Context, base, path, body string, header map[string]string) result {
-	res, err := openAsk(ctx, base, path, body, header)
+func sendRequest(ctx context.Context, base, path, body string, header map[string]string) result {
+	res, err := openRequest(ctx, base, path, body, header)
 	if err != nil {
 		return result{}
 	}
-	return finish(res)
+	return readResult(res)
 }
 
-// openAsk sends one request and returns once its answer has begun.
-func openAsk(ctx context.Context, base, path, body string, header map[string]string) (*http.Response, error) {
+// openRequest sends one request and returns once its answer has begun.
+func openRequest(ctx context.Context, base, path, body string, header map[string]string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -62,8 +62,8 @@
 	return callerHTTP.Do(req)
 }
 
-// finish reads an answer to its end.
-func finish(res *http.Response) result {
+// readResult reads an answer to its end.
+func readResult(res *http.Response) result {
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return ans
 }
 
-// askEntries asks a host which hosts to use for a profile.
-func askEntries(base, profile string) []string {
+// fetchEntries asks a host which hosts to use for a profile.
+func fetchEntries(base, profile string) []string {
 	req, err := http.NewRequest(http.MethodGet, base+"/v1/entries?profile="+url.QueryEscape(profile), nil)
 	if err != nil {
 		return nil
@@ -98,8 +98,8 @@
 	return list.Entries
 }
 
-// put sends JSON to the control of a stand-in.
-func put(t *testing.T, url string, v any) {
+// putJSON sends JSON to the control of a stand-in.
+func putJSON(t *testing.T, url string, v any) {
 	t.Helper()
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/proofs/circulate_test.go
+++ b/internal/proofs/circulate_test.go
@@ -24,17 +24,17 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// openMark finds the head of a request that is passed on in what was taped, by
+// openPattern finds the head of a request that is passed on in what was taped, by
 // the field that holds the id of the request.
-var openMark = regexp.MustCompile(`\x12\x24(req-[0-9a-f]{32})`)
+var openPattern = regexp.MustCompile(`\x12\x24(req-[0-9a-f]{32})`)
 
-// crossings counts how often each request has been passed between regions.
-func (tp *tape) crossings() map[string]int {
+// crossingCounts counts how often each request has been passed between regions.
+func (tp *capture) crossingCounts() map[string]int {
 	tp.mu.Lock()
 	defer tp.mu.Unlock()
 	ns := make(map[string]int)
 	for _, b := range tp.buf {
-		for _, m := range openMark.FindAllSubmatch(b.Bytes(), -1) {
+		for _, m := range openPattern.FindAllSubmatch(b.Bytes(), -1) {
 			ns[string(m[1])]++
 		}
 	}
@@ -44,34 +44,34 @@
 // traffic is load on several regions, and where each request came from.
 type traffic struct {
 	*fleet
-	mu   sync.Mutex
-	from map[string]ident.DataCentre
+	mu      sync.Mutex
+	origins map[string]ident.DataCentre
 }
 
-// pulse sends requests to all hosts of data centres at once. Each runs whole
+// sendBurst sends requests to all hosts of data centres at once. Each runs whole
 // or not at all.
-func (tr *traffic) pulse(t *testing.T, dcs ...ident.DataCentre) {
+func (tr *traffic) sendBurst(t *testing.T, dcs ...ident.DataCentre) {
 	t.Helper()
 	const each = 8
 	var wg sync.WaitGroup
 	for _, dc := range dcs {
-		for _, m := range tr.at(dc) {
+		for _, m := range tr.hostsIn(dc) {
 			for range each {
-				wg.Go(func() { tr.one(t, m) })
+				wg.Go(func() { tr.sendOne(t, m) })
 			}
 		}
 	}
 	wg.Wait()
 }
 
-func (tr *traffic) one(t *testing.T, m *member) {
+func (tr *traffic) sendOne(t *testing.T, m *fleetHost) {
 	rep := post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "load", 40))
 	if rep.status != http.StatusOK && refusalOf(rep).Error.Outcome != event.NotRun {
 		t.Errorf("at %s: %d %s", m.id, rep.status, rep.body)
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.from[rep.header.Get("Verbenadale-Request-Id")] = m.place.DataCentre
+	tr.origins[rep.header.Get("Verbenadale-Request-Id")] = m.place.DataCentre
 }
 
 // attempts counts the attempts for each request at all engines, and the
@@ -81,7 +81,7 @@
 	for _, tg := range tr.targets {
 		for id, n := range tr.engineLedger(tg.ID).Requests {
 			ns[id] += n
-			if from, ok := tr.from[id]; ok && from != tg.Place.DataCentre {
+			if from, ok := tr.origins[id]; ok && from != tg.Place.DataCentre {
 				away[from]++
 			}
 		}
@@ -92,22 +92,22 @@
 // Two full regions that believe each other idle send requests to and fro.
 func TestTwoRegionsDoNotSwapRequests(t *testing.T) {
 	slow := []string{"-slots", "4", "-tokenTime", "10ms"}
-	f := startTuned(t, verbose,
+	f := startFleetWith(t, logEverything,
 		site{place: placeOf("uvs"), entries: 2, engines: 1, engineArgs: slow},
 		site{place: placeOf("erdenet"), entries: 2, engines: 1, engineArgs: slow})
-	tp := f.tapeRegions()
+	tp := f.captureRegions()
 	f.configure()
 	for _, m := range f.hosts {
 		eventually(t, "an answer at "+string(m.id), func() bool {
 			return post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "first", 2)).status == http.StatusOK
 		})
 	}
-	f.feign("uvs", "erdenet", rules.Serve{Model: "draft"})
-	f.feign("erdenet", "uvs", rules.Serve{Model: "draft"})
-	tr := &traffic{fleet: f, from: make(map[string]ident.DataCentre)}
+	f.reportIdle("uvs", "erdenet", rules.Serve{Model: "draft"})
+	f.reportIdle("erdenet", "uvs", rules.Serve{Model: "draft"})
+	tr := &traffic{fleet: f, origins: make(map[string]ident.DataCentre)}
 	const most = 10
 	for wave := 1; ; wave++ {
-		tr.pulse(t, "uvs", "erdenet")
+		tr.sendBurst(t, "uvs", "erdenet")
 		if _, away := tr.attempts(); away["uvs"] >= minCrossed && away["erdenet"] >= minCrossed {
 			t.Logf("after %d waves, sent to engines of the other region: %v", wave, away)
 			break
@@ -116,11 +116,11 @@
 			t.Fatalf("after %d waves requests have not crossed both ways", most)
 		}
 	}
-	tr.judge(t, tp)
+	tr.checkBounds(t, tp)
 }
 
-// judge bounds the journey of each request.
-func (tr *traffic) judge(t *testing.T, tp *tape) {
+// checkBounds bounds the journey of each request.
+func (tr *traffic) checkBounds(t *testing.T, tp *capture) {
 	t.Helper()
 	ns, _ := tr.attempts()
 	tries, hops := 0, 0
@@ -130,7 +130,7 @@
 			t.Errorf("%s was sent to engines %d times", id, n)
 		}
 	}
-	crossed := tp.crossings()
+	crossed := tp.crossingCounts()
 	for id, n := range crossed {
 		hops = max(hops, n)
 		if n > 1 {
@@ -140,7 +140,7 @@
 	if len(crossed) == 0 {
 		t.Error("the tape has no request that crossed")
 	}
-	t.Logf("%d requests, %d crossed; at most %d attempts at engines and %d crossings of one request", len(tr.from), len(crossed), tries, hops)
+	t.Logf("%d requests, %d crossed; at most %d attempts at engines and %d crossings of one request", len(tr.origins), len(crossed), tries, hops)
 }
 
 // A request that has crossed as often as it may is passed on again.
@@ -151,18 +151,18 @@
 	eventually(t, "khovd passes its own work on", func() bool {
 		return post(t, khovd.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "own", 2)).status == http.StatusOK
 	})
-	g := f.forge(khovd, "stray-1", placeOf("erdenet"))
+	g := f.startRogue(khovd, "stray-1", placeOf("erdenet"))
 	body := chatBody("draft", "x", 2)
-	pass := func(id ident.RequestID, crossings ident.Hops, seen ...ident.EntryID) fate {
+	pass := func(id ident.RequestID, crossings ident.Hops, seen ...ident.EntryID) forwardResult {
 		env := g.envelope()
 		env.Crossings, env.Visited = crossings, append([]ident.EntryID{"stray-1"}, seen...)
-		return g.pass(event.Request{ID: id, Account: "foundation", Profile: "draft", MaxTokens: 2, Stream: true}, env, body)
+		return g.forward(event.Request{ID: id, Account: "foundation", Profile: "draft", MaxTokens: 2, Stream: true}, env, body)
 	}
-	got := []fate{
+	got := []forwardResult{
 		pass("req-fresh", 0), pass("req-spent", 1), pass("req-over", 2), pass("req-seen", 0, "khovd-1"),
 	}
-	want := []fate{
-		{Wanted: true, Result: event.ResultDone},
+	want := []forwardResult{
+		{BodyRequested: true, Result: event.ResultDone},
 		{Result: event.ResultNotRun, Code: codes.NoTarget.ID},
 		{Result: event.ResultNotRun, Code: codes.TooManyHops.ID},
 		{Result: event.ResultNotRun, Code: codes.TooManyHops.ID},
@@ -176,9 +176,9 @@
 	}
 }
 
-// detour is a target that sends each request back to an entry host, as a
+// proxyTarget is a target that sends each request back to an entry host, as a
 // proxy outside of the system does that was set up to point at itself.
-type detour struct {
+type proxyTarget struct {
 	to     []string
 	rounds atomic.Int32
 	seq    atomic.Uint64
@@ -186,10 +186,10 @@
 	codes  map[codes.ID]int
 }
 
-// mostRounds ends a loop that the system does not end.
-const mostRounds = 40
+// maxRounds ends a loop that the system does not end.
+const maxRounds = 40
 
-func (d *detour) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *proxyTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		_ = json.NewEncoder(w).Encode(event.Load{
 			Target: "detour", Incarnation: 1, Seq: d.seq.Add(1), Slots: 100, DecodeRate: 100, PrefillRate: 1000,
@@ -198,7 +198,7 @@
 		return
 	}
 	n := d.rounds.Add(1)
-	if n > mostRounds {
+	if n > maxRounds {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -213,21 +213,21 @@
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	d.note(answer)
+	d.recordCode(answer)
 	w.Header().Set("Verbenadale-Attempt", r.Header.Get("Verbenadale-Attempt"))
 	w.WriteHeader(res.StatusCode)
 	_, _ = w.Write(answer)
 }
 
-func (d *detour) note(answer []byte) {
-	var in interim
+func (d *proxyTarget) recordCode(answer []byte) {
+	var in expectResult
 	in.fill(answer)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.codes[in.Code]++
 }
 
-func roomOf(st event.StatusAnswered) int {
+func totalSlots(st event.StatusAnswered) int {
 	n := 0
 	for _, tg := range st.Targets {
 		n += tg.Load.Slots
@@ -238,7 +238,7 @@
 // A target that is a proxy to the entry hosts makes a request go round until its deadline.
 func TestLoopThroughAProxyEnds(t *testing.T) {
 	f := startFleet(t, siteOf("uvs", 2, 0, 0))
-	d := &detour{codes: make(map[codes.ID]int)}
+	d := &proxyTarget{codes: make(map[codes.ID]int)}
 	for _, m := range f.hosts {
 		d.to = append(d.to, m.callers())
 	}
@@ -246,7 +246,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: d, ReadHeaderTimeout: waitLimit}
+	srv := &http.Server{Handler: d, ReadHeaderTimeout: testTimeout}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	putHosts(t, f.platform, store.Hosts{Targets: []event.Target{
@@ -254,7 +254,7 @@
 	}})
 	f.configure(item(t, rules.KindProfile, "round", rules.Profile{Name: "round", Models: []rules.Serve{{Model: "round"}}, MaxCrossings: 1}))
 	for _, m := range f.hosts {
-		eventually(t, "the target is known at "+string(m.id), func() bool { return roomOf(f.status(m)) > 0 })
+		eventually(t, "the target is known at "+string(m.id), func() bool { return totalSlots(f.status(m)) > 0 })
 	}
 
 	began := time.Now()
--- a/internal/proofs/cutoff_test.go
+++ b/internal/proofs/cutoff_test.go
@@ -14,8 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ask sends a chat and a job by ticket to a host, and returns the statuses.
-func (f *fleet) ask(t *testing.T, m *member, job string) [2]int {
+// askBoth sends a chat and a job by ticket to a host, and returns the statuses.
+func (f *fleet) askBoth(t *testing.T, m *fleetHost, job string) [2]int {
 	t.Helper()
 	chat := post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "own work", 3))
 	tick := post(t, m.callers()+"/v1/tickets?profile=publish", "key-1", "")
@@ -28,23 +28,23 @@
 
 var bothServed = [2]int{http.StatusOK, http.StatusOK}
 
-// serving waits until a host serves both kinds of work, and returns how long
+// waitServing waits until a host serves both kinds of work, and returns how long
 // that took.
-func (f *fleet) serving(t *testing.T, what string, ms ...*member) time.Duration {
+func (f *fleet) waitServing(t *testing.T, what string, ms ...*fleetHost) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for _, m := range ms {
-		eventually(t, what+": "+string(m.id)+" serves", func() bool { return f.ask(t, m, "wait") == bothServed })
+		eventually(t, what+": "+string(m.id)+" serves", func() bool { return f.askBoth(t, m, "wait") == bothServed })
 	}
 	return time.Since(began).Round(time.Millisecond)
 }
 
-// steady sends work in rounds, all of which must be served.
-func (f *fleet) steady(t *testing.T, what string, rounds int, ms ...*member) {
+// checkServing sends work in rounds, all of which must be served.
+func (f *fleet) checkServing(t *testing.T, what string, rounds int, ms ...*fleetHost) {
 	t.Helper()
 	for range rounds {
 		for _, m := range ms {
-			if diff := cmp.Diff(bothServed, f.ask(t, m, "steady")); diff != "" {
+			if diff := cmp.Diff(bothServed, f.askBoth(t, m, "steady")); diff != "" {
 				t.Fatalf("%s at %s (-want +got):\n%s", what, m.id, diff)
 			}
 		}
@@ -63,40 +63,40 @@
 func TestCutOffRegionServes(t *testing.T) {
 	f := startFleet(t, siteOf("uvs", 2, 1, 1), siteOf("erdenet", 2, 1, 1))
 	f.configure(confinedItems(t)...)
-	own, others := f.at("uvs"), f.at("erdenet")
-	f.serving(t, "at first", f.hosts...)
+	own, others := f.hostsIn("uvs"), f.hostsIn("erdenet")
+	f.waitServing(t, "at first", f.hosts...)
 
-	f.oneWay(t, "uvs", true)
-	f.steady(t, "cut one way", fewRounds, f.hosts...)
-	f.oneWay(t, "uvs", false)
+	f.cutOutgoing(t, "uvs", true)
+	f.checkServing(t, "cut one way", fewRounds, f.hosts...)
+	f.cutOutgoing(t, "uvs", false)
 	began := time.Now()
-	f.fallSilent("uvs", true)
-	f.steady(t, "silence", longRounds, f.hosts...)
-	f.cutOff("uvs", true, true)
-	f.fallSilent("uvs", false)
-	f.steady(t, "cut off", longRounds, f.hosts...)
+	f.silence("uvs", true)
+	f.checkServing(t, "silence", longRounds, f.hosts...)
+	f.partition("uvs", true, true)
+	f.silence("uvs", false)
+	f.checkServing(t, "cut off", longRounds, f.hosts...)
 	for _, m := range own {
-		f.reboot(t, m)
-		t.Logf("%s serves %v after its restart, cut off", m.id, f.serving(t, "one host restarted", m))
-		f.steady(t, "one host restarted", fewRounds, own...)
+		f.killAndStart(t, m)
+		t.Logf("%s serves %v after its restart, cut off", m.id, f.waitServing(t, "one host restarted", m))
+		f.checkServing(t, "one host restarted", fewRounds, own...)
 	}
-	f.allRestarted(t, own)
-	f.oneCentreReached(t, own, others)
-	f.healed(t, own, time.Since(began))
+	f.checkAllRestarted(t, own)
+	f.checkOneCentreReached(t, own, others)
+	f.checkHealed(t, own, time.Since(began))
 }
 
-// oneWay cuts or heals the links out of a data centre, but not those into it.
-func (f *fleet) oneWay(t *testing.T, dc ident.DataCentre, cut bool) {
+// cutOutgoing cuts or heals the links out of a data centre, but not those into it.
+func (f *fleet) cutOutgoing(t *testing.T, dc ident.DataCentre, cut bool) {
 	t.Helper()
-	f.between(dc, func(from, to *member) {
+	f.eachLink(dc, func(from, to *fleetHost) {
 		if from.place.DataCentre == dc {
 			f.cutLink(from, to, cut)
 		}
 	})
 }
 
-// reboot kills a host without a word and starts it again.
-func (f *fleet) reboot(t *testing.T, ms ...*member) {
+// killAndStart kills a host without a word and starts it again.
+func (f *fleet) killAndStart(t *testing.T, ms ...*fleetHost) {
 	t.Helper()
 	for _, m := range ms {
 		m.signal(t, syscall.SIGKILL)
@@ -105,15 +105,15 @@
 		<-m.done
 	}
 	for _, m := range ms {
-		f.boot(m)
+		f.startHost(m)
 	}
 }
 
-// allRestarted takes away the last host that knew anything. Nothing can serve,
+// checkAllRestarted takes away the last host that knew anything. Nothing can serve,
 // and each host says so rather than to hang or to guess.
-func (f *fleet) allRestarted(t *testing.T, own []*member) {
+func (f *fleet) checkAllRestarted(t *testing.T, own []*fleetHost) {
 	t.Helper()
-	f.reboot(t, own...)
+	f.killAndStart(t, own...)
 	for range 20 {
 		for _, m := range own {
 			rep := post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "own work", 3))
@@ -129,9 +129,9 @@
 	}
 }
 
-// oneCentreReached heals the links to another data centre, with the platform
+// checkOneCentreReached heals the links to another data centre, with the platform
 // still away.
-func (f *fleet) oneCentreReached(t *testing.T, own, others []*member) {
+func (f *fleet) checkOneCentreReached(t *testing.T, own, others []*fleetHost) {
 	t.Helper()
 	ran := f.engineLedger("uvs-e1").Ran
 	for _, m := range own {
@@ -140,8 +140,8 @@
 			f.cutLink(o, m, false)
 		}
 	}
-	t.Logf("served %v after the first link healed, platform away", f.serving(t, "a data centre reached", own...))
-	f.steady(t, "a data centre reached", fewRounds, own...)
+	t.Logf("served %v after the first link healed, platform away", f.waitServing(t, "a data centre reached", own...))
+	f.checkServing(t, "a data centre reached", fewRounds, own...)
 	for _, m := range own {
 		got := refusalOf(post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("confined", "own work", 3))).Error
 		if diff := cmp.Diff([]any{codes.NoTarget.ID, event.NotRun}, []any{got.Code, got.Outcome}); diff != "" {
@@ -153,30 +153,30 @@
 	}
 }
 
-// healed brings the platform back, and counts what that costs it.
-func (f *fleet) healed(t *testing.T, own []*member, cut time.Duration) {
+// checkHealed brings the platform back, and counts what that costs it.
+func (f *fleet) checkHealed(t *testing.T, own []*fleetHost, cut time.Duration) {
 	t.Helper()
-	before := f.counts()
+	before := f.platformCalls()
 	ran := f.engineLedger("uvs-e1").Ran
 	for _, m := range own {
-		m.toPlatform.setCut(everyone, false)
+		m.platformRelay.setCut(everyone, false)
 	}
 	eventually(t, "the own engine works again", func() bool {
-		f.steadyOnce(t, own)
+		f.checkServedOnce(t, own)
 		return f.engineLedger("uvs-e1").Ran > ran
 	})
-	f.steady(t, "healed", fewRounds, f.hosts...)
-	after := f.counts()
+	f.checkServing(t, "healed", fewRounds, f.hosts...)
+	after := f.platformCalls()
 	calls := 0
 	for op, n := range after {
 		calls += n - before[op]
 	}
 	knocks := 0
 	for _, m := range own {
-		knocks += m.toPlatform.knocked()
+		knocks += m.platformRelay.connectionCount()
 	}
 	t.Logf("%d calls to the platform after the heal; %d connections to it from the hosts that were cut off for %v", calls, knocks, cut)
-	if most := someKnocks + int(cut.Seconds()*knockRate)*len(own); knocks > most {
+	if most := maxStartConnections + int(cut.Seconds()*maxConnectionsPerSecond)*len(own); knocks > most {
 		t.Errorf("%d connections to the platform, more than %d", knocks, most)
 	}
 }
@@ -185,21 +185,21 @@
 // its start and a few a second. More would bring a platform down that has just
 // recovered.
 const (
-	someKnocks = 40
-	knockRate  = 4
+	maxStartConnections     = 40
+	maxConnectionsPerSecond = 4
 )
 
-func (f *fleet) steadyOnce(t *testing.T, ms []*member) {
+func (f *fleet) checkServedOnce(t *testing.T, ms []*fleetHost) {
 	t.Helper()
 	for _, m := range ms {
-		if diff := cmp.Diff(bothServed, f.ask(t, m, "heal")); diff != "" {
+		if diff := cmp.Diff(bothServed, f.askBoth(t, m, "heal")); diff != "" {
 			t.Fatalf("while healing, at %s (-want +got):\n%s", m.id, diff)
 		}
 	}
 }
 
-// counts are the calls that the platform has taken.
-func (f *fleet) counts() plat.Counts {
+// platformCalls are the calls that the platform has taken.
+func (f *fleet) platformCalls() plat.Counts {
 	var cs plat.Counts
 	getJSON(f.t, f.platform+"/dev/counts", &cs)
 	return cs
--- a/internal/proofs/fleet_serves_test.go
+++ b/internal/proofs/fleet_serves_test.go
@@ -20,7 +20,7 @@
 }
 
 // takeTicket asks a host for a ticket.
-func takeTicket(t *testing.T, m *member, profile string) string {
+func takeTicket(t *testing.T, m *fleetHost, profile string) string {
 	t.Helper()
 	rep := post(t, m.callers()+"/v1/tickets?profile="+profile, "key-1", "")
 	var tk ticketAnswer
@@ -31,7 +31,7 @@
 }
 
 // book sends a job to a plain service, with a ticket or key by header.
-func book(t *testing.T, m *member, job string, header map[string]string) reply {
+func book(t *testing.T, m *fleetHost, job string, header map[string]string) reply {
 	t.Helper()
 	h := map[string]string{"Content-Type": "application/json"}
 	for k, v := range header {
@@ -61,7 +61,7 @@
 			return rep.status == http.StatusOK
 		})
 	}
-	for job, n := range f.jobs() {
+	for job, n := range f.jobRuns() {
 		if n != 1 {
 			t.Errorf("%s ran %d times", job, n)
 		}
--- a/internal/proofs/fleet_test.go
+++ b/internal/proofs/fleet_test.go
@@ -30,16 +30,16 @@
 // takes no new ones; for one that is silent, it keeps them and passes nothing
 // on, as a lost link does.
 type relay struct {
-	ln   net.Listener
-	to   string
-	mu   sync.Mutex
-	cut  map[string]bool
-	hush map[string]bool
-	open map[net.Conn]string
-	// knocks counts the connections, those that were refused among them. tape
+	ln       net.Listener
+	to       string
+	mu       sync.Mutex
+	cut      map[string]bool
+	silenced map[string]bool
+	open     map[net.Conn]string
+	// connections counts the connections, those that were refused among them. tape
 	// is given all bytes; nil for none.
-	knocks int
-	tape   func(sender string, b []byte)
+	connections int
+	onBytes     func(sender string, b []byte)
 }
 
 // everyone stands for all senders.
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	r := &relay{
-		ln: ln, to: to, cut: make(map[string]bool), hush: make(map[string]bool), open: make(map[net.Conn]string),
+		ln: ln, to: to, cut: make(map[string]bool), silenced: make(map[string]bool), open: make(map[net.Conn]string),
 	}
 	go r.run()
 	t.Cleanup(func() { _ = ln.Close(); r.setCut(everyone, true) })
@@ -69,7 +69,7 @@
 			return
 		}
 		r.mu.Lock()
-		r.knocks++
+		r.connections++
 		r.mu.Unlock()
 		p := &pipe{relay: r, in: c, sender: ipOf(c)}
 		go p.run()
@@ -101,16 +101,16 @@
 func (r *relay) setSilent(sender string, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hush[sender] = silent
+	r.silenced[sender] = silent
 }
 
-func (r *relay) silent(sender string) bool {
+func (r *relay) isSilent(sender string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.hush[sender] || r.hush[everyone]
+	return r.silenced[sender] || r.silenced[everyone]
 }
 
-func (r *relay) keep(c net.Conn, sender string) bool {
+func (r *relay) track(c net.Conn, sender string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut[sender] || r.cut[everyone] {
@@ -120,7 +120,7 @@
 	return true
 }
 
-func (r *relay) drop(c net.Conn) {
+func (r *relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, c)
@@ -136,19 +136,19 @@
 
 func (p *pipe) run() {
 	defer p.in.Close()
-	if !p.relay.keep(p.in, p.sender) {
+	if !p.relay.track(p.in, p.sender) {
 		return
 	}
-	defer p.relay.drop(p.in)
+	defer p.relay.untrack(p.in)
 	out, err := net.Dial("tcp", p.relay.to)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	if !p.relay.keep(out, p.sender) {
+	if !p.relay.track(out, p.sender) {
 		return
 	}
-	defer p.relay.drop(out)
+	defer p.relay.untrack(out)
 	back := &copier{relay: p.relay, sender: p.sender, from: out, to: p.in}
 	go back.run()
 	forth := &copier{relay: p.relay, sender: p.sender, from: p.in, to: out}
@@ -167,11 +167,11 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := c.from.Read(buf)
-		for c.relay.silent(c.sender) {
+		for c.relay.isSilent(c.sender) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if n > 0 {
-			c.relay.passed(c.sender, buf[:n])
+			c.relay.reportBytes(c.sender, buf[:n])
 			if _, werr := c.to.Write(buf[:n]); werr != nil {
 				return
 			}
@@ -188,25 +188,25 @@
 type fleet struct {
 	t        *testing.T
 	platform string
-	hosts    []*member
+	hosts    []*fleetHost
 	targets  []event.Target
 	procs    map[ident.TargetID]*proc
 	ca       *certs.Authority
-	tune     func(set *config.Settings)
+	adjust   func(set *config.Settings)
 }
 
-// member is one entry host and the relays that lead to others from it.
-type member struct {
+// fleetHost is one entry host and the relays that lead to others from it.
+type fleetHost struct {
 	*entry
 	id    ident.EntryID
 	place event.Place
 	// ip is where its links to peers come from; before is the relay that
 	// peers reach it through, toPlatform the one that leads to the platform.
-	ip         string
-	before     *relay
-	toPlatform *relay
-	file       string
-	limits     config.Limits
+	ip            string
+	peerRelay     *relay
+	platformRelay *relay
+	settingsFile  string
+	limits        config.Limits
 }
 
 // site is one data centre to start.
@@ -232,17 +232,17 @@
 // data centres, each in a region of its own.
 func startFleet(t *testing.T, sites ...site) *fleet {
 	t.Helper()
-	return startTuned(t, func(*config.Settings) {}, sites...)
+	return startFleetWith(t, func(*config.Settings) {}, sites...)
 }
 
-// startTuned is startFleet with a change to the settings of every host.
-func startTuned(t *testing.T, tune func(set *config.Settings), sites ...site) *fleet {
+// startFleetWith is startFleet with a change to the settings of every host.
+func startFleetWith(t *testing.T, tune func(set *config.Settings), sites ...site) *fleet {
 	t.Helper()
 	ca, err := certs.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, platform: startPlatform(t), procs: make(map[ident.TargetID]*proc), ca: ca, tune: tune}
+	f := &fleet{t: t, platform: startPlatform(t), procs: make(map[ident.TargetID]*proc), ca: ca, adjust: tune}
 	for _, s := range sites {
 		for n := range s.engines {
 			f.addEngine(ident.TargetID(fmt.Sprintf("%s-e%d", s.place.DataCentre, n+1)), s.place, s.engineArgs...)
@@ -256,17 +256,17 @@
 		for n := range s.entries {
 			id := ident.EntryID(fmt.Sprintf("%s-%d", s.place.DataCentre, n+1))
 			ip := ports.IP()
-			f.hosts = append(f.hosts, &member{
-				id: id, place: s.place, ip: ip, before: startRelay(t, peersPort, fmt.Sprintf("%s:%d", ip, peersPort)),
+			f.hosts = append(f.hosts, &fleetHost{
+				id: id, place: s.place, ip: ip, peerRelay: startRelay(t, peersPort, fmt.Sprintf("%s:%d", ip, peersPort)),
 				limits: cmp.Or(s.limits, testLimits),
 			})
 		}
 	}
 	for _, m := range f.hosts {
-		f.wire(m)
+		f.makeSettings(m)
 	}
 	for _, m := range f.hosts {
-		f.boot(m)
+		f.startHost(m)
 	}
 	return f
 }
@@ -289,19 +289,19 @@
 	f.targets = append(f.targets, event.Target{ID: id, Kind: event.Service, Service: "publish", Place: place, URL: "http://" + addr, Price: 1})
 }
 
-// wire makes the settings of a host.
-func (f *fleet) wire(m *member) {
+// makeSettings makes the settings of a host.
+func (f *fleet) makeSettings(m *fleetHost) {
 	f.t.Helper()
 	files, err := f.ca.Issue(f.t.TempDir(), string(m.id))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	m.toPlatform = startRelay(f.t, platformPort, f.platform[len("http://"):])
+	m.platformRelay = startRelay(f.t, platformPort, f.platform[len("http://"):])
 	set := config.Settings{
 		Entry: m.id, DataCentre: m.place.DataCentre, Region: m.place.Region,
 		Callers: config.Callers{Listen: fmt.Sprintf("%s:%d", ports.IP(), callersPort)},
 		Peers: config.Peers{
-			Listen: fmt.Sprintf("%s:%d", m.ip, peersPort), Advertise: m.before.addr(),
+			Listen: fmt.Sprintf("%s:%d", m.ip, peersPort), Advertise: m.peerRelay.addr(),
 			CertFile: files.Cert, KeyFile: files.Key, CAFile: files.CA,
 		},
 		Operators: config.Operators{
@@ -311,7 +311,7 @@
 				{Name: "second", TokenDigest: rules.Digest(secondToken)},
 			},
 		},
-		Platform: config.Platform{URL: "http://" + m.toPlatform.addr(), TimeoutMs: 1000, CallsPerSecond: 50},
+		Platform: config.Platform{URL: "http://" + m.platformRelay.addr(), TimeoutMs: 1000, CallsPerSecond: 50},
 		Limits:   m.limits,
 		Traces:   config.Traces{Exporter: "none"},
 		Logs:     config.Logs{Level: 1},
@@ -321,32 +321,32 @@
 			continue
 		}
 		set.Peers.Seeds = append(set.Peers.Seeds, config.Seed{
-			Entry: o.id, Addr: o.before.addr(), DataCentre: o.place.DataCentre, Region: o.place.Region,
+			Entry: o.id, Addr: o.peerRelay.addr(), DataCentre: o.place.DataCentre, Region: o.place.Region,
 		})
 	}
-	f.tune(&set)
-	m.file = filepath.Join(f.t.TempDir(), string(m.id)+".json")
-	m.entry = &entry{set: set}
+	f.adjust(&set)
+	m.settingsFile = filepath.Join(f.t.TempDir(), string(m.id)+".json")
+	m.entry = &entry{settings: set}
 }
 
 const secondToken = "second-operator-token"
 
-// boot starts the process of a host, the first time or again.
-func (f *fleet) boot(m *member) {
+// startHost starts the process of a host, the first time or again.
+func (f *fleet) startHost(m *fleetHost) {
 	f.t.Helper()
-	b, err := json.Marshal(m.set)
+	b, err := json.Marshal(m.settings)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	if err := os.WriteFile(m.file, b, 0o600); err != nil {
+	if err := os.WriteFile(m.settingsFile, b, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	m.proc = start(f.t, "verbenadale", "serve", "-settings", m.file)
+	m.proc = start(f.t, "verbenadale", "serve", "-settings", m.settingsFile)
 	eventually(f.t, "the entry host answers", reachable(m.operators()+"/healthz"))
 }
 
 // host returns an entry host by id.
-func (f *fleet) host(id ident.EntryID) *member {
+func (f *fleet) host(id ident.EntryID) *fleetHost {
 	f.t.Helper()
 	for _, m := range f.hosts {
 		if m.id == id {
@@ -357,9 +357,9 @@
 	return nil
 }
 
-// at returns the hosts of a data centre.
-func (f *fleet) at(dc ident.DataCentre) []*member {
-	var ms []*member
+// hostsIn returns the hosts of a data centre.
+func (f *fleet) hostsIn(dc ident.DataCentre) []*fleetHost {
+	var ms []*fleetHost
 	for _, m := range f.hosts {
 		if m.place.DataCentre == dc {
 			ms = append(ms, m)
@@ -368,19 +368,19 @@
 	return ms
 }
 
-// cutOff cuts or heals all links between a data centre and the others, both
+// partition cuts or heals all links between a data centre and the others, both
 // ways, and with platform also those to the platform.
-func (f *fleet) cutOff(dc ident.DataCentre, platform, cut bool) {
+func (f *fleet) partition(dc ident.DataCentre, platform, cut bool) {
 	for _, m := range f.hosts {
 		if platform && m.place.DataCentre == dc {
-			m.toPlatform.setCut(everyone, cut)
+			m.platformRelay.setCut(everyone, cut)
 		}
 	}
-	f.between(dc, func(from, to *member) { f.cutLink(from, to, cut) })
+	f.eachLink(dc, func(from, to *fleetHost) { f.cutLink(from, to, cut) })
 }
 
 // cutLink cuts or heals the way from one host to another, but not back.
-func (f *fleet) cutLink(from, to *member, cut bool) { to.before.setCut(from.ip, cut) }
+func (f *fleet) cutLink(from, to *fleetHost, cut bool) { to.peerRelay.setCut(from.ip, cut) }
 
 // signal sends a signal to a process that the test started.
 func (p *proc) signal(t *testing.T, sig syscall.Signal) {
@@ -434,8 +434,8 @@
 	return l
 }
 
-// jobs counts the runs of each job at all services.
-func (f *fleet) jobs() map[string]int {
+// jobRuns counts the runs of each job at all services.
+func (f *fleet) jobRuns() map[string]int {
 	runs := make(map[string]int)
 	for _, tg := range f.targets {
 		if tg.Kind != event.Service {
@@ -469,7 +469,7 @@
 }
 
 // status is what a host says of the system.
-func (f *fleet) status(m *member) event.StatusAnswered {
+func (f *fleet) status(m *fleetHost) event.StatusAnswered {
 	var st event.StatusAnswered
 	req, err := http.NewRequest(http.MethodGet, m.operators()+"/v1/status", nil)
 	if err != nil {
@@ -485,4 +485,4 @@
 	return st
 }
 
-func (f *fleet) revision(m *member) ident.Revision { return f.status(m).Revision }
+func (f *fleet) revision(m *fleetHost) ident.Revision { return f.status(m).Revision }
--- a/internal/proofs/flood_test.go
+++ b/internal/proofs/flood_test.go
@@ -28,17 +28,17 @@
 	MaxRequests: 500, HeaderMs: 2000, BodyMs: 4000, WriteMs: 5000, IdleMs: 5000,
 }
 
-// mostGrowth is by how much the memory of an entry host may grow in a flood: the
+// maxMemoryGrowth is by how much the memory of an entry host may grow in a flood: the
 // bodies that it may hold, and some fifty kilobytes for each connection that it
 // may have, three times over for what the collector has yet to free. The bodies
 // of the flood are ten times as much.
-const mostGrowth = 3 * (16<<20 + 600*50<<10)
+const maxMemoryGrowth = 3 * (16<<20 + 600*50<<10)
 
 // floodHost is one entry host before one engine.
 type floodHost struct {
 	*entry
-	t      *testing.T
-	before int
+	t         *testing.T
+	rssBefore int
 }
 
 func startFloodHost(t *testing.T) *floodHost {
@@ -55,13 +55,13 @@
 		item(t, rules.KindAccount, "foundation", rules.Client{Name: "foundation", KeyDigest: rules.Digest("key-1")}),
 	)
 	eventually(t, "an answer", h.serves)
-	h.before = h.rss()
+	h.rssBefore = h.rss()
 	return h
 }
 
 // serves reports whether an ordinary caller is served.
 func (h *floodHost) serves() bool {
-	ans := ask(context.Background(), h.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil)
+	ans := sendRequest(context.Background(), h.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil)
 	return ans.outcome == event.Done
 }
 
@@ -85,23 +85,23 @@
 	return 0
 }
 
-// bounded checks that ordinary callers are served in a flood, and the memory.
-func (h *floodHost) bounded(t *testing.T, answers int) {
+// checkBounded checks that ordinary callers are served in a flood, and the memory.
+func (h *floodHost) checkBounded(t *testing.T, answers int) {
 	t.Helper()
 	most := 0
 	for n := range answers {
 		eventually(t, fmt.Sprintf("answer %d in the flood", n+1), h.serves)
 		most = max(most, h.rss())
 	}
-	t.Logf("memory %d KB before, at most %d KB in the flood", h.before>>10, most>>10)
-	if grown := most - h.before; grown > mostGrowth {
-		t.Errorf("the memory grew by %d KB, at most %d KB expected", grown>>10, mostGrowth>>10)
+	t.Logf("memory %d KB before, at most %d KB in the flood", h.rssBefore>>10, most>>10)
+	if grown := most - h.rssBefore; grown > maxMemoryGrowth {
+		t.Errorf("the memory grew by %d KB, at most %d KB expected", grown>>10, maxMemoryGrowth>>10)
 	}
 }
 
-// raw opens a connection and writes the head of a request with a long body.
-func (h *floodHost) raw(path string, length int) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", h.set.Callers.Listen, waitLimit)
+// openRaw opens a connection and writes the head of a request with a long body.
+func (h *floodHost) openRaw(path string, length int) (net.Conn, error) {
+	c, err := net.DialTimeout("tcp", h.settings.Callers.Listen, testTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -129,9 +129,9 @@
 	return func() { close(stop); wg.Wait() }
 }
 
-// drip sends a body a byte at a time until the connection ends.
-func (h *floodHost) drip(stop <-chan struct{}) {
-	c, err := h.raw("/v1/chat/completions", 1<<20-1)
+// sendSlowly sends a body a byte at a time until the connection ends.
+func (h *floodHost) sendSlowly(stop <-chan struct{}) {
+	c, err := h.openRaw("/v1/chat/completions", 1<<20-1)
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
@@ -149,15 +149,15 @@
 	}
 }
 
-// stall sends all but the last byte of a long body and waits.
-func (h *floodHost) stall(stop <-chan struct{}) {
-	c, err := h.raw("/v1/chat/completions", 1<<20)
+// sendIncomplete sends all but the last byte of a long body and waits.
+func (h *floodHost) sendIncomplete(stop <-chan struct{}) {
+	c, err := h.openRaw("/v1/chat/completions", 1<<20)
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Write(bytes.Repeat([]byte(" "), 1<<20-1)); err != nil {
 		return
 	}
@@ -173,17 +173,17 @@
 func TestFloodIsBounded(t *testing.T) {
 	h := startFloodHost(t)
 	t.Run("dripping bodies", func(t *testing.T) {
-		end := h.flood(300, h.drip)
+		end := h.flood(300, h.sendSlowly)
 		time.Sleep(500 * time.Millisecond)
-		h.bounded(t, 20)
+		h.checkBounded(t, 20)
 		end()
 	})
 	t.Run("dripping bodies are ended", h.testDripEnds)
 	t.Run("endless bodies", h.testEndless)
 	t.Run("stalled bodies", func(t *testing.T) {
-		end := h.flood(480, h.stall)
+		end := h.flood(480, h.sendIncomplete)
 		time.Sleep(time.Second)
-		h.bounded(t, 20)
+		h.checkBounded(t, 20)
 		end()
 	})
 	t.Run("connections", h.testConnections)
@@ -195,12 +195,12 @@
 
 // A body that comes too slowly is ended with an answer that says so.
 func (h *floodHost) testDripEnds(t *testing.T) {
-	c, err := h.raw("/v1/chat/completions", 1000)
+	c, err := h.openRaw("/v1/chat/completions", 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	b, _ := io.ReadAll(c)
 	if !strings.Contains(string(b), "VB10") || !strings.HasPrefix(string(b), "HTTP/1.1 408") {
 		t.Errorf("a body that never came was answered %q", b)
@@ -210,7 +210,7 @@
 // A body without end is refused at the limit, and no more of it is taken. Of
 // many at once some are refused for want of memory.
 func (h *floodHost) testEndless(t *testing.T) {
-	body := &endless{stop: make(chan struct{})}
+	body := &endlessBody{stop: make(chan struct{})}
 	// A sender that still writes may lose the answer with its connection.
 	status := 0
 	eventually(t, "an endless body is answered", func() bool {
@@ -230,7 +230,7 @@
 			}
 		})
 	}
-	h.bounded(t, 10)
+	h.checkBounded(t, 10)
 	wg.Wait()
 	close(body.stop)
 }
@@ -251,10 +251,10 @@
 	return res.StatusCode
 }
 
-// endless is a body that goes on until it is stopped.
-type endless struct{ stop chan struct{} }
+// endlessBody is a body that goes on until it is stopped.
+type endlessBody struct{ stop chan struct{} }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessBody) Read(p []byte) (int, error) {
 	select {
 	case <-e.stop:
 		return 0, io.EOF
@@ -271,24 +271,24 @@
 func (h *floodHost) testConnections(t *testing.T) {
 	var cs []net.Conn
 	for range 2000 {
-		if c, err := net.DialTimeout("tcp", h.set.Callers.Listen, time.Second); err == nil {
+		if c, err := net.DialTimeout("tcp", h.settings.Callers.Listen, time.Second); err == nil {
 			cs = append(cs, c)
 		}
 	}
 	if len(cs) <= floodLimits.MaxConnections {
 		t.Fatalf("only %d connections were made", len(cs))
 	}
-	if n := h.sockets(); n > floodLimits.MaxConnections+100 {
+	if n := h.openFiles(); n > floodLimits.MaxConnections+100 {
 		t.Errorf("the host has %d files open, at most %d connections are allowed", n, floodLimits.MaxConnections)
 	}
-	h.bounded(t, 1)
+	h.checkBounded(t, 1)
 	for _, c := range cs {
 		c.Close()
 	}
 }
 
-// sockets counts the files that the process has open.
-func (h *floodHost) sockets() int {
+// openFiles counts the files that the process has open.
+func (h *floodHost) openFiles() int {
 	h.t.Helper()
 	fs, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))
 	if err != nil {
--- a/internal/proofs/jobs_test.go
+++ b/internal/proofs/jobs_test.go
@@ -18,10 +18,10 @@
 	f  *fleet
 	wg sync.WaitGroup
 
-	mu   sync.Mutex
-	made int
-	all  []*job
-	lies []string
+	mu          sync.Mutex
+	created     int
+	all         []*job
+	falseNotRun []string
 }
 
 // job is one thing to do, such as one notice to publish. All its requests
@@ -33,7 +33,7 @@
 }
 
 // byTicket returns a new job with a ticket of a host.
-func (js *jobs) byTicket(t *testing.T, m *member) *job {
+func (js *jobs) byTicket(t *testing.T, m *fleetHost) *job {
 	t.Helper()
 	return js.add("ticket", map[string]string{"Verbenadale-Ticket": takeTicket(t, m, "publish")})
 }
@@ -44,8 +44,8 @@
 func (js *jobs) add(kind string, header map[string]string) *job {
 	js.mu.Lock()
 	defer js.mu.Unlock()
-	js.made++
-	j := &job{name: fmt.Sprintf("%s-%d", kind, js.made), header: header}
+	js.created++
+	j := &job{name: fmt.Sprintf("%s-%d", kind, js.created), header: header}
 	if header == nil {
 		j.header = map[string]string{"Idempotency-Key": j.name}
 	}
@@ -54,7 +54,7 @@
 }
 
 // mixed returns n new jobs with tickets of a host and n with keys.
-func (js *jobs) mixed(t *testing.T, m *member, n int) []*job {
+func (js *jobs) mixed(t *testing.T, m *fleetHost, n int) []*job {
 	t.Helper()
 	var out []*job
 	for range n {
@@ -64,35 +64,35 @@
 }
 
 // send sends a job to a host and records the result.
-func (js *jobs) send(m *member, j *job) result {
+func (js *jobs) send(m *fleetHost, j *job) result {
 	return js.sendFor(context.Background(), m, j)
 }
 
-func (js *jobs) sendFor(ctx context.Context, m *member, j *job) result {
+func (js *jobs) sendFor(ctx context.Context, m *fleetHost, j *job) result {
 	body, _ := json.Marshal(plain.Call{Job: j.name, Text: "a notice"})
-	ans := ask(ctx, m.callers(), "/v1/services/publish/notices", string(body), j.header)
+	ans := sendRequest(ctx, m.callers(), "/v1/services/publish/notices", string(body), j.header)
 	ran := 0
 	if ans.outcome == event.NotRun && ans.code != codes.StoreDown.ID {
-		ran = js.f.jobs()[j.name]
+		ran = js.f.jobRuns()[j.name]
 	}
 	js.mu.Lock()
 	defer js.mu.Unlock()
 	j.results = append(j.results, ans)
 	if ran > 0 {
-		js.lies = append(js.lies, fmt.Sprintf("%s had run when %s was reported as not run (%s)", j.name, j.name, ans.code))
+		js.falseNotRun = append(js.falseNotRun, fmt.Sprintf("%s had run when %s was reported as not run (%s)", j.name, j.name, ans.code))
 	}
 	return ans
 }
 
 // sendAll sends jobs beside what the test does.
-func (js *jobs) sendAll(m *member, all []*job) {
+func (js *jobs) sendAll(m *fleetHost, all []*job) {
 	for _, j := range all {
 		js.wg.Go(func() { js.send(m, j) })
 	}
 }
 
-// again repeats jobs at hosts, one after the other.
-func (js *jobs) again(all []*job, at ...*member) {
+// repeat repeats jobs at hosts, one after the other.
+func (js *jobs) repeat(all []*job, at ...*fleetHost) {
 	for _, m := range at {
 		var wg sync.WaitGroup
 		for _, j := range all {
@@ -102,8 +102,8 @@
 	}
 }
 
-// last returns the newest result of a job.
-func (j *job) last() result {
+// lastResult returns the newest result of a job.
+func (j *job) lastResult() result {
 	if len(j.results) == 0 {
 		return result{}
 	}
@@ -115,7 +115,7 @@
 	t.Helper()
 	js.wg.Wait()
 	eventually(t, "the services are idle", js.f.servicesIdle)
-	runs := js.f.jobs()
+	runs := js.f.jobRuns()
 	ran := 0
 	outcomes := make(map[string]int)
 	for _, j := range js.all {
@@ -124,8 +124,8 @@
 		if n > 1 {
 			t.Errorf("%s ran %d times", j.name, n)
 		}
-		if n > 0 && j.deniesRun() {
-			t.Errorf("%s was reported as not run (%s) and ran", j.name, j.last().code)
+		if n > 0 && j.reportedNotRun() {
+			t.Errorf("%s was reported as not run (%s) and ran", j.name, j.lastResult().code)
 		}
 		for _, ans := range j.results {
 			outcomes[string(ans.outcome)+" "+string(ans.code)]++
@@ -134,22 +134,22 @@
 			}
 		}
 	}
-	for _, lie := range js.lies {
+	for _, lie := range js.falseNotRun {
 		t.Error(lie)
 	}
 	t.Logf("%d jobs, %d runs; results %v", len(js.all), ran, outcomes)
-	js.all, js.lies = js.all[:0:0], nil
+	js.all, js.falseNotRun = js.all[:0:0], nil
 }
 
-// deniesRun reports whether a caller must take a job not to have run. That the
+// reportedNotRun reports whether a caller must take a job not to have run. That the
 // key can't be recorded now is said of the request in hand, and says nothing of
 // an earlier one with the same key.
-func (j *job) deniesRun() bool {
+func (j *job) reportedNotRun() bool {
 	earlier := false
 	for _, ans := range j.results {
 		earlier = earlier || ans.outcome != event.NotRun
 	}
-	last := j.last()
+	last := j.lastResult()
 	return last.outcome == event.NotRun && (!earlier || last.code != codes.StoreDown.ID)
 }
 
@@ -166,11 +166,11 @@
 	}
 }
 
-// count counts the jobs whose last word is one of an outcome.
-func count(all []*job, outcome event.Outcome) int {
+// countOutcome counts the jobs whose last word is one of an outcome.
+func countOutcome(all []*job, outcome event.Outcome) int {
 	n := 0
 	for _, j := range all {
-		if j.last().outcome == outcome {
+		if j.lastResult().outcome == outcome {
 			n++
 		}
 	}
--- a/internal/proofs/leave_test.go
+++ b/internal/proofs/leave_test.go
@@ -13,11 +13,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// lastNewRequest is how long after its first word a leaving target may get new
+// maxNewRequestDelay is how long after its first word a leaving target may get new
 // requests. listLag is by how much the platform's list lags.
 const (
-	lastNewRequest = 5 * time.Second
-	listLag        = 1500 * time.Millisecond
+	maxNewRequestDelay = 5 * time.Second
+	listLag            = 1500 * time.Millisecond
 )
 
 // A target that one source alone reports as draining still gets new work.
@@ -25,12 +25,12 @@
 	t.Parallel()
 	f := startFleet(t, siteOf("uvs", 2, 4, 0), siteOf("erdenet", 1, 0, 0))
 	f.configure()
-	put(t, f.platform+"/dev/faults", plat.Faults{HostsLagMs: listLag.Milliseconds()})
+	putJSON(t, f.platform+"/dev/faults", plat.Faults{HostsLagMs: listLag.Milliseconds()})
 	var urls []string
 	for _, m := range f.hosts {
 		urls = append(urls, m.callers())
 		eventually(t, "answers at "+string(m.id), func() bool {
-			return ask(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil).outcome == event.Done
+			return sendRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil).outcome == event.Done
 		})
 	}
 	eventually(t, "all engines are known", func() bool { return len(f.status(f.host("uvs-1")).Targets) == 4 })
@@ -49,12 +49,12 @@
 		return true
 	})
 
-	f.leaveQuietly("uvs-e1", "mute&hidden")
-	f.listLeaving("uvs-e1")
-	f.leaveQuietly("uvs-e2", "hidden")
-	f.leaveQuietly("uvs-e3", "mute")
+	f.drainTarget("uvs-e1", "mute&hidden")
+	f.listAsDraining("uvs-e1")
+	f.drainTarget("uvs-e2", "hidden")
+	f.drainTarget("uvs-e3", "mute")
 	r := <-done
-	t.Log(summed(r))
+	t.Log(summarize(r))
 	if r.Done != r.Requests {
 		t.Errorf("%d of %d requests failed", r.Requests-r.Done, r.Requests)
 	}
@@ -63,9 +63,9 @@
 		source string
 		most   time.Duration
 	}{
-		{"uvs-e1", "the platform's list", lastNewRequest + listLag},
-		{"uvs-e2", "its refusals", lastNewRequest},
-		{"uvs-e3", "its load report", lastNewRequest},
+		{"uvs-e1", "the platform's list", maxNewRequestDelay + listLag},
+		{"uvs-e2", "its refusals", maxNewRequestDelay},
+		{"uvs-e3", "its load report", maxNewRequestDelay},
 	} {
 		led := f.engineLedger(l.id)
 		last := time.Duration(led.LateMs) * time.Millisecond
@@ -74,7 +74,7 @@
 			t.Errorf("by %s alone the last new request came after %v, at most %v expected", l.source, last, l.most)
 		}
 	}
-	if since := time.Since(f.engineLedger("uvs-e1").LeavingSince); since < lastNewRequest+listLag {
+	if since := time.Since(f.engineLedger("uvs-e1").LeavingSince); since < maxNewRequestDelay+listLag {
 		t.Errorf("the load went on for %v only", since)
 	}
 	if f.engineLedger("uvs-e2").Late == 0 {
@@ -82,8 +82,8 @@
 	}
 }
 
-// leaveQuietly has an engine leave without saying so in some ways.
-func (f *fleet) leaveQuietly(id ident.TargetID, how string) {
+// drainTarget has an engine leave without saying so in some ways.
+func (f *fleet) drainTarget(id ident.TargetID, how string) {
 	f.t.Helper()
 	res, err := http.Post(f.url(id)+"/dev/leave?"+how, "", nil)
 	if err != nil {
@@ -92,9 +92,9 @@
 	res.Body.Close()
 }
 
-// listLeaving has the platform's list say that a target leaves. The list names
+// listAsDraining has the platform's list say that a target leaves. The list names
 // the run of each target, so that the word does not hold for the next one.
-func (f *fleet) listLeaving(id ident.TargetID) {
+func (f *fleet) listAsDraining(id ident.TargetID) {
 	f.t.Helper()
 	var ts []event.Target
 	for _, tg := range f.targets {
--- a/internal/proofs/marker_test.go
+++ b/internal/proofs/marker_test.go
@@ -16,39 +16,39 @@
 // The markers stand in the bodies of requests: one in those that are confined
 // to uvs, one in those that may leave it.
 const (
-	marker     = "Dulmaa-7f3a9c51-marker"
-	openMarker = "Bataar-20b66e0d-marker"
+	marker           = "Dulmaa-7f3a9c51-marker"
+	unconfinedMarker = "Bataar-20b66e0d-marker"
 )
 
 // A word of a confined body shows up in a log, trace, metric or another region.
 func TestNoWordOfABodyLeaves(t *testing.T) {
-	f := startTuned(t, verbose, siteOf("uvs", 2, 1, 1), siteOf("erdenet", 2, 1, 0), siteOf("khovd", 1, 0, 0))
-	tp := f.tapeRegions()
+	f := startFleetWith(t, logEverything, siteOf("uvs", 2, 1, 1), siteOf("erdenet", 2, 1, 0), siteOf("khovd", 1, 0, 0))
+	tp := f.captureRegions()
 	f.configure(append(confinedItems(t), item(t, rules.KindProfile, "notices", rules.Profile{
 		Name: "notices", Service: "publish", Once: true, Regions: []ident.Region{"uvs"}, MaxCrossings: 1,
 	}))...)
-	f.answered(t)
-	f.refused(t)
-	f.brokenOff(t)
-	f.mayLeave(t, tp)
+	f.sendServed(t)
+	f.sendRefused(t)
+	f.sendAborted(t)
+	f.sendUnconfined(t, tp)
 
-	values := f.values()
+	values := f.platformValues()
 	f.stopHosts(t)
-	f.search(t, tp, values)
+	f.checkNoMarker(t, tp, values)
 }
 
-func (f *fleet) chat(t *testing.T, m *member, profile, text string, header map[string]string) reply {
+func (f *fleet) sendChat(t *testing.T, m *fleetHost, profile, text string, header map[string]string) reply {
 	t.Helper()
 	return postWith(t, m.callers()+"/v1/chat/completions", "key-home", chatBody(profile, text, 4), header)
 }
 
-// answered sends confined requests that run.
-func (f *fleet) answered(t *testing.T) {
+// sendServed sends confined requests that run.
+func (f *fleet) sendServed(t *testing.T) {
 	t.Helper()
-	for _, m := range f.at("uvs") {
+	for _, m := range f.hostsIn("uvs") {
 		for _, profile := range []string{"confined", "home"} {
 			eventually(t, profile+" at "+string(m.id), func() bool {
-				return f.chat(t, m, profile, marker, nil).status == http.StatusOK
+				return f.sendChat(t, m, profile, marker, nil).status == http.StatusOK
 			})
 		}
 		whole := strings.Replace(chatBody("confined", marker, 4), `"stream":true`, `"stream":false`, 1)
@@ -66,21 +66,21 @@
 	}
 }
 
-// refused sends confined requests that do not run, for many reasons.
-func (f *fleet) refused(t *testing.T) {
+// sendRefused sends confined requests that do not run, for many reasons.
+func (f *fleet) sendRefused(t *testing.T) {
 	t.Helper()
 	home := f.host("uvs-2")
 	named := map[string]string{"Verbenadale-Profile": "confined"}
 	for want, rep := range map[int][]reply{
 		http.StatusMisdirectedRequest: {
-			f.chat(t, f.host("erdenet-1"), "confined", marker, named), f.chat(t, f.host("erdenet-2"), "home", marker, nil),
+			f.sendChat(t, f.host("erdenet-1"), "confined", marker, named), f.sendChat(t, f.host("erdenet-2"), "home", marker, nil),
 		},
 		http.StatusBadRequest: {
 			post(t, home.callers()+"/v1/chat/completions", "key-home", `{"model":"confined","messages":[{"`+marker),
 			post(t, home.callers()+"/v1/chat/completions", "key-home", `{"model":"confined","messages":"`+marker+`","max_tokens":-1}`),
-			f.chat(t, home, "confined", marker, map[string]string{"Verbenadale-Attempt": "x"}),
+			f.sendChat(t, home, "confined", marker, map[string]string{"Verbenadale-Attempt": "x"}),
 		},
-		http.StatusNotFound:     {f.chat(t, home, "confined", marker, map[string]string{"Verbenadale-Profile": "none"})},
+		http.StatusNotFound:     {f.sendChat(t, home, "confined", marker, map[string]string{"Verbenadale-Profile": "none"})},
 		http.StatusUnauthorized: {post(t, home.callers()+"/v1/chat/completions", "no-key", chatBody("confined", marker, 4))},
 	} {
 		for _, r := range rep {
@@ -91,16 +91,16 @@
 	}
 }
 
-// brokenOff sends confined requests to an engine that breaks each answer in
+// sendAborted sends confined requests to an engine that breaks each answer in
 // another way.
-func (f *fleet) brokenOff(t *testing.T) {
+func (f *fleet) sendAborted(t *testing.T) {
 	t.Helper()
 	kinds := []string{engine.FaultCut, engine.FaultError, engine.FaultShort, engine.FaultCrossed}
 	f.engineFaults(t, "uvs-e1", engine.Faults{Every: 1, Kinds: kinds})
 	stream := chatBody("confined", marker, 4)
 	for range len(kinds) {
 		for _, body := range []string{stream, strings.Replace(stream, `"stream":true`, `"stream":false`, 1)} {
-			if finished(t, f.host("uvs-1"), body) {
+			if isComplete(t, f.host("uvs-1"), body) {
 				t.Errorf("an answer that broke off was given as whole")
 			}
 		}
@@ -108,8 +108,8 @@
 	f.engineFaults(t, "uvs-e1", engine.Faults{})
 }
 
-// finished reports whether the answer to a request came whole.
-func finished(t *testing.T, m *member, body string) bool {
+// isComplete reports whether the answer to a request came whole.
+func isComplete(t *testing.T, m *fleetHost, body string) bool {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, m.callers()+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -139,22 +139,22 @@
 	res.Body.Close()
 }
 
-// mayLeave sends requests that may leave, from a region without an engine, so
+// sendUnconfined sends requests that may leave, from a region without an engine, so
 // that the tape is known to see a body that crosses.
-func (f *fleet) mayLeave(t *testing.T, tp *tape) {
+func (f *fleet) sendUnconfined(t *testing.T, tp *capture) {
 	t.Helper()
 	eventually(t, "a request that may leave is answered", func() bool {
-		return f.chat(t, f.host("khovd-1"), "draft", openMarker, nil).status == http.StatusOK
+		return f.sendChat(t, f.host("khovd-1"), "draft", unconfinedMarker, nil).status == http.StatusOK
 	})
-	if !tp.has(openMarker) {
+	if !tp.has(unconfinedMarker) {
 		t.Error("the tape has nothing of a body that crossed")
 	}
 }
 
-func (f *fleet) search(t *testing.T, tp *tape, values map[string]string) {
+func (f *fleet) checkNoMarker(t *testing.T, tp *capture, values map[string]string) {
 	t.Helper()
 	for _, m := range f.hosts {
-		out := m.out.String()
+		out := m.output.String()
 		if strings.Contains(out, marker) {
 			t.Errorf("%s has printed a word of a body", m.id)
 		}
@@ -165,7 +165,7 @@
 			t.Errorf("%s has logged no request", m.id)
 		}
 	}
-	if !f.host("uvs-1").says("attempt broke")() {
+	if !f.host("uvs-1").logged("attempt broke")() {
 		t.Error("uvs-1 has logged no attempt that broke off")
 	}
 	keys := 0
--- a/internal/proofs/measure_test.go
+++ b/internal/proofs/measure_test.go
@@ -23,10 +23,10 @@
 
 // Loads of the measurement.
 const (
-	measureRate  = 500
-	measureTime  = 8 * time.Second
-	idleStreams  = 2000
-	streamTokens = 8
+	measureRate     = 500
+	measureDuration = 8 * time.Second
+	idleStreams     = 2000
+	streamTokens    = 8
 )
 
 // probe sends one request and notes how long its first byte or its whole
@@ -36,11 +36,11 @@
 	key    string
 	stream bool
 
-	mu    sync.Mutex
-	wg    sync.WaitGroup
-	took  []time.Duration
-	fails int
-	cl    *http.Client
+	mu        sync.Mutex
+	wg        sync.WaitGroup
+	latencies []time.Duration
+	failures  int
+	client    *http.Client
 }
 
 func (p *probe) body() string {
@@ -50,24 +50,24 @@
 func (p *probe) run() {
 	defer p.wg.Done()
 	began := time.Now()
-	took, err := p.once(began)
+	took, err := p.send(began)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.fails++
+		p.failures++
 		return
 	}
-	p.took = append(p.took, took)
+	p.latencies = append(p.latencies, took)
 }
 
-func (p *probe) once(began time.Time) (time.Duration, error) {
+func (p *probe) send(began time.Time) (time.Duration, error) {
 	req, err := http.NewRequest(http.MethodPost, p.url+"/v1/chat/completions", strings.NewReader(p.body()))
 	if err != nil {
 		return 0, err
 	}
 	req.Header.Set("Authorization", "Bearer "+p.key)
 	req.Header.Set("X-Request-Id", "direct")
-	res, err := p.cl.Do(req)
+	res, err := p.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -91,22 +91,24 @@
 
 // load sends requests at a fixed rate, whether answers come or not.
 func (p *probe) load() {
-	p.cl = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
+	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	// Gaps at random keep the requests from falling into step with the engine.
 	at, rnd := time.Now(), rand.New(rand.NewPCG(1, 2))
 	const gap = time.Second / measureRate
-	for range int(measureTime / gap) {
+	for range int(measureDuration / gap) {
 		at = at.Add(time.Duration(rnd.ExpFloat64() * float64(gap)))
 		time.Sleep(time.Until(at))
 		p.wg.Add(1)
 		go p.run()
 	}
 	p.wg.Wait()
-	p.cl.CloseIdleConnections()
-	slices.Sort(p.took)
+	p.client.CloseIdleConnections()
+	slices.Sort(p.latencies)
 }
 
-func (p *probe) at(q float64) time.Duration { return p.took[int(float64(len(p.took)-1)*q)] }
+func (p *probe) quantile(q float64) time.Duration {
+	return p.latencies[int(float64(len(p.latencies)-1)*q)]
+}
 
 // The overhead of an entry host or the memory of an idle stream misses its goal.
 func TestMeasureEntry(t *testing.T) {
@@ -126,8 +128,8 @@
 		item(t, rules.KindProfile, "idle", rules.Profile{Models: []rules.Serve{{Model: "slow"}}}),
 		item(t, rules.KindAccount, "foundation", rules.Client{KeyDigest: rules.Digest("key-1")}),
 	)
-	warm := &probe{url: en.callers(), key: "key-1", cl: http.DefaultClient}
-	eventually(t, "an answer comes", func() bool { _, err := warm.once(time.Now()); return err == nil })
+	warm := &probe{url: en.callers(), key: "key-1", client: http.DefaultClient}
+	eventually(t, "an answer comes", func() bool { _, err := warm.send(time.Now()); return err == nil })
 	t.Run("idle", func(t *testing.T) { measureIdle(t, en) })
 	t.Run("load", func(t *testing.T) { measureLoad(t, eng, en) })
 }
@@ -139,10 +141,10 @@
 		through := &probe{url: en.callers(), key: "key-1", stream: stream}
 		through.load()
 		t.Logf("stream %t: direct median %v p99 %v (%d failed), through an entry host median %v p99 %v (%d failed)",
-			stream, direct.at(0.5), direct.at(0.99), direct.fails, through.at(0.5), through.at(0.99), through.fails)
-		median, tail := through.at(0.5)-direct.at(0.5), through.at(0.99)-direct.at(0.99)
+			stream, direct.quantile(0.5), direct.quantile(0.99), direct.failures, through.quantile(0.5), through.quantile(0.99), through.failures)
+		median, tail := through.quantile(0.5)-direct.quantile(0.5), through.quantile(0.99)-direct.quantile(0.99)
 		t.Logf("stream %t: added median %v p99 %v", stream, median, tail)
-		if through.fails > 0 || median > time.Millisecond || tail > 3*time.Millisecond {
+		if through.failures > 0 || median > time.Millisecond || tail > 3*time.Millisecond {
 			t.Errorf("stream %t: the goal of 1 ms and 3 ms with no failure is missed", stream)
 		}
 	}
@@ -150,7 +152,7 @@
 
 func measureIdle(t *testing.T, en *entry) {
 	before := rss(t, en)
-	var open []*idle
+	var open []*idleStream
 	for range idleStreams {
 		req, err := http.NewRequest(http.MethodPost, en.callers()+"/v1/chat/completions",
 			strings.NewReader(`{"model":"idle","stream":true,"max_tokens":1000,"messages":[{"role":"user","content":"hello"}]}`))
@@ -158,12 +160,12 @@
 			t.Fatal(err)
 		}
 		req.Header.Set("Authorization", "Bearer key-1")
-		s := &idle{t: t, req: req, begun: make(chan struct{})}
+		s := &idleStream{t: t, req: req, firstLine: make(chan struct{})}
 		go s.run()
 		open = append(open, s)
 	}
 	for _, s := range open {
-		<-s.begun
+		<-s.firstLine
 	}
 	each := (rss(t, en) - before) / idleStreams
 	t.Logf("memory of an idle stream: %d bytes over %d streams", each, idleStreams)
@@ -172,15 +174,15 @@
 	}
 }
 
-// idle is one stream that waits for its second token.
-type idle struct {
-	t     *testing.T
-	req   *http.Request
-	begun chan struct{}
+// idleStream is one stream that waits for its second token.
+type idleStream struct {
+	t         *testing.T
+	req       *http.Request
+	firstLine chan struct{}
 }
 
-func (s *idle) run() {
-	defer close(s.begun)
+func (s *idleStream) run() {
+	defer close(s.firstLine)
 	res, err := http.DefaultClient.Do(s.req)
 	if err != nil {
 		s.t.Error(err)
--- a/internal/proofs/once_link_test.go
+++ b/internal/proofs/once_link_test.go
@@ -15,29 +15,29 @@
 // The region's host is left with jobs whose sender is gone, and the caller with
 // a sender that has forgotten.
 func (o *onceFleet) testForwarderDies(t *testing.T) {
-	o.dieAt(t, o.away, plain.Faults{WorkMs: 1000}, []*member{o.away})
-	o.dieAt(t, o.away, plain.Faults{AnswerMs: 1000}, []*member{o.away})
+	o.killWhileRunning(t, o.remote, plain.Faults{WorkMs: 1000}, []*fleetHost{o.remote})
+	o.killWhileRunning(t, o.remote, plain.Faults{AnswerMs: 1000}, []*fleetHost{o.remote})
 }
 
 // The hosts that jobs were passed on to die while the jobs run. Their sender
 // asks the restarted hosts, which know nothing and must not say "not run".
 func (o *onceFleet) testReceiverDies(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 1000})
-	all, dc := o.passOn(t)
-	o.restart(o.at(dc)...)
-	o.services(plain.Faults{})
-	o.again(all, o.away, o.here)
+	o.setServiceFaults(plain.Faults{WorkMs: 1000})
+	all, dc := o.forwardJobs(t)
+	o.restart(o.hostsIn(dc)...)
+	o.setServiceFaults(plain.Faults{})
+	o.repeat(all, o.remote, o.local)
 	o.check(t)
 }
 
-// passOn sends jobs to the host that runs none itself and returns them with the
+// forwardJobs sends jobs to the host that runs none itself and returns them with the
 // data centre that runs most of them.
-func (o *onceFleet) passOn(t *testing.T) ([]*job, ident.DataCentre) {
+func (o *onceFleet) forwardJobs(t *testing.T) ([]*job, ident.DataCentre) {
 	t.Helper()
-	near, far := o.calls("uvs"), o.calls("khovd")
+	near, far := o.serviceCalls("uvs"), o.serviceCalls("khovd")
 	var dc ident.DataCentre
-	all := o.sendUntil(t, o.away, func() bool {
-		n, k := o.calls("uvs")-near, o.calls("khovd")-far
+	all := o.sendUntil(t, o.remote, func() bool {
+		n, k := o.serviceCalls("uvs")-near, o.serviceCalls("khovd")-far
 		dc = "uvs"
 		if k > n {
 			dc = "khovd"
@@ -56,17 +56,17 @@
 	briefly := func() { time.Sleep(1500 * time.Millisecond) }
 	cuts := []struct {
 		name string
-		cut  func(m *member, on bool)
+		cut  func(m *fleetHost, on bool)
 		wait func()
 	}{
-		{"both ways", func(m *member, on bool) { o.cutLink(o.away, m, on); o.cutLink(m, o.away, on) }, briefly},
-		{"one way", func(m *member, on bool) { o.cutLink(o.away, m, on) }, briefly},
-		{"the other way", func(m *member, on bool) { o.cutLink(m, o.away, on) }, briefly},
-		{"silent", func(m *member, on bool) {
-			m.before.setSilent(o.away.ip, on)
-			o.away.before.setSilent(m.ip, on)
-		}, o.untilSilent},
-		{"frozen", func(m *member, on bool) {
+		{"both ways", func(m *fleetHost, on bool) { o.cutLink(o.remote, m, on); o.cutLink(m, o.remote, on) }, briefly},
+		{"one way", func(m *fleetHost, on bool) { o.cutLink(o.remote, m, on) }, briefly},
+		{"the other way", func(m *fleetHost, on bool) { o.cutLink(m, o.remote, on) }, briefly},
+		{"silent", func(m *fleetHost, on bool) {
+			m.peerRelay.setSilent(o.remote.ip, on)
+			o.remote.peerRelay.setSilent(m.ip, on)
+		}, o.waitLinkDropped},
+		{"frozen", func(m *fleetHost, on bool) {
 			if on {
 				m.signal(t, syscall.SIGSTOP)
 				return
@@ -76,42 +76,42 @@
 	}
 	for _, c := range cuts {
 		t.Run(c.name, func(t *testing.T) {
-			o.services(plain.Faults{WorkMs: 400})
-			all, dc := o.passOn(t)
-			for _, m := range o.at(dc) {
+			o.setServiceFaults(plain.Faults{WorkMs: 400})
+			all, dc := o.forwardJobs(t)
+			for _, m := range o.hostsIn(dc) {
 				c.cut(m, true)
 			}
-			late := o.mixed(t, o.away, 4)
-			o.sendAll(o.away, late)
+			late := o.mixed(t, o.remote, 4)
+			o.sendAll(o.remote, late)
 			c.wait()
-			for _, m := range o.at(dc) {
+			for _, m := range o.hostsIn(dc) {
 				c.cut(m, false)
 			}
 			o.wg.Wait()
-			o.services(plain.Faults{})
-			o.linked()
-			if n := count(all, event.NotRun); n == len(all) {
+			o.setServiceFaults(plain.Faults{})
+			o.waitLinked()
+			if n := countOutcome(all, event.NotRun); n == len(all) {
 				t.Error("no job met the cut")
 			}
-			o.again(append(all, late...), o.away, o.here)
+			o.repeat(append(all, late...), o.remote, o.local)
 			o.check(t)
 		})
 	}
 }
 
-// linked waits until the host that passes jobs on has its peers back.
-func (o *onceFleet) linked() {
+// waitLinked waits until the host that passes jobs on has its peers back.
+func (o *onceFleet) waitLinked() {
 	o.t.Helper()
 	eventually(o.t, "the links are back", func() bool {
-		return len(askEntries(o.away.callers(), "publish")) == len(o.hosts)
+		return len(fetchEntries(o.remote.callers(), "publish")) == len(o.hosts)
 	})
-	o.recovered(o.away, event.Done)
+	o.waitOutcome(o.remote, event.Done)
 }
 
-// untilSilent waits until the host that passes jobs on gives a silent link up.
-func (o *onceFleet) untilSilent() {
+// waitLinkDropped waits until the host that passes jobs on gives a silent link up.
+func (o *onceFleet) waitLinkDropped() {
 	o.t.Helper()
-	given := func() int { return strings.Count(o.away.out.String(), "reason=silent") }
+	given := func() int { return strings.Count(o.remote.output.String(), "reason=silent") }
 	before := given()
 	eventually(o.t, "the silence is noticed", func() bool { return given() > before })
 }
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -23,7 +23,7 @@
 type onceFleet struct {
 	*fleet
 	*jobs
-	here, sibling, away *member
+	local, sibling, remote *fleetHost
 }
 
 func startOnceFleet(t *testing.T) *onceFleet {
@@ -32,43 +32,43 @@
 	f.configure()
 	o := &onceFleet{
 		fleet: f, jobs: &jobs{f: f},
-		here: f.host("uvs-1"), sibling: f.host("uvs-2"), away: f.host("erdenet-1"),
+		local: f.host("uvs-1"), sibling: f.host("uvs-2"), remote: f.host("erdenet-1"),
 	}
 	for _, m := range f.hosts {
-		o.ready(m)
+		o.waitReady(m)
 	}
 	o.check(t)
 	return o
 }
 
-// ready waits until a host serves jobs and knows its peers.
-func (o *onceFleet) ready(m *member) {
+// waitReady waits until a host serves jobs and knows its peers.
+func (o *onceFleet) waitReady(m *fleetHost) {
 	o.t.Helper()
 	eventually(o.t, "a job runs at "+string(m.id), func() bool {
 		return o.send(m, o.byKey()).outcome == event.Done
 	})
 	eventually(o.t, "callers learn of "+string(m.id), func() bool {
-		return len(askEntries(m.callers(), "publish")) == len(o.hosts)
+		return len(fetchEntries(m.callers(), "publish")) == len(o.hosts)
 	})
 }
 
-// services sets the faults of all services.
-func (o *onceFleet) services(x plain.Faults) {
+// setServiceFaults sets the faults of all setServiceFaults.
+func (o *onceFleet) setServiceFaults(x plain.Faults) {
 	o.t.Helper()
 	for _, tg := range o.targets {
-		put(o.t, tg.URL+"/dev/faults", x)
+		putJSON(o.t, tg.URL+"/dev/faults", x)
 	}
 }
 
-// store sets the faults of the platform.
-func (o *onceFleet) store(x plat.Faults) {
+// setPlatformFaults sets the faults of the platform.
+func (o *onceFleet) setPlatformFaults(x plat.Faults) {
 	o.t.Helper()
-	put(o.t, o.platform+"/dev/faults", x)
+	putJSON(o.t, o.platform+"/dev/faults", x)
 }
 
-// calls counts the calls that reached a service of a data centre, all of them
+// serviceCalls counts the serviceCalls that reached a service of a data centre, all of them
 // for an empty name.
-func (o *onceFleet) calls(dc ident.DataCentre) int {
+func (o *onceFleet) serviceCalls(dc ident.DataCentre) int {
 	n := 0
 	for _, tg := range o.targets {
 		var l plain.Ledger
@@ -80,25 +80,25 @@
 	return n
 }
 
-// puts counts the writes that reached the platform.
-func (o *onceFleet) puts() int {
+// platformWrites counts the writes that reached the platform.
+func (o *onceFleet) platformWrites() int {
 	var c plat.Counts
 	getJSON(o.t, o.platform+"/dev/counts", &c)
 	return c["put"]
 }
 
 // restart kills hosts without a word and starts them again.
-func (o *onceFleet) restart(ms ...*member) {
+func (o *onceFleet) restart(ms ...*fleetHost) {
 	o.t.Helper()
 	for _, m := range ms {
 		m.kill(o.t)
 	}
 	for _, m := range ms {
-		o.boot(m)
+		o.startHost(m)
 	}
 	o.wg.Wait()
 	for _, m := range ms {
-		o.ready(m)
+		o.waitReady(m)
 	}
 }
 
@@ -112,7 +112,7 @@
 	t.Run("frozen owner", o.testFrozenOwner)
 	t.Run("frozen claim", o.testFrozenClaim)
 	t.Run("platform", o.testPlatform)
-	t.Run("caller leaves", o.testCallerLeaves)
+	t.Run("caller leaves", o.testCallerDisconnects)
 	t.Run("target dies", o.testTargetDies)
 	t.Run("forwarder dies", o.testForwarderDies)
 	t.Run("receiver dies", o.testReceiverDies)
@@ -125,23 +125,23 @@
 // longer exists. A caller that gets "not run" from anyone and takes a ticket
 // is safe only if the key can never run again.
 func (o *onceFleet) testBeforeClaim(t *testing.T) {
-	before, calls := o.puts(), o.calls("")
-	o.store(plat.Faults{DelayMs: 900})
+	before, calls := o.platformWrites(), o.serviceCalls("")
+	o.setPlatformFaults(plat.Faults{DelayMs: 900})
 	all := []*job{o.byKey(), o.byKey(), o.byKey()}
-	o.sendAll(o.here, all)
-	eventually(t, "the claims are on their way", func() bool { return o.puts() >= before+len(all) })
-	o.here.kill(t)
+	o.sendAll(o.local, all)
+	eventually(t, "the claims are on their way", func() bool { return o.platformWrites() >= before+len(all) })
+	o.local.kill(t)
 	o.wg.Wait()
 	time.Sleep(2 * time.Second) // The writes land.
-	o.store(plat.Faults{})
-	if n := o.calls("") - calls; n != 0 {
+	o.setPlatformFaults(plat.Faults{})
+	if n := o.serviceCalls("") - calls; n != 0 {
 		t.Fatalf("%d calls were sent before their key was on record", n)
 	}
-	o.again(all, o.sibling)
-	o.boot(o.here)
-	o.ready(o.here)
-	o.again(all, o.here, o.sibling, o.away)
-	if n := count(all, event.Unknown); n != len(all) {
+	o.repeat(all, o.sibling)
+	o.startHost(o.local)
+	o.waitReady(o.local)
+	o.repeat(all, o.local, o.sibling, o.remote)
+	if n := countOutcome(all, event.Unknown); n != len(all) {
 		t.Errorf("%d of %d keys of a dead host are unknown", n, len(all))
 	}
 	o.check(t)
@@ -150,45 +150,45 @@
 // A host dies with jobs that are on record and wait for room at the service.
 // Nobody knows any more that they have not run.
 func (o *onceFleet) testBeforeSend(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 1500})
-	calls := o.calls("uvs")
-	all := o.mixed(t, o.here, 40)
-	o.sendAll(o.here, all)
-	eventually(t, "the service is full", func() bool { return o.calls("uvs")-calls >= 16 })
-	o.here.kill(t)
+	o.setServiceFaults(plain.Faults{WorkMs: 1500})
+	calls := o.serviceCalls("uvs")
+	all := o.mixed(t, o.local, 40)
+	o.sendAll(o.local, all)
+	eventually(t, "the service is full", func() bool { return o.serviceCalls("uvs")-calls >= 16 })
+	o.local.kill(t)
 	o.wg.Wait()
-	if n := o.calls("") - calls; n >= len(all) {
+	if n := o.serviceCalls("") - calls; n >= len(all) {
 		t.Fatalf("all %d jobs were sent, none waited", n)
 	}
-	o.services(plain.Faults{})
-	o.boot(o.here)
-	o.ready(o.here)
-	o.again(all, o.here, o.sibling)
+	o.setServiceFaults(plain.Faults{})
+	o.startHost(o.local)
+	o.waitReady(o.local)
+	o.repeat(all, o.local, o.sibling)
 	o.check(t)
 }
 
 // A host dies while a service works on its jobs. The service finishes them,
 // and nobody is left who knows. A repeat anywhere must not run them again.
 func (o *onceFleet) testWhileRunning(t *testing.T) {
-	o.dieAt(t, o.here, plain.Faults{WorkMs: 1000}, []*member{o.here})
+	o.killWhileRunning(t, o.local, plain.Faults{WorkMs: 1000}, []*fleetHost{o.local})
 }
 
 // A host dies after its jobs have run and before the answers are passed on.
 func (o *onceFleet) testBeforeAnswer(t *testing.T) {
-	o.dieAt(t, o.here, plain.Faults{AnswerMs: 1000}, []*member{o.here})
+	o.killWhileRunning(t, o.local, plain.Faults{AnswerMs: 1000}, []*fleetHost{o.local})
 }
 
-// dieAt sends jobs to a host, kills hosts while the services hold the jobs,
+// killWhileRunning sends jobs to a host, kills hosts while the services hold the jobs,
 // and repeats them everywhere.
-func (o *onceFleet) dieAt(t *testing.T, at *member, x plain.Faults, victims []*member) {
+func (o *onceFleet) killWhileRunning(t *testing.T, at *fleetHost, x plain.Faults, victims []*fleetHost) {
 	t.Helper()
-	o.services(x)
-	calls := o.calls("")
-	all := o.sendUntil(t, at, func() bool { return o.calls("")-calls >= 3 })
+	o.setServiceFaults(x)
+	calls := o.serviceCalls("")
+	all := o.sendUntil(t, at, func() bool { return o.serviceCalls("")-calls >= 3 })
 	o.restart(victims...)
-	o.services(plain.Faults{})
-	o.again(all, at, o.sibling, o.away)
-	if n := count(all, event.Unknown); n < 3 {
+	o.setServiceFaults(plain.Faults{})
+	o.repeat(all, at, o.sibling, o.remote)
+	if n := countOutcome(all, event.Unknown); n < 3 {
 		t.Errorf("%d jobs are unknown after the death of a host, too few to have met it", n)
 	}
 	o.check(t)
@@ -196,7 +196,7 @@
 
 // sendUntil sends jobs to a host until so many run that the proof can go on.
 // Those that are refused for want of room elsewhere are no help to it.
-func (o *onceFleet) sendUntil(t *testing.T, at *member, reached func() bool) []*job {
+func (o *onceFleet) sendUntil(t *testing.T, at *fleetHost, reached func() bool) []*job {
 	t.Helper()
 	var all []*job
 	eventually(t, "jobs run", func() bool {
@@ -219,36 +219,36 @@
 // callers repeat elsewhere, and when it wakes it still believes that it owns
 // them. It does, and the others must know.
 func (o *onceFleet) testFrozenOwner(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 600})
-	calls := o.calls("")
-	all := o.mixed(t, o.here, 3)
-	o.sendAll(o.here, all)
-	eventually(t, "jobs run", func() bool { return o.calls("")-calls >= len(all) })
-	o.here.signal(t, syscall.SIGSTOP)
-	o.services(plain.Faults{})
+	o.setServiceFaults(plain.Faults{WorkMs: 600})
+	calls := o.serviceCalls("")
+	all := o.mixed(t, o.local, 3)
+	o.sendAll(o.local, all)
+	eventually(t, "jobs run", func() bool { return o.serviceCalls("")-calls >= len(all) })
+	o.local.signal(t, syscall.SIGSTOP)
+	o.setServiceFaults(plain.Faults{})
 	var elsewhere []result
 	for _, j := range all {
 		elsewhere = append(elsewhere, o.send(o.sibling, j))
 	}
-	o.here.signal(t, syscall.SIGCONT)
+	o.local.signal(t, syscall.SIGCONT)
 	o.wg.Wait()
 	for _, ans := range elsewhere {
-		o.isForeign(t, ans)
+		o.checkForeign(t, ans)
 	}
-	o.again(all, o.here)
-	if n := count(all, event.Done); n != len(all) {
+	o.repeat(all, o.local)
+	if n := countOutcome(all, event.Done); n != len(all) {
 		t.Errorf("%d of %d jobs are answered by their owner once it is awake", n, len(all))
 	}
 	o.check(t)
 }
 
-// isForeign checks the answer to a repeat at another host than the owner: it
+// checkForeign checks the answer to a repeat at another host than the owner: it
 // names the owner and does not say that the job has not run.
-func (o *onceFleet) isForeign(t *testing.T, got result) {
+func (o *onceFleet) checkForeign(t *testing.T, got result) {
 	t.Helper()
 	want := result{
 		status: http.StatusMisdirectedRequest, outcome: event.Unknown, code: codes.ForeignTicket.ID,
-		entries: []string{o.here.callers()},
+		entries: []string{o.local.callers()},
 	}
 	got.body = ""
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(result{})); diff != "" {
@@ -260,14 +260,14 @@
 // have given it up. Its claims stand, and repeats elsewhere meanwhile must
 // leave the jobs to it.
 func (o *onceFleet) testFrozenClaim(t *testing.T) {
-	before := o.puts()
-	o.store(plat.Faults{DelayMs: 700})
+	before := o.platformWrites()
+	o.setPlatformFaults(plat.Faults{DelayMs: 700})
 	all := []*job{o.byKey(), o.byKey(), o.byKey()}
-	o.sendAll(o.here, all)
-	eventually(t, "the claims are on their way", func() bool { return o.puts() >= before+len(all) })
-	o.here.signal(t, syscall.SIGSTOP)
+	o.sendAll(o.local, all)
+	eventually(t, "the claims are on their way", func() bool { return o.platformWrites() >= before+len(all) })
+	o.local.signal(t, syscall.SIGSTOP)
 	time.Sleep(1500 * time.Millisecond) // The writes land.
-	o.store(plat.Faults{})
+	o.setPlatformFaults(plat.Faults{})
 	var during []*job
 	for _, j := range all {
 		if ans := o.send(o.sibling, j); ans.outcome == event.Unknown {
@@ -278,13 +278,13 @@
 		t.Errorf("%d of %d repeats were reported as unknown", len(during), len(all))
 	}
 	eventually(t, "the peers give the host up", func() bool {
-		return len(askEntries(o.sibling.callers(), "publish")) < len(o.hosts)
+		return len(fetchEntries(o.sibling.callers(), "publish")) < len(o.hosts)
 	})
-	o.again(all, o.sibling, o.away)
-	o.here.signal(t, syscall.SIGCONT)
+	o.repeat(all, o.sibling, o.remote)
+	o.local.signal(t, syscall.SIGCONT)
 	o.wg.Wait()
-	o.ready(o.here)
-	o.again(all, o.here, o.sibling)
+	o.waitReady(o.local)
+	o.repeat(all, o.local, o.sibling)
 	o.check(t)
 }
 
@@ -294,52 +294,52 @@
 func (o *onceFleet) testPlatform(t *testing.T) {
 	keys := func() []*job { return []*job{o.byKey(), o.byKey(), o.byKey(), o.byKey()} }
 	lost := keys()
-	o.store(plat.Faults{LoseNext: len(lost)})
-	o.again(lost, o.here)
-	if n := count(lost, event.Done); n != len(lost) {
+	o.setPlatformFaults(plat.Faults{LoseNext: len(lost)})
+	o.repeat(lost, o.local)
+	if n := countOutcome(lost, event.Done); n != len(lost) {
 		t.Errorf("%d of %d jobs are done though replies are lost", n, len(lost))
 	}
 	slow := keys()
-	o.store(plat.Faults{DelayMs: 200})
-	o.again(slow, o.here, o.sibling)
-	down, tickets := keys(), []*job{o.byTicket(t, o.here), o.byTicket(t, o.here)}
-	o.store(plat.Faults{Down: true})
-	o.again(down, o.here)
+	o.setPlatformFaults(plat.Faults{DelayMs: 200})
+	o.repeat(slow, o.local, o.sibling)
+	down, tickets := keys(), []*job{o.byTicket(t, o.local), o.byTicket(t, o.local)}
+	o.setPlatformFaults(plat.Faults{Down: true})
+	o.repeat(down, o.local)
 	for _, j := range down {
-		if j.last().code != codes.StoreDown.ID || o.fleet.jobs()[j.name] != 0 {
-			t.Errorf("%s with the platform down: %+v", j.name, j.last())
+		if j.lastResult().code != codes.StoreDown.ID || o.fleet.jobRuns()[j.name] != 0 {
+			t.Errorf("%s with the platform down: %+v", j.name, j.lastResult())
 		}
 	}
-	o.again(tickets, o.here)
-	if n := count(tickets, event.Done); n != len(tickets) {
+	o.repeat(tickets, o.local)
+	if n := countOutcome(tickets, event.Done); n != len(tickets) {
 		t.Errorf("%d of %d tickets run without the platform", n, len(tickets))
 	}
-	o.store(plat.Faults{})
-	o.again(down, o.here)
-	if n := count(down, event.Done); n != len(down) {
+	o.setPlatformFaults(plat.Faults{})
+	o.repeat(down, o.local)
+	if n := countOutcome(down, event.Done); n != len(down) {
 		t.Errorf("%d of %d keys run once the platform is back", n, len(down))
 	}
-	o.again(append(lost, append(slow, down...)...), o.here, o.sibling, o.away)
+	o.repeat(append(lost, append(slow, down...)...), o.local, o.sibling, o.remote)
 	o.check(t)
 }
 
 // A caller loses its connection while its job runs and sends the job again. It
 // gets the answer of the first run.
-func (o *onceFleet) testCallerLeaves(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 500})
-	calls := o.calls("")
-	all := o.mixed(t, o.here, 3)
+func (o *onceFleet) testCallerDisconnects(t *testing.T) {
+	o.setServiceFaults(plain.Faults{WorkMs: 500})
+	calls := o.serviceCalls("")
+	all := o.mixed(t, o.local, 3)
 	ctx, leave := context.WithCancel(context.Background())
 	for _, j := range all {
-		o.wg.Go(func() { o.sendFor(ctx, o.here, j) })
+		o.wg.Go(func() { o.sendFor(ctx, o.local, j) })
 	}
-	eventually(t, "jobs run", func() bool { return o.calls("")-calls >= len(all) })
+	eventually(t, "jobs run", func() bool { return o.serviceCalls("")-calls >= len(all) })
 	leave()
 	o.wg.Wait()
 	for _, j := range all {
-		eventually(t, j.name+" is answered", func() bool { return o.send(o.here, j).outcome == event.Done })
+		eventually(t, j.name+" is answered", func() bool { return o.send(o.local, j).outcome == event.Done })
 	}
-	o.services(plain.Faults{})
+	o.setServiceFaults(plain.Faults{})
 	o.check(t)
 }
 
@@ -350,41 +350,41 @@
 func (o *onceFleet) testTargetDies(t *testing.T) {
 	var all []*job
 	for _, x := range []plain.Faults{{DieBeforeRun: 1}, {DieAfterRun: 1}} {
-		put(t, o.url("uvs-p1")+"/dev/faults", x)
-		all = append(all, o.untilUnknown(t, o.here)...)
-		o.services(x)
-		o.recovered(o.away, event.Unknown)
-		calls := o.calls("")
-		js := o.mixed(t, o.away, 2)
-		o.again(js, o.away)
-		if n := o.calls("") - calls; n > len(js) {
+		putJSON(t, o.url("uvs-p1")+"/dev/faults", x)
+		all = append(all, o.sendUntilUnknown(t, o.local)...)
+		o.setServiceFaults(x)
+		o.waitOutcome(o.remote, event.Unknown)
+		calls := o.serviceCalls("")
+		js := o.mixed(t, o.remote, 2)
+		o.repeat(js, o.remote)
+		if n := o.serviceCalls("") - calls; n > len(js) {
 			t.Errorf("%d calls for %d jobs", n, len(js))
 		}
 		all = append(all, js...)
-		o.services(plain.Faults{})
-		o.recovered(o.here, event.Done)
-		o.recovered(o.away, event.Done)
+		o.setServiceFaults(plain.Faults{})
+		o.waitOutcome(o.local, event.Done)
+		o.waitOutcome(o.remote, event.Done)
 	}
-	o.again(all, o.here, o.sibling, o.away)
+	o.repeat(all, o.local, o.sibling, o.remote)
 	o.check(t)
 }
 
-// untilUnknown sends jobs to a host until some meet the service that dies.
-func (o *onceFleet) untilUnknown(t *testing.T, m *member) []*job {
+// sendUntilUnknown sends jobs to a host until some meet the service that dies.
+func (o *onceFleet) sendUntilUnknown(t *testing.T, m *fleetHost) []*job {
 	t.Helper()
 	var all []*job
-	calls := o.calls("uvs")
+	calls := o.serviceCalls("uvs")
 	eventually(t, "jobs meet the fault", func() bool {
 		js := o.mixed(t, m, 1)
-		o.again(js, m)
+		o.repeat(js, m)
 		all = append(all, js...)
-		return o.calls("uvs") > calls && count(all, event.Unknown) > 0
+		return o.serviceCalls("uvs") > calls && countOutcome(all, event.Unknown) > 0
 	})
 	return all
 }
 
-// recovered waits until a host sends jobs again and they have an outcome.
-func (o *onceFleet) recovered(m *member, outcome event.Outcome) {
+// waitOutcome waits until a host sends jobs again and they have an outcome.
+func (o *onceFleet) waitOutcome(m *fleetHost, outcome event.Outcome) {
 	o.t.Helper()
 	eventually(o.t, "jobs are "+string(outcome)+" at "+string(m.id), func() bool {
 		return o.send(m, o.byKey()).outcome == outcome
@@ -395,21 +395,21 @@
 // other service of the data centre is idle and would run them again.
 func (o *onceFleet) testServiceKilled(t *testing.T) {
 	const id = ident.TargetID("uvs-p1")
-	o.services(plain.Faults{WorkMs: 1000})
+	o.setServiceFaults(plain.Faults{WorkMs: 1000})
 	var ld event.Load
-	all := o.sendUntil(t, o.here, func() bool {
+	all := o.sendUntil(t, o.local, func() bool {
 		getJSON(t, o.url(id)+"/load", &ld)
 		return ld.Running >= 2
 	})
 	o.procs[id].kill(t)
 	o.targets = slices.DeleteFunc(o.targets, func(tg event.Target) bool { return tg.ID == id })
-	o.services(plain.Faults{})
+	o.setServiceFaults(plain.Faults{})
 	o.wg.Wait()
-	if n := count(all, event.Unknown); n < 2 {
+	if n := countOutcome(all, event.Unknown); n < 2 {
 		t.Errorf("%d jobs are unknown after the death of their service", n)
 	}
-	o.again(all, o.here, o.sibling, o.away)
-	runs := o.fleet.jobs()
+	o.repeat(all, o.local, o.sibling, o.remote)
+	runs := o.fleet.jobRuns()
 	for _, j := range all {
 		if j.results[0].outcome == event.Unknown && runs[j.name] != 0 {
 			t.Errorf("%s ran at another service after its own had died", j.name)
--- a/internal/proofs/pages_test.go
+++ b/internal/proofs/pages_test.go
@@ -21,10 +21,10 @@
 		t.Fatalf("the page lacks the commands that this test is for:\n%s", script)
 	}
 	dir := t.TempDir()
-	if err := os.Symlink(bin, filepath.Join(dir, "bin")); err != nil {
+	if err := os.Symlink(binDir, filepath.Join(dir, "bin")); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 3*waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, "bash", "-m", "-e", "-c", "trap 'kill $(jobs -p) 2>/dev/null || true' EXIT\n"+script)
 	cmd.Dir = dir
--- a/internal/proofs/peer_test.go
+++ b/internal/proofs/peer_test.go
@@ -11,8 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// keyed gives the settings of an entry host keys of its own.
-func keyed(t *testing.T, ca *certs.Authority, set config.Settings) config.Settings {
+// withKeys gives the settings of an entry host keys of its own.
+func withKeys(t *testing.T, ca *certs.Authority, set config.Settings) config.Settings {
 	t.Helper()
 	fs, err := ca.Issue(t.TempDir(), string(set.Entry))
 	if err != nil {
@@ -23,10 +23,10 @@
 	return set
 }
 
-// says reports whether an entry host has logged a line with all the parts.
-func (e *entry) says(parts ...string) func() bool {
+// logged reports whether an entry host has logged a line with all the parts.
+func (e *entry) logged(parts ...string) func() bool {
 	return func() bool {
-		for line := range strings.Lines(e.out.String()) {
+		for line := range strings.Lines(e.output.String()) {
 			if containsAll(line, parts) {
 				return true
 			}
@@ -52,23 +52,23 @@
 	}
 	platform := startPlatform(t)
 	place := event.Place{DataCentre: "uvs", Region: "uvs"}
-	second := keyed(t, ca, entrySettings(platform, "uvs-2", place))
-	first := keyed(t, ca, entrySettings(platform, "uvs-1", place))
+	second := withKeys(t, ca, entrySettings(platform, "uvs-2", place))
+	first := withKeys(t, ca, entrySettings(platform, "uvs-1", place))
 	first.Peers.Seeds = []config.Seed{{
 		Entry: ident.EntryID("uvs-2"), Addr: second.Peers.Listen, DataCentre: "uvs", Region: "uvs",
 	}}
 	b := startSettings(t, second)
 	a := startSettings(t, first)
-	eventually(t, "the link is up", a.says(`msg="peer link is up"`, "entry=uvs-2"))
+	eventually(t, "the link is up", a.logged(`msg="peer link is up"`, "entry=uvs-2"))
 
 	if err := b.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the link is down", a.says(`msg="peer link is down"`, "entry=uvs-2", "reason=silent"))
+	eventually(t, "the link is down", a.logged(`msg="peer link is down"`, "entry=uvs-2", "reason=silent"))
 	if err := b.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the link is up again", func() bool {
-		return strings.Count(a.out.String(), `msg="peer link is up" entry=uvs-2`) >= 2
+		return strings.Count(a.output.String(), `msg="peer link is up" entry=uvs-2`) >= 2
 	})
 }
--- a/internal/proofs/proc_test.go
+++ b/internal/proofs/proc_test.go
@@ -24,8 +24,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// bin is the folder of the programs, built once for all tests.
-var bin string
+// binDir is the folder of the programs, built once for all tests.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(runAll(m))
@@ -38,7 +38,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "../../cmd/...")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
@@ -57,19 +57,19 @@
 	targetPort    = 8000
 )
 
-// lines collects what a process prints.
-type lines struct {
+// outputBuffer collects what a process prints.
+type outputBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *outputBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *outputBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
@@ -77,17 +77,17 @@
 
 // proc is one process.
 type proc struct {
-	cmd  *exec.Cmd
-	out  *lines
-	done chan struct{}
+	cmd    *exec.Cmd
+	output *outputBuffer
+	done   chan struct{}
 }
 
 // start runs a program until the test ends.
 func start(t *testing.T, name string, args ...string) *proc {
 	t.Helper()
-	p := &proc{cmd: exec.Command(filepath.Join(bin, name), args...), out: &lines{}, done: make(chan struct{})}
-	p.cmd.Stdout = p.out
-	p.cmd.Stderr = p.out
+	p := &proc{cmd: exec.Command(filepath.Join(binDir, name), args...), output: &outputBuffer{}, done: make(chan struct{})}
+	p.cmd.Stdout = p.output
+	p.cmd.Stderr = p.output
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -105,21 +105,21 @@
 	_ = p.cmd.Process.Kill()
 	<-p.done
 	if t.Failed() {
-		t.Logf("%s:\n%s", strings.Join(p.cmd.Args[1:], " "), p.out)
+		t.Logf("%s:\n%s", strings.Join(p.cmd.Args[1:], " "), p.output)
 	}
 }
 
-// waitLimit bounds every wait of the tests. It is long, so that no verdict
+// testTimeout bounds every wait of the tests. It is long, so that no verdict
 // hangs on a tight timing.
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // eventually waits until ok reports true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -139,11 +139,11 @@
 // entry is an entry host that runs.
 type entry struct {
 	*proc
-	set config.Settings
+	settings config.Settings
 }
 
-func (e *entry) callers() string   { return "http://" + e.set.Callers.Listen }
-func (e *entry) operators() string { return "http://" + e.set.Operators.Listen }
+func (e *entry) callers() string   { return "http://" + e.settings.Callers.Listen }
+func (e *entry) operators() string { return "http://" + e.settings.Operators.Listen }
 
 // testLimits are the bounds of the entry hosts of the tests.
 var testLimits = config.Limits{MaxHeldBytes: 64 << 20, MaxBodyBytes: 1 << 20, MaxHeaderBytes: 32 << 10, MaxConnections: 1000, MaxRequests: 500, HeaderMs: 5000, BodyMs: 5000}
@@ -194,7 +194,7 @@
 	if err := os.WriteFile(file, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	e := &entry{proc: start(t, "verbenadale", "serve", "-settings", file), set: set}
+	e := &entry{proc: start(t, "verbenadale", "serve", "-settings", file), settings: set}
 	eventually(t, "the entry host answers", reachable(e.operators()+"/healthz"))
 	return e
 }
@@ -228,10 +228,10 @@
 // verbctl runs the operators' client to its end.
 func verbctl(t *testing.T, e *entry, args ...string) (string, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	args = append([]string{"-entry", e.operators(), "-token", operatorToken}, args...)
-	out, err := exec.CommandContext(ctx, filepath.Join(bin, "verbctl"), args...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, filepath.Join(binDir, "verbctl"), args...).CombinedOutput()
 	return string(out), err
 }
 
--- a/internal/proofs/residency_test.go
+++ b/internal/proofs/residency_test.go
@@ -38,37 +38,37 @@
 	}
 }
 
-// interim is the answer to a request whose sender waits to be asked for the
+// expectResult is the answer to a request whose sender waits to be asked for the
 // body, and whether it was asked.
-type interim struct {
-	Asked   bool
-	Status  int
-	Code    codes.ID
-	Outcome event.Outcome
-	Entries []string
+type expectResult struct {
+	BodyRequested bool
+	Status        int
+	Code          codes.ID
+	Outcome       event.Outcome
+	Entries       []string
 }
 
-// waitAsked sends the head of a request with Expect: 100-continue, and the
+// sendWithExpect sends the head of a request with Expect: 100-continue, and the
 // body only when it is asked for.
-func waitAsked(t *testing.T, m *member, profile, body string) interim {
+func sendWithExpect(t *testing.T, m *fleetHost, profile, body string) expectResult {
 	t.Helper()
-	conn, err := net.Dial("tcp", m.set.Callers.Listen)
+	conn, err := net.Dial("tcp", m.settings.Callers.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(waitLimit))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-home\r\n"+
 		"Content-Type: application/json\r\nVerbenadale-Profile: %s\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", profile, len(body))
 	br := bufio.NewReader(conn)
-	var in interim
+	var in expectResult
 	for {
 		res, err := http.ReadResponse(br, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if res.StatusCode == http.StatusContinue {
-			in.Asked = true
+			in.BodyRequested = true
 			fmt.Fprint(conn, body)
 			continue
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-func (in *interim) fill(b []byte) {
+func (in *expectResult) fill(b []byte) {
 	var r refusalBody
 	if json.Unmarshal(b, &r) == nil {
 		in.Code, in.Outcome, in.Entries = r.Error.Code, r.Error.Outcome, r.Error.Entries
@@ -105,10 +105,10 @@
 			return post(t, m.callers()+"/v1/chat/completions", "key-home", chatBody(profile, "hello", 2)).status == http.StatusOK
 		})
 	}
-	t.Run("wrong entry host", f.wrongEntry)
-	t.Run("forged headers", f.forgedHeaders)
-	t.Run("forged envelope", f.forgedEnvelope)
-	t.Run("overload", f.overload)
+	t.Run("wrong entry host", f.testWrongEntry)
+	t.Run("forged headers", f.testForgedHeaders)
+	t.Run("forged envelope", f.testForgedEnvelope)
+	t.Run("overload", f.testOverload)
 }
 
 func placeOf(name string) event.Place {
@@ -117,22 +117,22 @@
 
 // A caller asks a host in the wrong region. It learns the right ones before
 // it has sent a byte of the body; the right one asks for the body.
-func (f *fleet) wrongEntry(t *testing.T) {
+func (f *fleet) testWrongEntry(t *testing.T) {
 	right := []string{f.host("uvs-1").callers(), f.host("uvs-2").callers()}
 	for _, profile := range []string{"confined", "home"} {
 		body := chatBody(profile, "a notice", 2)
 		eventually(t, "all the right hosts are named", func() bool {
-			return len(waitAsked(t, f.host("erdenet-1"), profile, body).Entries) == len(right)
+			return len(sendWithExpect(t, f.host("erdenet-1"), profile, body).Entries) == len(right)
 		})
-		for _, m := range f.at("erdenet") {
-			got := waitAsked(t, m, profile, body)
-			want := interim{Status: http.StatusMisdirectedRequest, Code: codes.OutsideResidency.ID, Outcome: event.NotRun, Entries: right}
+		for _, m := range f.hostsIn("erdenet") {
+			got := sendWithExpect(t, m, profile, body)
+			want := expectResult{Status: http.StatusMisdirectedRequest, Code: codes.OutsideResidency.ID, Outcome: event.NotRun, Entries: right}
 			if diff := cmp.Diff(want, got, sorted); diff != "" {
 				t.Errorf("%s at %s (-want +got):\n%s", profile, m.id, diff)
 			}
 		}
-		got := waitAsked(t, f.host("uvs-1"), profile, body)
-		if diff := cmp.Diff(interim{Asked: true, Status: http.StatusOK}, got); diff != "" {
+		got := sendWithExpect(t, f.host("uvs-1"), profile, body)
+		if diff := cmp.Diff(expectResult{BodyRequested: true, Status: http.StatusOK}, got); diff != "" {
 			t.Errorf("%s at uvs-1 (-want +got):\n%s", profile, diff)
 		}
 	}
@@ -140,7 +140,7 @@
 
 // A caller sends the headers by which hosts and targets talk, as if its
 // request had been let in or had crossed already.
-func (f *fleet) forgedHeaders(t *testing.T) {
+func (f *fleet) testForgedHeaders(t *testing.T) {
 	for _, h := range []string{"Verbenadale-Hops", "Verbenadale-Crossings", "Verbenadale-Attempt", "Verbenadale-Region", "Verbenadale-Outcome"} {
 		for _, m := range f.hosts {
 			rep := postWith(t, m.callers()+"/v1/chat/completions", "key-home", chatBody("confined", "x", 2), map[string]string{h: "0"})
@@ -155,29 +155,29 @@
 // they may not enter, with their bodies unasked. The receiver goes by its own
 // configuration. What is not confined is let in, so that the refusals are not
 // those of a link that does not work.
-func (f *fleet) forgedEnvelope(t *testing.T) {
-	g := f.forge(f.host("erdenet-1"), "stray-1", placeOf("uvs"))
+func (f *fleet) testForgedEnvelope(t *testing.T) {
+	g := f.startRogue(f.host("erdenet-1"), "stray-1", placeOf("uvs"))
 	body := chatBody("confined", "x", 2)
-	refused := fate{Result: event.ResultNotRun, Code: codes.OutsideResidency.ID}
+	refused := forwardResult{Result: event.ResultNotRun, Code: codes.OutsideResidency.ID}
 	for _, profile := range []ident.Profile{"confined", "home"} {
-		got := g.pass(event.Request{ID: "req-forged", Account: "family", Profile: profile}, g.envelope(), body)
+		got := g.forward(event.Request{ID: "req-forged", Account: "family", Profile: profile}, g.envelope(), body)
 		if diff := cmp.Diff(refused, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", profile, diff)
 		}
 	}
 	env := g.envelope()
 	env.Crossings, env.Visited, env.Revision = 0, nil, 1<<40
-	got := g.pass(event.Request{ID: "req-forged", Account: "family", Profile: "confined"}, env, body)
+	got := g.forward(event.Request{ID: "req-forged", Account: "family", Profile: "confined"}, env, body)
 	if diff := cmp.Diff(refused, got); diff != "" {
 		t.Errorf("with another envelope (-want +got):\n%s", diff)
 	}
 	env.Attempt.Entry = "uvs-1"
-	got = g.pass(event.Request{ID: "req-forged", Account: "family", Profile: "draft"}, env, body)
-	if diff := cmp.Diff(fate{Result: event.ResultNotRun, Code: codes.ForgedEnvelope.ID}, got); diff != "" {
+	got = g.forward(event.Request{ID: "req-forged", Account: "family", Profile: "draft"}, env, body)
+	if diff := cmp.Diff(forwardResult{Result: event.ResultNotRun, Code: codes.ForgedEnvelope.ID}, got); diff != "" {
 		t.Errorf("under another host's name (-want +got):\n%s", diff)
 	}
-	got = g.pass(event.Request{ID: "req-open", Account: "family", Profile: "draft", MaxTokens: 2}, g.envelope(), chatBody("draft", "x", 2))
-	if diff := cmp.Diff(fate{Wanted: true, Result: event.ResultDone}, got); diff != "" {
+	got = g.forward(event.Request{ID: "req-open", Account: "family", Profile: "draft", MaxTokens: 2}, g.envelope(), chatBody("draft", "x", 2))
+	if diff := cmp.Diff(forwardResult{BodyRequested: true, Result: event.ResultDone}, got); diff != "" {
 		t.Errorf("not confined (-want +got):\n%s", diff)
 	}
 	if n := f.engineLedger("erdenet-e1").Requests["req-forged"]; n != 0 {
@@ -192,8 +192,8 @@
 // The home region has more work than it can do and believes that the other has
 // room for all of it, so that whatever may leave does. Confined requests wait
 // or are refused.
-func (f *fleet) overload(t *testing.T) {
-	f.feign("uvs", "erdenet", rules.Serve{Model: "draft"})
+func (f *fleet) testOverload(t *testing.T) {
+	f.reportIdle("uvs", "erdenet", rules.Serve{Model: "draft"})
 	var confined []ident.RequestID
 	before := len(f.engineLedger("erdenet-e1").Requests)
 	crossed := func() int {
@@ -209,7 +209,7 @@
 		if wave == 10 {
 			t.Fatalf("after %d waves only %d requests that may leave have left", wave, crossed())
 		}
-		confined = append(confined, f.wave(t)...)
+		confined = append(confined, f.sendWave(t)...)
 	}
 	crossed()
 	if len(confined) == 0 {
@@ -217,16 +217,16 @@
 	}
 }
 
-// wave sends many requests at once and returns the ids of those that are
+// sendWave sends many requests at once and returns the ids of those that are
 // confined. Each has run whole or not at all.
-func (f *fleet) wave(t *testing.T) []ident.RequestID {
+func (f *fleet) sendWave(t *testing.T) []ident.RequestID {
 	t.Helper()
 	var mu sync.Mutex
 	var ids []ident.RequestID
 	var wg sync.WaitGroup
 	for n := range 48 {
 		profile := []string{"confined", "home", "draft"}[n%3]
-		m := f.at("uvs")[n/3%2]
+		m := f.hostsIn("uvs")[n/3%2]
 		wg.Go(func() {
 			rep := post(t, m.callers()+"/v1/chat/completions", "key-home", chatBody(profile, "load", 30))
 			if rep.status != http.StatusOK && refusalOf(rep).Error.Outcome != event.NotRun {
--- a/internal/proofs/rolling_test.go
+++ b/internal/proofs/rolling_test.go
@@ -14,8 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// listHolds is for how long callers may go by a list of hosts.
-const listHolds = 5 * time.Second
+// listTTL is for how long callers may go by a list of hosts.
+const listTTL = 5 * time.Second
 
 // A rolling replacement cuts streams or sends callers to closed ports.
 func TestRollingReplacement(t *testing.T) {
@@ -29,16 +29,16 @@
 	for _, m := range f.hosts {
 		urls = append(urls, m.callers())
 		eventually(t, "answers at "+string(m.id), func() bool {
-			return ask(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil).outcome == event.Done
+			return sendRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil).outcome == event.Done
 		})
-		eventually(t, "callers learn of all hosts", func() bool { return len(askEntries(m.callers(), "draft")) == len(f.hosts) })
+		eventually(t, "callers learn of all hosts", func() bool { return len(fetchEntries(m.callers(), "draft")) == len(f.hosts) })
 	}
-	loads := []*crowd{startCrowd(urls[:2], 1), startCrowd(urls[2:], 2)}
+	loads := []*streamLoad{startStreamLoad(urls[:2], 1), startStreamLoad(urls[2:], 2)}
 	began := time.Now()
 	// The first streams last longer than a host takes to stop that waits for
 	// nothing.
 	for n, tokens := range []int{650, 100} {
-		f.replaceHosts(tokens, f.at("uvs")[n], f.at("erdenet")[n])
+		f.replaceHosts(tokens, f.hostsIn("uvs")[n], f.hostsIn("erdenet")[n])
 		f.replaceTargets(f.targets[n].ID, f.targets[n+2].ID)
 	}
 	t.Logf("replaced in %v", time.Since(began))
@@ -47,68 +47,68 @@
 	}
 }
 
-// crowd sends streams of two seconds, as callers do that ask the hosts of a
+// streamLoad sends streams of two seconds, as callers do that ask the hosts of a
 // data centre which hosts to use.
-type crowd struct {
-	urls []string
-	seed uint64
-	over atomic.Bool
-	done chan struct{}
-	sum  load.Result
+type streamLoad struct {
+	urls    []string
+	seed    uint64
+	stopped atomic.Bool
+	done    chan struct{}
+	total   load.Result
 }
 
-func startCrowd(urls []string, seed uint64) *crowd {
-	c := &crowd{urls: urls, seed: seed, done: make(chan struct{})}
+func startStreamLoad(urls []string, seed uint64) *streamLoad {
+	c := &streamLoad{urls: urls, seed: seed, done: make(chan struct{})}
 	go c.run()
 	return c
 }
 
-func (c *crowd) run() {
+func (c *streamLoad) run() {
 	defer close(c.done)
-	for !c.over.Load() {
+	for !c.stopped.Load() {
 		r := load.Run(context.Background(), load.Config{
 			Entries: c.urls, Follow: true, Key: "key-1", Profile: "draft", Rate: 20, For: 5 * time.Second,
 			Tokens: 100, Stream: true, Retry: true, Seed: c.seed,
 		})
 		c.seed += 2
-		c.sum.Requests += r.Requests
-		c.sum.Done += r.Done
-		c.sum.Wrong += r.Wrong
-		c.sum.Cut += r.Cut
-		c.sum.Errors += r.Errors
-		c.sum.Retries += r.Retries
+		c.total.Requests += r.Requests
+		c.total.Done += r.Done
+		c.total.Wrong += r.Wrong
+		c.total.Cut += r.Cut
+		c.total.Errors += r.Errors
+		c.total.Retries += r.Retries
 	}
 }
 
 // stop ends the load and checks that every request was answered whole.
-func (c *crowd) stop(t *testing.T) {
+func (c *streamLoad) stop(t *testing.T) {
 	t.Helper()
-	c.over.Store(true)
+	c.stopped.Store(true)
 	<-c.done
-	t.Logf("%s, sent again %d", summed(c.sum), c.sum.Retries)
-	if c.sum.Done != c.sum.Requests {
-		t.Errorf("%d of %d requests failed", c.sum.Requests-c.sum.Done, c.sum.Requests)
+	t.Logf("%s, sent again %d", summarize(c.total), c.total.Retries)
+	if c.total.Done != c.total.Requests {
+		t.Errorf("%d of %d requests failed", c.total.Requests-c.total.Done, c.total.Requests)
 	}
 }
 
 // replaceHosts stops hosts gracefully with streams running, waits for their end
 // and starts them again. A stream has the given number of tokens, at 20 ms each.
-func (f *fleet) replaceHosts(tokens int, ms ...*member) {
+func (f *fleet) replaceHosts(tokens int, ms ...*fleetHost) {
 	f.t.Helper()
 	const streams = 5
 	listed := time.Now()
 	got := make(chan result, streams*len(ms))
 	for _, m := range ms {
 		for range streams {
-			res, err := openAsk(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "a memory", tokens), nil)
+			res, err := openRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "a memory", tokens), nil)
 			if err != nil {
 				f.t.Fatal(err)
 			}
-			go func() { got <- finish(res) }()
+			go func() { got <- readResult(res) }()
 		}
 		m.signal(f.t, syscall.SIGTERM)
 	}
-	f.lateCaller(ms[0], listed)
+	f.checkStaleList(ms[0], listed)
 	for range cap(got) {
 		if ans := <-got; ans.outcome != event.Done || !strings.Contains(ans.body, "[DONE]") {
 			f.t.Errorf("a stream at a host that stops was cut: %d %s", ans.status, ans.outcome)
@@ -119,19 +119,19 @@
 		if code := m.cmd.ProcessState.ExitCode(); code != 0 {
 			f.t.Errorf("%s ended with code %d", m.id, code)
 		}
-		f.boot(m)
+		f.startHost(m)
 	}
 	for _, m := range f.hosts {
-		eventually(f.t, "callers learn of all hosts", func() bool { return len(askEntries(m.callers(), "draft")) == len(f.hosts) })
+		eventually(f.t, "callers learn of all hosts", func() bool { return len(fetchEntries(m.callers(), "draft")) == len(f.hosts) })
 	}
 }
 
-// lateCaller sends a request at the end of the time for which a list of hosts
+// checkStaleList sends a request at the end of the time for which a list of hosts
 // holds that was given out just before a host began to stop.
-func (f *fleet) lateCaller(m *member, listed time.Time) {
+func (f *fleet) checkStaleList(m *fleetHost, listed time.Time) {
 	f.t.Helper()
-	time.Sleep(time.Until(listed.Add(listHolds - 500*time.Millisecond)))
-	ans := ask(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "late", 4), nil)
+	time.Sleep(time.Until(listed.Add(listTTL - 500*time.Millisecond)))
+	ans := sendRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "late", 4), nil)
 	if ans.code != codes.Draining.ID || len(ans.entries) == 0 {
 		f.t.Errorf("a caller that goes by its list was answered %d %s with %v", ans.status, ans.code, ans.entries)
 	}
@@ -165,18 +165,18 @@
 	f.configure()
 	m := f.hosts[0]
 	eventually(t, "an answer", func() bool {
-		return ask(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 1), nil).outcome == event.Done
+		return sendRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 1), nil).outcome == event.Done
 	})
 	const streams = 3
 	got := make(chan result, streams)
 	for range streams {
 		go func() {
-			got <- ask(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "a long memory", 300), nil)
+			got <- sendRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "a long memory", 300), nil)
 		}()
 	}
 	eventually(t, "the streams run", func() bool { return f.status(m).Requests == streams })
 	m.signal(t, syscall.SIGTERM)
-	eventually(t, "the host drains", m.says(`msg=draining`))
+	eventually(t, "the host drains", m.logged(`msg=draining`))
 	if m.exited() {
 		t.Fatal("the host ended with streams running")
 	}
@@ -185,8 +185,8 @@
 	if code := m.cmd.ProcessState.ExitCode(); code == 0 {
 		t.Error("the host ended as if nothing had been cut")
 	}
-	if !m.says(`msg="stopped at once"`, "requestsCut=3")() {
-		t.Errorf("the log does not show what was cut:\n%s", m.out)
+	if !m.logged(`msg="stopped at once"`, "requestsCut=3")() {
+		t.Errorf("the log does not show what was cut:\n%s", m.output)
 	}
 	for range streams {
 		if ans := <-got; strings.Contains(ans.body, "[DONE]") {
--- a/internal/proofs/stop_test.go
+++ b/internal/proofs/stop_test.go
@@ -14,11 +14,11 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-const longAsk = `{"model":"obituary","stream":true,"max_tokens":100,"messages":[{"role":"user","content":"hello"}]}`
+const longRequest = `{"model":"obituary","stream":true,"max_tokens":100,"messages":[{"role":"user","content":"hello"}]}`
 
-// slowEntry starts an entry host before an engine that writes slowly, and a
+// startSlowEntry starts an entry host before an engine that writes slowly, and a
 // stream that has begun.
-func slowEntry(t *testing.T) (*entry, *bufio.Reader) {
+func startSlowEntry(t *testing.T) (*entry, *bufio.Reader) {
 	t.Helper()
 	place := event.Place{DataCentre: "uvs", Region: "uvs"}
 	platform := startPlatform(t)
@@ -31,7 +31,7 @@
 	)
 	var res *http.Response
 	eventually(t, "a stream begins", func() bool {
-		req, err := http.NewRequest(http.MethodPost, en.callers()+"/v1/chat/completions", strings.NewReader(longAsk))
+		req, err := http.NewRequest(http.MethodPost, en.callers()+"/v1/chat/completions", strings.NewReader(longRequest))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,14 +49,14 @@
 	return en, bufio.NewReader(res.Body)
 }
 
-func signalProc(t *testing.T, p *proc) {
+func terminate(t *testing.T, p *proc) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func rest(r *bufio.Reader) string {
+func readRest(r *bufio.Reader) string {
 	var b strings.Builder
 	_, _ = r.WriteTo(&b)
 	return b.String()
@@ -64,14 +64,14 @@
 
 // A planned stop cuts a running stream, or the host stays after its end.
 func TestStopFinishesStreams(t *testing.T) {
-	en, r := slowEntry(t)
-	signalProc(t, en.proc)
+	en, r := startSlowEntry(t)
+	terminate(t, en.proc)
 	eventually(t, "new work is refused", func() bool {
-		rep := post(t, en.callers()+"/v1/chat/completions", "key-1", longAsk)
+		rep := post(t, en.callers()+"/v1/chat/completions", "key-1", longRequest)
 		return rep.status == http.StatusServiceUnavailable && strings.Contains(rep.body, "VB1013") &&
 			rep.header.Get("Verbenadale-Outcome") == "notRun"
 	})
-	text := rest(r)
+	text := readRest(r)
 	if !strings.HasSuffix(text, "data: [DONE]\n\n") {
 		t.Errorf("the stream was cut: %q", text[max(len(text)-100, 0):])
 	}
@@ -83,15 +83,15 @@
 
 // A second signal does not end the host at once, or its log hides the stream that it cut.
 func TestSecondSignalCutsALoneStream(t *testing.T) {
-	en, r := slowEntry(t)
-	signalProc(t, en.proc)
-	eventually(t, "the host drains", func() bool { return strings.Contains(en.out.String(), "draining") })
-	signalProc(t, en.proc)
+	en, r := startSlowEntry(t)
+	terminate(t, en.proc)
+	eventually(t, "the host drains", func() bool { return strings.Contains(en.output.String(), "draining") })
+	terminate(t, en.proc)
 	eventually(t, "the host has stopped", en.exited)
-	if text := rest(r); strings.Contains(text, "[DONE]") {
+	if text := readRest(r); strings.Contains(text, "[DONE]") {
 		t.Errorf("a cut stream has its end mark: %q", text)
 	}
-	if out := en.out.String(); !strings.Contains(out, "requestsCut=1") {
+	if out := en.output.String(); !strings.Contains(out, "requestsCut=1") {
 		t.Errorf("the log does not show what was cut: %s", out)
 	}
 }
--- a/internal/proofs/tape_test.go
+++ b/internal/proofs/tape_test.go
@@ -13,22 +13,22 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// tape holds all that passes between the regions of a fleet without TLS.
-type tape struct {
+// capture holds all that passes between the regions of a fleet without TLS.
+type capture struct {
 	mu  sync.Mutex
 	buf map[string]*bytes.Buffer
 }
 
-// tapeRegions records what crosses from region to region, by the ends of the
+// captureRegions records what crosses from region to region, by the ends of the
 // link.
-func (f *fleet) tapeRegions() *tape {
-	tp := &tape{buf: make(map[string]*bytes.Buffer)}
+func (f *fleet) captureRegions() *capture {
+	tp := &capture{buf: make(map[string]*bytes.Buffer)}
 	regions := make(map[string]ident.Region)
 	for _, m := range f.hosts {
 		regions[m.ip] = m.place.Region
 	}
 	for _, m := range f.hosts {
-		m.before.record(func(sender string, b []byte) {
+		m.peerRelay.setOnBytes(func(sender string, b []byte) {
 			if regions[sender] != m.place.Region {
 				tp.add(sender+" "+string(m.id), b)
 			}
@@ -37,7 +37,7 @@
 	return tp
 }
 
-func (tp *tape) add(link string, b []byte) {
+func (tp *capture) add(link string, b []byte) {
 	tp.mu.Lock()
 	defer tp.mu.Unlock()
 	if tp.buf[link] == nil {
@@ -47,7 +47,7 @@
 }
 
 // has reports whether a text has crossed.
-func (tp *tape) has(text string) bool {
+func (tp *capture) has(text string) bool {
 	tp.mu.Lock()
 	defer tp.mu.Unlock()
 	for _, b := range tp.buf {
@@ -59,7 +59,7 @@
 }
 
 // size returns how many bytes have crossed.
-func (tp *tape) size() int {
+func (tp *capture) size() int {
 	tp.mu.Lock()
 	defer tp.mu.Unlock()
 	n := 0
@@ -69,17 +69,17 @@
 	return n
 }
 
-// verbose makes hosts log all that they can: every request in the log, a span
+// logEverything makes hosts log all that they can: every request in the log, a span
 // for each hop, and links that can be read.
-func verbose(set *config.Settings) {
+func logEverything(set *config.Settings) {
 	set.Logs.Level = 4
 	set.Traces = config.Traces{Exporter: "stdout", Ratio: 1}
 	set.Peers.Plain = true
 	set.Peers.CertFile, set.Peers.KeyFile, set.Peers.CAFile = "", "", ""
 }
 
-// values returns all that the platform keeps.
-func (f *fleet) values() map[string]string {
+// platformValues returns all that the platform keeps.
+func (f *fleet) platformValues() map[string]string {
 	var all map[string]store.Value
 	getJSON(f.t, f.platform+"/dev/values", &all)
 	out := make(map[string]string, len(all))
@@ -104,9 +104,9 @@
 type span struct{ Name string }
 
 // spans returns the spans that a host has printed.
-func (m *member) spans() []span {
+func (m *fleetHost) spans() []span {
 	var all []span
-	for line := range strings.Lines(m.out.String()) {
+	for line := range strings.Lines(m.output.String()) {
 		var s span
 		if strings.HasPrefix(line, "{") && json.Unmarshal([]byte(line), &s) == nil {
 			all = append(all, s)
