--- a/internal/proofs/caller_test.go
+++ b/internal/proofs/caller_test.go
@@ -15,17 +15,17 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// result is what a caller got for one request.
+// result is what a caller received for one request.
 type result struct {
 	status int
-	// outcome is empty where the connection broke without a word.
+	// outcome is empty if the connection broke before an outcome was received.
 	outcome event.Outcome
 	code    codes.ID
 	entries []string
 	body    string
 }
 
-// refusalBody is what a caller reads of a refusal.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Error struct {
 		Code    codes.ID      `json:"code"`
@@ -34,22 +34,22 @@
 	} `json:"error"`
 }
 
-// callerHTTP is the client of the callers. It uses each connection once, so
-// that the death of a host is seen by the request in flight alone.
-var callerHTTP = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * waitLimit}
+// callerHTTP sends the callers' requests. It uses each connection once, so that the
+// death of a host affects only the request in flight.
+var callerHTTP = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
 
-// ask sends one request and never fails the test: a connection that breaks is
-// an answer without a word.
-func ask(ctx context.Context, base, path, body string, header map[string]string) result {
-	res, err := openAsk(ctx, base, path, body, header)
+// sendRequest sends one request and reads the answer. It never fails the test: a broken
+// connection gives the zero result.
+func sendRequest(ctx context.Context, base, path, body string, header map[string]string) result {
+	res, err := openRequest(ctx, base, path, body, header)
 	if err != nil {
 		return result{}
 	}
-	return finish(res)
+	return readResult(res)
 }
 
-// openAsk sends one request and returns once its answer has begun.
-func openAsk(ctx context.Context, base, path, body string, header map[string]string) (*http.Response, error) {
+// openRequest sends one request and returns when the response headers arrive.
+func openRequest(ctx context.Context, base, path, body string, header map[string]string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -62,16 +62,16 @@
 	return callerHTTP.Do(req)
 }
 
-// finish reads an answer to its end.
-func finish(res *http.Response) result {
+// readResult reads the rest of a response.
+func readResult(res *http.Response) result {
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
 		return result{}
 	}
-	// The outcome of a stream comes after it.
-	said := cmp.Or(res.Header.Get("Verbenadale-Outcome"), res.Trailer.Get("Verbenadale-Outcome"))
-	ans := result{status: res.StatusCode, outcome: event.Outcome(said), body: string(b)}
+	// A stream carries its outcome in the trailer.
+	outcome := cmp.Or(res.Header.Get("Verbenadale-Outcome"), res.Trailer.Get("Verbenadale-Outcome"))
+	ans := result{status: res.StatusCode, outcome: event.Outcome(outcome), body: string(b)}
 	var ref refusalBody
 	if json.Unmarshal(b, &ref) == nil {
 		ans.code, ans.entries = ref.Error.Code, ref.Error.Entries
@@ -79,8 +79,8 @@
 	return ans
 }
 
-// askEntries asks a host which hosts to use for a profile.
-func askEntries(base, profile string) []string {
+// fetchEntries asks a host which entry hosts callers of a profile should use.
+func fetchEntries(base, profile string) []string {
 	req, err := http.NewRequest(http.MethodGet, base+"/v1/entries?profile="+url.QueryEscape(profile), nil)
 	if err != nil {
 		return nil
@@ -98,8 +98,8 @@
 	return list.Entries
 }
 
-// put sends JSON to the control of a stand-in.
-func put(t *testing.T, url string, v any) {
+// putJSON sends JSON to a control endpoint of a stand-in.
+func putJSON(t *testing.T, url string, v any) {
 	t.Helper()
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/proofs/cutoff_test.go
+++ b/internal/proofs/cutoff_test.go
@@ -14,37 +14,36 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ask sends a chat and a job by ticket to a host, and returns the statuses.
-func (f *fleet) ask(t *testing.T, m *member, job string) [2]int {
+// askBoth sends a chat request and a job with a ticket to a host, and returns both statuses.
+func (f *fleet) askBoth(t *testing.T, m *fleetHost, job string) [2]int {
 	t.Helper()
 	chat := post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "own work", 3))
 	tick := post(t, m.callers()+"/v1/tickets?profile=publish", "key-1", "")
 	if tick.status != http.StatusOK {
 		return [2]int{chat.status, tick.status}
 	}
-	rep := book(t, m, job, map[string]string{"Verbenadale-Ticket": takeTicket(t, m, "publish")})
+	rep := sendJob(t, m, job, map[string]string{"Verbenadale-Ticket": takeTicket(t, m, "publish")})
 	return [2]int{chat.status, rep.status}
 }
 
 var bothServed = [2]int{http.StatusOK, http.StatusOK}
 
-// serving waits until a host serves both kinds of work, and returns how long
-// that took.
-func (f *fleet) serving(t *testing.T, what string, ms ...*member) time.Duration {
+// waitServing waits until hosts serve both kinds of work, and returns how long that took.
+func (f *fleet) waitServing(t *testing.T, what string, ms ...*fleetHost) time.Duration {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	for _, m := range ms {
-		eventually(t, what+": "+string(m.id)+" serves", func() bool { return f.ask(t, m, "wait") == bothServed })
+		eventually(t, what+": "+string(m.id)+" serves", func() bool { return f.askBoth(t, m, "wait") == bothServed })
 	}
-	return time.Since(began).Round(time.Millisecond)
+	return time.Since(startedAt).Round(time.Millisecond)
 }
 
-// steady sends work in rounds, all of which must be served.
-func (f *fleet) steady(t *testing.T, what string, rounds int, ms ...*member) {
+// checkServing sends rounds of work, all of which must be served.
+func (f *fleet) checkServing(t *testing.T, what string, rounds int, ms ...*fleetHost) {
 	t.Helper()
 	for range rounds {
 		for _, m := range ms {
-			if diff := cmp.Diff(bothServed, f.ask(t, m, "steady")); diff != "" {
+			if diff := cmp.Diff(bothServed, f.askBoth(t, m, "steady")); diff != "" {
 				t.Fatalf("%s at %s (-want +got):\n%s", what, m.id, diff)
 			}
 		}
@@ -52,51 +51,52 @@
 	}
 }
 
-// Rounds of steady work. The long one outlasts what hosts believe of each
-// other without a message.
+// Rounds of work for checkServing. longRounds takes longer than the TTL of what hosts know of
+// each other.
 const (
 	longRounds = 40
 	fewRounds  = 10
 )
 
-// A region that is cut off from all others and the platform stops serving its callers.
+// A region that is cut off from the platform and all other regions must keep serving its callers,
+// also when its hosts restart one after the other.
 func TestCutOffRegionServes(t *testing.T) {
 	f := startFleet(t, siteOf("uvs", 2, 1, 1), siteOf("erdenet", 2, 1, 1))
 	f.configure(confinedItems(t)...)
-	own, others := f.at("uvs"), f.at("erdenet")
-	f.serving(t, "at first", f.hosts...)
-
-	f.oneWay(t, "uvs", true)
-	f.steady(t, "cut one way", fewRounds, f.hosts...)
-	f.oneWay(t, "uvs", false)
-	began := time.Now()
-	f.fallSilent("uvs", true)
-	f.steady(t, "silence", longRounds, f.hosts...)
-	f.cutOff("uvs", true, true)
-	f.fallSilent("uvs", false)
-	f.steady(t, "cut off", longRounds, f.hosts...)
+	own, others := f.hostsIn("uvs"), f.hostsIn("erdenet")
+	f.waitServing(t, "at first", f.hosts...)
+
+	f.cutOutgoing(t, "uvs", true)
+	f.checkServing(t, "cut one way", fewRounds, f.hosts...)
+	f.cutOutgoing(t, "uvs", false)
+	startedAt := time.Now()
+	f.silence("uvs", true)
+	f.checkServing(t, "silence", longRounds, f.hosts...)
+	f.partition("uvs", true, true)
+	f.silence("uvs", false)
+	f.checkServing(t, "cut off", longRounds, f.hosts...)
 	for _, m := range own {
-		f.reboot(t, m)
-		t.Logf("%s serves %v after its restart, cut off", m.id, f.serving(t, "one host restarted", m))
-		f.steady(t, "one host restarted", fewRounds, own...)
+		f.killAndStart(t, m)
+		t.Logf("%s serves %v after its restart, cut off", m.id, f.waitServing(t, "one host restarted", m))
+		f.checkServing(t, "one host restarted", fewRounds, own...)
 	}
-	f.allRestarted(t, own)
-	f.oneCentreReached(t, own, others)
-	f.healed(t, own, time.Since(began))
+	f.checkAllRestarted(t, own)
+	f.checkOneCentreReached(t, own, others)
+	f.checkHealed(t, own, time.Since(startedAt))
 }
 
-// oneWay cuts or heals the links out of a data centre, but not those into it.
-func (f *fleet) oneWay(t *testing.T, dc ident.DataCentre, cut bool) {
+// cutOutgoing cuts or heals the links out of a data centre, but not those into it.
+func (f *fleet) cutOutgoing(t *testing.T, dc ident.DataCentre, cut bool) {
 	t.Helper()
-	f.between(dc, func(from, to *member) {
+	f.eachLink(dc, func(from, to *fleetHost) {
 		if from.place.DataCentre == dc {
 			f.cutLink(from, to, cut)
 		}
 	})
 }
 
-// reboot kills a host without a word and starts it again.
-func (f *fleet) reboot(t *testing.T, ms ...*member) {
+// killAndStart kills hosts with SIGKILL and starts them again.
+func (f *fleet) killAndStart(t *testing.T, ms ...*fleetHost) {
 	t.Helper()
 	for _, m := range ms {
 		m.signal(t, syscall.SIGKILL)
@@ -105,15 +105,15 @@
 		<-m.done
 	}
 	for _, m := range ms {
-		f.boot(m)
+		f.startHost(m)
 	}
 }
 
-// allRestarted takes away the last host that knew anything. Nothing can serve,
-// and each host says so rather than to hang or to guess.
-func (f *fleet) allRestarted(t *testing.T, own []*member) {
+// checkAllRestarted restarts all hosts of a partitioned data centre, so that none has any state.
+// Each must refuse requests with a retry time instead of blocking or serving without state.
+func (f *fleet) checkAllRestarted(t *testing.T, own []*fleetHost) {
 	t.Helper()
-	f.reboot(t, own...)
+	f.killAndStart(t, own...)
 	for range 20 {
 		for _, m := range own {
 			rep := post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "own work", 3))
@@ -122,16 +122,15 @@
 				t.Fatalf("all restarted, at %s (-want +got):\n%s", m.id, diff)
 			}
 			if rep.header.Get("Retry-After") == "" || got.Error.Outcome != event.NotRun {
-				t.Errorf("%s does not say when to come back: %s", m.id, rep.body)
+				t.Errorf("%s refused without a retry time: %s", m.id, rep.body)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// oneCentreReached heals the links to another data centre, with the platform
-// still away.
-func (f *fleet) oneCentreReached(t *testing.T, own, others []*member) {
+// checkOneCentreReached heals the links to another data centre while the platform is still down.
+func (f *fleet) checkOneCentreReached(t *testing.T, own, others []*fleetHost) {
 	t.Helper()
 	ran := f.engineLedger("uvs-e1").Ran
 	for _, m := range own {
@@ -140,8 +139,8 @@
 			f.cutLink(o, m, false)
 		}
 	}
-	t.Logf("served %v after the first link healed, platform away", f.serving(t, "a data centre reached", own...))
-	f.steady(t, "a data centre reached", fewRounds, own...)
+	t.Logf("served %v after the first link healed, platform unreachable", f.waitServing(t, "a data centre reached", own...))
+	f.checkServing(t, "a data centre reached", fewRounds, own...)
 	for _, m := range own {
 		got := refusalOf(post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("confined", "own work", 3))).Error
 		if diff := cmp.Diff([]any{codes.NoTarget.ID, event.NotRun}, []any{got.Code, got.Outcome}); diff != "" {
@@ -149,57 +148,56 @@
 		}
 	}
 	if diff := cmp.Diff(ran, f.engineLedger("uvs-e1").Ran); diff != "" {
-		t.Errorf("work at the engine that no list names (-want +got):\n%s", diff)
+		t.Errorf("requests at the engine that no list contains (-want +got):\n%s", diff)
 	}
 }
 
-// healed brings the platform back, and counts what that costs it.
-func (f *fleet) healed(t *testing.T, own []*member, cut time.Duration) {
+// checkHealed reconnects the platform and checks the load that this puts on it.
+func (f *fleet) checkHealed(t *testing.T, own []*fleetHost, cut time.Duration) {
 	t.Helper()
-	before := f.counts()
+	before := f.platformCalls()
 	ran := f.engineLedger("uvs-e1").Ran
 	for _, m := range own {
-		m.toPlatform.setCut(everyone, false)
+		m.platformRelay.setCut(everyone, false)
 	}
-	eventually(t, "the own engine works again", func() bool {
-		f.steadyOnce(t, own)
+	eventually(t, "the engine of the data centre is used again", func() bool {
+		f.checkServedOnce(t, own)
 		return f.engineLedger("uvs-e1").Ran > ran
 	})
-	f.steady(t, "healed", fewRounds, f.hosts...)
-	after := f.counts()
+	f.checkServing(t, "healed", fewRounds, f.hosts...)
+	after := f.platformCalls()
 	calls := 0
 	for op, n := range after {
 		calls += n - before[op]
 	}
-	knocks := 0
+	connections := 0
 	for _, m := range own {
-		knocks += m.toPlatform.knocked()
+		connections += m.platformRelay.connectionCount()
 	}
-	t.Logf("%d calls to the platform after the heal; %d connections to it from the hosts that were cut off for %v", calls, knocks, cut)
-	if most := someKnocks + int(cut.Seconds()*knockRate)*len(own); knocks > most {
-		t.Errorf("%d connections to the platform, more than %d", knocks, most)
+	t.Logf("%d calls to the platform after the partition; %d connections to it from the hosts that were cut off for %v", calls, connections, cut)
+	if maxConnections := maxStartConnections + int(cut.Seconds()*maxConnectionsPerSecond)*len(own); connections > maxConnections {
+		t.Errorf("%d connections to the platform, more than %d", connections, maxConnections)
 	}
 }
 
-// Connections to the platform that a host may try while it is cut off: some at
-// its start and a few a second. More would bring a platform down that has just
-// recovered.
+// Limits on the connections that a host opens to the platform while it is cut off: a burst at
+// its start, and a rate. More could overload a platform that has just recovered.
 const (
-	someKnocks = 40
-	knockRate  = 4
+	maxStartConnections     = 40
+	maxConnectionsPerSecond = 4
 )
 
-func (f *fleet) steadyOnce(t *testing.T, ms []*member) {
+func (f *fleet) checkServedOnce(t *testing.T, ms []*fleetHost) {
 	t.Helper()
 	for _, m := range ms {
-		if diff := cmp.Diff(bothServed, f.ask(t, m, "heal")); diff != "" {
+		if diff := cmp.Diff(bothServed, f.askBoth(t, m, "heal")); diff != "" {
 			t.Fatalf("while healing, at %s (-want +got):\n%s", m.id, diff)
 		}
 	}
 }
 
-// counts are the calls that the platform has taken.
-func (f *fleet) counts() plat.Counts {
+// platformCalls returns the call counts of the platform.
+func (f *fleet) platformCalls() plat.Counts {
 	var cs plat.Counts
 	getJSON(f.t, f.platform+"/dev/counts", &cs)
 	return cs
--- a/internal/proofs/leave_test.go
+++ b/internal/proofs/leave_test.go
@@ -13,24 +13,25 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// lastNewRequest is how long after its first word a leaving target may get new
-// requests. listLag is by how much the platform's list lags.
+// maxNewRequestDelay bounds the time after the first drain signal in which a target may get new
+// requests. listLag is the lag of the platform's target list.
 const (
-	lastNewRequest = 5 * time.Second
-	listLag        = 1500 * time.Millisecond
+	maxNewRequestDelay = 5 * time.Second
+	listLag            = 1500 * time.Millisecond
 )
 
-// A target that one source alone reports as draining still gets new work.
+// A draining target must stop getting new requests in time even if only one source reports the
+// drain: its load report, its refusals or the platform's list.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, siteOf("uvs", 2, 4, 0), siteOf("erdenet", 1, 0, 0))
 	f.configure()
-	put(t, f.platform+"/dev/faults", plat.Faults{HostsLagMs: listLag.Milliseconds()})
+	putJSON(t, f.platform+"/dev/faults", plat.Faults{HostsLagMs: listLag.Milliseconds()})
 	var urls []string
 	for _, m := range f.hosts {
 		urls = append(urls, m.callers())
 		eventually(t, "answers at "+string(m.id), func() bool {
-			return ask(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil).outcome == event.Done
+			return sendRequest(context.Background(), m.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil).outcome == event.Done
 		})
 	}
 	eventually(t, "all engines are known", func() bool { return len(f.status(f.host("uvs-1")).Targets) == 4 })
@@ -40,7 +41,7 @@
 			Entries: urls, Key: "key-1", Profile: "draft", Rate: 200, Duration: 10 * time.Second, AnswerTokens: 10, Stream: true, Retry: true,
 		})
 	}()
-	eventually(t, "all engines work", func() bool {
+	eventually(t, "all engines get requests", func() bool {
 		for _, tg := range f.targets {
 			if f.engineLedger(tg.ID).Ran < 10 {
 				return false
@@ -49,41 +50,41 @@
 		return true
 	})
 
-	f.leaveQuietly("uvs-e1", "mute&hidden")
-	f.listLeaving("uvs-e1")
-	f.leaveQuietly("uvs-e2", "hidden")
-	f.leaveQuietly("uvs-e3", "mute")
+	f.drainTarget("uvs-e1", "mute&hidden")
+	f.listAsDraining("uvs-e1")
+	f.drainTarget("uvs-e2", "hidden")
+	f.drainTarget("uvs-e3", "mute")
 	r := <-done
-	t.Log(summed(r))
+	t.Log(summarise(r))
 	if r.Done != r.Requests {
 		t.Errorf("%d of %d requests failed", r.Requests-r.Done, r.Requests)
 	}
 	for _, l := range []struct {
-		id     ident.TargetID
-		source string
-		most   time.Duration
+		id       ident.TargetID
+		source   string
+		maxDelay time.Duration
 	}{
-		{"uvs-e1", "the platform's list", lastNewRequest + listLag},
-		{"uvs-e2", "its refusals", lastNewRequest},
-		{"uvs-e3", "its load report", lastNewRequest},
+		{"uvs-e1", "the platform's list", maxNewRequestDelay + listLag},
+		{"uvs-e2", "its refusals", maxNewRequestDelay},
+		{"uvs-e3", "its load report", maxNewRequestDelay},
 	} {
-		led := f.engineLedger(l.id)
-		last := time.Duration(led.LateMs) * time.Millisecond
-		t.Logf("%s: %d requests came late, the last after %v", l.source, led.Late, last)
-		if last > l.most {
-			t.Errorf("by %s alone the last new request came after %v, at most %v expected", l.source, last, l.most)
+		ledger := f.engineLedger(l.id)
+		last := time.Duration(ledger.LateMs) * time.Millisecond
+		t.Logf("drain reported by %s: %d later requests, the last after %v", l.source, ledger.Late, last)
+		if last > l.maxDelay {
+			t.Errorf("drain reported by %s alone: last new request after %v, at most %v expected", l.source, last, l.maxDelay)
 		}
 	}
-	if since := time.Since(f.engineLedger("uvs-e1").DrainingSince); since < lastNewRequest+listLag {
-		t.Errorf("the load went on for %v only", since)
+	if since := time.Since(f.engineLedger("uvs-e1").DrainingSince); since < maxNewRequestDelay+listLag {
+		t.Errorf("the load continued for only %v", since)
 	}
 	if f.engineLedger("uvs-e2").Late == 0 {
-		t.Error("no request was refused: the source was not alone")
+		t.Error("no request was refused: another source reported the drain")
 	}
 }
 
-// leaveQuietly has an engine leave without saying so in some ways.
-func (f *fleet) leaveQuietly(id ident.TargetID, how string) {
+// drainTarget drains an engine; how names the sources that don't report it.
+func (f *fleet) drainTarget(id ident.TargetID, how string) {
 	f.t.Helper()
 	res, err := http.Post(f.url(id)+"/dev/leave?"+how, "", nil)
 	if err != nil {
@@ -92,9 +93,9 @@
 	res.Body.Close()
 }
 
-// listLeaving has the platform's list say that a target leaves. The list names
-// the run of each target, so that the word does not hold for the next one.
-func (f *fleet) listLeaving(id ident.TargetID) {
+// listAsDraining marks a target as draining in the platform's list. The list names the incarnation
+// of each target, so that the mark does not apply to the next one.
+func (f *fleet) listAsDraining(id ident.TargetID) {
 	f.t.Helper()
 	var ts []event.Target
 	for _, tg := range f.targets {
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -17,13 +17,12 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// onceFleet is the system for the proofs of running once: a data centre of two
-// hosts and two services, one with one of each, and one without a service,
-// whose jobs all run elsewhere.
+// onceFleet is the fleet for the tests of running at most once: a data centre of two hosts and two
+// services, one with one of each, and one without a service, which forwards all its jobs.
 type onceFleet struct {
 	*fleet
 	*jobs
-	here, sibling, away *member
+	local, sibling, remote *fleetHost
 }
 
 func startOnceFleet(t *testing.T) *onceFleet {
@@ -32,43 +31,43 @@
 	f.configure()
 	o := &onceFleet{
 		fleet: f, jobs: &jobs{f: f},
-		here: f.host("uvs-1"), sibling: f.host("uvs-2"), away: f.host("erdenet-1"),
+		local: f.host("uvs-1"), sibling: f.host("uvs-2"), remote: f.host("erdenet-1"),
 	}
 	for _, m := range f.hosts {
-		o.ready(m)
+		o.waitReady(m)
 	}
 	o.check(t)
 	return o
 }
 
-// ready waits until a host serves jobs and knows its peers.
-func (o *onceFleet) ready(m *member) {
+// waitReady waits until a host serves jobs and knows its peers.
+func (o *onceFleet) waitReady(m *fleetHost) {
 	o.t.Helper()
 	eventually(o.t, "a job runs at "+string(m.id), func() bool {
 		return o.send(m, o.byKey()).outcome == event.Done
 	})
-	eventually(o.t, "callers learn of "+string(m.id), func() bool {
-		return len(askEntries(m.callers(), "publish")) == len(o.hosts)
+	eventually(o.t, "the entry list is complete at "+string(m.id), func() bool {
+		return len(fetchEntries(m.callers(), "publish")) == len(o.hosts)
 	})
 }
 
-// services sets the faults of all services.
-func (o *onceFleet) services(x plain.Faults) {
+// setServiceFaults sets the faults of all services.
+func (o *onceFleet) setServiceFaults(x plain.Faults) {
 	o.t.Helper()
 	for _, tg := range o.targets {
-		put(o.t, tg.URL+"/dev/faults", x)
+		putJSON(o.t, tg.URL+"/dev/faults", x)
 	}
 }
 
-// store sets the faults of the platform.
-func (o *onceFleet) store(x plat.Faults) {
+// setPlatformFaults sets the faults of the platform.
+func (o *onceFleet) setPlatformFaults(x plat.Faults) {
 	o.t.Helper()
-	put(o.t, o.platform+"/dev/faults", x)
+	putJSON(o.t, o.platform+"/dev/faults", x)
 }
 
-// calls counts the calls that reached a service of a data centre, all of them
-// for an empty name.
-func (o *onceFleet) calls(dc ident.DataCentre) int {
+// serviceCalls counts the calls received by the services of a data centre, or by all services if
+// dc is empty.
+func (o *onceFleet) serviceCalls(dc ident.DataCentre) int {
 	n := 0
 	for _, tg := range o.targets {
 		var l plain.Ledger
@@ -80,25 +79,25 @@
 	return n
 }
 
-// puts counts the writes that reached the platform.
-func (o *onceFleet) puts() int {
+// platformWrites counts the writes received by the platform.
+func (o *onceFleet) platformWrites() int {
 	var c plat.Counts
 	getJSON(o.t, o.platform+"/dev/counts", &c)
 	return c["put"]
 }
 
-// restart kills hosts without a word and starts them again.
-func (o *onceFleet) restart(ms ...*member) {
+// restart kills hosts with SIGKILL, starts them again and waits until they serve.
+func (o *onceFleet) restart(ms ...*fleetHost) {
 	o.t.Helper()
 	for _, m := range ms {
 		m.kill(o.t)
 	}
 	for _, m := range ms {
-		o.boot(m)
+		o.startHost(m)
 	}
 	o.wg.Wait()
 	for _, m := range ms {
-		o.ready(m)
+		o.waitReady(m)
 	}
 }
 
@@ -112,7 +111,7 @@
 	t.Run("frozen owner", o.testFrozenOwner)
 	t.Run("frozen claim", o.testFrozenClaim)
 	t.Run("platform", o.testPlatform)
-	t.Run("caller leaves", o.testCallerLeaves)
+	t.Run("caller leaves", o.testCallerDisconnects)
 	t.Run("target dies", o.testTargetDies)
 	t.Run("forwarder dies", o.testForwarderDies)
 	t.Run("receiver dies", o.testReceiverDies)
@@ -120,91 +119,90 @@
 	t.Run("service is killed", o.testServiceKilled)
 }
 
-// The platform is slow, and the host dies while its claims of keys are on
-// their way. The writes land after its death, under the name of a run that no
-// longer exists. A caller that gets "not run" from anyone and takes a ticket
-// is safe only if the key can never run again.
+// The platform is slow, and the host dies while its claims of keys are in transit. The writes land
+// after its death, for an incarnation that no longer exists. A caller that is told "not run" by
+// any host and then uses a ticket is safe only if the key can never run again.
 func (o *onceFleet) testBeforeClaim(t *testing.T) {
-	before, calls := o.puts(), o.calls("")
-	o.store(plat.Faults{DelayMs: 900})
+	before, calls := o.platformWrites(), o.serviceCalls("")
+	o.setPlatformFaults(plat.Faults{DelayMs: 900})
 	all := []*job{o.byKey(), o.byKey(), o.byKey()}
-	o.sendAll(o.here, all)
-	eventually(t, "the claims are on their way", func() bool { return o.puts() >= before+len(all) })
-	o.here.kill(t)
+	o.sendAll(o.local, all)
+	eventually(t, "the claims are in transit", func() bool { return o.platformWrites() >= before+len(all) })
+	o.local.kill(t)
 	o.wg.Wait()
-	time.Sleep(2 * time.Second) // The writes land.
-	o.store(plat.Faults{})
-	if n := o.calls("") - calls; n != 0 {
-		t.Fatalf("%d calls were sent before their key was on record", n)
+	time.Sleep(2 * time.Second) // Until the writes have landed.
+	o.setPlatformFaults(plat.Faults{})
+	if n := o.serviceCalls("") - calls; n != 0 {
+		t.Fatalf("%d calls were sent before their key was recorded", n)
 	}
-	o.again(all, o.sibling)
-	o.boot(o.here)
-	o.ready(o.here)
-	o.again(all, o.here, o.sibling, o.away)
-	if n := count(all, event.Unknown); n != len(all) {
+	o.repeat(all, o.sibling)
+	o.startHost(o.local)
+	o.waitReady(o.local)
+	o.repeat(all, o.local, o.sibling, o.remote)
+	if n := countOutcome(all, event.Unknown); n != len(all) {
 		t.Errorf("%d of %d keys of a dead host are unknown", n, len(all))
 	}
 	o.check(t)
 }
 
-// A host dies with jobs that are on record and wait for room at the service.
-// Nobody knows any more that they have not run.
+// A host dies with recorded jobs that wait for capacity at the service. No other host can know
+// that they have not run.
 func (o *onceFleet) testBeforeSend(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 1500})
-	calls := o.calls("uvs")
-	all := o.mixed(t, o.here, 40)
-	o.sendAll(o.here, all)
-	eventually(t, "the service is full", func() bool { return o.calls("uvs")-calls >= 16 })
-	o.here.kill(t)
+	o.setServiceFaults(plain.Faults{WorkMs: 1500})
+	calls := o.serviceCalls("uvs")
+	all := o.mixed(t, o.local, 40)
+	o.sendAll(o.local, all)
+	eventually(t, "the service is full", func() bool { return o.serviceCalls("uvs")-calls >= 16 })
+	o.local.kill(t)
 	o.wg.Wait()
-	if n := o.calls("") - calls; n >= len(all) {
-		t.Fatalf("all %d jobs were sent, none waited", n)
+	if n := o.serviceCalls("") - calls; n >= len(all) {
+		t.Fatalf("all %d jobs were sent, none is queued", n)
 	}
-	o.services(plain.Faults{})
-	o.boot(o.here)
-	o.ready(o.here)
-	o.again(all, o.here, o.sibling)
+	o.setServiceFaults(plain.Faults{})
+	o.startHost(o.local)
+	o.waitReady(o.local)
+	o.repeat(all, o.local, o.sibling)
 	o.check(t)
 }
 
-// A host dies while a service works on its jobs. The service finishes them,
-// and nobody is left who knows. A repeat anywhere must not run them again.
+// A host dies while a service runs its jobs. The service completes them, but no host knows the
+// results. A repeat at any host must not run them again.
 func (o *onceFleet) testWhileRunning(t *testing.T) {
-	o.dieAt(t, o.here, plain.Faults{WorkMs: 1000}, []*member{o.here})
+	o.killWhileRunning(t, o.local, plain.Faults{WorkMs: 1000}, []*fleetHost{o.local})
 }
 
-// A host dies after its jobs have run and before the answers are passed on.
+// A host dies after its jobs have run and before it relays the answers.
 func (o *onceFleet) testBeforeAnswer(t *testing.T) {
-	o.dieAt(t, o.here, plain.Faults{AnswerMs: 1000}, []*member{o.here})
+	o.killWhileRunning(t, o.local, plain.Faults{AnswerMs: 1000}, []*fleetHost{o.local})
 }
 
-// dieAt sends jobs to a host, kills hosts while the services hold the jobs,
-// and repeats them everywhere.
-func (o *onceFleet) dieAt(t *testing.T, at *member, x plain.Faults, victims []*member) {
+// killWhileRunning sends jobs to a host, kills hosts while the services process the jobs, and
+// repeats the jobs at all hosts.
+func (o *onceFleet) killWhileRunning(t *testing.T, at *fleetHost, x plain.Faults, victims []*fleetHost) {
 	t.Helper()
-	o.services(x)
-	calls := o.calls("")
-	all := o.sendUntil(t, at, func() bool { return o.calls("")-calls >= 3 })
+	o.setServiceFaults(x)
+	calls := o.serviceCalls("")
+	all := o.sendUntil(t, at, func() bool { return o.serviceCalls("")-calls >= 3 })
 	o.restart(victims...)
-	o.services(plain.Faults{})
-	o.again(all, at, o.sibling, o.away)
-	if n := count(all, event.Unknown); n < 3 {
-		t.Errorf("%d jobs are unknown after the death of a host, too few to have met it", n)
+	o.setServiceFaults(plain.Faults{})
+	o.repeat(all, at, o.sibling, o.remote)
+	if n := countOutcome(all, event.Unknown); n < 3 {
+		t.Errorf("only %d jobs are unknown after the death of a host", n)
 	}
 	o.check(t)
 }
 
-// sendUntil sends jobs to a host until so many run that the proof can go on.
-// Those that are refused for want of room elsewhere are no help to it.
-func (o *onceFleet) sendUntil(t *testing.T, at *member, reached func() bool) []*job {
+// sendUntil sends jobs to a host until reached returns true. Jobs that are refused because the
+// services lack capacity don't count.
+func (o *onceFleet) sendUntil(t *testing.T, at *fleetHost, reached func() bool) []*job {
 	t.Helper()
 	var all []*job
 	eventually(t, "jobs run", func() bool {
 		if reached() {
 			return true
 		}
-		const most = 60
-		if len(all) < most {
+		const maxJobs = 60
+		if len(all) < maxJobs {
 			js := o.mixed(t, at, 1)
 			o.sendAll(at, js)
 			all = append(all, js...)
@@ -215,40 +213,39 @@
 	return all
 }
 
-// A host is frozen while its jobs run, as under a hypervisor that moves it. Its
-// callers repeat elsewhere, and when it wakes it still believes that it owns
-// them. It does, and the others must know.
+// A host is frozen while its jobs run, as by a hypervisor during migration. Callers repeat the jobs
+// at other hosts. The resumed host still owns the jobs, and the others must not run them.
 func (o *onceFleet) testFrozenOwner(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 600})
-	calls := o.calls("")
-	all := o.mixed(t, o.here, 3)
-	o.sendAll(o.here, all)
-	eventually(t, "jobs run", func() bool { return o.calls("")-calls >= len(all) })
-	o.here.signal(t, syscall.SIGSTOP)
-	o.services(plain.Faults{})
-	var elsewhere []result
+	o.setServiceFaults(plain.Faults{WorkMs: 600})
+	calls := o.serviceCalls("")
+	all := o.mixed(t, o.local, 3)
+	o.sendAll(o.local, all)
+	eventually(t, "jobs run", func() bool { return o.serviceCalls("")-calls >= len(all) })
+	o.local.signal(t, syscall.SIGSTOP)
+	o.setServiceFaults(plain.Faults{})
+	var repeats []result
 	for _, j := range all {
-		elsewhere = append(elsewhere, o.send(o.sibling, j))
+		repeats = append(repeats, o.send(o.sibling, j))
 	}
-	o.here.signal(t, syscall.SIGCONT)
+	o.local.signal(t, syscall.SIGCONT)
 	o.wg.Wait()
-	for _, ans := range elsewhere {
-		o.isForeign(t, ans)
+	for _, ans := range repeats {
+		o.checkForeign(t, ans)
 	}
-	o.again(all, o.here)
-	if n := count(all, event.Done); n != len(all) {
-		t.Errorf("%d of %d jobs are answered by their owner once it is awake", n, len(all))
+	o.repeat(all, o.local)
+	if n := countOutcome(all, event.Done); n != len(all) {
+		t.Errorf("%d of %d jobs are answered by the resumed owner", n, len(all))
 	}
 	o.check(t)
 }
 
-// isForeign checks the answer to a repeat at another host than the owner: it
-// names the owner and does not say that the job has not run.
-func (o *onceFleet) isForeign(t *testing.T, got result) {
+// checkForeign checks the answer to a repeat at a host other than the owner: it names the owner and
+// does not report the job as not run.
+func (o *onceFleet) checkForeign(t *testing.T, got result) {
 	t.Helper()
 	want := result{
 		status: http.StatusMisdirectedRequest, outcome: event.Unknown, code: codes.ForeignTicket.ID,
-		entries: []string{o.here.callers()},
+		entries: []string{o.local.callers()},
 	}
 	got.body = ""
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(result{})); diff != "" {
@@ -256,163 +253,161 @@
 	}
 }
 
-// A host is frozen with its claims on their way and wakes long after its peers
-// have given it up. Its claims stand, and repeats elsewhere meanwhile must
-// leave the jobs to it.
+// A host is frozen with its claims in transit, and resumes long after its peers have dropped it.
+// Its claims are valid, and meanwhile no other host may run the repeated jobs.
 func (o *onceFleet) testFrozenClaim(t *testing.T) {
-	before := o.puts()
-	o.store(plat.Faults{DelayMs: 700})
+	before := o.platformWrites()
+	o.setPlatformFaults(plat.Faults{DelayMs: 700})
 	all := []*job{o.byKey(), o.byKey(), o.byKey()}
-	o.sendAll(o.here, all)
-	eventually(t, "the claims are on their way", func() bool { return o.puts() >= before+len(all) })
-	o.here.signal(t, syscall.SIGSTOP)
-	time.Sleep(1500 * time.Millisecond) // The writes land.
-	o.store(plat.Faults{})
-	var during []*job
+	o.sendAll(o.local, all)
+	eventually(t, "the claims are in transit", func() bool { return o.platformWrites() >= before+len(all) })
+	o.local.signal(t, syscall.SIGSTOP)
+	time.Sleep(1500 * time.Millisecond) // Until the writes have landed.
+	o.setPlatformFaults(plat.Faults{})
+	var unknown []*job
 	for _, j := range all {
 		if ans := o.send(o.sibling, j); ans.outcome == event.Unknown {
-			during = append(during, j)
+			unknown = append(unknown, j)
 		}
 	}
-	if len(during) != len(all) {
-		t.Errorf("%d of %d repeats were reported as unknown", len(during), len(all))
+	if len(unknown) != len(all) {
+		t.Errorf("%d of %d repeats were reported as unknown", len(unknown), len(all))
 	}
-	eventually(t, "the peers give the host up", func() bool {
-		return len(askEntries(o.sibling.callers(), "publish")) < len(o.hosts)
+	eventually(t, "the peers drop the host", func() bool {
+		return len(fetchEntries(o.sibling.callers(), "publish")) < len(o.hosts)
 	})
-	o.again(all, o.sibling, o.away)
-	o.here.signal(t, syscall.SIGCONT)
+	o.repeat(all, o.sibling, o.remote)
+	o.local.signal(t, syscall.SIGCONT)
 	o.wg.Wait()
-	o.ready(o.here)
-	o.again(all, o.here, o.sibling)
+	o.waitReady(o.local)
+	o.repeat(all, o.local, o.sibling)
 	o.check(t)
 }
 
-// The platform loses replies after the write, is slow, and is down. A lost
-// reply read as a failure would refuse a job that is on record; one read as a
-// success would run a job that another host owns.
+// The platform loses replies after the write, is slow, and is down. If a lost reply counted as a
+// failure, a recorded job would be refused; if it counted as a success, a job that another host
+// owns would run.
 func (o *onceFleet) testPlatform(t *testing.T) {
 	keys := func() []*job { return []*job{o.byKey(), o.byKey(), o.byKey(), o.byKey()} }
 	lost := keys()
-	o.store(plat.Faults{LoseNext: len(lost)})
-	o.again(lost, o.here)
-	if n := count(lost, event.Done); n != len(lost) {
+	o.setPlatformFaults(plat.Faults{LoseNext: len(lost)})
+	o.repeat(lost, o.local)
+	if n := countOutcome(lost, event.Done); n != len(lost) {
 		t.Errorf("%d of %d jobs are done though replies are lost", n, len(lost))
 	}
 	slow := keys()
-	o.store(plat.Faults{DelayMs: 200})
-	o.again(slow, o.here, o.sibling)
-	down, tickets := keys(), []*job{o.byTicket(t, o.here), o.byTicket(t, o.here)}
-	o.store(plat.Faults{Down: true})
-	o.again(down, o.here)
+	o.setPlatformFaults(plat.Faults{DelayMs: 200})
+	o.repeat(slow, o.local, o.sibling)
+	down, tickets := keys(), []*job{o.byTicket(t, o.local), o.byTicket(t, o.local)}
+	o.setPlatformFaults(plat.Faults{Down: true})
+	o.repeat(down, o.local)
 	for _, j := range down {
-		if j.last().code != codes.StoreDown.ID || o.fleet.jobs()[j.name] != 0 {
-			t.Errorf("%s with the platform down: %+v", j.name, j.last())
+		if j.lastResult().code != codes.StoreDown.ID || o.fleet.jobs()[j.name] != 0 {
+			t.Errorf("%s with the platform down: %+v", j.name, j.lastResult())
 		}
 	}
-	o.again(tickets, o.here)
-	if n := count(tickets, event.Done); n != len(tickets) {
+	o.repeat(tickets, o.local)
+	if n := countOutcome(tickets, event.Done); n != len(tickets) {
 		t.Errorf("%d of %d tickets run without the platform", n, len(tickets))
 	}
-	o.store(plat.Faults{})
-	o.again(down, o.here)
-	if n := count(down, event.Done); n != len(down) {
+	o.setPlatformFaults(plat.Faults{})
+	o.repeat(down, o.local)
+	if n := countOutcome(down, event.Done); n != len(down) {
 		t.Errorf("%d of %d keys run once the platform is back", n, len(down))
 	}
-	o.again(append(lost, append(slow, down...)...), o.here, o.sibling, o.away)
+	o.repeat(append(lost, append(slow, down...)...), o.local, o.sibling, o.remote)
 	o.check(t)
 }
 
-// A caller loses its connection while its job runs and sends the job again. It
-// gets the answer of the first run.
-func (o *onceFleet) testCallerLeaves(t *testing.T) {
-	o.services(plain.Faults{WorkMs: 500})
-	calls := o.calls("")
-	all := o.mixed(t, o.here, 3)
-	ctx, leave := context.WithCancel(context.Background())
+// A caller loses its connection while its job runs and sends the job again. It must get the answer
+// of the first run.
+func (o *onceFleet) testCallerDisconnects(t *testing.T) {
+	o.setServiceFaults(plain.Faults{WorkMs: 500})
+	calls := o.serviceCalls("")
+	all := o.mixed(t, o.local, 3)
+	ctx, cancel := context.WithCancel(context.Background())
 	for _, j := range all {
-		o.wg.Go(func() { o.sendFor(ctx, o.here, j) })
+		o.wg.Go(func() { o.sendFor(ctx, o.local, j) })
 	}
-	eventually(t, "jobs run", func() bool { return o.calls("")-calls >= len(all) })
-	leave()
+	eventually(t, "jobs run", func() bool { return o.serviceCalls("")-calls >= len(all) })
+	cancel()
 	o.wg.Wait()
 	for _, j := range all {
-		eventually(t, j.name+" is answered", func() bool { return o.send(o.here, j).outcome == event.Done })
+		eventually(t, j.name+" is answered", func() bool { return o.send(o.local, j).outcome == event.Done })
 	}
-	o.services(plain.Faults{})
+	o.setServiceFaults(plain.Faults{})
 	o.check(t)
 }
 
-// A service breaks the connection before it runs a job or after it has. Both
-// look the same from outside, so that the job may not be tried at another
-// service. First one service dies, so that another would run the job well, and
-// then all of them, before a host that passes its jobs on.
+// A service breaks the connection before or after it runs a job. The host can't distinguish the two,
+// so it must not try another service. First one service fails while another is available, then all
+// of them fail, for jobs of a host that forwards them.
 func (o *onceFleet) testTargetDies(t *testing.T) {
 	var all []*job
 	for _, x := range []plain.Faults{{DieBeforeRun: 1}, {DieAfterRun: 1}} {
-		put(t, o.url("uvs-p1")+"/dev/faults", x)
-		all = append(all, o.untilUnknown(t, o.here)...)
-		o.services(x)
-		o.recovered(o.away, event.Unknown)
-		calls := o.calls("")
-		js := o.mixed(t, o.away, 2)
-		o.again(js, o.away)
-		if n := o.calls("") - calls; n > len(js) {
+		putJSON(t, o.url("uvs-p1")+"/dev/faults", x)
+		all = append(all, o.sendUntilUnknown(t, o.local)...)
+		o.setServiceFaults(x)
+		o.waitOutcome(o.remote, event.Unknown)
+		calls := o.serviceCalls("")
+		js := o.mixed(t, o.remote, 2)
+		o.repeat(js, o.remote)
+		if n := o.serviceCalls("") - calls; n > len(js) {
 			t.Errorf("%d calls for %d jobs", n, len(js))
 		}
 		all = append(all, js...)
-		o.services(plain.Faults{})
-		o.recovered(o.here, event.Done)
-		o.recovered(o.away, event.Done)
+		o.setServiceFaults(plain.Faults{})
+		o.waitOutcome(o.local, event.Done)
+		o.waitOutcome(o.remote, event.Done)
 	}
-	o.again(all, o.here, o.sibling, o.away)
+	o.repeat(all, o.local, o.sibling, o.remote)
 	o.check(t)
 }
 
-// untilUnknown sends jobs to a host until some meet the service that dies.
-func (o *onceFleet) untilUnknown(t *testing.T, m *member) []*job {
+// sendUntilUnknown sends jobs to a host until some reach the failing service.
+func (o *onceFleet) sendUntilUnknown(t *testing.T, m *fleetHost) []*job {
 	t.Helper()
 	var all []*job
-	calls := o.calls("uvs")
-	eventually(t, "jobs meet the fault", func() bool {
+	calls := o.serviceCalls("uvs")
+	eventually(t, "jobs reach the failing service", func() bool {
 		js := o.mixed(t, m, 1)
-		o.again(js, m)
+		o.repeat(js, m)
 		all = append(all, js...)
-		return o.calls("uvs") > calls && count(all, event.Unknown) > 0
+		return o.serviceCalls("uvs") > calls && countOutcome(all, event.Unknown) > 0
 	})
 	return all
 }
 
-// recovered waits until a host sends jobs again and they have an outcome.
-func (o *onceFleet) recovered(m *member, outcome event.Outcome) {
+// waitOutcome waits until a new job at a host has an outcome.
+func (o *onceFleet) waitOutcome(m *fleetHost, outcome event.Outcome) {
 	o.t.Helper()
 	eventually(o.t, "jobs are "+string(outcome)+" at "+string(m.id), func() bool {
 		return o.send(m, o.byKey()).outcome == outcome
 	})
 }
 
-// The process of a service dies with jobs in it, and its ledger with it. The
-// other service of the data centre is idle and would run them again.
+// The process of a service dies with jobs in flight, and its ledger is lost. The other service of the
+// data centre is idle and must not run them again.
 func (o *onceFleet) testServiceKilled(t *testing.T) {
 	const id = ident.TargetID("uvs-p1")
-	o.services(plain.Faults{WorkMs: 1000})
+	o.setServiceFaults(plain.Faults{WorkMs: 1000})
 	var ld event.Load
-	all := o.sendUntil(t, o.here, func() bool {
+	all := o.sendUntil(t, o.local, func() bool {
 		getJSON(t, o.url(id)+"/load", &ld)
 		return ld.Running >= 2
 	})
 	o.procs[id].kill(t)
 	o.targets = slices.DeleteFunc(o.targets, func(tg event.Target) bool { return tg.ID == id })
-	o.services(plain.Faults{})
+	o.setServiceFaults(plain.Faults{})
 	o.wg.Wait()
-	if n := count(all, event.Unknown); n < 2 {
-		t.Errorf("%d jobs are unknown after the death of their service", n)
+	if n := countOutcome(all, event.Unknown); n < 2 {
+		t.Errorf("only %d jobs are unknown after the death of their service", n)
 	}
-	o.again(all, o.here, o.sibling, o.away)
+	o.repeat(all, o.local, o.sibling, o.remote)
 	runs := o.fleet.jobs()
 	for _, j := range all {
 		if j.results[0].outcome == event.Unknown && runs[j.name] != 0 {
-			t.Errorf("%s ran at another service after its own had died", j.name)
+			t.Errorf("%s ran at another service after the first one died", j.name)
 		}
 	}
 	o.check(t)
