--- a/internal/admin/ask.go
+++ b/internal/admin/ask.go
@@ -56,7 +56,8 @@
 // queried host knows.
 type InForce struct {
 	Revision ident.Revision `json:"revision"`
-	// Everywhere is set if every known data centre has the revision in force.
+	// Everywhere is set if every known data centre has the revision in force,
+	// and at least one is known.
 	Everywhere bool            `json:"everywhere"`
 	Centres    []CentreInForce `json:"centres"`
 }
@@ -117,7 +118,7 @@
 }
 
 // drain starts a graceful stop of this host. It responds immediately; the
-// process exits once its last request has ended.
+// process exits once its last request has ended or the time to drain is over.
 func (a *Admin) drain(w http.ResponseWriter, _ *http.Request, op ident.Operator) error {
 	a.cfg.Log.Info("drain asked", "operator", op)
 	a.cfg.Drain()
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -75,8 +75,9 @@
 	return writeJSON(w, http.StatusOK, list)
 }
 
-// change appends a change to the revision log. It refuses a change that needs
-// a second operator with KindNeedsApproval; the client proposes it instead.
+// change appends a change to the revision log. If the change needs a second
+// operator, it responds with KindNeedsApproval; the client then proposes the
+// change instead.
 func (a *Admin) change(w http.ResponseWriter, r *http.Request, op ident.Operator) error {
 	var c rules.Change
 	if err := decode(r, &c); err != nil {
@@ -90,22 +91,22 @@
 	if !ok {
 		return nil
 	}
-	done, err := a.append(r.Context(), book, c)
+	accepted, err := a.append(r.Context(), book, c)
 	if err != nil {
 		return a.writeRevlogError(r.Context(), w, c.ID, err)
 	}
-	return writeJSON(w, http.StatusOK, done)
+	return writeJSON(w, http.StatusOK, accepted)
 }
 
 func (a *Admin) append(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	done, err := a.cfg.Revs.Append(ctx, book, c)
+	accepted, err := a.cfg.Revs.Append(ctx, book, c)
 	if err != nil {
 		return rules.Change{}, err
 	}
-	a.cfg.Log.Info("change accepted", "revision", done.Revision, "change", done.ID, "operator", c.Operator)
-	return done, nil
+	a.cfg.Log.Info("change accepted", "revision", accepted.Revision, "change", accepted.ID, "operator", c.Operator)
+	return accepted, nil
 }
 
 // prepareChange checks a change and overwrites the fields that the client must
@@ -170,12 +171,12 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
-	done, err := a.cfg.Revs.Approve(ctx, book, id, op)
+	accepted, err := a.cfg.Revs.Approve(ctx, book, id, op)
 	if err != nil {
 		return a.writeRevlogError(r.Context(), w, id, err)
 	}
-	a.cfg.Log.Info("change approved", "revision", done.Revision, "change", id, "operator", done.Operator, "approver", op)
-	return writeJSON(w, http.StatusOK, done)
+	a.cfg.Log.Info("change approved", "revision", accepted.Revision, "change", id, "operator", accepted.Operator, "approver", op)
+	return writeJSON(w, http.StatusOK, accepted)
 }
 
 // Lists are short because each entry can cost a call to the platform.
@@ -238,8 +239,8 @@
 // History is a page of changes, newest first.
 type History struct {
 	Changes []rules.Change `json:"changes"`
-	// Before is the query parameter for the next page; 1 means that this is the
-	// last page.
+	// Before is the query parameter for the next page. There is no next page if
+	// it is 1, or 0 because the log has no change before the requested revision.
 	Before ident.Revision `json:"before"`
 }
 
@@ -298,9 +299,9 @@
 		return nil
 	}
 	if !rb.RequireApproval {
-		done, err := a.append(r.Context(), book, c)
+		accepted, err := a.append(r.Context(), book, c)
 		if err == nil {
-			return writeJSON(w, http.StatusOK, RollbackResult{Change: done})
+			return writeJSON(w, http.StatusOK, RollbackResult{Change: accepted})
 		}
 		if !errors.Is(err, revlog.ErrNeedsApproval) {
 			return a.writeRevlogError(r.Context(), w, c.ID, err)
--- a/internal/admin/fault.go
+++ b/internal/admin/fault.go
@@ -47,7 +47,7 @@
 	ChangedBy rules.Change `json:"by"`
 	// BaseDoc is the document at the base, CurrentDoc that of ChangedBy.
 	// BaseDoc is absent if it was not found in the last maxRevisionsSearched
-	// revisions up to the base.
+	// revisions up to the base. Either is absent if it could not be read.
 	BaseDoc    json.RawMessage `json:"was,omitempty"`
 	CurrentDoc json.RawMessage `json:"now,omitempty"`
 }
--- a/internal/opctl/config.go
+++ b/internal/opctl/config.go
@@ -269,11 +269,11 @@
 `,
 		run: func(ctx context.Context, args []string) error {
 			id := ident.ChangeID(args[0])
-			done, err := opts.client().Approve(ctx, id)
+			accepted, err := opts.client().Approve(ctx, id)
 			if err != nil {
 				return asUnknown(err, id, "verbctl profiles approve "+args[0])
 			}
-			return s.reportAccepted(ctx, done)
+			return s.reportAccepted(ctx, accepted)
 		},
 	}
 }
--- a/internal/opctl/opctl.go
+++ b/internal/opctl/opctl.go
@@ -69,8 +69,9 @@
 // Unwrap returns the transport error, or nil if the entry host responded.
 func (e *CallError) Unwrap() error { return e.cause }
 
-// outcomeUnknown reports whether it is unknown if the call took effect. It is
-// known if the connection could not be established, since nothing was sent.
+// outcomeUnknown reports whether the call may or may not have taken effect. If
+// the connection could not be established, nothing was sent and the outcome is
+// known.
 func (e *CallError) outcomeUnknown() bool {
 	if e.cause == nil {
 		return e.Fault.Kind == admin.KindOutcomeUnknown
@@ -82,9 +83,9 @@
 
 // Change sends a change and returns the accepted change.
 func (c *Client) Change(ctx context.Context, ch rules.Change) (rules.Change, error) {
-	var done rules.Change
-	err := c.call(ctx, http.MethodPost, "/v1/changes", ch, &done)
-	return done, err
+	var accepted rules.Change
+	err := c.call(ctx, http.MethodPost, "/v1/changes", ch, &accepted)
+	return accepted, err
 }
 
 // Propose submits a change for approval by a second operator.
@@ -96,16 +97,16 @@
 
 // Approve approves a proposal and returns the accepted change.
 func (c *Client) Approve(ctx context.Context, id ident.ChangeID) (rules.Change, error) {
-	var done rules.Change
-	err := c.call(ctx, http.MethodPost, "/v1/proposals/"+url.PathEscape(string(id))+"/approve", nil, &done)
-	return done, err
+	var accepted rules.Change
+	err := c.call(ctx, http.MethodPost, "/v1/proposals/"+url.PathEscape(string(id))+"/approve", nil, &accepted)
+	return accepted, err
 }
 
 // Rollback restores old content of items with a new change.
 func (c *Client) Rollback(ctx context.Context, rb admin.Rollback) (admin.RollbackResult, error) {
-	var done admin.RollbackResult
-	err := c.call(ctx, http.MethodPost, "/v1/rollback", rb, &done)
-	return done, err
+	var result admin.RollbackResult
+	err := c.call(ctx, http.MethodPost, "/v1/rollback", rb, &result)
+	return result, err
 }
 
 // Proposals lists the recent proposals.
@@ -115,8 +116,8 @@
 	return ps, err
 }
 
-// History returns the changes among the n newest before a revision, only those of
-// one item if name is set. Before 0, it starts with the newest change.
+// History returns the n newest changes before a revision, or the n newest of all
+// if before is 0. If name is set, it omits those that don't contain that item.
 func (c *Client) History(ctx context.Context, kind rules.Kind, name string, before ident.Revision, n int) (admin.History, error) {
 	q := url.Values{"n": {fmt.Sprint(n)}}
 	if before > 0 {
--- a/internal/opctl/send.go
+++ b/internal/opctl/send.go
@@ -90,7 +90,7 @@
 	if s.requireApproval {
 		return s.propose(ctx, c, retryCommand)
 	}
-	done, err := cl.Change(ctx, c)
+	accepted, err := cl.Change(ctx, c)
 	var ce *CallError
 	if errors.As(err, &ce) && ce.Fault.Kind == admin.KindNeedsApproval {
 		return s.propose(ctx, c, retryCommand)
@@ -98,7 +98,7 @@
 	if err != nil {
 		return asUnknown(err, c.ID, retryCommand)
 	}
-	return s.reportAccepted(ctx, done)
+	return s.reportAccepted(ctx, accepted)
 }
 
 // newChange returns a change with the given items. If the operator gave no id,
@@ -151,16 +151,16 @@
 
 // reportAccepted prints an accepted change and, with -wait, waits until it is in
 // force in every data centre.
-func (s *changeSender) reportAccepted(ctx context.Context, done rules.Change) error {
-	err := s.opts.print(done, func(w io.Writer) {
-		fmt.Fprintf(w, "accepted as revision %d\n", done.Revision)
+func (s *changeSender) reportAccepted(ctx context.Context, accepted rules.Change) error {
+	err := s.opts.print(accepted, func(w io.Writer) {
+		fmt.Fprintf(w, "accepted as revision %d\n", accepted.Revision)
 	})
 	if err != nil || s.wait <= 0 {
 		return err
 	}
-	f, err := s.waitInForce(ctx, done.Revision)
+	f, err := s.waitInForce(ctx, accepted.Revision)
 	if err != nil || !f.Everywhere {
-		return &notInForceError{rev: done.Revision, missing: missingCentres(f), cause: err}
+		return &notInForceError{rev: accepted.Revision, missing: missingCentres(f), cause: err}
 	}
 	if !s.opts.JSON {
 		fmt.Fprintf(s.opts.Out, "in force in %d of %d data centres\n", len(f.Centres), len(f.Centres))
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// maxPollWait is the longest wait of one InForce call, and how much longer than
-// the operator's time limit the client waits for the last response.
+// maxPollWait limits the wait of one InForce call. After the operator's time
+// limit, the client waits for the last response for at most the same time.
 const maxPollWait = 20 * time.Second
 
 // waitInForce polls until the revision is in force everywhere or s.wait has
--- a/internal/revlog/append.go
+++ b/internal/revlog/append.go
@@ -10,10 +10,10 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// repeatWindow is the number of newest revisions that are searched for an
-// earlier copy of a change. At 8,400 changes a day it spans a quarter of an
-// hour.
-const repeatWindow = 96
+// duplicateWindow is the number of newest revisions that are searched for an
+// earlier write of the same change. At 8,400 changes a day it spans a quarter of
+// an hour.
+const duplicateWindow = 96
 
 // maxWriteAttempts bounds the attempts to write one key while their outcome is
 // unknown.
@@ -21,12 +21,14 @@
 
 // Append writes a change under the first free revision after the book's and
 // returns it with that revision. It can be called again with the same change,
-// recognised by its id: a change that is already in the log is returned and not
-// written twice.
+// recognised by its id: if the change is among the newest duplicateWindow
+// revisions, Append returns it; if it is older, the result is ErrConflict. In
+// neither case is it written twice.
 //
 // ErrConflict names the item that has changed since c.Base. ErrUnknown is
-// returned only after a write that may have taken effect; every other error
-// means that nothing was accepted.
+// returned after a write that may have taken effect, or if the log could not be
+// searched for an earlier write of c. Every other error means that this call
+// added no change to the log.
 func (l *Log) Append(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	if len(c.Items) == 0 {
 		return rules.Change{}, wrapAs(ErrRefused, errors.New("the change has no items"))
@@ -59,13 +61,13 @@
 // revision. If the change is already in the log, validate returns the stored
 // change, whose revision is not zero.
 //
-// The log is searched for a repeat only after a conflict: an accepted change
-// has changed its own items since its base, so its repeat always conflicts,
-// and a typical change costs no read.
+// The log is searched for a duplicate only after a conflict: an accepted change
+// has changed its own items since its base, so sending it again always
+// conflicts. A typical change therefore costs no read.
 func (l *Log) validate(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	conflict := book.Conflict(c)
 	if conflict != nil {
-		existing, err := l.findRepeat(ctx, book, c)
+		existing, err := l.findDuplicate(ctx, book, c)
 		if err != nil || existing.Revision != 0 {
 			return existing, err
 		}
@@ -96,13 +98,13 @@
 // Unwrap returns the cause, a *rules.ConflictError.
 func (e *Conflict) Unwrap() error { return e.Cause }
 
-// findRepeat searches the log after the base of c for a change with the id of
+// findDuplicate searches the log after the base of c for a change with the id of
 // c. If a read fails it returns ErrUnknown, because an earlier attempt may have
 // been accepted.
-func (l *Log) findRepeat(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
+func (l *Log) findDuplicate(ctx context.Context, book *rules.Book, c rules.Change) (rules.Change, error) {
 	first := c.Base + 1
-	if book.Rev() > repeatWindow {
-		first = max(first, book.Rev()-repeatWindow+1)
+	if book.Rev() > duplicateWindow {
+		first = max(first, book.Rev()-duplicateWindow+1)
 	}
 	for rev := first; rev <= book.Rev(); rev++ {
 		stored, err := l.Read(ctx, rev)
--- a/internal/revlog/measure_test.go
+++ b/internal/revlog/measure_test.go
@@ -95,7 +95,7 @@
 		c := rules.Change{Revision: 8400, ID: sampleID, Base: 8399, Operator: "operator", At: time.Unix(1_700_000_000, 0).UTC(), Note: "a note of usual length", Items: items[n : n+1]}
 		return len(encoded(t, c))
 	}
-	snapshot := len(image(t, book))
+	snapshot := len(encodedBook(t, book))
 	t.Logf("change of a profile %d bytes, of an account %d bytes, snapshot of %d accounts and %d profiles %d bytes",
 		changeSize(0), changeSize(profiles), accounts, profiles, snapshot)
 	if snapshot > store.MaxValue/2 {
--- a/internal/revlog/model_test.go
+++ b/internal/revlog/model_test.go
@@ -115,7 +115,7 @@
 func (m *model) check(t *rapid.T) {
 	seen := map[ident.ChangeID]ident.Revision{}
 	want := &rules.Book{}
-	images := []string{image(t, want)}
+	encodedBooks := []string{encodedBook(t, want)}
 	for rev := ident.Revision(1); ; rev++ {
 		c, ok := m.logged(t, rev)
 		if !ok {
@@ -130,7 +130,7 @@
 			t.Fatal(err)
 		}
 		want = next
-		images = append(images, image(t, want))
+		encodedBooks = append(encodedBooks, encodedBook(t, want))
 	}
 	for id, c := range m.accepted {
 		if seen[id] != c.Revision {
@@ -138,7 +138,7 @@
 		}
 	}
 	for h, b := range m.books {
-		if image(t, b) != images[b.Rev()] {
+		if encodedBook(t, b) != encodedBooks[b.Rev()] {
 			t.Fatalf("host %d at revision %d differs from the log", h, b.Rev())
 		}
 	}
--- a/internal/revlog/propose.go
+++ b/internal/revlog/propose.go
@@ -152,8 +152,8 @@
 	return accepted, err
 }
 
-// recordOutcome stores the final state in the proposal, for listings. If this
-// write is lost, the log still shows the outcome.
+// recordOutcome stores the final state in the proposal, for listings. The
+// log decides the outcome, so a lost write only makes the listing outdated.
 func (l *Log) recordOutcome(ctx context.Context, p Proposal, err error) {
 	state := p.State
 	switch {
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -42,8 +42,8 @@
 	// ErrUnknown is returned if the change may or may not have been accepted.
 	// The same change can safely be sent again.
 	ErrUnknown = errors.New("revlog: whether the change was accepted is not known")
-	// ErrUnavailable is returned if the store does not answer; nothing was
-	// accepted.
+	// ErrUnavailable is returned if the store does not answer; the call added
+	// no change to the log.
 	ErrUnavailable = errors.New("revlog: the store does not answer")
 	// ErrNoLaterChange is returned if no later change was written in time.
 	ErrNoLaterChange = errors.New("revlog: no later change")
@@ -59,12 +59,12 @@
 	ErrRefused = errors.New("revlog: the change can't be applied")
 )
 
-// wrapAs returns own with the text of an error of a lower layer. The result
-// doesn't wrap below.
-func wrapAs(own, below error) error { return fmt.Errorf("%w: %s", own, below.Error()) }
+// wrapAs wraps sentinel, one of the errors above, and appends the text of cause.
+// The result doesn't wrap cause.
+func wrapAs(sentinel, cause error) error { return fmt.Errorf("%w: %s", sentinel, cause.Error()) }
 
-func wrapAsf(own error, format string, args ...any) error {
-	return wrapAs(own, errors.Errorf(format, args...))
+func wrapAsf(sentinel error, format string, args ...any) error {
+	return wrapAs(sentinel, errors.Errorf(format, args...))
 }
 
 // Log is the log of changes in the store. It is safe for concurrent use.
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -290,7 +290,7 @@
 	before := f.srv.Counts()["get"]
 	got := load(t, f.log())
 	wantSame(t, "store calls of a start", 1+5+1, f.srv.Counts()["get"]-before)
-	wantSame(t, "book", image(t, book), image(t, got))
+	wantSame(t, "book", encodedBook(t, book), encodedBook(t, got))
 
 	f.srv.SetFaults(plat.Faults{DownAfter: 3})
 	got, err := f.log().Load(ctx)
@@ -298,7 +298,7 @@
 	wantSame(t, "revision read before the outage", ident.Revision(snapshotInterval+2), got.Rev())
 }
 
-func image(t tester, b *rules.Book) string {
+func encodedBook(t tester, b *rules.Book) string {
 	t.Helper()
 	text, err := json.Marshal(b)
 	if err != nil {
--- a/internal/revlog/snap.go
+++ b/internal/revlog/snap.go
@@ -22,9 +22,10 @@
 // the snapshot in Load. The watch delivers the rest.
 const maxReplay = 4 * snapshotInterval
 
-// Load reads the newest snapshot and the changes that follow it, as far as the
-// call budget and the context allow. An incomplete book is not an error, because
-// the watch delivers the rest. Load fails only if nothing could be read.
+// Load reads the newest snapshot and up to maxReplay changes that follow it. If
+// a change can't be read, it returns the book up to there without an error,
+// because the watch delivers the rest. Load fails if the snapshot can't be read,
+// or if there is none and the first change can't be read.
 func (l *Log) Load(ctx context.Context) (*rules.Book, error) {
 	snap, _, err := l.snapshot(ctx)
 	if err != nil {
@@ -35,9 +36,9 @@
 		return nil, err
 	}
 	if book.Rev() >= snap.Rev()+2*snapshotInterval {
-		// The host that was due to write a snapshot stopped before it did.
-		// Without this write, each start would read a longer log than the
-		// one before.
+		// The last snapshot that was due is missing, for example because the
+		// host that appended the change stopped before it wrote one. Without
+		// this write, each start would read a longer log than the one before.
 		l.writeSnapshot(ctx, book)
 	}
 	return book, nil
@@ -73,8 +74,8 @@
 
 // writeSnapshot replaces the stored snapshot by a newer one. Failures are
 // ignored because the log holds every change. A snapshot is never replaced by
-// one of a lower revision: a host that starts from it would briefly serve by
-// rules that were replaced long ago. The write is conditional on the version
+// one of a lower revision: a host that starts from it would briefly use an
+// outdated configuration. The write is conditional on the version
 // that was read, so that it can't overwrite a newer snapshot that was written
 // in between.
 func (l *Log) writeSnapshot(ctx context.Context, book *rules.Book) {
--- a/pkg/codes/promise.go
+++ b/pkg/codes/promise.go
@@ -1,6 +1,6 @@
 package codes
 
-// The promises: guarantees that hold under every failure.
+// The promises: guarantees that also hold during failures.
 var (
 	PromiseResidency = Code{
 		ID: "VB5001", Title: "data never leaves the place its residency rule confines it to", Since: firstVersion, Severity: Error,
--- a/pkg/ident/ident.go
+++ b/pkg/ident/ident.go
@@ -67,8 +67,8 @@
 // Zero is the empty configuration.
 type Revision uint64
 
-// Fence is a fencing token that is sent with an order to a target. A target
-// that checks it refuses an order with a lower number than the highest it has
+// Fence is a fencing token that is sent with an attempt to a target. A target
+// that checks it refuses an attempt with a lower number than the highest it has
 // seen.
 type Fence uint64
 
--- a/pkg/rules/book.go
+++ b/pkg/rules/book.go
@@ -47,7 +47,7 @@
 		e.Kind, e.Name, e.Changed, e.Base)
 }
 
-// GapError reports that a change does not have the revision after the book's.
+// GapError reports a change whose revision does not directly follow the book's.
 type GapError struct {
 	Have ident.Revision
 	Got  ident.Revision
@@ -59,20 +59,20 @@
 }
 
 // FromStatic returns the book of a configuration that is written as a whole.
-func FromStatic(rev ident.Revision, sh StaticConfig) *Book {
+func FromStatic(rev ident.Revision, static StaticConfig) *Book {
 	b := (*Book)(nil).clone()
 	b.Revision = rev
-	for _, p := range sh.Profiles {
+	for _, p := range static.Profiles {
 		b.profiles[p.Name] = p
 	}
-	for _, c := range sh.Clients {
+	for _, c := range static.Clients {
 		b.clients[c.Name] = c
 		b.byDigest[c.KeyDigest] = c.Name
 	}
-	for _, s := range sh.Services {
+	for _, s := range static.Services {
 		b.services[s.Name] = s
 	}
-	b.limits = sh.Limits
+	b.limits = static.Limits
 	b.routes = indexRoutes(b.Profiles())
 	return b
 }
@@ -92,17 +92,17 @@
 	if b == nil {
 		return nil
 	}
-	var homes []ident.Region
+	var regions []ident.Region
 	for _, p := range b.routes[host] {
 		switch {
 		case !p.Confined():
-		case homes == nil:
-			homes = slices.Clone(p.Regions)
+		case regions == nil:
+			regions = slices.Clone(p.Regions)
 		default:
-			homes = slices.DeleteFunc(homes, func(r ident.Region) bool { return !slices.Contains(p.Regions, r) })
+			regions = slices.DeleteFunc(regions, func(r ident.Region) bool { return !slices.Contains(p.Regions, r) })
 		}
 	}
-	return homes
+	return regions
 }
 
 // Service returns the configuration of the service with the given name.
@@ -367,43 +367,43 @@
 
 // MarshalJSON encodes the whole book for a snapshot.
 func (b *Book) MarshalJSON() ([]byte, error) {
-	img := bookJSON{
+	snap := bookJSON{
 		Revision: b.Rev(),
 		LastID:   b.LastID(),
 		Profiles: b.Profiles(),
 		Clients:  b.Clients(),
 	}
 	for k, rev := range b.changed {
-		img.Changed = append(img.Changed, changedItem{k.kind, k.name, rev})
+		snap.Changed = append(snap.Changed, changedItem{k.kind, k.name, rev})
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.services)) {
-		img.Services = append(img.Services, b.services[name])
+		snap.Services = append(snap.Services, b.services[name])
 	}
 	if b.limits != (CallerLimits{}) {
-		img.Limits = &b.limits
+		snap.Limits = &b.limits
 	}
-	slices.SortFunc(img.Changed, func(x, y changedItem) int {
+	slices.SortFunc(snap.Changed, func(x, y changedItem) int {
 		if c := bytes.Compare([]byte(x.Kind), []byte(y.Kind)); c != 0 {
 			return c
 		}
 		return bytes.Compare([]byte(x.Name), []byte(y.Name))
 	})
-	return json.Marshal(img)
+	return json.Marshal(snap)
 }
 
 // UnmarshalJSON decodes a snapshot.
 func (b *Book) UnmarshalJSON(data []byte) error {
-	var img bookJSON
-	if err := json.Unmarshal(data, &img); err != nil {
+	var snap bookJSON
+	if err := json.Unmarshal(data, &snap); err != nil {
 		return err
 	}
-	sh := StaticConfig{Profiles: img.Profiles, Clients: img.Clients, Services: img.Services}
-	if img.Limits != nil {
-		sh.Limits = *img.Limits
+	static := StaticConfig{Profiles: snap.Profiles, Clients: snap.Clients, Services: snap.Services}
+	if snap.Limits != nil {
+		static.Limits = *snap.Limits
 	}
-	next := FromStatic(img.Revision, sh)
-	next.lastID = img.LastID
-	for _, it := range img.Changed {
+	next := FromStatic(snap.Revision, static)
+	next.lastID = snap.LastID
+	for _, it := range snap.Changed {
 		next.changed[itemKey{it.Kind, it.Name}] = it.Revision
 	}
 	*b = *next
--- a/pkg/rules/route.go
+++ b/pkg/rules/route.go
@@ -23,9 +23,10 @@
 )
 
 // Route selects the requests of a profile by host and path, and says how they
-// may be attempted. A profile with a route needs no ticket or idempotency key
-// for requests that may run only once: each request is one attempt by its
-// caller, and the entry host that received it never sends it a second time.
+// may be attempted. Requests of a profile with a route need no ticket or
+// idempotency key, even if they may run only once: the entry host treats each
+// request from a caller as a new one. A request that is not Repeatable is not
+// sent to a second target once it may have run.
 type Route struct {
 	Host string `json:"host"`
 	// Prefix is a prefix of the path of each request. If several routes of a
@@ -67,7 +68,7 @@
 // Pick returns the service for the request with the given hash, or "" if no
 // share has a positive weight. The same hash gives the same service as long as
 // the shares don't change.
-func (r *Route) Pick(key uint64) string {
+func (r *Route) Pick(hash uint64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += max(s.Weight, 0)
@@ -75,7 +76,7 @@
 	if total == 0 {
 		return ""
 	}
-	n := int(key % uint64(total))
+	n := int(hash % uint64(total))
 	for _, s := range r.Shares {
 		if n -= max(s.Weight, 0); n < 0 {
 			return s.Service
--- a/pkg/rules/rules.go
+++ b/pkg/rules/rules.go
@@ -142,11 +142,12 @@
 	return len(p.Regions) == 0 || slices.Contains(p.Regions, r)
 }
 
-// Confined reports whether the residency rule excludes any region.
+// Confined reports whether the residency rule limits the regions that the data
+// may enter.
 func (p Profile) Confined() bool { return p.HomeOnly || len(p.Regions) > 0 }
 
-// Digest returns the SHA-256 digest of an API key in hexadecimal, as in
-// Client.KeyDigest.
+// Digest returns the SHA-256 digest of an API key or an operator's token in
+// hexadecimal, as in Client.KeyDigest.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
