--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -24,8 +24,8 @@
 	c.checkCallersTLS()
 	c.checkPeersTLS()
 	c.checkEndpoint()
-	c.checkListeners()
-	c.checkNames()
+	c.checkDistinctListeners()
+	c.checkDistinctNames()
 }
 
 // checkField follows the path of a field through every element of a list and checks
@@ -112,7 +112,7 @@
 	}
 }
 
-func (c *checker) checkListeners() {
+func (c *checker) checkDistinctListeners() {
 	seen := map[string]string{}
 	for _, l := range []struct{ path, addr string }{
 		{"callers.listen", c.set.Callers.Listen},
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *checker) checkNames() {
+func (c *checker) checkDistinctNames() {
 	seeds, ops := map[string]string{}, map[string]string{}
 	for i, s := range c.set.Peers.Seeds {
 		c.checkDistinct(seeds, fmt.Sprintf("peers.seeds[%d].entry", i), string(s.Entry))
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -60,17 +60,17 @@
 	book          *rules.Book
 	recentChanges []rules.Change
 
-	watching     bool
-	watchStart   ident.Time
-	snapshotRead bool
-	failures     int
-	retryAt      ident.Time
-	answeredAt   ident.Time
-	hasAnswer    bool
-	lastAsked    map[ident.EntryID]ident.Time
-	// askedAt is the time of the last query to any peer. unanswered counts the queries
+	watching      bool
+	watchStart    ident.Time
+	snapshotRead  bool
+	failures      int
+	retryAt       ident.Time
+	answeredAt    ident.Time
+	everAnswered  bool
+	lastAskByPeer map[ident.EntryID]ident.Time
+	// lastAskAt is the time of the last query to any peer. unanswered counts the queries
 	// since the last change came into force.
-	askedAt    ident.Time
+	lastAskAt  ident.Time
 	unanswered int
 	// platformProgressAt is the last time at which an answer of the platform was in
 	// transfer.
@@ -86,7 +86,7 @@
 
 // New returns the state of a host without a configuration.
 func New(self event.Host) *Distributor {
-	return &Distributor{self: self, lastAsked: make(map[ident.EntryID]ident.Time)}
+	return &Distributor{self: self, lastAskByPeer: make(map[ident.EntryID]ident.Time)}
 }
 
 // Book returns the configuration in force, or nil if there is none yet.
@@ -97,7 +97,7 @@
 
 // PlatformAge returns the time since the platform last answered this host.
 func (s *Distributor) PlatformAge(now ident.Time) (time.Duration, bool) {
-	return now.Sub(s.answeredAt), s.hasAnswer
+	return now.Sub(s.answeredAt), s.everAnswered
 }
 
 // PlatformFailing reports whether this host has to watch the platform and its last call
@@ -191,25 +191,25 @@
 		return nil
 	}
 	if s.platformFirst && s.failures == 0 && s.unanswered == 0 {
-		s.askedAt = now
+		s.lastAskAt = now
 		s.unanswered = 1
 		return []event.Effect{event.ReadSnapshot{}}
 	}
 	if s.platformAnswerArriving(now) {
 		return nil
 	}
-	if at, ok := s.lastAsked[host.ID]; ok && now.Sub(at) < peerAskInterval {
+	if at, ok := s.lastAskByPeer[host.ID]; ok && now.Sub(at) < peerAskInterval {
 		return nil
 	}
-	if s.unanswered > 0 && now.Sub(s.askedAt) < min(answerTimeout<<min(s.unanswered-1, 2), maxAnswerTimeout) {
+	if s.unanswered > 0 && now.Sub(s.lastAskAt) < min(answerTimeout<<min(s.unanswered-1, 2), maxAnswerTimeout) {
 		return nil
 	}
-	s.askedAt = now
+	s.lastAskAt = now
 	s.unanswered++
-	if len(s.lastAsked) >= maxAskedPeers {
-		clear(s.lastAsked)
+	if len(s.lastAskByPeer) >= maxAskedPeers {
+		clear(s.lastAskByPeer)
 	}
-	s.lastAsked[host.ID] = now
+	s.lastAskByPeer[host.ID] = now
 	return []event.Effect{event.AskChanges{To: host, After: s.Revision()}}
 }
 
@@ -220,7 +220,7 @@
 // newer book is still in transfer. Peers that sent the book at the same time would slow
 // it down.
 func (s *Distributor) platformAnswerArriving(now ident.Time) bool {
-	return s.platformFirst && s.platformProgressAt > 0 && now.Sub(s.platformProgressAt) < answerTimeout && now.Sub(s.askedAt) < maxAnswerTimeout
+	return s.platformFirst && s.platformProgressAt > 0 && now.Sub(s.platformProgressAt) < answerTimeout && now.Sub(s.lastAskAt) < maxAnswerTimeout
 }
 
 // WatchIdle records a watch that ended without a change.
@@ -241,7 +241,7 @@
 
 func (s *Distributor) platformAnswered(now ident.Time) {
 	s.failures = 0
-	s.hasAnswer = true
+	s.everAnswered = true
 	s.answeredAt = now
 }
 
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -34,7 +34,7 @@
 // or the highest snapshot.
 type naive struct{ rev ident.Revision }
 
-func (n *naive) changes(cs []rules.Change) {
+func (n *naive) applyChanges(cs []rules.Change) {
 	for _, c := range cs {
 		if c.Revision == n.rev+1 {
 			n.rev = c.Revision
@@ -42,7 +42,7 @@
 	}
 }
 
-func (n *naive) snapshot(rev ident.Revision) { n.rev = max(n.rev, rev) }
+func (n *naive) applySnapshot(rev ident.Revision) { n.rev = max(n.rev, rev) }
 
 func bookAt(rev ident.Revision) *rules.Book {
 	var b *rules.Book
@@ -64,12 +64,12 @@
 			if rapid.Bool().Draw(rt, "snapshot") {
 				rev := ident.Revision(rapid.IntRange(0, 12).Draw(rt, "rev"))
 				s.ApplySnapshot(now, event.SnapshotReceived{From: from, Book: bookAt(rev)})
-				n.snapshot(rev)
+				n.applySnapshot(rev)
 			} else {
 				first := ident.Revision(rapid.IntRange(1, 12).Draw(rt, "first"))
 				cs := []rules.Change{change(first), change(first + 1)}
 				s.ApplyChanges(now, event.ChangesReceived{From: from, Changes: cs}, nil)
-				n.changes(cs)
+				n.applyChanges(cs)
 			}
 			if s.Revision() < before {
 				rt.Fatalf("revision went from %d back to %d", before, s.Revision())
@@ -197,7 +197,7 @@
 
 // Guards against hosts that are receiving a large configuration from the platform also
 // asking a peer for it, which slows down their links.
-func TestArrivingAnswerAsksNoPeer(t *testing.T) {
+func TestNoPeerIsAskedWhileAnswerArrives(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
 	sp.SetPlatformFirst(true)
 	at := ident.Time(time.Second)
