--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
 // Package clock is the timer service of a process. It is the only place that
-// reads the monotonic clock for control and that owns timers.
+// reads the monotonic clock for control decisions and that owns timers.
 //
 // # Usage
 //
@@ -26,7 +26,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Service delivers timer ticks. Its times count from its start.
+// Service delivers timer ticks. All times are measured from its start.
 type Service struct {
 	t     tomb.Tomb
 	start time.Time
@@ -86,32 +86,32 @@
 }
 
 // C returns the channel on which ticks are delivered.
-func (b *Subscription) C() <-chan ident.Time { return b.c }
+func (sub *Subscription) C() <-chan ident.Time { return sub.c }
 
 // Reset changes the due time and discards a tick that has not been received yet.
-func (b *Subscription) Reset(at ident.Time) {
-	s := b.svc
+func (sub *Subscription) Reset(at ident.Time) {
+	s := sub.svc
 	s.mu.Lock()
-	if b.index >= 0 {
-		heap.Remove(&s.queue, b.index)
+	if sub.index >= 0 {
+		heap.Remove(&s.queue, sub.index)
 	}
 	select {
-	case <-b.c:
+	case <-sub.c:
 	default:
 	}
-	b.due = at
-	heap.Push(&s.queue, b)
+	sub.due = at
+	heap.Push(&s.queue, sub)
 	s.mu.Unlock()
 	s.wake()
 }
 
 // Close ends the subscription.
-func (b *Subscription) Close() {
-	s := b.svc
+func (sub *Subscription) Close() {
+	s := sub.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if b.index >= 0 {
-		heap.Remove(&s.queue, b.index)
+	if sub.index >= 0 {
+		heap.Remove(&s.queue, sub.index)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,9 +35,9 @@
 // Fleet holds the settings of a deployment whose platform supplies the routes,
 // the targets and the entry hosts to use. It is empty in other deployments.
 type Fleet struct {
-	// Directory is the address where callers look up the hosts to use, Ready
-	// the one for the platform's readiness checks, and Metrics the one that
-	// serves counters.
+	// Directory is the address where callers look up the hosts to use. Ready
+	// is the address for the platform's readiness checks, and Metrics is the
+	// address that serves counters.
 	Directory string `json:"directory"`
 	Ready     string `json:"ready"`
 	Metrics   string `json:"metrics"`
@@ -48,12 +48,14 @@
 	Places []FleetPlace `json:"places"`
 	// GraceSeconds is the time from SIGTERM to the end of the process.
 	GraceSeconds float64 `json:"graceSeconds"`
-	// RetryRatio and RetryFloor bound the retries at a service over all hosts in
-	// ten seconds.
+	// RetryRatio bounds the retries at a service as a fraction of its requests,
+	// and RetryFloor is the number of retries allowed regardless of the requests.
+	// Both apply to all hosts together and to ten seconds.
 	RetryRatio float64 `json:"retryRatio"`
 	RetryFloor int64   `json:"retryFloor"`
-	// ColdOvershoot and ColdSlack turn the rate of a cold target into the limit of
-	// what all hosts may send it in a second.
+	// ColdOvershoot and ColdSlack limit the requests that all hosts together may
+	// send to a cold target in a second: its rate times ColdOvershoot (at least
+	// 1), plus ColdSlack.
 	ColdOvershoot float64 `json:"coldOvershoot"`
 	ColdSlack     float64 `json:"coldSlack"`
 	// MinLeaseMs is the shortest lease that the platform grants.
@@ -135,9 +137,9 @@
 	// MaxBufferedBytes bounds the memory of all bodies and buffered
 	// answers together.
 	MaxBufferedBytes ident.Bytes `json:"maxHeldBytes"`
-	// HeaderMs and BodyMs are how long the headers and the body of a request
-	// may take to arrive, WriteMs how long a caller may take to accept a part
-	// of its answer, IdleMs how long a connection may wait for a request.
+	// HeaderMs and BodyMs are the timeouts for the headers and the body of a
+	// request to arrive. WriteMs is the timeout for a caller to accept a part
+	// of its answer, and IdleMs the timeout of an idle connection.
 	HeaderMs int64 `json:"headerMs"`
 	BodyMs   int64 `json:"bodyMs"`
 	WriteMs  int64 `json:"writeMs"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// A fault of a settings file is not reported, or only the first of several is.
+// Guards against a fault of a settings file that is not reported, such as all but the
+// first of several.
 func TestFaults(t *testing.T) {
 	dirs, err := filepath.Glob("testdata/*/in.jsonc")
 	if err != nil {
@@ -59,7 +60,8 @@
 	}
 }
 
-// A settings field is in the Settings type but not in Fields, or the reverse.
+// Guards against a settings field that is in the Settings type but not in Fields, or the
+// reverse.
 func TestFieldsDeclared(t *testing.T) {
 	declared := map[string]bool{}
 	for _, f := range Fields {
@@ -86,8 +88,8 @@
 	return map[string]bool{path: true}
 }
 
-// Parse panics on some input, accepts settings without their required fields, or
-// reports a fault without a code or message.
+// Guards against Parse panicking on some input, accepting settings without their
+// required fields, or reporting a fault without a code or message.
 func FuzzParse(f *testing.F) {
 	files, err := filepath.Glob("testdata/*/in.jsonc")
 	if err != nil {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -84,7 +84,7 @@
 
 func syntaxLine(err error) int {
 	var line, col int
-	if _, scan := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &line, &col); scan != nil {
+	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &line, &col); scanErr != nil {
 		return 0
 	}
 	return line
--- a/internal/config/pages_test.go
+++ b/internal/config/pages_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A generated page is out of date, because a declaration changed and the page was
-// not generated again.
+// Guards against an out-of-date page after a declaration has changed without the page
+// being generated again.
 func TestPagesAreCurrent(t *testing.T) {
 	for file, want := range map[string]string{"../../docs/settings.md": Page(), "../../docs/codes.md": CodesPage()} {
 		have, err := os.ReadFile(file)
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -20,7 +20,7 @@
 	text   []byte
 	lines  map[string]int
 	faults []Fault
-	// rejected holds the paths that are faulty, most of which were removed from the tree.
+	// rejected holds the paths of faulty fields. Most of these were removed from the tree.
 	rejected map[string]bool
 }
 
@@ -130,7 +130,7 @@
 	return k == '0' && !strings.ContainsAny(string(v.Value.(hujson.Literal)), ".eE") && len(v.Value.(hujson.Literal)) < maxDigits
 }
 
-// maxDigits bounds the length of whole numbers, so that they fit 64 bits.
+// maxDigits is the length at which whole numbers are rejected: shorter ones fit 64 bits.
 const maxDigits = 19
 
 // suggestName suggests a replacement for an unknown field.
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,21 +1,21 @@
-// Package group manages the goroutines of one owner. More of them can be started at
-// any time, also while the owner stops.
+// Package group manages the goroutines of one owner. Go can be called at any time,
+// even while the owner is stopping.
 //
 // # Usage
 //
 //	type Server struct{ group group.Group }
 //
-//	s.group.Go(s.run)      // false once the group ends
+//	s.group.Go(s.run)      // false once the group is ending
 //	ctx := s.group.Context(context.Background())
 //	s.group.Kill(nil)
 //	err := s.group.Wait()
 //
-// A tomb dies when the last of its goroutines has returned, and starting another one on
-// a dead tomb panics. This happens to an owner that starts several goroutines in turn if
-// the first returns before the second is started: a listener that fails at once, or a
-// request that arrives while the host stops. The panic then ends a process with hundreds
-// of running requests. A group therefore keeps one goroutine of its own, which is the
-// last to return, so that at any moment it is defined whether another may start.
+// A tomb.Tomb dies when the last of its goroutines has returned, and starting another
+// one on a dead tomb panics. This happens to an owner that starts several goroutines in
+// turn if the first returns before the second is started: a listener that fails at once,
+// or a request that arrives while the host stops. The panic then ends a process with
+// hundreds of running requests. A group therefore runs one goroutine of its own, which
+// keeps the tomb alive until the group accepts no more goroutines.
 //
 // The zero value is ready to use.
 package group
@@ -38,7 +38,7 @@
 	joining         chan struct{}
 }
 
-// Go starts a goroutine. It returns false if the group has ended.
+// Go starts a goroutine. It returns false if the group accepts no more goroutines.
 func (g *Group) Go(run func() error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +59,7 @@
 	g.t.Go(g.keepAlive)
 }
 
-// keepAlive prevents the tomb from dying before the group has ended.
+// keepAlive prevents the tomb from dying while the group still accepts goroutines.
 func (g *Group) keepAlive() error {
 	select {
 	case <-g.t.Dying():
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Kill asks all goroutines to end.
+// Kill asks all goroutines to end. The group soon accepts no more of them.
 func (g *Group) Kill(reason error) {
 	g.mu.Lock()
 	if !g.started {
@@ -107,5 +107,5 @@
 // Dying returns a channel that is closed when the goroutines are asked to end.
 func (g *Group) Dying() <-chan struct{} { return g.t.Dying() }
 
-// Context returns a context that is cancelled when the group ends.
+// Context returns a context that is cancelled when the goroutines are asked to end.
 func (g *Group) Context(parent context.Context) context.Context { return g.t.Context(parent) }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -9,16 +9,16 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Bounds of a Writer.
+// Queue limit and drop report of a Writer.
 const (
-	// maxQueueBytes bounds the queued lines; it holds some seconds of lines at
-	// a few hundred a second.
+	// maxQueueBytes bounds the queued lines. It is enough for some seconds at a few
+	// hundred lines a second.
 	maxQueueBytes = 256 << 10
 	// droppedLinesFormat is the line that reports dropped lines.
-	droppedLinesFormat = "level=0 msg=\"log lines left out\" lines=%d reason=\"the output is slower than the lines come\"\n"
+	droppedLinesFormat = "level=0 msg=\"log lines left out\" lines=%d reason=\"the output is slower than the logging\"\n"
 )
 
-// Writer writes lines to another writer without ever blocking the caller.
+// Writer writes lines to another writer. Write never blocks the caller.
 //
 // Standard output is often a pipe. If nobody reads it, a write blocks and with it
 // the goroutine that logs: a host would stop serving because of its log. Lines
@@ -57,7 +57,7 @@
 	return len(line), nil
 }
 
-// Stop writes the queued lines and ends the writer.
+// Stop writes the queued lines and ends the writer. It blocks while the output does.
 func (w *Writer) Stop() {
 	w.t.Kill(nil)
 	_ = w.t.Wait()
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -21,7 +21,7 @@
 	return s.got.Write(b)
 }
 
-// A goroutine that logs blocks because nobody reads the output.
+// Guards against a goroutine that logs being blocked because nobody reads the output.
 func TestWriterNeverBlocks(t *testing.T) {
 	out := &blockedOutput{gate: make(chan struct{})}
 	w := NewWriter(out)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -92,7 +92,7 @@
 func (l *Loop) Done() <-chan struct{} { return l.t.Dead() }
 
 // Post queues an event. It blocks while the queue is full, which slows the senders down
-// instead of losing events.
+// instead of losing events. Events may be lost once the loop is stopping.
 func (l *Loop) Post(ev event.Event) {
 	select {
 	case l.events <- ev:
@@ -186,7 +186,7 @@
 	case event.BreakOff:
 		l.deliver(e.Request, e)
 	case event.KeepAttempt:
-		// Nothing to execute: Config.Record has already stored the effect.
+		// Nothing to execute: the effect exists only for Config.Record.
 	case event.Replay:
 		l.deliver(e.Request, e)
 	case event.TicketIssued:
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -42,10 +42,10 @@
 	for range 10 * mailboxSize {
 		l.Post(event.RequestArrived{Request: event.Request{ID: "stuck"}})
 	}
-	box, _ := l.OpenMailbox("other")
+	mailbox, _ := l.OpenMailbox("other")
 	l.Post(event.RequestArrived{Request: event.Request{ID: "other"}})
 	select {
-	case eff := <-box:
+	case eff := <-mailbox:
 		if diff := cmp.Diff(event.Effect(event.Finish{Request: "other"}), eff); diff != "" {
 			t.Errorf("effect (-want +got):\n%s", diff)
 		}
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts the traffic of an entry host in a go-metrics registry, which is served
-// at the operators' address.
+// Package meter counts the traffic of an entry host in a go-metrics registry, which the
+// operators' API serves.
 //
 // # Usage
 //
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,6 +1,6 @@
-// Package spread holds the configuration in force at one entry host and
-// distributes its changes: from the platform, from peers of the same data
-// centre, and from other data centres.
+// Package spread holds the configuration in force at one entry host. It receives
+// changes from the platform, from peers of the same data centre and from hosts of
+// other data centres, and pushes them to the peers.
 //
 // # Usage
 //
@@ -10,11 +10,11 @@
 //
 // One host of a data centre watches the platform and pushes each change to the others.
 // A host that sees a higher revision than its own asks for the missing changes. The next
-// heartbeat thereby repairs a lost push, and a data centre that is cut off from the
+// heartbeat thereby repairs a lost push, and a data centre that cannot reach the
 // platform gets changes from another one. A book is replaced only by one of a higher
 // revision, so that no change is reverted.
 //
-// The state belongs to the reducer and reads no clock.
+// A Distributor is used only by the reducer. It reads no clock: callers pass the time.
 package spread
 
 import (
@@ -30,19 +30,19 @@
 // Timeouts and intervals of the distribution.
 const (
 	// watchTimeout is the time without an answer after which a watch is restarted. It
-	// is longer than the longest time for which the platform holds a watch.
+	// is longer than the longest time for which the platform keeps a watch open.
 	watchTimeout = 40 * time.Second
-	// minBackoff and maxBackoff bound the delay after a failed call to the platform.
-	// With the jitter of each host, the longest delay is one and a half times
-	// maxBackoff. It must stay below the time in which a change has to be in force: a
-	// data centre that is cut off from the others when the platform recovers gets the
-	// change only by its own retry.
+	// minBackoff and maxBackoff bound the delay after a failed call to the platform,
+	// before jitter. With jitter, the longest delay is one and a half times maxBackoff.
+	// It must stay below the time in which a change has to be in force: if a data
+	// centre cannot reach the others when the platform recovers, it gets the change
+	// only by its own retry.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 2500 * time.Millisecond
 	// peerAskInterval is the minimum time between two queries to the same peer.
 	peerAskInterval = 500 * time.Millisecond
-	// answerTimeout is how long the host waits for an answer before it asks another
-	// peer. It doubles with each unanswered query up to maxAnswerTimeout.
+	// answerTimeout is how long the host waits for the answer to a query before it asks
+	// the next peer. It doubles with each unanswered query up to maxAnswerTimeout.
 	answerTimeout    = time.Second
 	maxAnswerTimeout = 4 * time.Second
 )
@@ -68,8 +68,9 @@
 	answeredAt    ident.Time
 	everAnswered  bool
 	lastAskByPeer map[ident.EntryID]ident.Time
-	// lastAskAt is the time of the last query to any peer. unanswered counts the queries
-	// since the last change came into force.
+	// lastAskAt is the time of the last query for a higher revision, to any peer or, with
+	// platformFirst, to the platform. unanswered counts these queries since the last
+	// change came into force.
 	lastAskAt  ident.Time
 	unanswered int
 	// platformProgressAt is the last time at which an answer of the platform was in
@@ -81,7 +82,7 @@
 
 // SetPlatformFirst selects whether a higher revision is read from the platform first,
 // and from a peer only if that fails. When few hosts read the platform for all others,
-// their links can't carry the book to all of them.
+// the links of these few can't carry the book to every host.
 func (s *Distributor) SetPlatformFirst(enabled bool) { s.platformFirst = enabled }
 
 // New returns the state of a host without a configuration.
@@ -100,8 +101,8 @@
 	return now.Sub(s.answeredAt), s.everAnswered
 }
 
-// PlatformFailing reports whether this host has to watch the platform and its last call
-// failed.
+// PlatformFailing reports whether the last call of this host to the platform failed,
+// other than a read of the host list. Stopping an active watch resets it.
 func (s *Distributor) PlatformFailing() bool { return s.failures > 0 }
 
 // ApplyChanges applies changes from the platform or a peer and pushes the new ones to
@@ -246,8 +247,8 @@
 }
 
 // backoff returns the delay after the last failure, with a jitter that depends on the
-// host. Without it, all data centres would retry at the same moment when the platform
-// has just recovered, and overload it again.
+// host. Without it, all data centres would retry at the same moment and overload a
+// platform that has just recovered.
 func (s *Distributor) backoff() time.Duration {
 	d := minBackoff << min(s.failures-1, 10)
 	d = min(d, maxBackoff)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -84,8 +84,8 @@
 	})
 }
 
-// Guards against a peer that lacks changes no longer kept one by one waiting for them
-// for ever.
+// Guards against a peer waiting for ever for changes that the other host no longer keeps
+// one by one.
 func TestLaggingPeerGetsTheWholeBook(t *testing.T) {
 	s := New(event.Host{ID: "uvs-1"})
 	for rev := ident.Revision(1); rev <= maxRecentChanges+10; rev++ {
@@ -132,7 +132,7 @@
 // maxPropagationDelay is the time within which an accepted change must be in force.
 const maxPropagationDelay = 4 * time.Second
 
-// Guards against a backoff that delays a change beyond its bound.
+// Guards against a backoff that delays a change by more than maxPropagationDelay.
 func TestBackoffStaysBelowPropagationBound(t *testing.T) {
 	for i := range 45 {
 		s := New(event.Host{ID: ident.EntryID(fmt.Sprint("host-", i))})
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// A hop of a request is missing from the caller's trace, or has the wrong parent span.
+// Guards against a hop of a request that is missing from the caller's trace or has the
+// wrong parent span.
 func TestHops(t *testing.T) {
 	exp := tracetest.NewInMemoryExporter()
 	tr := newTracer(Config{Ratio: 0, Entry: "e"}, sdk.NewSimpleSpanProcessor(exp))
@@ -49,7 +50,8 @@
 	check(t, "out", true, strings.HasPrefix(h.Get("Traceparent"), "00-0af7651916cd43dd8448eb211c80319c-"))
 }
 
-// A host that exports no spans drops the trace context, which splits the caller's trace.
+// Guards against a host that exports no spans dropping the trace context, which would
+// split the caller's trace.
 func TestDisabledTracerPropagatesContext(t *testing.T) {
 	tr, err := New(Config{Exporter: None})
 	if err != nil {
@@ -65,7 +67,7 @@
 	check(t, "no trace to propagate", "", Parent(t.Context()))
 }
 
-// Spans that are still queued are lost when the host stops.
+// Guards against losing queued spans when the host stops.
 func TestStdout(t *testing.T) {
 	var out bytes.Buffer
 	tr, err := New(Config{Exporter: Stdout, Ratio: 1, Out: &out})
@@ -80,7 +82,7 @@
 	check(t, "span", true, strings.Contains(out.String(), `"Name":"chat"`))
 }
 
-// An unknown exporter is accepted and silently exports nothing.
+// Guards against accepting an unknown exporter, which would silently export nothing.
 func TestUnknownExporter(t *testing.T) {
 	_, err := New(Config{Exporter: "file"})
 	check(t, "fault", true, err != nil)
