--- a/internal/event/effect.go
+++ b/internal/event/effect.go
@@ -48,7 +48,8 @@
 	Gap   time.Duration `json:"gap,omitempty"`
 }
 
-// Basis holds the inputs of a decision about a request, for the log.
+// Basis holds the inputs of a decision about a request of a route, for the log. It is
+// zero for other requests.
 type Basis struct {
 	// Profile is the profile that was applied to the request, Revision the configuration
 	// that defines it.
@@ -70,10 +71,11 @@
 	ExpectedEvents float64       `json:"expect,omitempty"`
 	EventGap       time.Duration `json:"pace,omitempty"`
 	RemoteEventGap time.Duration `json:"paceThere,omitempty"`
-	// ForwardedShare is the share of the demand that went to other data centres.
-	// RemotePrefillRoom is the spare prefill rate, in tokens per second, of the data
-	// centre to which the request was forwarded. Both are zero if they did not affect
-	// the decision.
+	// ForwardedShare is the share of the unshared work (see PrefillDemand) of local
+	// callers that was to go to other data centres. RemotePrefillRoom is the work per
+	// second, in the unit of PrefillDemand, that the data centre to which the request
+	// was forwarded may take besides the unshared work of its own callers. Both are zero
+	// if they did not affect the decision.
 	ForwardedShare    float64 `json:"part,omitempty"`
 	RemotePrefillRoom float64 `json:"room,omitempty"`
 	// UncachedPrompt is the part of the prompt that the target was expected to prefill.
@@ -102,7 +104,7 @@
 }
 
 // Refuse gives a request its final answer if nothing has been sent to the caller yet,
-// and otherwise cuts the stream.
+// and otherwise aborts the stream.
 type Refuse struct {
 	Request ident.RequestID `json:"request"`
 	Code    codes.ID        `json:"code"`
@@ -118,7 +120,8 @@
 	Basis Basis `json:"basis"`
 	// Denial is the reason why a request that had an attempt gets no further one.
 	Denial Denial `json:"denial"`
-	// Ending is the side that ended an answer which may have run and is incomplete.
+	// Ending is the side that ended the answer, if the request may have run and its
+	// answer is incomplete.
 	Ending Ending `json:"ending"`
 }
 
@@ -146,7 +149,8 @@
 // decision. The zero Denial denies nothing.
 type Denial struct {
 	Reason DenialReason `json:"reason,omitempty"`
-	// Attempts is the number of attempts so far, MaxAttempts their limit.
+	// Attempts is the number of attempts so far, MaxAttempts their limit. For
+	// DeniedUnsent, both concern only attempts that ended before anything was sent.
 	Attempts    int `json:"tries,omitempty"`
 	MaxAttempts int `json:"maxTries,omitempty"`
 	// PredictedWait is the predicted time to the first token, RemainingTime the time to
@@ -171,7 +175,8 @@
 
 // Silence describes an attempt that sends no data.
 type Silence struct {
-	// Since is when the last piece of the answer arrived, zero for no silence.
+	// Since is when the last piece of the answer arrived, or when the attempt began if
+	// none has; zero for no silence.
 	Since ident.Time `json:"since,omitempty"`
 	// Duration is how long the silence has lasted.
 	Duration time.Duration `json:"lasted,omitempty"`
@@ -188,7 +193,7 @@
 }
 
 // DropLinks asks for the idle connections to an address to be closed, because its target
-// no longer runs.
+// has restarted.
 type DropLinks struct {
 	Target ident.TargetID `json:"target"`
 	URL    string         `json:"url"`
@@ -256,7 +261,7 @@
 	Attempt     ident.Attempt     `json:"attempt"`
 }
 
-// AnswerBar answers the "run or bar" question of a peer.
+// AnswerBar answers the "run or bar" query of a peer.
 type AnswerBar struct {
 	To      ident.EntryID `json:"to"`
 	Attempt ident.Attempt `json:"attempt"`
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -169,7 +169,7 @@
 	// Forwarded is the work in flight that the sender has forwarded to other data
 	// centres.
 	Forwarded []ForwardedUse `json:"away,omitempty"`
-	// Demand is the prefill work for engines that the sender's callers request.
+	// Demand is the work that the sender's callers request, wherever it is served.
 	Demand []PrefillDemand `json:"flows,omitempty"`
 	// Holders lists the targets to which the sender has sent prompts with long shared
 	// prefixes since its last digest.
@@ -202,12 +202,12 @@
 	Running    int              `json:"running"`
 }
 
-// PrefillDemand is the work that callers request from the engines of a service.
+// PrefillDemand is the work per second that callers request from a service: in prompt
+// tokens if its targets are engines, otherwise in seconds of slot time.
 type PrefillDemand struct {
 	Service string `json:"service"`
-	// UnsharedPrefill is the work of prompts that share little with others,
-	// SharedPrefill that of prompts with a long shared prefix, both in tokens to prefill
-	// per second.
+	// SharedPrefill is the work of prompts with a long prefix that other prompts share,
+	// UnsharedPrefill the work of all other requests.
 	UnsharedPrefill float64 `json:"alone"`
 	SharedPrefill   float64 `json:"shared"`
 }
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -11,7 +11,7 @@
 // Outcome states whether a request ran, as far as its caller can know.
 type Outcome string
 
-// The outcomes. NotRun is a promise; Unknown claims nothing.
+// The outcomes. NotRun is a guarantee; Unknown makes no statement.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "notRun"
@@ -95,7 +95,7 @@
 	ResultFailed Result = "failed"
 )
 
-// Answer is the state of an attempt that a "run or bar" question asked about.
+// Answer is the state of an attempt that a "run or bar" query asked about.
 type Answer string
 
 // The answers.
@@ -117,8 +117,8 @@
 	Request Request `json:"request"`
 }
 
-// AttemptSent reports that the first byte of the request was written; from now on it may
-// run.
+// AttemptSent reports that the first byte of the request is about to be written; from
+// now on it may run.
 type AttemptSent struct {
 	Attempt ident.Attempt `json:"attempt"`
 }
--- a/internal/event/system.go
+++ b/internal/event/system.go
@@ -122,13 +122,13 @@
 	Dropped     []uint64          `json:"dropped,omitempty"`
 }
 
-// HostsRead carries the platform's list of hosts. The list lags.
+// HostsRead carries the platform's list of hosts. The list may be outdated.
 type HostsRead struct {
 	Version uint64   `json:"version"`
 	Hosts   []Host   `json:"hosts"`
 	Targets []Target `json:"targets"`
-	// Complete means that the list is current to within a moment and contains every host
-	// and target that the platform considers present, so that missing ones have gone.
+	// Complete means that the list is nearly current and contains every host and target
+	// that the platform considers present, so that missing ones have been removed.
 	Complete bool `json:"complete,omitempty"`
 }
 
--- a/internal/peer/bounds.go
+++ b/internal/peer/bounds.go
@@ -11,8 +11,8 @@
 
 // Timing holds the intervals and timeouts of the links. Zero fields take their defaults.
 type Timing struct {
-	// TickInterval is the interval at which the sessions are checked, KeyCheckInterval that at
-	// which the key files are read again.
+	// TickInterval is how often the sessions are checked, KeyCheckInterval how often the key
+	// files are read again.
 	TickInterval, KeyCheckInterval time.Duration
 	// A session within this data centre sends a ping after PingInterval without a write, and is
 	// closed after SilenceTimeout without a read.
@@ -77,8 +77,9 @@
 	MaxLinks, MaxSessions int
 	// MaxHandshakes limits the incoming connections that are not yet authenticated.
 	MaxHandshakes int
-	// MaxStreams limits the concurrent forwarded requests of one session: those accepted from
-	// the peer, and for a new one to the peer those of both directions.
+	// MaxStreams limits the concurrent forwarded requests of one session. A request from the
+	// peer is refused if the peer has that many requests here; a request to the peer is refused
+	// if the requests of both directions together reach the limit.
 	MaxStreams int
 	// MaxQueued limits the control messages that are queued for one peer.
 	MaxQueued int
@@ -112,11 +113,13 @@
 	// digestsDropped counts digests and summaries that were not sent because the peer was slow
 	// or unreachable, messagesDropped counts other control messages that were not sent.
 	digestsDropped, messagesDropped metrics.Counter
-	// refused counts connections that failed authentication, rejected counts messages that are
-	// unknown or that the peer may not send.
+	// refused counts incoming connections on which no session could be established, except those
+	// beyond MaxHandshakes, and sessions whose certificate was no longer valid. rejected counts
+	// received messages that are unknown or not allowed, and "run or bar" messages that this
+	// host did not send because their attempt or recipient was invalid.
 	refused, rejected metrics.Counter
-	// full counts sessions and streams beyond the bounds, silent counts sessions that were
-	// closed because nothing was read.
+	// full counts connections, sessions and streams beyond the bounds, silent counts sessions
+	// that were closed because nothing was read.
 	full, silent metrics.Counter
 }
 
--- a/internal/peer/fault_test.go
+++ b/internal/peer/fault_test.go
@@ -34,8 +34,8 @@
 	if diff := cmp.Diff(event.ResultNotRun, end.Result); diff != "" {
 		t.Errorf("result of a request whose body was not requested (-want +got):\n%s", diff)
 	}
-	if a.sentCalls != 1 {
-		t.Errorf("sent was called %d times", a.sentCalls)
+	if a.onSendCalls != 1 {
+		t.Errorf("onSend was called %d times", a.onSendCalls)
 	}
 	eventually(t, "the link is down", func() bool { return x.hasEvent(isDown("uvs-2")) })
 	if diff := cmp.Diff(int64(1), x.count("silent")); diff != "" {
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -15,14 +15,14 @@
 // request.
 const maxEagerBody = 64 << 10
 
-// Forward forwards a request to another entry host and returns the result. It calls sent before
-// the first byte can reach the host.
+// Forward forwards a request to another entry host and returns the result. It calls onSend
+// before the first byte can reach the host.
 //
 // The host does not run the request before it has the whole body. A link that breaks before the
 // first piece of the body is written therefore proves that the request was not run; a link that
 // breaks later proves nothing.
-func (m *Mesh) Forward(ctx context.Context, p serve.ForwardedRequest, sent func(), relay serve.Relay) event.AttemptEnded {
-	s, ok := m.awaitSession(ctx, p.Forward.To)
+func (m *Mesh) Forward(ctx context.Context, req serve.ForwardedRequest, onSend func(), relay serve.Relay) event.AttemptEnded {
+	s, ok := m.awaitSession(ctx, req.Forward.To)
 	if !ok {
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
@@ -36,19 +36,19 @@
 		s.unacknowledged.Add(-1)
 		return event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	}
-	c := &outboundRequest{ForwardedRequest: p, m: m, session: s, stream: newRequestStream(m, st), relay: relay, delivered: p.Call.Resume}
-	c.delivered = max(c.delivered, p.Forward.ResumeAfter)
-	// Closing the stream before its end frame signals that the caller has gone.
+	c := &outboundRequest{ForwardedRequest: req, m: m, session: s, stream: newRequestStream(m, st), relay: relay, delivered: req.Call.Resume}
+	c.delivered = max(c.delivered, req.Forward.ResumeAfter)
+	// Closing the stream before its end frame signals that the caller has disconnected.
 	defer st.Close()
 	stop := context.AfterFunc(ctx, c.stream.cancelIO)
 	defer stop()
-	sent()
+	onSend()
 	return c.exchange()
 }
 
-// reserveStream reserves a slot for one more request to the peer. OpenStream blocks when the
-// peer has not accepted a whole backlog of streams, so at most half of the slots may be
-// unacknowledged.
+// reserveStream reserves one of the MaxStreams slots for a request to the peer. OpenStream
+// blocks while the backlog of streams that the peer has not accepted is full, so at most half
+// of the slots may be unacknowledged.
 func (s *session) reserveStream() bool {
 	limit := int32(s.m.cfg.Bounds.MaxStreams)
 	total, unacknowledged := s.streams.Add(1), s.unacknowledged.Add(1)
@@ -60,8 +60,9 @@
 	return false
 }
 
-// awaitSession returns a session with the given incarnation of a host, and false if another
-// incarnation is connected. If there is no session, it waits for one up to LinkTimeout.
+// awaitSession returns a session with the given incarnation of a host, or with any if the
+// incarnation is zero. It returns false if another incarnation is connected. If there is no
+// session, it waits for one up to LinkTimeout.
 func (m *Mesh) awaitSession(ctx context.Context, to event.Host) (*session, bool) {
 	l := m.link(to.ID)
 	if l == nil {
--- a/internal/peer/forward_test.go
+++ b/internal/peer/forward_test.go
@@ -49,8 +49,8 @@
 		if diff := cmp.Diff(want, end); diff != "" {
 			t.Errorf("end with %d bytes (-want +got):\n%s", n, diff)
 		}
-		if a.body.String() != body || a.sentCalls != 1 || a.status != 200 {
-			t.Errorf("%d bytes: got %d, sent %d times, status %d", n, a.body.Len(), a.sentCalls, a.status)
+		if a.body.String() != body || a.onSendCalls != 1 || a.status != 200 {
+			t.Errorf("%d bytes: got %d, sent %d times, status %d", n, a.body.Len(), a.onSendCalls, a.status)
 		}
 	}
 	mu.Lock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// A request that finds no link must be reported as not run, and sent must not be called.
+// A request that finds no link must be reported as not run, and onSend must not be called.
 func TestNoLinkIsNotRun(t *testing.T) {
 	x := startNode(t, Config{
 		Self: newHost("uvs-1", "uvs", ports.Next()), Timing: Timing{LinkTimeout: 50 * time.Millisecond},
@@ -137,8 +137,8 @@
 	if diff := cmp.Diff(want, end); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
-	if a.sentCalls != 0 {
-		t.Error("sent was called")
+	if a.onSendCalls != 0 {
+		t.Error("onSend was called")
 	}
 }
 
--- a/internal/peer/keys_test.go
+++ b/internal/peer/keys_test.go
@@ -48,7 +48,7 @@
 			x := startNode(t, newKeyedConfig(t, "uvs-1", issueKeys(t, ca, "uvs-1")), nil)
 			conn := dialNode(t, x)
 			if c.cfg != nil {
-				// Only the check of the client by the host is under test.
+				// The test covers only the check of the client by the host.
 				c.cfg.InsecureSkipVerify = true
 				conn = tls.Client(conn, c.cfg)
 			}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -248,10 +248,10 @@
 
 // receivedAnswer records what the caller's host has received.
 type receivedAnswer struct {
-	status    int
-	body      bytes.Buffer
-	delivered ident.Tokens
-	sentCalls int
+	status      int
+	body        bytes.Buffer
+	delivered   ident.Tokens
+	onSendCalls int
 }
 
 func (a *receivedAnswer) relay() serve.Relay {
@@ -273,6 +273,6 @@
 		change(&p)
 	}
 	a := &receivedAnswer{}
-	end := x.Forward(ctx, p, func() { a.sentCalls++ }, a.relay())
+	end := x.Forward(ctx, p, func() { a.onSendCalls++ }, a.relay())
 	return a, end
 }
--- a/internal/peer/take.go
+++ b/internal/peer/take.go
@@ -148,7 +148,8 @@
 }
 
 // readBody requests the body and waits for it, bounded in time and length. It fails if the peer
-// has gone, even after the whole body was received: nothing has reached a target yet.
+// has closed the stream, even after the whole body was received: nothing has reached a target
+// yet.
 func (k *inboundRequest) readBody() ([]byte, error) {
 	k.bodyRequested.Store(true)
 	if err := k.stream.write(&wire.Part{Body: &wire.Part_GoOn{GoOn: &wire.GoOn{}}}); err != nil {
@@ -186,8 +187,9 @@
 // which signals that the answer is no longer wanted.
 //
 // It runs from the start, not only after readBody. The request may be queued here before its
-// body is requested, and its caller may leave meanwhile. If the end of the stream were noticed
-// only after the body, the request would be sent to a target although nobody wants the answer.
+// body is requested, and its caller may disconnect meanwhile. If the end of the stream were
+// noticed only after the body, the request would be sent to a target although nobody wants the
+// answer.
 type streamReader struct {
 	request *inboundRequest
 	// bodyComplete is closed when the whole body was received, done when the stream has ended.
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -27,11 +27,12 @@
 
 // Limits of the log.
 const (
-	// maxRoutineLines limits the lines of one second for requests without a failure.
+	// maxRoutineLines is the number of lines of any kind in one second from which on routine
+	// lines are omitted.
 	maxRoutineLines = 300
-	// maxLines limits all lines of one second.
+	// maxLines is the number of lines in one second from which on all lines are omitted.
 	maxLines = 900
-	// maxTracked limits the attempts in flight whose request is remembered.
+	// maxTracked limits the tracked attempts. When it is reached, all of them are forgotten.
 	maxTracked = 1 << 14
 )
 
@@ -52,8 +53,9 @@
 // attempt is the state of an attempt in flight.
 type attempt struct {
 	request ident.RequestID
-	target  ident.TargetID
-	sentAt  ident.Time
+	// target is the target, or the entry host to which the request was forwarded.
+	target ident.TargetID
+	sentAt ident.Time
 	// firstByteAt is when the first byte of the answer was received, zero before.
 	firstByteAt ident.Time
 }
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -67,11 +67,11 @@
 
 // FromRequest converts a request with its remaining time. The ticket and the idempotency
 // key are left out: the host that accepted the call is responsible for them.
-func FromRequest(r event.Request, env event.Envelope, left time.Duration) *Open {
+func FromRequest(r event.Request, env event.Envelope, remaining time.Duration) *Open {
 	return &Open{
 		Envelope: FromEnvelope(env), Request: string(r.ID), Account: string(r.Account),
 		Profile: string(r.Profile), Prompt: int64(r.Prompt), MaxTokens: int64(r.MaxTokens),
-		Stream: r.Stream, LeftMs: millis(left), Service: r.Service,
+		Stream: r.Stream, LeftMs: millis(remaining), Service: r.Service,
 	}
 }
 
--- a/internal/wire/change.go
+++ b/internal/wire/change.go
@@ -78,12 +78,12 @@
 	"", event.Barred, event.Running, event.Ended, event.Refused, event.Forgotten,
 })
 
-// FromBarAsk converts a "run or bar" question about an attempt.
+// FromBarAsk converts a "run or bar" query about an attempt.
 func FromBarAsk(e event.AskBar) *BarAsk {
 	return &BarAsk{Incarnation: uint64(e.Attempt.Incarnation), Number: e.Attempt.Number, To: uint64(e.Incarnation)}
 }
 
-// ToEvent converts the question of a peer. It can only concern an attempt of that peer,
+// ToEvent converts the query of a peer. It can only concern an attempt of that peer,
 // since the message has no field for another host.
 func (p *BarAsk) ToEvent(from ident.EntryID) event.BarAsked {
 	return event.BarAsked{
--- a/internal/wire/digest.go
+++ b/internal/wire/digest.go
@@ -149,8 +149,8 @@
 	return &TargetUse{Target: string(u.Target), Running: int64(u.Running), Tokens: int64(u.Tokens), Key: uint32(u.Key), Unread: int64(u.PendingPrefill)}
 }
 
-// splitUse separates the uses sent by ID from those sent by key. As messages of their
-// own, the latter would take twice the bytes.
+// splitUse separates the uses sent by ID from those sent by key. The latter are sent as
+// columns, since one message for each use would take twice the bytes.
 func splitUse(uses []event.TargetUse) (named []event.TargetUse, keyed *KeyedUse) {
 	hasPending := slices.ContainsFunc(uses, func(u event.TargetUse) bool { return u.PendingPrefill > 0 })
 	for _, u := range uses {
@@ -221,8 +221,8 @@
 	return event.Want{Serve: toServe(p.GetServe()), Service: p.GetService()}
 }
 
-// fromAccounts converts the demand of accounts. As messages of their own with floats
-// they took 24 bytes each, ten of them for the name.
+// fromAccounts converts the demand of accounts to columns. One message with floats for
+// each account took 24 bytes, ten of them for the name.
 func fromAccounts(as []event.AccountUse) *AccountUses {
 	if len(as) == 0 {
 		return nil
--- a/internal/wire/whole_test.go
+++ b/internal/wire/whole_test.go
@@ -85,7 +85,7 @@
 	}
 	for _, r := range []ident.PerMinute{0, -1, ident.PerMinute(math.NaN()), ident.PerMinute(math.Inf(1))} {
 		if n := fromRate(r); n != 0 {
-			t.Errorf("%v travels as %d", r, n)
+			t.Errorf("%v is sent as %d", r, n)
 		}
 	}
 }
