--- a/internal/dev/cmds/soak.go
+++ b/internal/dev/cmds/soak.go
@@ -78,10 +78,10 @@
 	close(next)
 	_ = t.Wait()
 	if len(broken) > 0 {
-		fmt.Printf("%d of %d seeds violated a guarantee\n", len(broken), c.seeds)
+		fmt.Printf("%d of %d seeds broke a promise\n", len(broken), c.seeds)
 		return subcommands.ExitFailure
 	}
-	fmt.Printf("%d seeds, no guarantee violated\n", c.seeds)
+	fmt.Printf("%d seeds, no promise broken\n", c.seeds)
 	return subcommands.ExitSuccess
 }
 
