--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -105,7 +105,7 @@
 	optional("fleet.retryRatio", "the maximum number of retries at a service per request to it, over all hosts", inRange(0, 10)),
 	optional("fleet.retryFloor", "the number of retries at a service in ten seconds that are allowed regardless of its requests, over all hosts", inRange(0, 1e6)),
 	optional("fleet.coldOvershoot", "the factor by which the requests to a cold target may exceed its rate", inRange(0, 100)),
-	optional("fleet.coldSlack", "the requests a second that a cold target may be sent beside", inRange(0, 1e6)),
+	optional("fleet.coldSlack", "requests per second that all hosts together may send to a cold target in addition to its own rate", inRange(0, 1e6)),
 	optional("fleet.leaseLeastMs", "the shortest lease that the platform grants, in milliseconds", inRange(0, 600_000)),
 	optional("logs.level", "the log verbosity: 0 for events, 1 for each request too", inRange(0, 9)),
 }
