--- a/internal/daemon/carry.go
+++ b/internal/daemon/carry.go
@@ -76,8 +76,7 @@
 	}
 	evs, err := d.targets.Cache(ctx, e.Target, e.After)
 	if err != nil {
-		// Cache events are hints. Without them the engine counts as having an
-		// empty cache, and is still used.
+		// Cache events are hints; the engine is also used without them.
 		return
 	}
 	for _, ev := range evs {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,13 +43,13 @@
 	Settings config.Settings
 	Log      logr.Logger
 	Level    *logs.Level
-	// Metrics is the registry of the counters, which the operators' address
-	// serves; nil means a registry of the daemon's own.
+	// Metrics registers the metrics, which the operators' API serves; nil means
+	// a new registry.
 	Metrics metrics.Registry
 	// Step, if set, replaces the reducer, for comparisons.
 	Step func(now ident.Time, ev event.Event) []event.Effect
 	// Record, if set, is called with this host and returns a function that is
-	// called with each event and its effects, for replay.
+	// called with each event and its effects, to record them for a replay.
 	Record func(self event.Host) func(now ident.Time, ev event.Event, effs []event.Effect)
 	// BeforeStep, if set, is called with the reducer before each of its steps,
 	// on the control thread; it may change the router's policy.
@@ -136,7 +136,7 @@
 
 func (d *Daemon) post(ev event.Event) { d.loop.Post(ev) }
 
-// noIdleTimeout disables the idle limit of the connection tracker; the HTTP servers
+// noIdleTimeout disables the idle timeout of the connection tracker; the HTTP servers
 // bound idle connections themselves.
 func noIdleTimeout() time.Duration { return 0 }
 
@@ -207,7 +207,7 @@
 	d.t.Go(l.Run)
 }
 
-// Drain starts a graceful stop; Drained reports its end.
+// Drain starts a graceful stop; the channel of Drained is closed at its end.
 func (d *Daemon) Drain() {
 	d.platform.reg.drain()
 	d.mesh.SetDraining()
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -52,8 +52,8 @@
 	p.d.t.Go(p.reg.run)
 }
 
-// execute takes an effect if it is one for the platform, and reports whether it is.
-// It runs on the control thread and does not block.
+// execute executes or queues an effect that calls the platform, and reports whether
+// eff is one. It runs on the control thread and does not block.
 func (p *platform) execute(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.WatchChange:
@@ -236,7 +236,7 @@
 	draining chan struct{}
 }
 
-// drain removes the host from the directory.
+// drain makes run remove the host from the directory and return.
 func (g *registrar) drain() { g.once.Do(func() { close(g.draining) }) }
 
 func (g *registrar) run() error {
--- a/internal/store/claim.go
+++ b/internal/store/claim.go
@@ -23,9 +23,9 @@
 //
 // After a lost reply the record may or may not exist. Running the request anyway could run it
 // twice, for example publish one notice twice; refusing it although the record exists could block
-// the key forever. The record is therefore read back. A write that lands after ClaimFailed leaves
-// a record of a request that was not run. A repeat is directed by the record to the owner, whose
-// registry of runs shows that the request was not run, so that the repeat may run.
+// the key forever. The record is therefore read back. A write that takes effect after ClaimFailed
+// leaves a record of a request that was not run. The record directs a retry of the request to its
+// owner, whose registry of runs shows that the request was not run, so that the retry may run.
 func (c *Client) Claim(ctx context.Context, digest string, rec event.KeyRecord) (event.Claim, event.KeyRecord) {
 	body, err := json.Marshal(rec)
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // readClaim reads the record back. Its last result is set if the caller should write again
-// because there is no record: the write was lost or has not landed yet, and repeating it is
+// because there is no record: the write was lost or has not taken effect yet, and repeating it is
 // harmless.
 func (c *Client) readClaim(ctx context.Context, digest string, rec event.KeyRecord) (event.Claim, event.KeyRecord, bool) {
 	v, err := c.read(ctx, request{op: opClaim, method: http.MethodGet, path: kvPath(KeyPath(digest)), failFast: true})
--- a/internal/store/kv.go
+++ b/internal/store/kv.go
@@ -26,8 +26,8 @@
 	return c.read(ctx, request{op: opWatch, method: http.MethodGet, path: path, wait: wait})
 }
 
-// Put writes a key if its version is expect, where Absent stands for a key without a value, and
-// returns the new version.
+// Put writes a key if its version is expect, and returns the new version. Absent means that the
+// key must have no value.
 func (c *Client) Put(ctx context.Context, key string, body []byte, expect Version) (Version, error) {
 	return c.put(ctx, request{op: opPut, method: http.MethodPut, path: expectPath(key, expect), body: body})
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -28,24 +28,24 @@
 	expiry atomic.Int64
 }
 
-// marginDivisor is the divisor of the TTL that yields the safety margin at its end. The margin
-// covers clocks that run at different rates and the latency of the protected operation.
+// marginDivisor gives the safety margin at the end of a lease, which is the TTL divided by it. The
+// margin covers clocks that run at different rates and the latency of the protected operation.
 const marginDivisor = 8
 
 // Valid reports whether the holder may rely on the lease at now.
 //
 // A paused process that holds a lease resumes in the middle of its work without noticing the
-// pause, and would continue as owner while another host is. The effect is an order under two
-// fencing numbers at once. The monotonic clock advances during a pause, so a check right before
-// each use detects the expiry.
+// pause. It could continue as owner although another host has become the owner meanwhile, so that
+// orders are given under two fencing numbers at once. The monotonic clock advances during a pause,
+// so a check right before each use detects the expiry.
 func (l *Lease) Valid(now ident.Time) bool {
 	return l != nil && now < ident.Time(l.expiry.Load())
 }
 
-// extend sets the expiry for a grant that was requested at asked. The service counts from the
-// later time of its answer, so the lease expires first at the holder.
-func (l *Lease) extend(asked ident.Time) {
-	l.expiry.Store(int64(asked.Add(l.TTL - l.TTL/marginDivisor)))
+// extend sets the expiry of a lease that was requested or renewed at requestedAt. The service
+// counts from the later time of its answer, so the lease expires first at the holder.
+func (l *Lease) extend(requestedAt ident.Time) {
+	l.expiry.Store(int64(requestedAt.Add(l.TTL - l.TTL/marginDivisor)))
 }
 
 // grant is the answer of the service to Grant.
@@ -58,21 +58,21 @@
 // Grant requests a lease. After ErrUnknown the service may have granted a lease that has no
 // holder; it expires by itself.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (*Lease, error) {
-	asked := c.cfg.Now()
+	requestedAt := c.cfg.Now()
 	var g grant
 	path := fmt.Sprintf("/v1/leases?ttlMs=%d", ttl.Milliseconds())
 	if err := c.do(ctx, request{op: opGrant, method: http.MethodPost, path: path}, &g); err != nil {
 		return nil, err
 	}
 	l := &Lease{ID: g.ID, Fence: g.Fence, TTL: time.Duration(g.TTLMs) * time.Millisecond}
-	l.extend(asked)
+	l.extend(requestedAt)
 	return l, nil
 }
 
 // KeepAlive extends a lease. It returns ErrLeaseExpired for an expired lease, which can't be
 // renewed.
 func (c *Client) KeepAlive(ctx context.Context, l *Lease) error {
-	asked := c.cfg.Now()
+	requestedAt := c.cfg.Now()
 	err := c.do(ctx, request{op: opKeepAlive, method: http.MethodPut, path: leasePath(l)}, nil)
 	if errors.Is(err, ErrLeaseExpired) {
 		l.expiry.Store(0)
@@ -82,7 +82,7 @@
 		// The lease may or may not have been extended; the previous expiry is still valid.
 		return err
 	}
-	l.extend(asked)
+	l.extend(requestedAt)
 	return nil
 }
 
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -26,7 +26,7 @@
 // Timeouts and limits of a pool.
 const (
 	// poolDialTimeout bounds the time to connect. Targets are in this host's region,
-	// a few milliseconds away; one without power never answers.
+	// a few milliseconds away; a target without power never answers.
 	poolDialTimeout = time.Second
 	// poolIdleTimeout is how long an idle connection is kept if the target's
 	// Keep-Alive header names no timeout.
@@ -51,7 +51,7 @@
 	keepAliveProbes   = 2
 	tcpUserTimeout    = 18 // TCP_USER_TIMEOUT of Linux
 	// maxAnswersRead bounds the answers that are read for one request, interim (1xx)
-	// answers included, and maxSkippedBytes the body of each that is skipped.
+	// answers included, and maxSkippedBytes the body of each skipped answer.
 	maxAnswersRead  = 2
 	maxSkippedBytes = 1 << 20
 )
@@ -220,8 +220,8 @@
 	t   tomb.Tomb
 	c   *conn
 	req *http.Request
-	// requestRead is set once the whole request has been read from its caller;
-	// bytes not yet written are in the buffer.
+	// requestRead is set once the whole request is in the write buffer or has been
+	// written.
 	requestRead atomic.Bool
 }
 
@@ -323,8 +323,8 @@
 	})
 }
 
-// Drop closes the idle connections to an address. It is for targets that restarted behind a
-// network partition, where this side never saw their connections close.
+// Drop closes the idle connections to an address. It is used when a target has restarted during a
+// network partition: this side never saw the connections to its previous incarnation close.
 func (p *Pool) Drop(addr string) {
 	p.mu.Lock()
 	cs := p.idle[addr]
