--- a/internal/daemon/cert_test.go
+++ b/internal/daemon/cert_test.go
@@ -28,8 +28,8 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
 }
 
-// Handshakes fail while the files of a certificate that is being renewed do not match, or the
-// previous certificate stays in use after the renewal.
+// Guards against handshakes that fail while the files of a certificate that is being renewed do
+// not match, and against using the previous certificate after the renewal.
 func TestCallerCertificateIsRenewed(t *testing.T) {
 	ca, err := certs.New()
 	if err != nil {
--- a/internal/daemon/forward_test.go
+++ b/internal/daemon/forward_test.go
@@ -199,8 +199,8 @@
 	return string(b)
 }
 
-// The answer to a request that only another entry host can serve reaches the caller
-// incomplete.
+// Guards against an incomplete answer to a request that only another entry host can
+// serve.
 func TestForwardedRequest(t *testing.T) {
 	x, _, _ := twoEntries(t, 0)
 	stream := sendChat(t, x, true, 20)
@@ -212,8 +212,8 @@
 	}
 }
 
-// A draining host closes its peer links while it still serves a request of another
-// host, whose caller gets an incomplete answer.
+// Guards against a draining host that closes its peer links while it still serves a
+// request of another host, whose caller then gets an incomplete answer.
 func TestDrainCompletesForwardedAnswers(t *testing.T) {
 	x, y, ry := twoEntries(t, 10*time.Millisecond)
 	s := &drainer{d: y, r: ry, done: make(chan struct{})}
--- a/internal/daemon/passed_test.go
+++ b/internal/daemon/passed_test.go
@@ -27,8 +27,8 @@
 	e.Engine.ServeHTTP(w, r)
 }
 
-// A trace ends at the first entry host and lacks the hops in the other data centre,
-// because the trace context is not forwarded.
+// Guards against a trace that ends at the first entry host because the trace context
+// is not forwarded.
 func TestTraceCrossesEntryHosts(t *testing.T) {
 	eng := &traceRecorder{Engine: engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8})}
 	x, _, _ := twoEntriesWith(t, eng)
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// A second watch runs beside the first, counts as a call and delivers changes twice.
+// Guards against a second watch that runs in parallel with the first, counts as a call
+// and delivers changes twice.
 func TestOneWatch(t *testing.T) {
 	r := newTestDaemon(t)
 	r.execute(event.WatchChange{After: 0})
@@ -122,7 +123,7 @@
 	wantSame(t, "watches counted as failures", int64(0), metrics.GetOrRegisterCounter("platform.watch.down", r.metrics).Count())
 }
 
-// An effect that calls the store gets no event in reply while the store is down, and
+// Guards against an effect that gets no event in reply while the store is down, so that
 // the reducer waits for ever.
 func TestPlatformDown(t *testing.T) {
 	r := newTestDaemon(t)
@@ -145,7 +146,8 @@
 	}
 }
 
-// A draining host stays in the directory, and new callers are directed to it.
+// Guards against a draining host that stays in the directory, so that new callers are
+// directed to it.
 func TestDirectory(t *testing.T) {
 	r := newTestDaemon(t)
 	listed := func() []store.Listing {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -66,7 +66,7 @@
 	wantErr(t, "lost reply", store.ErrUnknown, err)
 	v, err := f.cl.Get(ctx, "k")
 	wantErr(t, "read back", nil, err)
-	wantEqual(t, "the value stands", "a", string(v.Body))
+	wantEqual(t, "the value is stored", "a", string(v.Body))
 	_, err = f.cl.Put(ctx, "k", []byte("b"), store.Absent)
 	wantErr(t, "second creation", store.ErrConflict, err)
 	wantEqual(t, "metric of the lost reply", int64(1), f.counter("put.unknown"))
@@ -121,7 +121,7 @@
 		{name: "lost reply of a taken key", before: &other, faults: plat.Faults{LoseNext: 1}, claim: event.ClaimTaken, owner: other},
 		{name: "down", faults: plat.Faults{Down: true}, claim: event.ClaimFailed},
 		{name: "down before the read back", faults: plat.Faults{LoseNext: 1, DownAfter: 1}, claim: event.ClaimFailed},
-		{name: "cut off", faults: plat.Faults{Refuse: []string{"127.0.0.1"}}, claim: event.ClaimFailed},
+		{name: "unreachable", faults: plat.Faults{Refuse: []string{"127.0.0.1"}}, claim: event.ClaimFailed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -138,8 +138,8 @@
 	}
 }
 
-// Guards against counting a claim that lands after its request was refused as a run.
-func TestClaimLandsLate(t *testing.T) {
+// Guards against counting a claim that takes effect after its request was refused as a run.
+func TestClaimTakesEffectLate(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{Timeout: 50 * time.Millisecond})
 	f.srv.SetFaults(plat.Faults{DelayMs: 200})
@@ -152,7 +152,7 @@
 		got, _ = f.cl.Get(ctx, store.KeyPath("d"))
 	}
 	if got.Body == nil {
-		t.Fatal("the late write never landed, so the test proves nothing")
+		t.Fatal("the late write never took effect, so the test proves nothing")
 	}
 	claim, _ = f.cl.Claim(ctx, "d", rec)
 	wantEqual(t, "claim of the same request afterwards", event.ClaimWon, claim)
@@ -242,12 +242,12 @@
 	wantErr(t, "register again", store.ErrLeaseExpired, f.cl.Register(ctx, l, ls))
 }
 
-// A waiting watch must count as one call against the rate limits of the platform, however long it
-// waits.
+// Guards against counting a waiting watch as more than one call against the rate limits of the
+// platform.
 func TestWatchCountsOnce(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
 	_, err := f.cl.Watch(ctx, "k", store.Absent, 50*time.Millisecond)
-	wantErr(t, "nothing came", store.ErrNoChange, err)
+	wantErr(t, "no change", store.ErrNoChange, err)
 	wantEqual(t, "calls", plat.Counts{"watch": 1}, f.srv.Counts())
 }
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// A connection is closed instead of reused because its last write has not returned
+// Guards against closing a reusable connection because its last write has not returned
 // when the answer is complete.
 func TestPoolReusesConnectionsOfSlowWriters(t *testing.T) {
 	srv := newTestServer(t, serveConnNumber)
@@ -136,8 +136,8 @@
 	}
 }
 
-// A target that answers early and stops reading the request delays the end of its
-// answer, because the pool waits for the write without a limit.
+// Guards against an unlimited wait for the write of a request: a target that answers
+// early and stops reading the request would delay the end of its answer.
 func TestPoolBoundsWaitForRequestWrite(t *testing.T) {
 	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
@@ -170,8 +170,8 @@
 	return n, err
 }
 
-// An extra answer of a target to an earlier request is delivered to the next caller
-// on the same connection.
+// Guards against delivering an extra answer of a target to an earlier request to the
+// next caller on the same connection.
 func TestExtraAnswersAreDiscarded(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "before the next": true} {
 		t.Run(name, func(t *testing.T) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// A request is sent on an idle connection that the target has closed, and fails.
+// Guards against sending a request on an idle connection that the target has closed.
 func TestClosedConnectionsAreNotUsed(t *testing.T) {
 	var seen atomic.Int32
 	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
@@ -225,7 +225,7 @@
 	}
 }
 
-// The pool retries a request whose connection was closed without an answer.
+// Guards against retrying a request whose connection was closed without an answer.
 func TestPoolSendsOnce(t *testing.T) {
 	var seen atomic.Int32
 	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
@@ -252,8 +252,8 @@
 	}
 }
 
-// A target answers before it has read the body. If the connection were reused at
-// once, the target would read the next request as a part of that body.
+// Guards against reusing a connection at once if the target answers before it has read
+// the body: it would read the next request as a part of that body.
 func TestEarlyAnswer(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
 	srv := newTestServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
@@ -279,7 +279,8 @@
 	}
 }
 
-// An answer without a length whose connection was reset is treated as complete.
+// Guards against treating an answer without a length as complete if its connection was
+// reset.
 func TestUnframedAnswers(t *testing.T) {
 	for name, reset := range map[string]bool{"whole": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
@@ -302,8 +303,8 @@
 	}
 }
 
-// The connection to the target stays open after the caller has disconnected, and
-// the target keeps working on the request.
+// Guards against a connection that stays open after the caller has disconnected, so
+// that the target keeps working on the request.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	began := make(chan struct{})
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// net/http retries a call that is not idempotent on a new connection, because the
-// reused one was closed without an answer.
-func TestOnceCallIsSentOnce(t *testing.T) {
+// Guards against net/http retrying a call that is not idempotent on a new connection
+// because the reused one was closed without an answer.
+func TestAtMostOnceCallIsSentOnce(t *testing.T) {
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A request is reported as sent although the connection was refused.
+// Guards against reporting a request as sent although the connection was refused.
 func TestNothingSentToAClosedPort(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	url := srv.URL
@@ -63,7 +63,7 @@
 	}
 }
 
-// The client follows a redirect to an address that no routing filter has allowed.
+// Guards against following a redirect to an address that no routing filter has allowed.
 func TestRedirectsAreNotFollowed(t *testing.T) {
 	var elsewhere atomic.Int32
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
