--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -209,7 +209,7 @@
 
 // Drain starts a graceful stop; the channel of Drained is closed at its end.
 func (d *Daemon) Drain() {
-	d.platform.reg.drain()
+	d.platform.reg.withdraw()
 	d.mesh.SetDraining()
 	d.loop.Post(event.DrainAsked{})
 	d.t.Go(d.runHalt)
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -39,7 +39,7 @@
 func newPlatform(d *Daemon) *platform {
 	p := &platform{d: d, work: make(chan event.Effect, platformQueueSize)}
 	p.watch = &watcher{d: d, wakeup: make(chan struct{}, 1)}
-	p.reg = &registrar{d: d, draining: make(chan struct{})}
+	p.reg = &registrar{d: d, withdrawn: make(chan struct{})}
 	return p
 }
 
@@ -230,14 +230,14 @@
 
 // registrar keeps the host in the directory for clients until it drains.
 type registrar struct {
-	d        *Daemon
-	lease    *store.Lease
-	once     sync.Once
-	draining chan struct{}
+	d         *Daemon
+	lease     *store.Lease
+	once      sync.Once
+	withdrawn chan struct{}
 }
 
-// drain makes run remove the host from the directory and return.
-func (g *registrar) drain() { g.once.Do(func() { close(g.draining) }) }
+// withdraw makes run remove the host from the directory and return.
+func (g *registrar) withdraw() { g.once.Do(func() { close(g.withdrawn) }) }
 
 func (g *registrar) run() error {
 	ctx := g.d.t.Context(context.Background())
@@ -247,7 +247,7 @@
 		select {
 		case now := <-at.C():
 			at.Reset(now.Add(g.renew(ctx)))
-		case <-g.draining:
+		case <-g.withdrawn:
 			g.deregister()
 			return nil
 		case <-g.d.t.Dying():
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -20,7 +20,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// ErrWrongAnswer is returned if the target answered another request instead.
+// ErrWrongAnswer is returned if an answer is not the target's answer to this request.
 var ErrWrongAnswer = errors.New("target: the answer belongs to another request")
 
 // Timeouts and limits of a pool.
@@ -135,7 +135,7 @@
 // connection.
 //
 // It fails with ErrConnection if the connection failed and with ErrWrongAnswer
-// if the target answered another request.
+// if the target answered only other requests.
 func (p *Pool) Do(ctx context.Context, addr string, req *http.Request, isOwn func(*http.Response) bool, onSend func()) (*http.Response, error) {
 	c, err := p.acquire(ctx, addr)
 	if err != nil {
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -71,15 +71,16 @@
 
 // AttemptRequest is one attempt to be sent to a target.
 type AttemptRequest struct {
-	Target    event.Target
-	Attempt   ident.Attempt
-	Request   ident.RequestID
-	Serve     rules.Serve
-	Method    string
-	Path      string
-	Header    http.Header
-	Body      []byte
-	Priority  int
+	Target   event.Target
+	Attempt  ident.Attempt
+	Request  ident.RequestID
+	Serve    rules.Serve
+	Method   string
+	Path     string
+	Header   http.Header
+	Body     []byte
+	Priority int
+	// Resume is the number of tokens after which the answer continues; zero for a new answer.
 	Resume    ident.Tokens
 	Remaining time.Duration
 	// AtMostOnce is set if the call must not be sent a second time.
@@ -124,17 +125,17 @@
 // Send sends an attempt and returns once the headers of the answer have
 // arrived. It calls onSend before the first byte can reach the target, and fails
 // with ErrConnection if the target was not reached or the connection failed.
-func (c *Client) Send(ctx context.Context, o AttemptRequest, onSend func()) (*http.Response, error) {
+func (c *Client) Send(ctx context.Context, a AttemptRequest, onSend func()) (*http.Response, error) {
 	hook := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { onSend() }}
 	ctx = httptrace.WithClientTrace(ctx, hook)
-	req, err := http.NewRequestWithContext(ctx, o.Method, o.Target.URL+o.Path, bytes.NewReader(o.Body))
+	req, err := http.NewRequestWithContext(ctx, a.Method, a.Target.URL+a.Path, bytes.NewReader(a.Body))
 	if err != nil {
 		return nil, errors.Wrap(ErrConnection, err.Error())
 	}
-	o.setHeaders(req.Header)
+	a.setHeaders(req.Header)
 	trace.Inject(ctx, req.Header)
 	cl := c.pooled
-	if o.AtMostOnce {
+	if a.AtMostOnce {
 		cl = c.unpooled
 	}
 	res, err := cl.Do(req)
@@ -144,19 +145,19 @@
 	return res, nil
 }
 
-func (o AttemptRequest) setHeaders(h http.Header) {
-	for k, vs := range o.Header {
+func (a AttemptRequest) setHeaders(h http.Header) {
+	for k, vs := range a.Header {
 		h[k] = vs
 	}
-	h.Set(HeaderAttempt, o.Attempt.String())
-	h.Set(HeaderRequest, string(o.Request))
-	h.Set(HeaderPriority, strconv.Itoa(o.Priority))
-	h.Set(HeaderDeadline, strconv.FormatInt(o.Remaining.Milliseconds(), 10))
-	setNonEmpty(h, HeaderModel, string(o.Serve.Model))
-	setNonEmpty(h, HeaderVersion, string(o.Serve.Version))
-	setNonEmpty(h, HeaderAdapter, string(o.Serve.Adapter))
-	if o.Resume > 0 {
-		h.Set(HeaderResume, strconv.FormatInt(int64(o.Resume), 10))
+	h.Set(HeaderAttempt, a.Attempt.String())
+	h.Set(HeaderRequest, string(a.Request))
+	h.Set(HeaderPriority, strconv.Itoa(a.Priority))
+	h.Set(HeaderDeadline, strconv.FormatInt(a.Remaining.Milliseconds(), 10))
+	setNonEmpty(h, HeaderModel, string(a.Serve.Model))
+	setNonEmpty(h, HeaderVersion, string(a.Serve.Version))
+	setNonEmpty(h, HeaderAdapter, string(a.Serve.Adapter))
+	if a.Resume > 0 {
+		h.Set(HeaderResume, strconv.FormatInt(int64(a.Resume), 10))
 	}
 }
 
