--- a/internal/dev/cmds/bench.go
+++ b/internal/dev/cmds/bench.go
@@ -20,12 +20,12 @@
 
 // benchCmd compares routing policies under load.
 type benchCmd struct {
-	cfg      bench.Config
-	scenes   string
-	policies string
-	out      string
-	plot     string
-	logs     bool
+	cfg       bench.Config
+	scenarios string
+	policies  string
+	out       string
+	plot      string
+	logs      bool
 }
 
 func (*benchCmd) Name() string     { return "bench" }
@@ -42,7 +42,7 @@
 }
 
 func (c *benchCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.scenes, "scenario", "steady", "comma-separated scenarios")
+	fs.StringVar(&c.scenarios, "scenario", "steady", "comma-separated scenarios")
 	fs.StringVar(&c.cfg.Deployment, "deployment", "foundation", "deployment")
 	fs.StringVar(&c.policies, "policies", strings.Join(base.Names, ","), "comma-separated policies")
 	fs.DurationVar(&c.cfg.Duration, "for", 10*time.Second, "duration of one measured load")
@@ -80,7 +80,7 @@
 		c.cfg.Log = os.Stderr
 	}
 	var reps []bench.Report
-	for _, sc := range strings.Split(c.scenes, ",") {
+	for _, sc := range strings.Split(c.scenarios, ",") {
 		c.cfg.Scenario = sc
 		rep, err := bench.Run(ctx, c.cfg)
 		rep.Table(os.Stdout)
--- a/internal/dev/cmds/cmds.go
+++ b/internal/dev/cmds/cmds.go
@@ -58,7 +58,7 @@
 }
 
 func (c *platformCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	st := &standIn{handler: plat.New()}
+	st := &fakeProcess{handler: plat.New()}
 	return st.serve(c.listen)
 }
 
@@ -97,7 +97,7 @@
 	c.cfg.Serves = []rules.Serve{{Model: ident.Model(c.model)}}
 	eng := engine.New(c.cfg)
 	defer eng.Stop()
-	st := &standIn{handler: eng, drain: eng.Drain, idle: eng.Idle}
+	st := &fakeProcess{handler: eng, drain: eng.Drain, idle: eng.Idle}
 	return st.serve(c.listen)
 }
 
@@ -128,12 +128,12 @@
 	c.cfg.Incarnation = ident.Incarnation(time.Now().UnixNano())
 	svc := plain.New(c.cfg)
 	defer svc.Stop()
-	st := &standIn{handler: svc, drain: svc.Drain, idle: svc.Idle}
+	st := &fakeProcess{handler: svc, drain: svc.Drain, idle: svc.Idle}
 	return st.serve(c.listen)
 }
 
-// standIn runs a fake as a process.
-type standIn struct {
+// fakeProcess runs a fake as a process.
+type fakeProcess struct {
 	handler http.Handler
 	// drain and idle are set for targets, which shut down gracefully.
 	drain func()
@@ -146,7 +146,7 @@
 
 // serve prints the address that it listens on, since the system chooses the port
 // if it is zero, and serves until SIGTERM or SIGINT.
-func (s *standIn) serve(addr string) subcommands.ExitStatus {
+func (s *fakeProcess) serve(addr string) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	ln, err := net.Listen("tcp", addr)
--- a/internal/dev/engine/cache.go
+++ b/internal/dev/engine/cache.go
@@ -31,8 +31,8 @@
 // maxCacheEvents limits the number of retained cache events.
 const maxCacheEvents = 4096
 
-func newCache(room int) *cache {
-	return &cache{capacity: room, lru: list.New(), elements: make(map[uint64]*list.Element)}
+func newCache(capacity int) *cache {
+	return &cache{capacity: capacity, lru: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
 // access returns the length of the cached prefix in blocks, and caches all given
--- a/internal/dev/engine/engine.go
+++ b/internal/dev/engine/engine.go
@@ -123,10 +123,10 @@
 
 // startDraining starts to drain. If mute is set, the engine still accepts
 // requests; if hidden is set, its load reports omit that it is draining.
-func (e *Engine) startDraining(mute, hidden bool) {
+func (e *Engine) startDraining(acceptRequests, hideDraining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.draining, e.acceptWhileDraining, e.hideDraining = true, mute, hidden
+	e.draining, e.acceptWhileDraining, e.hideDraining = true, acceptRequests, hideDraining
 	e.ledger.DrainingSince = time.Now()
 }
 
--- a/internal/dev/engine/fault.go
+++ b/internal/dev/engine/fault.go
@@ -83,8 +83,8 @@
 // maxAttempts limits the number of distinct attempt ids that are counted.
 const maxAttempts = 200_000
 
-func (l *Ledger) recordRequest(r *http.Request, leaving bool) {
-	if leaving {
+func (l *Ledger) recordRequest(r *http.Request, draining bool) {
+	if draining {
 		l.Late++
 		l.LateMs = time.Since(l.DrainingSince).Milliseconds()
 	}
--- a/internal/dev/plat/fault.go
+++ b/internal/dev/plat/fault.go
@@ -112,9 +112,9 @@
 func (s *Server) abortIfRefused(r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
-	cut := s.faults.Down || slices.Contains(s.faults.Refuse, host)
+	refused := s.faults.Down || slices.Contains(s.faults.Refuse, host)
 	s.mu.Unlock()
-	if cut {
+	if refused {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -177,9 +177,9 @@
 
 // visibleHosts returns the newest list that is at least as old as the lag.
 func (s *Server) visibleHosts() store.Hosts {
-	seen := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
+	cutoff := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
 	for _, l := range slices.Backward(s.hosts) {
-		if !l.setAt.After(seen) {
+		if !l.setAt.After(cutoff) {
 			return l.Hosts
 		}
 	}
--- a/internal/dev/plat/lease.go
+++ b/internal/dev/plat/lease.go
@@ -14,8 +14,8 @@
 
 // lease is one lease and its expiry time.
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // listing is an entry host's entry in the directory.
@@ -35,7 +35,7 @@
 	ttl := time.Duration(queryNumber(r, "ttlMs")) * time.Millisecond
 	s.fence++
 	id := store.LeaseID(fmt.Sprintf("lease-%d", s.fence))
-	s.leases[id] = lease{ttl: ttl, end: s.Now().Add(ttl)}
+	s.leases[id] = lease{ttl: ttl, expiresAt: s.Now().Add(ttl)}
 	return result{status: http.StatusOK, body: grantResponse{ID: id, Fence: s.fence, TTLMs: ttl.Milliseconds()}}
 }
 
@@ -45,7 +45,7 @@
 		return result{status: http.StatusGone}
 	}
 	l := s.leases[id]
-	l.end = s.Now().Add(l.ttl)
+	l.expiresAt = s.Now().Add(l.ttl)
 	s.leases[id] = l
 	return result{status: http.StatusOK}
 }
@@ -64,7 +64,7 @@
 func (s *Server) expire() {
 	now := s.Now()
 	for id, l := range s.leases {
-		if !now.Before(l.end) {
+		if !now.Before(l.expiresAt) {
 			s.endLease(id)
 		}
 	}
--- a/internal/dev/worker/worker.go
+++ b/internal/dev/worker/worker.go
@@ -94,13 +94,13 @@
 
 // StoreEntry returns the worker's next entry in the store, with the given state
 // and remaining cold-start time.
-func (k *Worker) StoreEntry(addr, state string, cold time.Duration) []byte {
+func (k *Worker) StoreEntry(addr, state string, coldStart time.Duration) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.seq++
 	entry := map[string]any{
 		"Service": k.cfg.Service, "Address": addr, "Zone": k.cfg.DataCentre, "Version": "v1", "Slots": k.cfg.Slots,
-		"State": state, "ColdLeftMs": cold.Milliseconds(), "Seq": k.seq,
+		"State": state, "ColdLeftMs": coldStart.Milliseconds(), "Seq": k.seq,
 	}
 	if k.cfg.StartTimeMs > 0 {
 		entry["born"] = k.cfg.StartTimeMs
@@ -306,9 +306,9 @@
 		return
 	}
 	defer c.Close()
-	one := "HTTP/1.1 200 OK\r\nVerbenadale-Request-Id: %s\r\nVerbenadale-Response-Seal: s\r\nContent-Length: 5\r\n\r\n%s"
-	_, _ = fmt.Fprintf(c, one, w.Header().Get("Verbenadale-Request-Id"), "first")
-	_, _ = fmt.Fprintf(c, one, "of-before", "extra")
+	format := "HTTP/1.1 200 OK\r\nVerbenadale-Request-Id: %s\r\nVerbenadale-Response-Seal: s\r\nContent-Length: 5\r\n\r\n%s"
+	_, _ = fmt.Fprintf(c, format, w.Header().Get("Verbenadale-Request-Id"), "first")
+	_, _ = fmt.Fprintf(c, format, "of-before", "extra")
 	time.Sleep(k.cfg.EventInterval)
 }
 
