--- a/internal/dev/certs/certs.go
+++ b/internal/dev/certs/certs.go
@@ -26,7 +26,7 @@
 // ErrCreate means that a certificate could not be created or written.
 var ErrCreate = errors.New("certs: certificate not created")
 
-// certLifetime is the validity period after creation.
+// certLifetime is the time from creation to expiry.
 const certLifetime = 24 * time.Hour
 
 // Authority signs certificates.
@@ -38,7 +38,7 @@
 // Files holds the paths of a host's certificate, its key and the CA certificate.
 type Files struct{ Cert, Key, CA string }
 
-// New creates an authority. Its error is ErrCreate.
+// New creates an authority. Its errors wrap ErrCreate.
 func New() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/dev/cmds/cmds.go
+++ b/internal/dev/cmds/cmds.go
@@ -82,13 +82,13 @@
 	fs.StringVar(&c.id, "id", "engine-1", "id of the target")
 	fs.StringVar(&c.model, "model", "draft", "name of the loaded model")
 	fs.IntVar(&c.cfg.Slots, "slots", 8, "maximum number of concurrent requests")
-	fs.DurationVar(&c.cfg.TokenTime, "tokenTime", time.Millisecond, "time between two tokens of a stream")
+	fs.DurationVar(&c.cfg.TokenTime, "tokenTime", time.Millisecond, "duration of a batch step without prefill")
 	fs.Float64Var(&c.cfg.PrefillRate, "prefillRate", 20000, "prompt tokens per second")
 	fs.IntVar(&c.cfg.CacheBlocks, "cacheBlocks", 4096, "capacity of the prefix cache in blocks of 256 bytes")
 	fs.DurationVar(&c.cfg.LoadLag, "loadLag", 0, "maximum age of a load report")
 	fs.DurationVar(&c.cfg.CacheLag, "cacheLag", 0, "delay of cache events")
 	fs.Uint64Var(&c.cfg.CacheGap, "cacheGap", 0, "drop every n-th cache event")
-	fs.BoolVar(&c.cfg.ChecksFence, "checksFence", false, "refuse orders with an old fencing number")
+	fs.BoolVar(&c.cfg.ChecksFence, "checksFence", false, "reject orders with an outdated fencing token")
 }
 
 func (c *engineCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -119,7 +119,7 @@
 	fs.StringVar(&c.listen, "listen", "127.0.0.1:0", "address to listen on")
 	fs.StringVar(&c.id, "id", "service-1", "id of the target")
 	fs.StringVar(&c.cfg.Service, "service", "publish", "name of the service")
-	fs.IntVar(&c.cfg.Slots, "slots", 16, "maximum number of concurrent calls")
+	fs.IntVar(&c.cfg.Slots, "slots", 16, "number of slots in the load report; concurrent calls are not limited")
 	fs.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "duration of a call")
 }
 
@@ -132,7 +132,7 @@
 	return st.serve(c.listen)
 }
 
-// fakeProcess runs a fake as a process.
+// fakeProcess serves a fake until the process receives a signal.
 type fakeProcess struct {
 	handler http.Handler
 	// drain and idle are set for targets, which shut down gracefully.
@@ -144,8 +144,8 @@
 // running requests.
 const idlePollInterval = 20 * time.Millisecond
 
-// serve prints the address that it listens on, since the system chooses the port
-// if it is zero, and serves until SIGTERM or SIGINT.
+// serve prints the address that it listens on, since the operating system chooses
+// the port if the given one is zero, and serves until SIGTERM or SIGINT.
 func (s *fakeProcess) serve(addr string) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/dev/cmds/load.go
+++ b/internal/dev/cmds/load.go
@@ -28,7 +28,7 @@
 func (*loadCmd) Usage() string {
 	return `load -entries URL,URL -key KEY -profile PROFILE [-rate 100] [-for 10s]
   Prints a JSON result. The targets must be stand-ins, whose answers can be
-  checked. Exits with 1 if an answer was wrong or cut.
+  checked. Exits with 1 if an answer was wrong or ended early.
 
   Example:
     verbdev load -entries http://127.0.0.1:8080 -key demo-key -profile draft -rate 50 -for 5s
--- a/internal/dev/cmds/routes.go
+++ b/internal/dev/cmds/routes.go
@@ -15,8 +15,8 @@
 	"verbenadale.example/verbenadale/internal/logs"
 )
 
-// routesCmd runs a small deployment on the users' platform, which is configured by
-// routes.
+// routesCmd runs a small deployment that is configured by routes, with a fake of the
+// users' platform.
 type routesCmd struct {
 	stay bool
 	logs bool
--- a/internal/dev/cmds/slope.go
+++ b/internal/dev/cmds/slope.go
@@ -41,8 +41,9 @@
 	fs.DurationVar(&c.span, "for", 20*time.Second, "virtual time that is measured")
 }
 
-// Load at the fleet size that the system is designed for: requests per second of
-// each host, and configuration changes per day.
+// Load at every fleet size: requests per second of each host, and configuration
+// changes per day. The values are those of the fleet size that the system is
+// designed for.
 const (
 	requestRatePerHost = 8000.0 / 370
 	changesPerDay      = 8400
--- a/internal/dev/cmds/soak.go
+++ b/internal/dev/cmds/soak.go
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// runSeed runs a seed and reports whether every guarantee held.
+// runSeed runs a seed and reports whether the run completed without a violation.
 func (w *soakWorker) runSeed(seed uint64) bool {
 	log, err := os.Create(filepath.Join(w.cmd.logs, fmt.Sprintf("soak-%d.log", seed)))
 	if err != nil {
--- a/internal/dev/demo/demo.go
+++ b/internal/dev/demo/demo.go
@@ -43,7 +43,8 @@
 	Out io.Writer
 	// Log receives the logs of the entry hosts; the zero Logger discards them.
 	Log logr.Logger
-	// RecordDir, if set, is the directory for a recording of each host's decisions.
+	// RecordDir, if set, is the directory for a recording of each host's events and
+	// effects.
 	RecordDir string
 	// Stay keeps the system running until the context is cancelled.
 	Stay bool
@@ -197,8 +198,8 @@
 	return nil
 }
 
-// startRecording configures a host to record its decisions in a file named after
-// it.
+// startRecording configures a host to record its events and effects in a file named
+// after the host.
 func (s *system) startRecording(cfg *daemon.Config) error {
 	if s.cfg.RecordDir == "" {
 		return nil
--- a/internal/dev/demo/demo_test.go
+++ b/internal/dev/demo/demo_test.go
@@ -14,8 +14,9 @@
 	"verbenadale.example/verbenadale/internal/dev/replay"
 )
 
-// Guards against decisions that depend on a clock, a random number or map order,
-// since a recording of them cannot be replayed.
+// Guards against a demonstration that lacks an expected result, against decisions
+// that depend on a clock, a random number or map order, since a recording of them
+// cannot be replayed, and against a replay that accepts an altered recording.
 func TestDemoShowsAndReplays(t *testing.T) {
 	dir := t.TempDir()
 	var out bytes.Buffer
@@ -32,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(len(centres)*entriesPerCentre, len(files)); diff != "" {
-		t.Fatalf("records (-want +got):\n%s", diff)
+		t.Fatalf("number of recordings (-want +got):\n%s", diff)
 	}
 	for _, name := range files {
 		text, err := os.ReadFile(name)
--- a/internal/dev/demo/show.go
+++ b/internal/dev/demo/show.go
@@ -20,7 +20,8 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// readyTimeout limits the time until the system is ready.
+// readyTimeout limits the time until the configuration is in force, and the time
+// until an answer is streamed.
 const readyTimeout = 20 * time.Second
 
 // runSteps runs the steps of the demonstration and prints what a caller sees.
@@ -74,7 +75,7 @@
 const requestBody = `{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Help me with a notice."}]}`
 
 // streamAnswer retries a request until the hosts have discovered the engines and
-// an answer is streamed.
+// an answer is streamed, or until readyTimeout expires.
 func (s *system) streamAnswer(ctx context.Context) error {
 	url := s.hosts[0].Callers.URL + "/v1/chat/completions"
 	deadline := time.Now().Add(readyTimeout)
--- a/internal/dev/engine/batch.go
+++ b/internal/dev/engine/batch.go
@@ -55,7 +55,7 @@
 	b.waiting = slices.Clone(b.waiting[n:])
 }
 
-// prefill computes prompt tokens and returns their number.
+// prefill computes up to maxPrefillChunk prompt tokens and returns their number.
 func (b *batch) prefill() ident.Tokens {
 	budget := ident.Tokens(maxPrefillChunk)
 	for _, s := range b.running {
--- a/internal/dev/engine/engine.go
+++ b/internal/dev/engine/engine.go
@@ -121,8 +121,9 @@
 // Drain makes the engine refuse new requests and finish those in progress.
 func (e *Engine) Drain() { e.startDraining(false, false) }
 
-// startDraining starts to drain. If mute is set, the engine still accepts
-// requests; if hidden is set, its load reports omit that it is draining.
+// startDraining starts to drain. If acceptRequests is set, the engine still
+// accepts requests; if hideDraining is set, its load reports omit that it is
+// draining.
 func (e *Engine) startDraining(acceptRequests, hideDraining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,14 +131,15 @@
 	e.ledger.DrainingSince = time.Now()
 }
 
-// Idle reports whether no request runs or waits.
+// Idle reports whether there is neither a running nor a queued request.
 func (e *Engine) Idle() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.batch.running)+len(e.batch.waiting) == 0
 }
 
-// postLeave starts to drain with the options mute and hidden of the query.
+// postLeave starts to drain. The query parameter mute sets acceptRequests, hidden
+// sets hideDraining.
 func (e *Engine) postLeave(_ http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	e.startDraining(q.Has("mute"), q.Has("hidden"))
--- a/internal/dev/engine/fault.go
+++ b/internal/dev/engine/fault.go
@@ -17,9 +17,10 @@
 	FaultShort = "short"
 	// FaultCrossed sends the answer to the previous request.
 	FaultCrossed = "crossed"
-	// FaultMixed switches to the answer to the previous request in the middle.
+	// FaultMixed switches to the answer to the previous request in the middle of a
+	// stream.
 	FaultMixed = "mixed"
-	// FaultTwice sends one event twice.
+	// FaultTwice sends one event of a stream twice.
 	FaultTwice = "twice"
 	// FaultError answers with status 500.
 	FaultError = "error"
@@ -27,7 +28,8 @@
 
 // Faults are the simulated failures. The zero value means none.
 type Faults struct {
-	// Every n-th answer has a fault; the Kinds are used in turn.
+	// Every n-th answer has a fault, with n = Every; zero means none. The faults in
+	// Kinds are used in turn.
 	Every int      `json:"every"`
 	Kinds []string `json:"kinds"`
 	// Refuse rejects every request as not run.
@@ -66,21 +68,24 @@
 	Blocks int `json:"blocks"`
 	Hits   int `json:"hits"`
 	Orders int `json:"orders"`
-	// BusyMs is the occupied time summed over all slots.
+	// BusyMs is the time in milliseconds for which slots were occupied, summed over
+	// all slots.
 	BusyMs float64 `json:"busyMs"`
 	// DrainingSince is the time at which draining started. Late counts the requests
-	// that arrived after it; LateMs is the time from it to the last one.
+	// that arrived after it; LateMs is the time from the start of draining to the
+	// last of these requests.
 	DrainingSince time.Time `json:"leavingSince"`
 	Late          int       `json:"late"`
 	LateMs        int64     `json:"lateMs"`
-	// Attempts counts requests by attempt id, Requests attempts by request id, and
-	// Faults answers by fault.
+	// Attempts and Requests count the received requests by attempt id and by request
+	// id. Faults counts the faulty answers by fault.
 	Attempts map[string]int `json:"attempts"`
 	Requests map[string]int `json:"requests"`
 	Faults   map[string]int `json:"faults"`
 }
 
-// maxAttempts limits the number of distinct attempt ids that are counted.
+// maxAttempts limits the number of distinct attempt ids. Once it is reached, the
+// ledger counts no further requests by id.
 const maxAttempts = 200_000
 
 func (l *Ledger) recordRequest(r *http.Request, draining bool) {
--- a/internal/dev/kvstub/kvstub.go
+++ b/internal/dev/kvstub/kvstub.go
@@ -30,8 +30,8 @@
 // Failures.
 const (
 	None Failure = ""
-	// Busy answers 503 without any effect, Silent does not answer, Reset closes the
-	// connection, and RateLimited answers 429.
+	// These have no effect on the data: Busy answers 503, Silent does not answer,
+	// Reset closes the connection, and RateLimited answers 429.
 	Busy        Failure = "busy"
 	Silent      Failure = "silent"
 	Reset       Failure = "reset"
@@ -40,7 +40,7 @@
 	ReplyLost Failure = "lost"
 )
 
-// Limits of the fake.
+// Limits of the fake, and the revision of an empty store.
 const (
 	maxPageItems    = 500
 	maxWatchWait    = 30 * time.Second
@@ -98,7 +98,8 @@
 	}
 }
 
-// Stop ends the waiting calls.
+// Stop ends the waiting calls, except watches muted by MuteWatches, which wait until
+// their caller disconnects.
 func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stopped) }) }
 
 // Put writes a key, as the operator or a worker would, and returns its revision.
@@ -145,7 +146,8 @@
 	s.notify()
 }
 
-// MuteWatches leaves the waiting watches unanswered, while new calls are answered.
+// MuteWatches leaves the watches that are waiting now unanswered, while new calls
+// are answered.
 func (s *Server) MuteWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +197,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expire ends the leases whose TTL has passed.
+// expire ends the leases whose TTL has passed. The caller holds the lock.
 func (s *Server) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
--- a/internal/dev/plain/plain.go
+++ b/internal/dev/plain/plain.go
@@ -33,7 +33,8 @@
 	ID          ident.TargetID
 	Incarnation ident.Incarnation
 	Service     string
-	Slots       int
+	// Slots is reported in the load and not enforced.
+	Slots int
 	// Work is the duration of a call.
 	Work time.Duration
 }
@@ -58,7 +59,7 @@
 	Jobs map[string]int `json:"jobs"`
 	// Calls counts all calls, whether they ran or not. Late counts those that arrived
 	// while draining, and LateMs is the time from the start of draining to the last
-	// one.
+	// of these calls.
 	Calls  int   `json:"calls"`
 	Late   int   `json:"late"`
 	LateMs int64 `json:"lateMs"`
@@ -104,7 +105,7 @@
 	s.drainingSince = time.Now()
 }
 
-// Idle reports whether no call runs.
+// Idle reports whether no call is in progress.
 func (s *Service) Idle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dev/plat/fault.go
+++ b/internal/dev/plat/fault.go
@@ -26,10 +26,11 @@
 	// LoseNext closes the connections of that many writes after they have taken
 	// effect.
 	LoseNext int `json:"loseNext,omitempty"`
-	// LoseShare does the same to a random share of all writes, with the given Seed.
+	// LoseShare is the probability that a write loses its reply in the same way; Seed
+	// seeds the random numbers.
 	LoseShare float64 `json:"loseShare,omitempty"`
 	Seed      uint64  `json:"seed,omitempty"`
-	// HostsLagMs is the age of the list of hosts that is served.
+	// HostsLagMs is the minimum age of the list of hosts that is served.
 	HostsLagMs int64 `json:"hostsLagMs,omitempty"`
 	// Refuse lists the IP addresses of callers whose connections are closed.
 	Refuse []string `json:"refuse,omitempty"`
--- a/internal/dev/plat/lease.go
+++ b/internal/dev/plat/lease.go
@@ -18,7 +18,7 @@
 	expiresAt time.Time
 }
 
-// listing is an entry host's entry in the directory.
+// listing is the directory record of an entry host and the lease it depends on.
 type listing struct {
 	store.Listing
 	lease store.LeaseID
@@ -70,7 +70,7 @@
 	}
 }
 
-// endLease removes a lease with its values and listings.
+// endLease removes a lease with its values and listings. The caller holds the lock.
 func (s *Server) endLease(id store.LeaseID) {
 	delete(s.leases, id)
 	maps.DeleteFunc(s.values, func(_ string, v value) bool { return v.lease == id })
--- a/internal/dev/plat/plat.go
+++ b/internal/dev/plat/plat.go
@@ -190,7 +190,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Peek returns a value without counting a call or applying faults, for tests.
+// Peek returns a value without counting a call, applying faults or expiring
+// leases, for tests.
 func (s *Server) Peek(key string) (store.Value, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dev/ports/ports.go
+++ b/internal/dev/ports/ports.go
@@ -1,5 +1,5 @@
-// Package ports allocates loopback addresses for tests that no other process on
-// the machine uses.
+// Package ports allocates loopback addresses for tests. No other process that uses
+// this package allocates the same addresses.
 //
 // # Usage
 //
@@ -29,7 +29,8 @@
 // port is the port of all addresses.
 const port = 7001
 
-// valuesPerByte is the number of values used per byte of an IP address.
+// valuesPerByte is the number of values used for each of the last two bytes of an
+// IP address.
 const valuesPerByte = 250
 
 // The networks 127.16 to 127.215 are used, except 127.81, which the commands on the
@@ -64,11 +65,12 @@
 	panic("ports: all loopback networks are reserved, end leftover test processes")
 }
 
-// IP returns an unused loopback IP address.
+// IP returns a new loopback IP address of the network of this process. The addresses
+// repeat after valuesPerByte * valuesPerByte calls.
 func IP() string {
 	n := ipCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", network(), n/valuesPerByte%valuesPerByte+1, n%valuesPerByte+1)
 }
 
-// Next returns an unused address of the form host:port.
+// Next returns an address of the form host:port, with a new IP address.
 func Next() string { return fmt.Sprintf("%s:%d", IP(), port) }
--- a/internal/dev/relay/relay.go
+++ b/internal/dev/relay/relay.go
@@ -62,7 +62,7 @@
 // Fault is a set of simulated network faults. The zero value means none.
 type Fault struct {
 	// Stall holds back the data of these directions while connections stay open, as a
-	// lost link does. It is delivered once the fault is removed.
+	// lost link does. The data is delivered once the fault is removed.
 	Stall Direction
 	// Refuse closes open connections and rejects new ones.
 	Refuse bool
@@ -193,7 +193,7 @@
 	delete(r.conns, c)
 }
 
-// Limits of the data in transit in one direction.
+// Limits of the data in transit in one direction; chunkSize is in bytes.
 const (
 	maxQueuedChunks = 4096
 	chunkSize       = 16 << 10
@@ -222,8 +222,8 @@
 // fault was removed.
 const stallPollInterval = 10 * time.Millisecond
 
-// waitUntilDue waits until the due time has passed and the direction is not
-// stalled.
+// waitUntilDue waits until the due time and the delay of the fault have passed and
+// the direction is not stalled, or until the relay stops.
 func (p *pipe) waitUntilDue(sub *clock.Subscription, due ident.Time) {
 	svc := p.relay.cfg.Clock
 	for p.relay.t.Alive() {
--- a/internal/dev/worker/worker.go
+++ b/internal/dev/worker/worker.go
@@ -30,8 +30,8 @@
 
 // Faults.
 const (
-	// Crash aborts the stream in the middle of an event. Reset closes the connection
-	// after the request ran and before the first byte of the answer.
+	// Crash aborts a stream in the middle of its second event. Reset closes the
+	// connection after the request ran and before the first byte of the answer.
 	Crash Fault = "crash"
 	Reset Fault = "reset"
 	// NoAnswer runs the request and never answers.
@@ -60,12 +60,13 @@
 	ID         string
 	Service    string
 	DataCentre string
-	Slots      int
+	// Slots is reported and not enforced.
+	Slots int
 	// Events is the number of events of a stream, or zero for a plain service;
 	// EventInterval is the time between two events.
 	Events        int
 	EventInterval time.Duration
-	// Work is the duration of a plain call.
+	// Work is the duration of a call to a plain service.
 	Work time.Duration
 	// StartTimeMs is the start time in Unix milliseconds, which the store entry and
 	// the reports contain. If it is zero, the store entry omits it.
@@ -119,9 +120,10 @@
 	k.cfg.EventInterval = interval
 }
 
-// Restart simulates a restart under the same id while the network is broken:
-// running requests are not answered, no connection is closed, and the sequence
-// number, the running requests and the injected faults are reset.
+// Restart simulates a restart under the same id: it sets the start time and resets
+// the sequence number, the number of running requests and the injected faults. It
+// neither closes connections nor ends running requests, so that callers don't notice
+// the restart, as when the network is broken.
 func (k *Worker) Restart(startTimeMs int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
