--- a/internal/dev/cmds/cmds.go
+++ b/internal/dev/cmds/cmds.go
@@ -58,7 +58,7 @@
 }
 
 func (c *platformCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	st := &standIn{handler: plat.New()}
+	st := &fakeProcess{handler: plat.New()}
 	return st.serve(c.listen)
 }
 
@@ -82,13 +82,13 @@
 	fs.StringVar(&c.id, "id", "engine-1", "id of the target")
 	fs.StringVar(&c.model, "model", "draft", "name of the loaded model")
 	fs.IntVar(&c.cfg.Slots, "slots", 8, "maximum number of concurrent requests")
-	fs.DurationVar(&c.cfg.TokenTime, "tokenTime", time.Millisecond, "time between two tokens of a stream")
+	fs.DurationVar(&c.cfg.TokenTime, "tokenTime", time.Millisecond, "duration of a batch step without prefill")
 	fs.Float64Var(&c.cfg.PrefillRate, "prefillRate", 20000, "prompt tokens per second")
 	fs.IntVar(&c.cfg.CacheBlocks, "cacheBlocks", 4096, "capacity of the prefix cache in blocks of 256 bytes")
 	fs.DurationVar(&c.cfg.LoadLag, "loadLag", 0, "maximum age of a load report")
 	fs.DurationVar(&c.cfg.CacheLag, "cacheLag", 0, "delay of cache events")
 	fs.Uint64Var(&c.cfg.CacheGap, "cacheGap", 0, "drop every n-th cache event")
-	fs.BoolVar(&c.cfg.ChecksFence, "checksFence", false, "refuse orders with an old fencing number")
+	fs.BoolVar(&c.cfg.ChecksFence, "checksFence", false, "reject orders with an outdated fencing token")
 }
 
 func (c *engineCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -97,7 +97,7 @@
 	c.cfg.Serves = []rules.Serve{{Model: ident.Model(c.model)}}
 	eng := engine.New(c.cfg)
 	defer eng.Stop()
-	st := &standIn{handler: eng, drain: eng.Drain, idle: eng.Idle}
+	st := &fakeProcess{handler: eng, drain: eng.Drain, idle: eng.Idle}
 	return st.serve(c.listen)
 }
 
@@ -119,7 +119,7 @@
 	fs.StringVar(&c.listen, "listen", "127.0.0.1:0", "address to listen on")
 	fs.StringVar(&c.id, "id", "service-1", "id of the target")
 	fs.StringVar(&c.cfg.Service, "service", "publish", "name of the service")
-	fs.IntVar(&c.cfg.Slots, "slots", 16, "maximum number of concurrent calls")
+	fs.IntVar(&c.cfg.Slots, "slots", 16, "number of slots in the load report; concurrent calls are not limited")
 	fs.DurationVar(&c.cfg.Work, "work", 5*time.Millisecond, "duration of a call")
 }
 
@@ -128,12 +128,12 @@
 	c.cfg.Incarnation = ident.Incarnation(time.Now().UnixNano())
 	svc := plain.New(c.cfg)
 	defer svc.Stop()
-	st := &standIn{handler: svc, drain: svc.Drain, idle: svc.Idle}
+	st := &fakeProcess{handler: svc, drain: svc.Drain, idle: svc.Idle}
 	return st.serve(c.listen)
 }
 
-// standIn runs a fake as a process.
-type standIn struct {
+// fakeProcess serves a fake until the process receives a signal.
+type fakeProcess struct {
 	handler http.Handler
 	// drain and idle are set for targets, which shut down gracefully.
 	drain func()
@@ -144,9 +144,9 @@
 // running requests.
 const idlePollInterval = 20 * time.Millisecond
 
-// serve prints the address that it listens on, since the system chooses the port
-// if it is zero, and serves until SIGTERM or SIGINT.
-func (s *standIn) serve(addr string) subcommands.ExitStatus {
+// serve prints the address that it listens on, since the operating system chooses
+// the port if the given one is zero, and serves until SIGTERM or SIGINT.
+func (s *fakeProcess) serve(addr string) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	ln, err := net.Listen("tcp", addr)
