--- a/internal/dev/ablate/ablate.go
+++ b/internal/dev/ablate/ablate.go
@@ -81,14 +81,14 @@
 	return table, nil
 }
 
-func runOnce(ctx context.Context, cfg Config, off codes.ID, name string, seed int) (float64, error) {
-	fill := strings.NewReplacer("{off}", string(off), "{case}", name, "{seed}", strconv.Itoa(seed))
+func runOnce(ctx context.Context, cfg Config, disabled codes.ID, caseName string, seed int) (float64, error) {
+	fill := strings.NewReplacer("{off}", string(disabled), "{case}", caseName, "{seed}", strconv.Itoa(seed))
 	args := make([]string, len(cfg.Command))
 	for i, arg := range cfg.Command {
 		args[i] = fill.Replace(arg)
 	}
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
-	cmd.Env = append(os.Environ(), disabledEnv+"="+string(off))
+	cmd.Env = append(os.Environ(), disabledEnv+"="+string(disabled))
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		return 0, errors.Wrapf(err, "ablate: %s:\n%s", strings.Join(args, " "), out)
@@ -116,10 +116,10 @@
 	return m, math.Sqrt(sum/float64(len(xs)-1)) / math.Sqrt(float64(len(xs)))
 }
 
-// Worth returns the contribution of the mechanism of row i: the mean difference, case by case
-// and seed by seed, between the figure with all mechanisms and that without it, and the standard
-// error of this mean.
-func (t Table) Worth(i int) (worth, sem float64) {
+// Contribution returns the contribution of the mechanism of row i: the mean difference, case by
+// case and seed by seed, between the figure with all mechanisms and that without it, and the
+// standard error of this mean.
+func (t Table) Contribution(i int) (diff, sem float64) {
 	diffs := make([]float64, len(t[i].Figures))
 	for j, x := range t[i].Figures {
 		diffs[j] = t[0].Figures[j] - x
@@ -137,8 +137,8 @@
 			fmt.Fprintf(&b, "| nothing | %.4f | | %d plays |\n", m, len(row.Figures))
 			continue
 		}
-		worth, sem := t.Worth(i)
-		fmt.Fprintf(&b, "| %s | %.4f | %+.4f ± %.4f | %s |\n", row.Disabled, m, worth, sem, row.Title)
+		diff, sem := t.Contribution(i)
+		fmt.Fprintf(&b, "| %s | %.4f | %+.4f ± %.4f | %s |\n", row.Disabled, m, diff, sem, row.Title)
 	}
 	_, err := io.WriteString(w, b.String())
 	return errors.Wrap(err, "ablate: write table")
--- a/internal/dev/bench/bench.go
+++ b/internal/dev/bench/bench.go
@@ -1,6 +1,6 @@
 // Package bench compares routing policies on separate processes: a platform,
-// engines and entry hosts of three data centres in three regions, with relays between
-// them that add latency, under open-loop load.
+// engines and entry hosts of up to three data centres, each in its own region, with
+// relays between them that add latency, under open-loop load.
 //
 // # Usage
 //
@@ -44,7 +44,7 @@
 	// Duration is the length of one load. Each policy is measured once in each of the Rounds.
 	Duration time.Duration
 	Rounds   int
-	// Warmup is the length of the load before the first that is measured.
+	// Warmup is the length of the load that runs, without being measured, before the first round.
 	Warmup time.Duration
 	// Scale multiplies the times of the engines and divides the rate of the load.
 	Scale float64
@@ -86,8 +86,8 @@
 }
 
 // Run starts a fleet and measures each policy in each round. The error is ErrUnknown for an
-// unknown deployment or scenario and ErrStart if a process does not answer. The report then
-// holds the rows measured so far.
+// unknown deployment or scenario and ErrStart if a process does not answer. With an error, the
+// report holds the rows measured so far.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	rep := Report{Deployment: cfg.Deployment, Scenario: cfg.Scenario}
 	dep, ok := deployments[cfg.Deployment]
--- a/internal/dev/bench/fleet.go
+++ b/internal/dev/bench/fleet.go
@@ -112,7 +112,7 @@
 		if err := f.startEngines(ctx, s); err != nil {
 			return err
 		}
-		f.assignAddresses(s)
+		f.addHosts(s)
 	}
 	if err := f.call(ctx, http.MethodPut, f.platform+"/dev/hosts", store.Hosts{Targets: f.targets()}, nil); err != nil {
 		return err
@@ -157,8 +157,8 @@
 	return ts
 }
 
-// assignAddresses makes the settings of the hosts of a data centre, with their addresses.
-func (f *fleet) assignAddresses(s *site) {
+// addHosts adds the hosts of a data centre, with their addresses and settings. It does not start them.
+func (f *fleet) addHosts(s *site) {
 	for n := range hostsPerSite {
 		ip := ports.IP()
 		f.regionOf[ip] = s.place.Region
--- a/internal/dev/bench/proc.go
+++ b/internal/dev/bench/proc.go
@@ -94,9 +94,9 @@
 }
 
 // setEngineStopped stops an engine, or restarts it with a cold cache.
-func (f *fleet) setEngineStopped(e *engineProc, end bool) {
+func (f *fleet) setEngineStopped(e *engineProc, stopped bool) {
 	ctx := context.Background()
-	if end {
+	if stopped {
 		var l engine.Ledger
 		if f.call(ctx, http.MethodGet, e.url+"/dev/ledger", nil, &l) == nil {
 			e.earlier = e.addEarlier(l)
--- a/internal/dev/bench/scene.go
+++ b/internal/dev/bench/scene.go
@@ -128,7 +128,7 @@
 }
 
 // loads returns the loads of one measurement: one for each data centre, and one more for its
-// bound requests if the scenario has any.
+// requests that may not leave their region, if the scenario has any.
 func (b *bench) loads(policy string, round int, duration time.Duration) []load.Config {
 	var cfgs []load.Config
 	dep := deployments[b.cfg.Deployment]
--- a/internal/dev/chart/chart.go
+++ b/internal/dev/chart/chart.go
@@ -25,15 +25,15 @@
 
 // Series is the content of the logs of one run.
 type Series struct {
-	Name    string
-	Seconds []Second
-	Waits   []Wait
+	Name        string
+	Seconds     []Second
+	Predictions []Prediction
 	// Profiles, Refusals and Targets are sorted by name.
 	Profiles []ProfileStats
 	Refusals []Refusal
 	Targets  []Target
-	// OmittedLines counts the lines that hosts dropped. If it is not zero, all counts are too
-	// low.
+	// OmittedLines counts the lines that hosts dropped. If it is not zero, other counts may
+	// be too low.
 	OmittedLines int
 }
 
@@ -44,9 +44,9 @@
 	InTime  int
 }
 
-// Wait is the predicted and the actual time from sending a request to the first byte of its
+// Prediction is the predicted and the actual time from sending a request to the first byte of its
 // answer.
-type Wait struct {
+type Prediction struct {
 	Predicted time.Duration
 	Actual    time.Duration
 }
@@ -54,6 +54,7 @@
 // ProfileStats summarises the requests of one profile.
 type ProfileStats struct {
 	Profile string
+	// Sent counts the attempts that were sent to a target, Refused the refusals.
 	Sent    int
 	Refused int
 	// FirstByte and Total are the times from sending a request to the first and to the last byte
@@ -101,7 +102,7 @@
 	goal         time.Duration
 	requests     map[string]*request
 	inFlight     map[attempt]openAttempt
-	waits        []Wait
+	predictions  []Prediction
 	omittedLines int
 	profiles     map[string]*profileTimes
 	refusals     map[string]*Refusal
@@ -130,7 +131,7 @@
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
-		rd.line(sc.Text())
+		rd.addLine(sc.Text())
 	}
 	if err := sc.Err(); err != nil {
 		return Series{}, errors.Wrap(err, "chart: read "+name)
@@ -139,12 +140,12 @@
 		return Series{}, errors.Errorf("chart: %s has no line of a request; log at level 0 or higher", name)
 	}
 	return Series{
-		Name: name, Seconds: rd.seconds(), Waits: rd.waits, OmittedLines: rd.omittedLines,
+		Name: name, Seconds: rd.seconds(), Predictions: rd.predictions, OmittedLines: rd.omittedLines,
 		Profiles: rd.sortedProfiles(), Refusals: sorted(rd.refusals), Targets: sorted(rd.targets),
 	}, nil
 }
 
-func (rd *reader) line(s string) {
+func (rd *reader) addLine(s string) {
 	f := fields(s)
 	// Hosts append a suffix of their own to the id of a request.
 	f["request"], _, _ = strings.Cut(f["request"], ".")
@@ -165,18 +166,18 @@
 		rd.recordArrival(f["request"], at.Add(-millis(f["waitedMs"])))
 	case "refused":
 		rd.recordArrival(f["request"], at.Add(-millis(f["waitedMs"])))
-		entry(rd.refusals, f["code"], Refusal{Code: f["code"], Title: f["title"]}).Count++
-		entry(rd.profiles, f["profile"], profileTimes{ProfileStats: ProfileStats{Profile: f["profile"]}}).Refused++
+		getOrAdd(rd.refusals, f["code"], Refusal{Code: f["code"], Title: f["title"]}).Count++
+		getOrAdd(rd.profiles, f["profile"], profileTimes{ProfileStats: ProfileStats{Profile: f["profile"]}}).Refused++
 	case "attempt ended":
 		rd.recordEnd(f, at)
 	}
 }
 
-// entry returns the value of a key, which is set to first if there is none.
-func entry[T any](m map[string]*T, key string, first T) *T {
+// getOrAdd returns the value of a key, which is added as initial if there is none.
+func getOrAdd[T any](m map[string]*T, key string, initial T) *T {
 	v, ok := m[key]
 	if !ok {
-		v = &first
+		v = &initial
 		m[key] = v
 	}
 	return v
@@ -194,8 +195,8 @@
 // recordSent counts an attempt that was sent to a target.
 func (rd *reader) recordSent(f map[string]string) {
 	rd.inFlight[attempt{f["request"], f["target"]}] = openAttempt{millis(f["predictedMs"]), f["profile"]}
-	entry(rd.profiles, f["profile"], profileTimes{ProfileStats: ProfileStats{Profile: f["profile"]}}).Sent++
-	t := entry(rd.targets, f["target"], Target{ID: f["target"]})
+	getOrAdd(rd.profiles, f["profile"], profileTimes{ProfileStats: ProfileStats{Profile: f["profile"]}}).Sent++
+	t := getOrAdd(rd.targets, f["target"], Target{ID: f["target"]})
 	t.Sent++
 	busy, _ := strconv.Atoi(f["busy"])
 	t.MaxBusy = max(t.MaxBusy, busy)
@@ -229,7 +230,7 @@
 	if first < 0 || f["firstMs"] == "" {
 		return
 	}
-	rd.waits = append(rd.waits, Wait{Predicted: s.predicted, Actual: first})
+	rd.predictions = append(rd.predictions, Prediction{Predicted: s.predicted, Actual: first})
 	if f["result"] != "done" {
 		return
 	}
@@ -359,23 +360,23 @@
 // Spreads returns the actual times by predicted time, in groups whose bounds double. Groups of
 // fewer than minGroupSize attempts are omitted.
 func (s Series) Spreads() []Spread {
-	groups := make(map[int][]Wait)
-	for _, w := range s.Waits {
+	groups := make(map[int][]Prediction)
+	for _, p := range s.Predictions {
 		n := 0
-		for b := 50 * time.Millisecond; w.Predicted >= b; b *= 2 {
+		for b := 50 * time.Millisecond; p.Predicted >= b; b *= 2 {
 			n++
 		}
-		groups[n] = append(groups[n], w)
+		groups[n] = append(groups[n], p)
 	}
 	var out []Spread
-	for _, ws := range groups {
-		if len(ws) < minGroupSize {
+	for _, group := range groups {
+		if len(group) < minGroupSize {
 			continue
 		}
-		slices.SortFunc(ws, func(a, b Wait) int { return int(a.Predicted - b.Predicted) })
-		mid := ws[len(ws)/2].Predicted
-		slices.SortFunc(ws, func(a, b Wait) int { return int(a.Actual - b.Actual) })
-		out = append(out, Spread{Predicted: mid, Median: ws[len(ws)/2].Actual, P90: ws[len(ws)*9/10].Actual, Count: len(ws)})
+		slices.SortFunc(group, func(a, b Prediction) int { return int(a.Predicted - b.Predicted) })
+		predicted := group[len(group)/2].Predicted
+		slices.SortFunc(group, func(a, b Prediction) int { return int(a.Actual - b.Actual) })
+		out = append(out, Spread{Predicted: predicted, Median: group[len(group)/2].Actual, P90: group[len(group)*9/10].Actual, Count: len(group)})
 	}
 	slices.SortFunc(out, func(a, b Spread) int { return int(a.Predicted - b.Predicted) })
 	return out
--- a/internal/dev/chart/chart_test.go
+++ b/internal/dev/chart/chart_test.go
@@ -34,9 +34,9 @@
 	got := readLog(t)
 	ms := time.Millisecond
 	want := Series{
-		Name:    "day",
-		Seconds: []Second{{Offered: 3, InTime: 1}, {Offered: 2, InTime: 1}},
-		Waits:   []Wait{{40 * ms, 30 * ms}, {60 * ms, 500 * ms}, {0, 20 * ms}, {0, 50 * ms}},
+		Name:        "day",
+		Seconds:     []Second{{Offered: 3, InTime: 1}, {Offered: 2, InTime: 1}},
+		Predictions: []Prediction{{40 * ms, 30 * ms}, {60 * ms, 500 * ms}, {0, 20 * ms}, {0, 50 * ms}},
 		Profiles: []ProfileStats{
 			{Profile: "book", Sent: 2, FirstByte: Quantiles{500 * ms, 500 * ms, 500 * ms}, Total: Quantiles{550 * ms, 550 * ms, 550 * ms}},
 			{Profile: "draft", Sent: 3, Refused: 1, FirstByte: Quantiles{50 * ms, 50 * ms, 50 * ms}, Total: Quantiles{100 * ms, 100 * ms, 100 * ms}},
@@ -74,9 +74,9 @@
 func TestSpreadsLeaveOutSmallGroups(t *testing.T) {
 	var s Series
 	for i := range minGroupSize {
-		s.Waits = append(s.Waits, Wait{Predicted: 60 * time.Millisecond, Actual: time.Duration(i) * time.Millisecond})
+		s.Predictions = append(s.Predictions, Prediction{Predicted: 60 * time.Millisecond, Actual: time.Duration(i) * time.Millisecond})
 	}
-	s.Waits = append(s.Waits, Wait{Predicted: 3 * time.Second, Actual: time.Second})
+	s.Predictions = append(s.Predictions, Prediction{Predicted: 3 * time.Second, Actual: time.Second})
 	want := []Spread{{Predicted: 60 * time.Millisecond, Median: 10 * time.Millisecond, P90: 18 * time.Millisecond, Count: minGroupSize}}
 	if diff := cmp.Diff(want, s.Spreads()); diff != "" {
 		t.Errorf("spreads (-want +got):\n%s", diff)
@@ -88,7 +88,7 @@
 	s.Name = "day"
 	for i := range 30 {
 		s.Seconds = append(s.Seconds, Second{Offered: 100 + i, InTime: 90})
-		s.Waits = append(s.Waits, Wait{Predicted: 60 * time.Millisecond, Actual: 70 * time.Millisecond})
+		s.Predictions = append(s.Predictions, Prediction{Predicted: 60 * time.Millisecond, Actual: 70 * time.Millisecond})
 	}
 	dir := t.TempDir()
 	for name, draw := range map[string]func(string, []Series) error{"a.svg": Goodput, "b.svg": Predictions} {
--- a/internal/dev/drive/carry.go
+++ b/internal/dev/drive/carry.go
@@ -8,7 +8,8 @@
 	"verbenadale.example/verbenadale/pkg/value"
 )
 
-// execute executes an effect of a host: it turns it into later events.
+// execute executes an effect of a host: it updates the state of the simulation and schedules
+// the events that follow.
 func (d *Driver) execute(h *Host, eff event.Effect) {
 	switch e := eff.(type) {
 	case event.Wake:
@@ -117,17 +118,17 @@
 	if d.OnMessage != nil {
 		d.OnMessage(h.Host, e.To, e)
 	}
-	d.postAs(e.To, after, event.RequestArrived{Request: req})
+	d.postToIncarnation(e.To, after, event.RequestArrived{Request: req})
 }
 
 // answer delivers a final answer to the caller, or to the host that forwarded the request.
 func (d *Driver) answer(h *Host, id ident.RequestID, outcome event.Outcome, eff event.Effect) {
-	p, ok := d.forwarded[id]
+	fwd, ok := d.forwarded[id]
 	if !ok {
 		d.Answers = append(d.Answers, Answer{At: d.Now, Host: h.ID, Request: id, Outcome: outcome, Effect: eff})
 		return
 	}
-	end := event.AttemptEnded{Attempt: p.attempt, Result: event.ResultBroken}
+	end := event.AttemptEnded{Attempt: fwd.attempt, Result: event.ResultBroken}
 	switch outcome {
 	case event.Done:
 		end.Result = event.ResultDone
@@ -138,14 +139,14 @@
 		end.Code = ref.Code
 		end.RetryAfter = ref.RetryAfter
 	}
-	from := d.Host(p.from)
-	if from.Incarnation != p.incarnation {
+	from := d.Host(fwd.from)
+	if from.Incarnation != fwd.incarnation {
 		return
 	}
 	after, lost := d.Delay(h.Host, from.Host)
 	if lost {
 		after = breakDelay
-		end = event.AttemptEnded{Attempt: p.attempt, Result: event.ResultBroken}
+		end = event.AttemptEnded{Attempt: fwd.attempt, Result: event.ResultBroken}
 	}
-	d.Post(p.from, after, end)
+	d.Post(fwd.from, after, end)
 }
--- a/internal/dev/drive/drive.go
+++ b/internal/dev/drive/drive.go
@@ -11,9 +11,9 @@
 //	d.Send("uvs-1", request)
 //	d.Run(5 * time.Second)
 //
-// It models neither a network nor an engine: messages take a fixed time, and a
-// target runs each request for a fixed time. Its purpose is to present events to the
-// reducers in every order.
+// It models neither a network nor an engine: the latency of a message does not
+// depend on its size, and a target runs each request for a fixed time. Its purpose is
+// to present events to the reducers in many orders.
 package drive
 
 import (
@@ -183,14 +183,15 @@
 	})
 }
 
-// postAs is Post that does nothing if the host is no longer of the given incarnation.
-func (d *Driver) postAs(to event.Host, after time.Duration, ev event.Event) {
+// postToIncarnation calls Post if the host still has the incarnation of to.
+func (d *Driver) postToIncarnation(to event.Host, after time.Duration, ev event.Event) {
 	if d.Host(to.ID).Incarnation == to.Incarnation {
 		d.Post(to.ID, after, ev)
 	}
 }
 
-// message sends an event from one host to another, subject to Delay.
+// message sends an event from one host to another, subject to Delay. OnMessage is not called if
+// eff is nil.
 func (d *Driver) message(from, to event.Host, eff event.Effect, ev event.Event) {
 	if d.Host(to.ID) == nil {
 		return
--- a/internal/dev/load/load.go
+++ b/internal/dev/load/load.go
@@ -47,7 +47,7 @@
 	Stream   bool
 	Deadline time.Duration
 	Seed     uint64
-	// Retry sends a refused request again after its Retry-After.
+	// Retry sends a refused request again after its Retry-After, if that is before the deadline.
 	Retry bool
 }
 
--- a/internal/dev/load/plot.go
+++ b/internal/dev/load/plot.go
@@ -40,8 +40,8 @@
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return errors.Wrap(err, "load: plot")
 	}
-	// A logarithmic axis panics if its range reaches zero, as it does around equal values: those
-	// of a load without any answer.
+	// A logarithmic axis panics if its range reaches zero. That happens if all values are equal,
+	// for example for a load without any answer.
 	p.Y.Min = max(p.Y.Min/2, minPlotMs)
 	p.Y.Max = max(p.Y.Max*2, 10*minPlotMs)
 	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "load: plot")
--- a/internal/dev/load/result.go
+++ b/internal/dev/load/result.go
@@ -17,7 +17,7 @@
 	total      time.Duration
 	gaps       []time.Duration
 	retryAfter time.Duration
-	// redirected is set if the refusal named other hosts and the request follows them.
+	// redirected is set if the refusal named other hosts and FollowEntries is set.
 	redirected bool
 	inTime     bool
 }
--- a/internal/dev/load/shot.go
+++ b/internal/dev/load/shot.go
@@ -26,11 +26,11 @@
 	slots       chan struct{}
 
 	// redirects counts how often the request followed a refusal to other hosts.
-	redirects int
-	prompt    []byte
-	first     ident.Time
-	last      ident.Time
-	gaps      []time.Duration
+	redirects    int
+	prompt       []byte
+	firstTokenAt ident.Time
+	lastTokenAt  ident.Time
+	gaps         []time.Duration
 }
 
 // maxRedirects limits how often a request follows the hosts that refusals name.
@@ -76,6 +76,7 @@
 	}
 }
 
+// remaining returns the time until the deadline, or a minute if the load has none.
 func (s *request) remaining() time.Duration {
 	if s.cfg.Deadline == 0 {
 		return time.Minute
@@ -186,12 +187,12 @@
 
 func (s *request) recordToken() {
 	now := s.clock.Now()
-	if s.first == 0 {
-		s.first = now
+	if s.firstTokenAt == 0 {
+		s.firstTokenAt = now
 	} else {
-		s.gaps = append(s.gaps, now.Sub(s.last))
+		s.gaps = append(s.gaps, now.Sub(s.lastTokenAt))
 	}
-	s.last = now
+	s.lastTokenAt = now
 }
 
 func (s *request) readAnswer(body io.Reader) outcome {
@@ -210,7 +211,7 @@
 	}
 	now := s.clock.Now()
 	return outcome{
-		kind: "done", firstToken: s.first.Sub(s.due), total: now.Sub(s.due), gaps: s.gaps,
+		kind: "done", firstToken: s.firstTokenAt.Sub(s.due), total: now.Sub(s.due), gaps: s.gaps,
 		inTime: s.cfg.Deadline == 0 || now.Sub(s.due) <= s.cfg.Deadline,
 	}
 }
--- a/internal/dev/routes/routes.go
+++ b/internal/dev/routes/routes.go
@@ -187,7 +187,8 @@
 	return nil
 }
 
-// The first request is repeated until the hosts have discovered their targets.
+// A request that is answered 503 is repeated: hosts answer 503 until they have discovered their
+// targets.
 const (
 	maxRetries = 50
 	retryDelay = 100 * time.Millisecond
--- a/internal/dev/slope/event.go
+++ b/internal/dev/slope/event.go
@@ -26,7 +26,8 @@
 	PeakCalls   int     `json:"peakCalls"`
 	PeakBytes   int     `json:"peakBytes"`
 	// Recovered is how long after the end of the disruption every host had the newest
-	// configuration; zero means that this did not happen while the fleet was observed. Refused
+	// configuration of those that generateLoad had written by then; zero means that this did not
+	// happen while the fleet was observed. Refused
 	// is the number of requests, of all Requests since the disruption began, that did not end
 	// with Done.
 	Recovered time.Duration `json:"recovered"`
@@ -58,43 +59,43 @@
 		r.Run(warmUp)
 		r.resetCounters()
 		r.generateLoad(observationTime)
-		sh := Disruption{Name: k.name, Fleet: len(r.Hosts), SteadyCalls: float64(r.totalCalls()) / observationTime.Seconds()}
+		d := Disruption{Name: k.name, Fleet: len(r.Hosts), SteadyCalls: float64(r.totalCalls()) / observationTime.Seconds()}
 		r.Answers = nil
 		k.begin(r)
 		r.generateLoad(disruptionTime)
 		r.Change(r.account(0))
 		k.end(r)
-		r.observe(&sh)
-		out = append(out, sh)
+		r.observe(&d)
+		out = append(out, d)
 	}
 	return out
 }
 
 // observe records the behaviour of the fleet second by second after the end of a disruption.
-func (r *run) observe(sh *Disruption) {
+func (r *run) observe(d *Disruption) {
 	ended := r.Now
 	newest := r.newestRevision()
 	for range int(observationTime / time.Second) {
-		r.nextSecond()
+		r.resetSecond()
 		r.generateLoad(time.Second)
-		sh.PeakCalls = max(sh.PeakCalls, r.totalCalls())
+		d.PeakCalls = max(d.PeakCalls, r.totalCalls())
 		for _, n := range r.bytes {
-			sh.PeakBytes = max(sh.PeakBytes, n)
+			d.PeakBytes = max(d.PeakBytes, n)
 		}
-		if sh.Recovered == 0 && r.allHostsAt(newest) {
-			sh.Recovered = r.Now.Sub(ended)
+		if d.Recovered == 0 && r.allHostsAt(newest) {
+			d.Recovered = r.Now.Sub(ended)
 		}
 	}
 	for _, a := range r.Answers {
-		sh.Requests++
+		d.Requests++
 		if a.Outcome != event.Done {
-			sh.Refused++
+			d.Refused++
 		}
 	}
 }
 
-// nextSecond clears the counters of a second; the answers are kept.
-func (r *run) nextSecond() {
+// resetSecond clears the counters that observe reads every second. It keeps the answers.
+func (r *run) resetSecond() {
 	clear(r.bytes)
 	clear(r.calls)
 }
@@ -199,22 +200,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, of: c}, nil
+	return &countedConn{Conn: conn, counter: c}, nil
 }
 
 type countedConn struct {
 	net.Conn
-	of *counter
+	counter *counter
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.of.read.Add(int64(n))
+	c.counter.read.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.of.written.Add(int64(n))
+	c.counter.written.Add(int64(n))
 	return n, err
 }
--- a/internal/dev/slope/slope.go
+++ b/internal/dev/slope/slope.go
@@ -51,7 +51,7 @@
 	Fleet           int     `json:"fleet"`
 	MessagesPerHost float64 `json:"messagesEach"`
 	// BytesPerHost is in bytes sent per second. MaxBytes is that of the host that sends the
-	// most, which is the representative of its data centre.
+	// most, usually the representative of its data centre.
 	BytesPerHost float64 `json:"bytesEach"`
 	MaxBytes     float64 `json:"mostBytes"`
 	PollsPerHost float64 `json:"pollsEach"`
@@ -83,17 +83,17 @@
 
 type run struct {
 	*drive.Driver
-	cfg          Config
-	bytes        map[ident.EntryID]int
-	messages     int
-	polls        int
-	calls        map[string]int
-	coding       time.Duration
-	parts        map[string]int
-	requestSeq   uint64
-	changedAt    map[ident.Revision]ident.Time
-	hostsInForce map[ident.Revision]int
-	inForce      []time.Duration
+	cfg           Config
+	bytes         map[ident.EntryID]int
+	messages      int
+	polls         int
+	calls         map[string]int
+	codingTime    time.Duration
+	parts         map[string]int
+	requestSeq    uint64
+	changedAt     map[ident.Revision]ident.Time
+	hostsInForce  map[ident.Revision]int
+	inForceDelays []time.Duration
 }
 
 // Run measures a fleet of one size.
@@ -233,7 +233,7 @@
 	clear(r.bytes)
 	clear(r.calls)
 	clear(r.parts)
-	r.messages, r.polls, r.coding = 0, 0, 0
+	r.messages, r.polls, r.codingTime = 0, 0, 0
 	r.Answers = nil
 	for _, h := range r.Hosts {
 		h.ControlTime, h.TrafficTime = 0, 0
@@ -265,7 +265,7 @@
 		// The length prefix of the frame takes one or two bytes.
 		_ = proto.Unmarshal(b[2:], &wire.Frame{})
 	}
-	r.coding += time.Since(began)
+	r.codingTime += time.Since(began)
 	r.messages++
 	r.parts["framing"] += framing
 	r.bytes[from.ID] += len(b) + framing
@@ -299,7 +299,7 @@
 		rev := e.Book.Rev()
 		r.hostsInForce[rev]++
 		if at, ok := r.changedAt[rev]; ok && r.hostsInForce[rev] == len(r.Hosts) {
-			r.inForce = append(r.inForce, r.Now.Sub(at))
+			r.inForceDelays = append(r.inForceDelays, r.Now.Sub(at))
 		}
 	}
 }
@@ -310,7 +310,7 @@
 	res := Result{
 		Config: r.cfg, Fleet: len(r.Hosts), PlatformCalls: make(map[string]float64),
 		MessagesPerHost: float64(r.messages) / n / secs, PollsPerHost: float64(r.polls) / n / secs,
-		CodingCPU: r.coding.Seconds() / n / secs,
+		CodingCPU: r.codingTime.Seconds() / n / secs,
 	}
 	for _, h := range r.Hosts {
 		res.ControlCPU += h.ControlTime.Seconds() / n / secs
@@ -333,10 +333,10 @@
 			res.Refused++
 		}
 	}
-	if len(r.inForce) > 0 {
-		slices.Sort(r.inForce)
-		res.InForceP50 = r.inForce[len(r.inForce)/2]
-		res.InForceMax = r.inForce[len(r.inForce)-1]
+	if len(r.inForceDelays) > 0 {
+		slices.Sort(r.inForceDelays)
+		res.InForceP50 = r.inForceDelays[len(r.inForceDelays)/2]
+		res.InForceMax = r.inForceDelays[len(r.inForceDelays)-1]
 	}
 	return res
 }
--- a/internal/dev/soak/caller.go
+++ b/internal/dev/soak/caller.go
@@ -47,8 +47,8 @@
 	body       string
 	// err is set if no complete answer was received.
 	err error
-	// settled is set if no fault was active shortly before or during the request. termAt is the
-	// time at which the process received SIGTERM.
+	// settled is set if no fault was active shortly before or during the request. termAt is when
+	// the process was sent SIGTERM.
 	settled bool
 	termAt  time.Time
 }
@@ -208,7 +208,7 @@
 	k.send(ctx, h, &a)
 	a.end = time.Now()
 	a.settled = a.settled && k.pool.deployment.settled()
-	if run, termAt := h.state(); run == a.process {
+	if process, termAt := h.state(); process == a.process {
 		a.termAt = termAt
 	}
 	k.pool.record(a)
@@ -241,7 +241,7 @@
 }
 
 // wantBody returns the body that a successful answer must have, or for calls its prefix: the
-// target that ends it is not known beforehand.
+// body of a call ends with the id of the target, which is not known beforehand.
 func (a observation) wantBody() string {
 	if a.kind == kindDraft {
 		return worker.StreamText(streamEvents)
--- a/internal/dev/soak/check.go
+++ b/internal/dev/soak/check.go
@@ -88,7 +88,7 @@
 
 // checkEvacuated checks that no request is sent to an evacuated region.
 func (c *checker) checkEvacuated(a observation, w *target, desc string) {
-	for _, e := range c.deployment.evacuated {
+	for _, e := range c.deployment.evacuations {
 		ended := !e.to.IsZero() && a.end.After(e.to)
 		if a.settled && e.region == w.region && !ended && a.began.Sub(e.from) > maxPropagation {
 			c.report("evacuated: %s was sent to %s %.2fs after its data centre was evacuated", desc, w.id, a.began.Sub(e.from).Seconds())
@@ -124,8 +124,8 @@
 	c.report("planned work: %s was aborted (%v) and ran %d times", desc, a.err, c.runs[a.id])
 }
 
-// checkGracefulStop checks that a host aborts no request that it has read before SIGTERM ends
-// it. A request that it never read shows as a refused or reset connection and has not run.
+// checkGracefulStop checks that a host that stops after SIGTERM aborts no request that it has
+// read. A request that it never read shows as a refused or reset connection and has not run.
 func (c *checker) checkGracefulStop(a observation, desc string) {
 	if !a.settled || a.err == nil || a.termAt.IsZero() || a.end.Before(a.termAt) || c.neverRead(a) {
 		return
--- a/internal/dev/soak/fault.go
+++ b/internal/dev/soak/fault.go
@@ -51,8 +51,8 @@
 // generator makes a fault of one kind with random parameters.
 type generator func(rnd *rand.Rand, s *deployment) fault
 
-// plannedWork generates work that must not abort a request and must be in force at every host in
-// time.
+// plannedWork holds the generators of planned work. It must not abort a request, and what it
+// changes must take effect at every host within maxPropagation.
 var plannedWork = []generator{stopHost, evacuate, replaceWorker, reconfigure}
 
 // drawPlan draws a plan of faults that begin within span.
@@ -214,7 +214,7 @@
 }
 
 // linkFault makes a fault of a link that passes through a relay.
-func linkFault(rnd *rand.Rand, what string, r func() *relay.Relay) fault {
+func linkFault(rnd *rand.Rand, link string, r func() *relay.Relay) fault {
 	kinds := []struct {
 		name string
 		f    relay.Fault
@@ -228,7 +228,7 @@
 	}
 	k := kinds[rnd.IntN(len(kinds))]
 	return fault{
-		name:  fmt.Sprintf("link %s %s", what, k.name),
+		name:  fmt.Sprintf("link %s %s", link, k.name),
 		begin: func(context.Context) { r().SetFault(k.f); resetIf(r(), k.name == "reset") },
 		end:   func(context.Context) { r().SetFault(relay.Fault{}) },
 	}
--- a/internal/dev/soak/site.go
+++ b/internal/dev/soak/site.go
@@ -55,10 +55,9 @@
 	servers []*http.Server
 	// lastFaultAt is when a fault last began or ended.
 	lastFaultAt time.Time
-	// configs are the configurations that were written, evacuated the evacuations of data
-	// centres.
-	configs   []configWrite
-	evacuated []evacuation
+	// configs are the configurations written so far, evacuations the evacuations of data centres.
+	configs     []configWrite
+	evacuations []evacuation
 	// selfExits describes the processes that ended without a signal.
 	selfExits []string
 }
@@ -88,13 +87,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.evacuated {
-		if e := &s.evacuated[i]; e.region == region && e.to.IsZero() {
+	for i := range s.evacuations {
+		if e := &s.evacuations[i]; e.region == region && e.to.IsZero() {
 			e.to = time.Now()
 		}
 	}
 	if evacuated {
-		s.evacuated = append(s.evacuated, evacuation{region: region, from: time.Now()})
+		s.evacuations = append(s.evacuations, evacuation{region: region, from: time.Now()})
 	}
 }
 
@@ -267,8 +266,8 @@
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	// processes counts the processes started so far. termAt is when the current one received
-	// SIGTERM; stopping is set once it was sent SIGTERM or SIGKILL.
+	// processes counts the processes started so far. termAt is when the current one was
+	// sent SIGTERM; stopping is set once it was sent SIGTERM or SIGKILL.
 	processes int
 	termAt    time.Time
 	stopping  bool
@@ -380,7 +379,7 @@
 	return h.done
 }
 
-// state returns the number of the current process and when it received SIGTERM.
+// state returns the number of the current process and when it was sent SIGTERM.
 func (h *host) state() (process int, termAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/dev/soak/soak_test.go
+++ b/internal/dev/soak/soak_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against a check that misses the violation that it looks for: each case is one violation
-// or, as a control, none.
+// Guards against a check that misses the violation that it looks for: each case violates one
+// or more guarantees or, as a control, none.
 func TestChecksDetectViolations(t *testing.T) {
 	at := time.Now()
 	for name, c := range map[string]struct {
@@ -141,7 +141,7 @@
 		"aborted by planned work": {a: observation{id: "p", kind: kindDraft, route: kindDraft, status: 200, err: io.ErrUnexpectedEOF}, runs: 1, planned: true, want: 1},
 		"no route":                {a: observation{id: "p", kind: kindFetch, route: kindFetch, status: 404, settled: true}, want: 1},
 	} {
-		chk := &checker{deployment: &deployment{cfg: Config{Planned: c.planned}, began: at, evacuated: []evacuation{{region: regions[1], from: at.Add(-2 * maxPropagation)}}}, runs: map[string]int{"p": c.runs}, ranAt: map[string][]*target{}}
+		chk := &checker{deployment: &deployment{cfg: Config{Planned: c.planned}, began: at, evacuations: []evacuation{{region: regions[1], from: at.Add(-2 * maxPropagation)}}}, runs: map[string]int{"p": c.runs}, ranAt: map[string][]*target{}}
 		if c.ran != nil {
 			chk.ranAt["p"] = []*target{c.ran}
 		}
