--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -207,7 +207,7 @@
 	d.t.Go(l.Run)
 }
 
-// Drain starts a graceful stop; the channel of Drained is closed at its end.
+// Drain starts a graceful stop. The channel that Drained returns is closed at its end.
 func (d *Daemon) Drain() {
 	d.platform.reg.withdraw()
 	d.mesh.SetDraining()
@@ -220,11 +220,13 @@
 	return nil
 }
 
-// Drained returns a channel that is closed once the last request after Drain has ended.
+// Drained returns a channel that is closed at the end of the drain: every request has had its final
+// answer, finalTimeout has passed, or the daemon is being stopped.
 func (d *Daemon) Drained() <-chan struct{} { return d.halt.Done() }
 
-// finalTimeout bounds the time to send the last answers, and again the time for connections to end;
-// stopTimeout bounds the time to close the links to other hosts and to flush spans.
+// finalTimeout bounds each of three waits: for the last answers after a drain, for the connections
+// to end and for the HTTP/2 shutdown of each listener. stopTimeout, counted from the start of Stop,
+// bounds the time to close the links to other hosts and to flush spans.
 const (
 	finalTimeout = 2 * time.Second
 	stopTimeout  = 5 * time.Second
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -90,9 +90,10 @@
 	// unknown.
 	EventInterval time.Duration
 	// SpillShare is the share of the local callers' work without a long shared
-	// prefix that is forwarded to other data centres. RemoteRoom is the work that
-	// Centre may take besides that of its own callers without a long shared
-	// prefix, in prefill tokens a second. Both are zero if they did not affect the
+	// prefix that is forwarded to other data centres. RemoteRoom is the work a
+	// second that Centre may take besides that of its own callers without a long
+	// shared prefix: in prompt tokens if the targets of the service are engines,
+	// otherwise in seconds of slot time. Both are zero if they did not affect the
 	// decision.
 	SpillShare float64
 	RemoteRoom float64
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -16,7 +16,7 @@
 // LeaseID identifies a lease of the service.
 type LeaseID string
 
-// Lease is a lease that the service has granted for a limited time. Its fencing number is higher
+// Lease is a lease that the service has granted for a limited time. Its fencing token is higher
 // than that of every lease granted before.
 type Lease struct {
 	ID    LeaseID
@@ -28,22 +28,22 @@
 	expiry atomic.Int64
 }
 
-// marginDivisor gives the safety margin at the end of a lease, which is the TTL divided by it. The
+// marginDivisor sets the safety margin at the end of a lease: the TTL divided by marginDivisor. The
 // margin covers clocks that run at different rates and the latency of the protected operation.
 const marginDivisor = 8
 
 // Valid reports whether the holder may rely on the lease at now.
 //
 // A paused process that holds a lease resumes in the middle of its work without noticing the
-// pause. It could continue as owner although another host has become the owner meanwhile, so that
-// orders are given under two fencing numbers at once. The monotonic clock advances during a pause,
+// pause. It could continue as owner although another host has become the owner meanwhile, and both
+// would give orders, each with its own fencing token. The monotonic clock advances during a pause,
 // so a check right before each use detects the expiry.
 func (l *Lease) Valid(now ident.Time) bool {
 	return l != nil && now < ident.Time(l.expiry.Load())
 }
 
 // extend sets the expiry of a lease that was requested or renewed at requestedAt. The service
-// counts from the later time of its answer, so the lease expires first at the holder.
+// counts the TTL from its answer, which is later, so the lease expires at the holder first.
 func (l *Lease) extend(requestedAt ident.Time) {
 	l.expiry.Store(int64(requestedAt.Add(l.TTL - l.TTL/marginDivisor)))
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against reporting a write whose reply is lost as failed or as done.
+// Guards against reporting failure or success of a write whose reply is lost.
 func TestPutLostReply(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -73,7 +73,7 @@
 	wantEqual(t, "metric of the conflict", int64(1), f.counter("put.conflict"))
 }
 
-// Guards against reporting a write that was never sent as of unknown outcome.
+// Guards against reporting an unknown outcome for a write that was never sent.
 func TestPutNotSent(t *testing.T) {
 	cl := store.New(store.Config{URL: "http://127.0.0.1:1"})
 	_, err := cl.Put(context.Background(), "k", nil, store.Absent)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against a key that is deleted and created again and then matches the old version of a
-// slow writer.
+// Guards against reused version numbers: when a key is deleted and created again, a slow writer
+// with a version of the deleted key could overwrite the new value.
 func TestVersionsAreNotReused(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -138,7 +138,8 @@
 	}
 }
 
-// Guards against counting a claim that takes effect after its request was refused as a run.
+// Guards against treating a claim as a run of its request if the claim takes effect only after the
+// request was refused.
 func TestClaimTakesEffectLate(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{Timeout: 50 * time.Millisecond})
@@ -158,7 +159,7 @@
 	wantEqual(t, "claim of the same request afterwards", event.ClaimWon, claim)
 }
 
-// Guards against claims that exhaust the call budget which the watch needs.
+// Guards against claims that exhaust the call budget of control calls such as the watch.
 func TestClaimsDoNotBlockControlCalls(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{CallsPerSecond: 4, Timeout: 200 * time.Millisecond})
@@ -196,7 +197,7 @@
 	_, err = f.cl.PutWithLease(ctx, second, "duty", []byte("second"), store.Absent)
 	wantErr(t, "the next holder acquires the duty", nil, err)
 	if second.Fence <= first.Fence {
-		t.Errorf("fencing number %d of the next holder is not above %d", second.Fence, first.Fence)
+		t.Errorf("fencing token %d of the next holder is not above %d", second.Fence, first.Fence)
 	}
 	wantErr(t, "the first holder can't renew it", store.ErrLeaseExpired, f.cl.KeepAlive(ctx, first))
 	wantEqual(t, "the first lease is invalid", false, first.Valid(0))
