--- a/internal/proofs/change_serves_test.go
+++ b/internal/proofs/change_serves_test.go
@@ -15,7 +15,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// An accepted change must be in force in each data centre in time and must never revert.
+// An accepted change must be in force in each data centre within maxInForceDelay and must never revert.
 // The test makes changes during slow and lost platform calls, partitions, frozen processes and restarts.
 func TestChangeInForceAndNeverReverts(t *testing.T) {
 	o := startChangeFleet(t)
@@ -102,11 +102,11 @@
 	o.setPlatformFaults(plat.Faults{DelayMs: 300, HostsLagMs: 5000})
 	for _, id := range []ident.EntryID{"uvs-1", "erdenet-2", "khovd-1"} {
 		rev, at := o.change(o.host(id))
-		o.waitInForce("slow store", rev, at, o.hosts)
+		o.waitInForce("slow platform", rev, at, o.hosts)
 	}
 	o.testConcurrentChanges()
 	o.setPlatformFaults(plat.Faults{})
-	o.logDelays("slow store")
+	o.logDelays("slow platform")
 }
 
 // testPlatformOutage takes the platform down. A change must be refused and not applied in part:
@@ -208,7 +208,7 @@
 	o.logDelays("cut off and frozen")
 }
 
-// changesBeyondHistory is more changes than a host keeps for sending them one by one.
+// changesBeyondHistory exceeds the number of changes that a host keeps to send them one by one.
 const changesBeyondHistory = 70
 
 // testLongFrozen freezes a data centre until the others no longer keep the changes that it
--- a/internal/proofs/change_test.go
+++ b/internal/proofs/change_test.go
@@ -106,8 +106,8 @@
 type changeFleet struct {
 	*fleet
 	readers map[ident.EntryID]*reader
-	// drafts numbers the drafted changes; accepted counts the accepted ones. delays holds the
-	// in-force delays by data centre.
+	// drafts is the number of the latest draft, which is also the deadline that the draft sets.
+	// accepted counts the accepted changes. delays holds the in-force delays by data centre.
 	drafts, accepted int
 	delays           map[ident.DataCentre][]time.Duration
 }
@@ -254,8 +254,8 @@
 	clear(o.delays)
 }
 
-func (o *changeFleet) hostsExcept(out ...*fleetHost) []*fleetHost {
-	return slices.DeleteFunc(slices.Clone(o.hosts), func(m *fleetHost) bool { return slices.Contains(out, m) })
+func (o *changeFleet) hostsExcept(excluded ...*fleetHost) []*fleetHost {
+	return slices.DeleteFunc(slices.Clone(o.hosts), func(m *fleetHost) bool { return slices.Contains(excluded, m) })
 }
 
 func (o *changeFleet) setPlatformFaults(fs plat.Faults) {
--- a/internal/proofs/circulate_test.go
+++ b/internal/proofs/circulate_test.go
@@ -73,8 +73,8 @@
 	tr.origins[rep.header.Get("Verbenadale-Request-Id")] = m.place.DataCentre
 }
 
-// attempts counts the attempts for each request at all engines, and for each data centre its
-// requests that ran at an engine of another one.
+// attempts returns how often each request was sent to engines, and for each data centre how many
+// of its requests were sent to engines of another one.
 func (tr *traffic) attempts() (map[string]int, map[ident.DataCentre]int) {
 	ns, remote := make(map[string]int), make(map[ident.DataCentre]int)
 	for _, tg := range tr.targets {
@@ -105,15 +105,15 @@
 	f.reportIdle("uvs", "erdenet", rules.Serve{Model: "draft"})
 	f.reportIdle("erdenet", "uvs", rules.Serve{Model: "draft"})
 	tr := &traffic{fleet: f, origins: make(map[string]ident.DataCentre)}
-	const maxWaves = 10
-	for wave := 1; ; wave++ {
+	const maxBursts = 10
+	for burst := 1; ; burst++ {
 		tr.sendBurst(t, "uvs", "erdenet")
 		if _, remote := tr.attempts(); remote["uvs"] >= minCrossed && remote["erdenet"] >= minCrossed {
-			t.Logf("after %d bursts, requests that ran in the other region: %v", wave, remote)
+			t.Logf("after %d bursts, requests that ran in the other region: %v", burst, remote)
 			break
 		}
-		if wave == maxWaves {
-			t.Fatalf("after %d bursts requests have not crossed in both directions", maxWaves)
+		if burst == maxBursts {
+			t.Fatalf("after %d bursts requests have not crossed in both directions", maxBursts)
 		}
 	}
 	tr.checkBounds(t, cp)
@@ -154,13 +154,13 @@
 	})
 	rh := f.startRogue(khovd, "stray-1", placeOf("erdenet"))
 	body := chatBody("draft", "x", 2)
-	pass := func(id ident.RequestID, crossings ident.Hops, seen ...ident.EntryID) forwardResult {
+	forward := func(id ident.RequestID, crossings ident.Hops, seen ...ident.EntryID) forwardResult {
 		env := rh.envelope()
 		env.Crossings, env.Visited = crossings, append([]ident.EntryID{"stray-1"}, seen...)
 		return rh.forward(event.Request{ID: id, Account: "foundation", Profile: "draft", MaxTokens: 2, Stream: true}, env, body)
 	}
 	got := []forwardResult{
-		pass("req-fresh", 0), pass("req-spent", 1), pass("req-over", 2), pass("req-seen", 0, "khovd-1"),
+		forward("req-fresh", 0), forward("req-spent", 1), forward("req-over", 2), forward("req-seen", 0, "khovd-1"),
 	}
 	want := []forwardResult{
 		{BodyRequested: true, Result: event.ResultDone},
@@ -180,7 +180,8 @@
 // proxyTarget is a target that sends each request back to an entry host, like a misconfigured
 // external proxy.
 type proxyTarget struct {
-	to     []string
+	to []string
+	// rounds counts the requests that the target received.
 	rounds atomic.Int32
 	seq    atomic.Uint64
 	mu     sync.Mutex
@@ -221,11 +222,11 @@
 }
 
 func (d *proxyTarget) recordCode(answer []byte) {
-	var in expectResult
-	in.fill(answer)
+	var got expectResult
+	got.fill(answer)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.codes[in.Code]++
+	d.codes[got.Code]++
 }
 
 func totalSlots(st event.StatusAnswered) int {
--- a/internal/proofs/cutoff_test.go
+++ b/internal/proofs/cutoff_test.go
@@ -14,8 +14,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// askBoth sends a chat request and a job with a ticket to a host, and returns both statuses.
-func (f *fleet) askBoth(t *testing.T, m *fleetHost, job string) [2]int {
+// sendChatAndJob sends a chat request and a job with a ticket to a host, and returns both statuses.
+func (f *fleet) sendChatAndJob(t *testing.T, m *fleetHost, job string) [2]int {
 	t.Helper()
 	chat := post(t, m.callers()+"/v1/chat/completions", "key-1", chatBody("draft", "own work", 3))
 	tick := post(t, m.callers()+"/v1/tickets?profile=publish", "key-1", "")
@@ -33,7 +33,7 @@
 	t.Helper()
 	startedAt := time.Now()
 	for _, m := range ms {
-		eventually(t, what+": "+string(m.id)+" serves", func() bool { return f.askBoth(t, m, "wait") == bothServed })
+		eventually(t, what+": "+string(m.id)+" serves", func() bool { return f.sendChatAndJob(t, m, "wait") == bothServed })
 	}
 	return time.Since(startedAt).Round(time.Millisecond)
 }
@@ -43,7 +43,7 @@
 	t.Helper()
 	for range rounds {
 		for _, m := range ms {
-			if diff := cmp.Diff(bothServed, f.askBoth(t, m, "steady")); diff != "" {
+			if diff := cmp.Diff(bothServed, f.sendChatAndJob(t, m, "steady")); diff != "" {
 				t.Fatalf("%s at %s (-want +got):\n%s", what, m.id, diff)
 			}
 		}
@@ -51,8 +51,8 @@
 	}
 }
 
-// Rounds of work for checkServing. longRounds takes longer than the TTL of what hosts know of
-// each other.
+// Rounds of work for checkServing. longRounds take longer than the TTL of the state that
+// hosts receive from each other.
 const (
 	longRounds = 40
 	fewRounds  = 10
@@ -129,7 +129,8 @@
 	}
 }
 
-// checkOneCentreReached heals the links to another data centre while the platform is still down.
+// checkOneCentreReached heals the links to another data centre while the platform is unreachable.
+// The hosts must serve their callers through it, and refuse work that is confined to their region.
 func (f *fleet) checkOneCentreReached(t *testing.T, own, others []*fleetHost) {
 	t.Helper()
 	ran := f.engineLedger("uvs-e1").Ran
@@ -148,11 +149,12 @@
 		}
 	}
 	if diff := cmp.Diff(ran, f.engineLedger("uvs-e1").Ran); diff != "" {
-		t.Errorf("requests at the engine that no list contains (-want +got):\n%s", diff)
+		t.Errorf("requests at an engine that the restarted hosts don't know (-want +got):\n%s", diff)
 	}
 }
 
-// checkHealed reconnects the platform and checks the load that this puts on it.
+// checkHealed reconnects the platform. The hosts must serve meanwhile and use the engine of their
+// data centre again, and must not have opened too many connections to the platform.
 func (f *fleet) checkHealed(t *testing.T, own []*fleetHost, cut time.Duration) {
 	t.Helper()
 	before := f.platformCalls()
@@ -190,7 +192,7 @@
 func (f *fleet) checkServedOnce(t *testing.T, ms []*fleetHost) {
 	t.Helper()
 	for _, m := range ms {
-		if diff := cmp.Diff(bothServed, f.askBoth(t, m, "heal")); diff != "" {
+		if diff := cmp.Diff(bothServed, f.sendChatAndJob(t, m, "heal")); diff != "" {
 			t.Fatalf("while healing, at %s (-want +got):\n%s", m.id, diff)
 		}
 	}
--- a/internal/proofs/fleet_test.go
+++ b/internal/proofs/fleet_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// setSilent starts or stops holding back the data of one sender, in both directions. Its
-// connections stay open.
+// setSilent starts or stops holding back the data of one sender or of everyone, in both
+// directions. The connections stay open.
 func (r *relay) setSilent(sender string, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,13 +234,13 @@
 }
 
 // startFleetWith is like startFleet, but adjusts the settings of each host.
-func startFleetWith(t *testing.T, tune func(set *config.Settings), sites ...site) *fleet {
+func startFleetWith(t *testing.T, adjust func(set *config.Settings), sites ...site) *fleet {
 	t.Helper()
 	ca, err := certs.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, platform: startPlatform(t), procs: make(map[ident.TargetID]*proc), ca: ca, adjust: tune}
+	f := &fleet{t: t, platform: startPlatform(t), procs: make(map[ident.TargetID]*proc), ca: ca, adjust: adjust}
 	for _, s := range sites {
 		for n := range s.engines {
 			f.addEngine(ident.TargetID(fmt.Sprintf("%s-e%d", s.place.DataCentre, n+1)), s.place, s.engineArgs...)
--- a/internal/proofs/flood_test.go
+++ b/internal/proofs/flood_test.go
@@ -29,8 +29,8 @@
 }
 
 // maxMemoryGrowth bounds the growth of an entry host's memory in a flood: the bodies that it may
-// hold and 50 KB for each allowed connection, times three for garbage that is not yet collected.
-// The bodies of the flood are ten times as large.
+// buffer and 50 KB for each allowed connection, times three for garbage that is not yet collected.
+// Without the factor of three, the stalled bodies of the flood are ten times as large.
 const maxMemoryGrowth = 3 * (16<<20 + 600*50<<10)
 
 // floodHost is one entry host in front of one engine.
@@ -48,7 +48,7 @@
 	putHosts(t, platform, store.Hosts{Targets: []event.Target{eng}})
 	set := entrySettings(platform, "uvs-1", place)
 	set.Limits = floodLimits
-	h := &floodHost{entry: startSettings(t, set), t: t}
+	h := &floodHost{entry: startEntryWith(t, set), t: t}
 	applyItems(t, h.entry,
 		item(t, rules.KindProfile, "draft", rules.Profile{Name: "draft", Models: []rules.Serve{{Model: "draft"}}}),
 		item(t, rules.KindAccount, "foundation", rules.Client{Name: "foundation", KeyDigest: rules.Digest("key-1")}),
@@ -178,7 +178,7 @@
 		h.checkBounded(t, 20)
 		end()
 	})
-	t.Run("dripping bodies are ended", h.testDripEnds)
+	t.Run("dripping bodies are ended", h.testSlowBodyEnds)
 	t.Run("endless bodies", h.testEndless)
 	t.Run("stalled bodies", func(t *testing.T) {
 		end := h.flood(480, h.sendIncomplete)
@@ -194,7 +194,7 @@
 }
 
 // A body that arrives too slowly is answered with 408 and its code.
-func (h *floodHost) testDripEnds(t *testing.T) {
+func (h *floodHost) testSlowBodyEnds(t *testing.T) {
 	c, err := h.openRaw("/v1/chat/completions", 1000)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proofs/forge_test.go
+++ b/internal/proofs/forge_test.go
@@ -30,7 +30,8 @@
 	// peer is the host at the other end; control is the stream of control messages.
 	peer    event.Host
 	control net.Conn
-	n       uint64
+	// lastAttempt is the number of the latest attempt.
+	lastAttempt uint64
 }
 
 // startRogue links a rogue host of a place to a host.
@@ -102,9 +103,9 @@
 // envelope returns a valid envelope of a request that comes directly from a caller of the
 // rogue host.
 func (rh *rogueHost) envelope() event.Envelope {
-	rh.n++
+	rh.lastAttempt++
 	return event.Envelope{
-		Attempt:       ident.Attempt{Entry: rh.host.ID, Incarnation: rh.host.Incarnation, Number: rh.n},
+		Attempt:       ident.Attempt{Entry: rh.host.ID, Incarnation: rh.host.Incarnation, Number: rh.lastAttempt},
 		ToIncarnation: rh.peer.Incarnation,
 		From:          rh.host.ID, FromPlace: rh.host.Place, Crossings: 1, Visited: []ident.EntryID{rh.host.ID},
 	}
@@ -189,6 +190,7 @@
 	sum := event.Summary{Place: f.hostsIn(of)[0].place, Pools: []event.Pool{
 		{Serve: model, Slots: 100, Free: 100, Offer: 100, PrefillRate: 20000, DecodeRate: 1000, Price: 1},
 	}}
+	// A brief link to each host of the other data centre gives its current incarnation.
 	for n, m := range f.hostsIn(of) {
 		rh := f.startRogue(m, ident.EntryID(fmt.Sprintf("learns-%s-%d", of, n)), sum.Place)
 		sum.Hosts = append(sum.Hosts, rh.peer)
--- a/internal/proofs/jobs_test.go
+++ b/internal/proofs/jobs_test.go
@@ -64,10 +64,10 @@
 
 // send sends a job to a host and records the result.
 func (js *jobs) send(m *fleetHost, j *job) result {
-	return js.sendFor(context.Background(), m, j)
+	return js.sendWithContext(context.Background(), m, j)
 }
 
-func (js *jobs) sendFor(ctx context.Context, m *fleetHost, j *job) result {
+func (js *jobs) sendWithContext(ctx context.Context, m *fleetHost, j *job) result {
 	body, _ := json.Marshal(plain.Call{Job: j.name, Text: "a notice"})
 	ans := sendRequest(ctx, m.callers(), "/v1/services/publish/notices", string(body), j.header)
 	ran := 0
--- a/internal/proofs/leave_test.go
+++ b/internal/proofs/leave_test.go
@@ -83,10 +83,10 @@
 	}
 }
 
-// drainTarget drains an engine; how names the sources that don't report it.
-func (f *fleet) drainTarget(id ident.TargetID, how string) {
+// drainTarget drains an engine; silentSources are those that don't report the drain.
+func (f *fleet) drainTarget(id ident.TargetID, silentSources string) {
 	f.t.Helper()
-	res, err := http.Post(f.url(id)+"/dev/leave?"+how, "", nil)
+	res, err := http.Post(f.url(id)+"/dev/leave?"+silentSources, "", nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/proofs/marker_test.go
+++ b/internal/proofs/marker_test.go
@@ -96,7 +96,7 @@
 func (f *fleet) sendAborted(t *testing.T) {
 	t.Helper()
 	kinds := []string{engine.FaultCut, engine.FaultError, engine.FaultShort, engine.FaultCrossed}
-	f.engineFaults(t, "uvs-e1", engine.Faults{Every: 1, Kinds: kinds})
+	f.setFaultsAt(t, "uvs-e1", engine.Faults{Every: 1, Kinds: kinds})
 	stream := chatBody("confined", marker, 4)
 	for range len(kinds) {
 		for _, body := range []string{stream, strings.Replace(stream, `"stream":true`, `"stream":false`, 1)} {
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	f.engineFaults(t, "uvs-e1", engine.Faults{})
+	f.setFaultsAt(t, "uvs-e1", engine.Faults{})
 }
 
 // isComplete reports whether the complete answer to a request was received.
@@ -125,7 +125,7 @@
 	return err == nil && res.StatusCode == http.StatusOK
 }
 
-func (f *fleet) engineFaults(t *testing.T, id ident.TargetID, fs engine.Faults) {
+func (f *fleet) setFaultsAt(t *testing.T, id ident.TargetID, fs engine.Faults) {
 	t.Helper()
 	b, err := json.Marshal(fs)
 	if err != nil {
--- a/internal/proofs/measure_test.go
+++ b/internal/proofs/measure_test.go
@@ -75,12 +75,12 @@
 	br := bufio.NewReader(res.Body)
 	_, err = br.ReadString('\n')
 	first := time.Since(startedAt)
-	rest, ended := io.ReadAll(br)
+	rest, readErr := io.ReadAll(br)
 	switch {
 	case res.StatusCode != http.StatusOK:
 		return 0, fmt.Errorf("status %d", res.StatusCode)
-	case ended != nil:
-		return 0, ended
+	case readErr != nil:
+		return 0, readErr
 	case p.stream && !strings.Contains(string(rest), "[DONE]"):
 		return 0, fmt.Errorf("no end marker")
 	case p.stream:
@@ -89,7 +89,7 @@
 	return time.Since(startedAt), nil
 }
 
-// load sends requests at a fixed rate, independent of the answers.
+// load sends requests at a fixed average rate, independent of the answers.
 func (p *probe) load() {
 	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	// Random gaps prevent synchronisation with the token intervals of the engine.
@@ -110,7 +110,8 @@
 	return p.latencies[int(float64(len(p.latencies)-1)*q)]
 }
 
-// The latency that an entry host adds and the memory of an idle stream must meet their goals.
+// An entry host may add at most 1 ms (median) and 3 ms (p99) of latency, and an idle stream may take
+// at most 64 KB of its memory.
 func TestMeasureEntry(t *testing.T) {
 	if !*measure {
 		t.Skip("measures for about a minute; run with -measure")
@@ -122,7 +123,7 @@
 	putHosts(t, platform, store.Hosts{Targets: []event.Target{eng, slow}})
 	set := entrySettings(platform, "uvs-1", place)
 	set.Limits.MaxConnections, set.Limits.MaxRequests = 2*idleStreams, 2*idleStreams
-	en := startSettings(t, set)
+	en := startEntryWith(t, set)
 	applyItems(t, en,
 		item(t, rules.KindProfile, "draft", rules.Profile{Models: []rules.Serve{{Model: "draft"}}}),
 		item(t, rules.KindProfile, "idle", rules.Profile{Models: []rules.Serve{{Model: "slow"}}}),
@@ -167,9 +168,9 @@
 	for _, s := range open {
 		<-s.firstLine
 	}
-	each := (rss(t, en) - before) / idleStreams
-	t.Logf("memory of an idle stream: %d bytes over %d streams", each, idleStreams)
-	if each > 64<<10 {
+	bytesPerStream := (rss(t, en) - before) / idleStreams
+	t.Logf("memory of an idle stream: %d bytes over %d streams", bytesPerStream, idleStreams)
+	if bytesPerStream > 64<<10 {
 		t.Errorf("an idle stream takes more than 64 KB")
 	}
 }
--- a/internal/proofs/once_link_test.go
+++ b/internal/proofs/once_link_test.go
@@ -11,8 +11,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// A host that has forwarded jobs to another region dies while they run there. The sender of the
-// jobs is gone, and after its restart it knows nothing of them.
+// A host that has forwarded jobs to another region dies while they run there. After its
+// restart, it has no record of them.
 func (o *onceFleet) testForwarderDies(t *testing.T) {
 	o.killWhileRunning(t, o.remote, plain.Faults{WorkMs: 1000}, []*fleetHost{o.remote})
 	o.killWhileRunning(t, o.remote, plain.Faults{AnswerMs: 1000}, []*fleetHost{o.remote})
@@ -46,10 +46,10 @@
 	return all, dc
 }
 
-// Links break while forwarded jobs run: in one direction, in both, or silently, with late delivery
-// of data in transit, as after a brief freeze of a host. The forwarder can't distinguish a running
-// job from one that never arrived. It asks until the link is back, and the other side answers or
-// bars jobs that have not arrived.
+// Links break while forwarded jobs run: in one direction, in both, silently, or because the other
+// host is frozen and reads data in transit late. The forwarder can't distinguish a running job from
+// one that never arrived. It asks until the link is back. The other side reports the result of a job
+// that has arrived, and bars one that has not, so that it can't run later.
 func (o *onceFleet) testLinks(t *testing.T) {
 	briefly := func() { time.Sleep(1500 * time.Millisecond) }
 	cuts := []struct {
@@ -79,8 +79,8 @@
 			for _, m := range o.hostsIn(dc) {
 				c.cut(m, true)
 			}
-			late := o.mixed(t, o.remote, 4)
-			o.sendAll(o.remote, late)
+			duringCut := o.mixed(t, o.remote, 4)
+			o.sendAll(o.remote, duringCut)
 			c.wait()
 			for _, m := range o.hostsIn(dc) {
 				c.cut(m, false)
@@ -91,7 +91,7 @@
 			if n := countOutcome(all, event.NotRun); n == len(all) {
 				t.Error("all jobs were reported as not run: none was in flight during the cut")
 			}
-			o.repeat(append(all, late...), o.remote, o.local)
+			o.repeat(append(all, duringCut...), o.remote, o.local)
 			o.check(t)
 		})
 	}
--- a/internal/proofs/once_test.go
+++ b/internal/proofs/once_test.go
@@ -101,6 +101,8 @@
 	}
 }
 
+// A job must run at most once, and a job that is reported as not run must not have run, whichever
+// process or link fails.
 func TestRunsOnce(t *testing.T) {
 	t.Parallel()
 	o := startOnceFleet(t)
@@ -119,9 +121,9 @@
 	t.Run("service is killed", o.testServiceKilled)
 }
 
-// The platform is slow, and the host dies while its claims of keys are in transit. The writes land
-// after its death, for an incarnation that no longer exists. A caller that is told "not run" by
-// any host and then uses a ticket is safe only if the key can never run again.
+// The platform is slow, and the host dies while its claims of keys are in transit. The writes
+// take effect after its death, for an incarnation that no longer exists. A caller that gets "not run"
+// from any host and then uses a ticket is safe only if the key can never run again.
 func (o *onceFleet) testBeforeClaim(t *testing.T) {
 	before, calls := o.platformWrites(), o.serviceCalls("")
 	o.setPlatformFaults(plat.Faults{DelayMs: 900})
@@ -130,7 +132,7 @@
 	eventually(t, "the claims are in transit", func() bool { return o.platformWrites() >= before+len(all) })
 	o.local.kill(t)
 	o.wg.Wait()
-	time.Sleep(2 * time.Second) // Until the writes have landed.
+	time.Sleep(2 * time.Second) // Until the writes have taken effect.
 	o.setPlatformFaults(plat.Faults{})
 	if n := o.serviceCalls("") - calls; n != 0 {
 		t.Fatalf("%d calls were sent before their key was recorded", n)
@@ -262,7 +264,7 @@
 	o.sendAll(o.local, all)
 	eventually(t, "the claims are in transit", func() bool { return o.platformWrites() >= before+len(all) })
 	o.local.signal(t, syscall.SIGSTOP)
-	time.Sleep(1500 * time.Millisecond) // Until the writes have landed.
+	time.Sleep(1500 * time.Millisecond) // Until the writes have taken effect.
 	o.setPlatformFaults(plat.Faults{})
 	var unknown []*job
 	for _, j := range all {
@@ -327,7 +329,7 @@
 	all := o.mixed(t, o.local, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, j := range all {
-		o.wg.Go(func() { o.sendFor(ctx, o.local, j) })
+		o.wg.Go(func() { o.sendWithContext(ctx, o.local, j) })
 	}
 	eventually(t, "jobs run", func() bool { return o.serviceCalls("")-calls >= len(all) })
 	cancel()
--- a/internal/proofs/peer_test.go
+++ b/internal/proofs/peer_test.go
@@ -11,7 +11,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// withKeys adds TLS keys of its own to the settings of an entry host.
+// withKeys enables TLS in the settings of an entry host, with a new certificate and key.
 func withKeys(t *testing.T, ca *certs.Authority, set config.Settings) config.Settings {
 	t.Helper()
 	fs, err := ca.Issue(t.TempDir(), string(set.Entry))
@@ -44,7 +44,7 @@
 	return true
 }
 
-// Peers must drop the link to a frozen host, and link it again when it resumes.
+// Peers must drop the link to a frozen host, and reconnect when it resumes.
 func TestFrozenEntryIsNoticed(t *testing.T) {
 	ca, err := certs.New()
 	if err != nil {
@@ -57,8 +57,8 @@
 	first.Peers.Seeds = []config.Seed{{
 		Entry: ident.EntryID("uvs-2"), Addr: second.Peers.Listen, DataCentre: "uvs", Region: "uvs",
 	}}
-	b := startSettings(t, second)
-	a := startSettings(t, first)
+	b := startEntryWith(t, second)
+	a := startEntryWith(t, first)
 	eventually(t, "the link is up", a.logged(`msg="peer link is up"`, "entry=uvs-2"))
 
 	if err := b.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
--- a/internal/proofs/proc_test.go
+++ b/internal/proofs/proc_test.go
@@ -166,7 +166,7 @@
 
 func startEntry(t *testing.T, platform string, id ident.EntryID, place event.Place) *entry {
 	t.Helper()
-	return startSettings(t, entrySettings(platform, id, place))
+	return startEntryWith(t, entrySettings(platform, id, place))
 }
 
 func entrySettings(platform string, id ident.EntryID, place event.Place) config.Settings {
@@ -182,7 +182,7 @@
 	}
 }
 
-func startSettings(t *testing.T, set config.Settings) *entry {
+func startEntryWith(t *testing.T, set config.Settings) *entry {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "entry.json")
 	b, err := json.Marshal(set)
--- a/internal/proofs/residency_test.go
+++ b/internal/proofs/residency_test.go
@@ -61,29 +61,29 @@
 	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-home\r\n"+
 		"Content-Type: application/json\r\nVerbenadale-Profile: %s\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", profile, len(body))
 	br := bufio.NewReader(conn)
-	var in expectResult
+	var got expectResult
 	for {
 		res, err := http.ReadResponse(br, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if res.StatusCode == http.StatusContinue {
-			in.BodyRequested = true
+			got.BodyRequested = true
 			fmt.Fprint(conn, body)
 			continue
 		}
 		b, _ := io.ReadAll(res.Body)
 		res.Body.Close()
-		in.Status = res.StatusCode
-		in.fill(b)
-		return in
+		got.Status = res.StatusCode
+		got.fill(b)
+		return got
 	}
 }
 
-func (in *expectResult) fill(b []byte) {
+func (got *expectResult) fill(b []byte) {
 	var r refusalBody
 	if json.Unmarshal(b, &r) == nil {
-		in.Code, in.Outcome, in.Entries = r.Error.Code, r.Error.Outcome, r.Error.Entries
+		got.Code, got.Outcome, got.Entries = r.Error.Code, r.Error.Outcome, r.Error.Entries
 	}
 }
 
@@ -151,9 +151,9 @@
 	}
 }
 
-// A host with a valid certificate forwards confined requests to a region that they may not enter,
-// with their bodies unasked. The recipient must decide by its own configuration. An unconfined
-// request is accepted, which shows that the link works.
+// A host with a valid certificate forwards confined requests to a region that they may not enter, and
+// sends their bodies without being asked. The recipient must decide by its own configuration. An
+// unconfined request is accepted, which shows that the link works.
 func (f *fleet) testForgedEnvelope(t *testing.T) {
 	rh := f.startRogue(f.host("erdenet-1"), "stray-1", placeOf("uvs"))
 	body := chatBody("confined", "x", 2)
@@ -194,6 +194,8 @@
 	f.reportIdle("uvs", "erdenet", rules.Serve{Model: "draft"})
 	var confined []ident.RequestID
 	before := len(f.engineLedger("erdenet-e1").Requests)
+	// crossed counts the requests that ran in the other region, and fails the test if one of them was
+	// confined.
 	crossed := func() int {
 		ran := f.engineLedger("erdenet-e1").Requests
 		for _, id := range confined {
@@ -203,21 +205,21 @@
 		}
 		return len(ran) - before
 	}
-	for wave := 0; crossed() < minCrossed; wave++ {
-		if wave == 10 {
-			t.Fatalf("after %d waves only %d unconfined requests ran in the other region", wave, crossed())
+	for burst := 0; crossed() < minCrossed; burst++ {
+		if burst == 10 {
+			t.Fatalf("after %d bursts only %d unconfined requests ran in the other region", burst, crossed())
 		}
-		confined = append(confined, f.sendWave(t)...)
+		confined = append(confined, f.sendMixedBurst(t)...)
 	}
 	crossed()
 	if len(confined) == 0 {
-		t.Error("no confined request ran")
+		t.Error("no confined request was sent")
 	}
 }
 
-// sendWave sends many requests at once and returns the ids of the confined ones. Each must either be
-// done or be reported as not run.
-func (f *fleet) sendWave(t *testing.T) []ident.RequestID {
+// sendMixedBurst sends many requests at once, confined and unconfined, and returns the ids of the
+// confined ones. Each must either be done or be reported as not run.
+func (f *fleet) sendMixedBurst(t *testing.T) []ident.RequestID {
 	t.Helper()
 	var mu sync.Mutex
 	var ids []ident.RequestID
--- a/internal/proofs/rolling_test.go
+++ b/internal/proofs/rolling_test.go
@@ -17,7 +17,8 @@
 // listTTL is how long callers may use a list of hosts.
 const listTTL = 5 * time.Second
 
-// A rolling replacement of hosts and targets must not cut streams or leave callers with closed ports.
+// A rolling replacement of hosts and targets must not cut streams, nor close the port of a
+// host that callers may still have in their lists.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	a, b := siteOf("uvs", 2, 2, 0), siteOf("erdenet", 2, 2, 0)
@@ -35,7 +36,7 @@
 	}
 	loads := []*streamLoad{startStreamLoad(urls[:2], 1), startStreamLoad(urls[2:], 2)}
 	startedAt := time.Now()
-	// The first streams last longer than the stop of a host that does not wait for streams.
+	// The first streams last longer than a host would take to stop without waiting for them.
 	for n, tokens := range []int{650, 100} {
 		f.replaceHosts(tokens, f.hostsIn("uvs")[n], f.hostsIn("erdenet")[n])
 		f.replaceTargets(f.targets[n].ID, f.targets[n+2].ID)
@@ -125,8 +126,8 @@
 	}
 }
 
-// checkStaleList sends a request shortly before a list of hosts expires that was fetched just
-// before a host began to stop.
+// checkStaleList sends a request to a stopping host, shortly before the expiry of a host list that
+// was fetched before the stop. The host must refuse it and name other hosts.
 func (f *fleet) checkStaleList(m *fleetHost, listed time.Time) {
 	f.t.Helper()
 	time.Sleep(time.Until(listed.Add(listTTL - 500*time.Millisecond)))
--- a/internal/proofs/whole_test.go
+++ b/internal/proofs/whole_test.go
@@ -24,7 +24,7 @@
 // that forwards all its streams. The link to one engine can be cut.
 type answerFleet struct {
 	*fleet
-	toEngine *relay
+	engineRelay *relay
 }
 
 func startAnswerFleet(t *testing.T) *answerFleet {
@@ -43,7 +43,7 @@
 	*last = direct
 	f.configure()
 	eventually(t, "all engines are known", func() bool { return len(f.status(f.host("uvs-1")).Targets) >= 3 })
-	return &answerFleet{fleet: f, toEngine: r}
+	return &answerFleet{fleet: f, engineRelay: r}
 }
 
 func (f *answerFleet) urls(ids ...ident.EntryID) []string {
@@ -98,16 +98,16 @@
 		r.Requests, r.Done, r.Wrong, r.Cut, r.Errors, r.Refused, r.Dropped)
 }
 
-// checkLoad checks that no answer was wrong and that at most lost answers were incomplete. A
+// checkLoad checks that no answer was wrong and that at most maxIncomplete answers were incomplete. A
 // complete answer is compared with the text that belongs to its prompt.
-func checkLoad(t *testing.T, r load.Result, lost int) {
+func checkLoad(t *testing.T, r load.Result, maxIncomplete int) {
 	t.Helper()
 	t.Log(summarise(r))
 	if r.Wrong != 0 {
 		t.Errorf("%d answers looked complete but were not, or belonged to another caller", r.Wrong)
 	}
-	if incomplete := r.Requests - r.Done; incomplete > lost {
-		t.Errorf("%d of %d requests got no complete answer, at most %d expected", incomplete, r.Requests, lost)
+	if incomplete := r.Requests - r.Done; incomplete > maxIncomplete {
+		t.Errorf("%d of %d requests got no complete answer, at most %d expected", incomplete, r.Requests, maxIncomplete)
 	}
 }
 
@@ -118,6 +118,7 @@
 	engine.FaultCut, engine.FaultShort, engine.FaultCrossed, engine.FaultTwice, engine.FaultMixed, engine.FaultError,
 }
 
+// An answer that a caller receives as complete must be the whole answer to its own request.
 func TestAnswersAreWhole(t *testing.T) {
 	f := startAnswerFleet(t)
 	near := f.urls("uvs-1", "uvs-2")
@@ -131,9 +132,9 @@
 	t.Run("link to an engine is cut", func(t *testing.T) {
 		done := startStreams(near, 400, 3*time.Second, 4)
 		eventually(t, "streams run at the engine", func() bool { return f.running("uvs-e3") >= 20 })
-		f.toEngine.setCut(everyone, true)
+		f.engineRelay.setCut(everyone, true)
 		checkLoad(t, <-done, 0)
-		f.toEngine.setCut(everyone, false)
+		f.engineRelay.setCut(everyone, false)
 	})
 
 	// An entry host without engines forwards its streams, and its links to the data centre that runs
@@ -171,7 +172,8 @@
 			maxRunning = max(maxRunning, f.running("uvs-e1")+f.running("uvs-e2")+f.running("uvs-e3"))
 		}
 	}
-	// One request in a thousand meets three faults in a row and fails.
+	// About one request in a thousand gets three faulty answers in a row and fails; one in a hundred is
+	// allowed.
 	checkLoad(t, r, f.faultCount(engine.FaultTwice)+f.faultCount(engine.FaultMixed)+percentOf(r.Requests, 1))
 	for _, kind := range streamFaults {
 		if f.faultCount(kind) == 0 {
