--- a/internal/admit/load_test.go
+++ b/internal/admit/load_test.go
@@ -11,11 +11,11 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// The server model: places that each serve one request at a time. What a
-// request really takes is its prediction times a log-normal factor of mean 1,
-// so one in nine takes half as long again, or longer.
+// The server model: slots that each serve one request at a time. The actual duration of a
+// request is its prediction times a log-normal factor of mean 1, so that one in nine takes at
+// least 1.5 times as long as predicted.
 const (
-	places   = 20
+	slots    = 20
 	meanWork = time.Second
 	runTime  = 5 * time.Minute
 	sigma    = 0.4
@@ -33,11 +33,11 @@
 	pop  func(now ident.Time) (arrival, bool)
 }
 
-// load makes arrivals at a multiple of what the places can serve, the same on
-// every run.
-func load(times float64) []arrival {
+// arrivals returns arrivals at a multiple of the rate that the slots can serve, the same
+// on every run.
+func arrivals(factor float64) []arrival {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	rate := times * places / meanWork.Seconds()
+	rate := factor * slots / meanWork.Seconds()
 	var as []arrival
 	for at := 0.0; at < runTime.Seconds(); at += rnd.ExpFloat64() / rate {
 		work := time.Duration(min(rnd.ExpFloat64(), 5) * float64(meanWork))
@@ -47,7 +47,7 @@
 			real: time.Duration(float64(work) * math.Exp(sigma*rnd.NormFloat64()-sigma*sigma/2)),
 			Item: Item{
 				ID: ident.RequestID(fmt.Sprint(len(as))), Account: ident.Account(fmt.Sprint(rnd.IntN(20))),
-				Home: rnd.IntN(9) == 0, Work: work,
+				HomeBound: rnd.IntN(9) == 0, Work: work,
 				Deadline: now.Add(work + time.Duration((2+8*rnd.Float64())*float64(time.Second))),
 			},
 		})
@@ -55,22 +55,22 @@
 	return as
 }
 
-// ends is a heap of the times at which busy places are free.
-type ends []ident.Time
+// endTimes is a heap of the times at which busy slots become free.
+type endTimes []ident.Time
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i] < e[j] }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(ident.Time)) }
-func (e *ends) Pop() any {
+func (e endTimes) Len() int           { return len(e) }
+func (e endTimes) Less(i, j int) bool { return e[i] < e[j] }
+func (e endTimes) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endTimes) Push(x any)        { *e = append(*e, x.(ident.Time)) }
+func (e *endTimes) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// goodput is what was done in time: the work as a share of what the places
-// could do, and the requests a second.
+// goodput measures what was done in time: work as a fraction of the capacity of the
+// slots, and requests a second.
 type goodput struct{ work, requests float64 }
 
 func (g goodput) max(o goodput) goodput {
@@ -78,22 +78,22 @@
 }
 
 func (g goodput) String() string {
-	return fmt.Sprintf("%.3f of the places, %.2f/s", g.work, g.requests)
+	return fmt.Sprintf("%.3f of capacity, %.2f/s", g.work, g.requests)
 }
 
-// serve runs a load through a policy.
+// serve runs arrivals through a policy.
 func serve(as []arrival, p policy) goodput {
-	busy := &ends{}
+	busy := &endTimes{}
 	var g goodput
 	fill := func(now ident.Time) {
-		for busy.Len() < places {
+		for busy.Len() < slots {
 			a, ok := p.pop(now)
 			if !ok {
 				return
 			}
 			end := now.Add(a.real)
 			if end <= a.Deadline && end <= ident.Time(runTime) {
-				g.work += a.real.Seconds() / (runTime.Seconds() * places)
+				g.work += a.real.Seconds() / (runTime.Seconds() * slots)
 				g.requests += 1 / runTime.Seconds()
 			}
 			heap.Push(busy, end)
@@ -110,7 +110,7 @@
 	return g
 }
 
-// fifo is the naive queue: it takes everything and serves it in order.
+// fifo is the naive queue: it accepts everything and serves it in order.
 func fifo() policy {
 	var q []arrival
 	return policy{
@@ -132,7 +132,7 @@
 	return policy{
 		push: func(now ident.Time, a arrival) {
 			q.Shed(now, 0)
-			if ok, _, _ := q.Push(now, a.Item, q.Work()/places); ok {
+			if ok, _, _ := q.Push(now, a.Item, q.Work()/slots); ok {
 				as[a.ID] = a
 			}
 		},
@@ -144,32 +144,33 @@
 	}
 }
 
-// Under overload a queue accepts everything, and each answer comes after its caller has left.
+// Guards against lost goodput under overload: a queue that accepts everything answers each
+// request only after its caller has left.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	var best, got goodput
 	for _, times := range []float64{1, 2, 10} {
-		as := load(times)
+		as := arrivals(times)
 		naive := serve(as, fifo())
 		got = serve(as, admitted(Config{}))
 		best = best.max(naive).max(got)
 		t.Logf("offered %2.0fx: %v; first in first out %v", times, got, naive)
 		if got.work < naive.work || got.requests < naive.requests {
-			t.Errorf("offered %vx: %v, and the naive queue %v", times, got, naive)
+			t.Errorf("offered %vx: %v is less than the naive queue with %v", times, got, naive)
 		}
 	}
 	if got.work < 0.95 || got.work < 0.95*best.work || got.requests < 0.95*best.requests {
-		t.Errorf("at 10x %v, less than 95 %% of the best, %v", got, best)
+		t.Errorf("offered 10x: %v, less than 95 %% of the best, %v", got, best)
 	}
 }
 
-// BenchmarkMargins measures what the margin costs and brings.
+// BenchmarkMargins measures the effect of Margin on goodput.
 func BenchmarkMargins(b *testing.B) {
 	for _, m := range []float64{-1, 0.25, 0.5, 0.75, 1} {
 		for _, times := range []float64{1, 2, 10} {
 			b.Run(fmt.Sprintf("margin=%v/offered=%v", m, times), func(b *testing.B) {
 				var g goodput
 				for b.Loop() {
-					g = serve(load(times), admitted(Config{Margin: m}))
+					g = serve(arrivals(times), admitted(Config{Margin: m}))
 				}
 				b.ReportMetric(g.work, "work")
 				b.ReportMetric(g.requests, "requests/s")
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -17,44 +17,44 @@
 	"verbenadale.example/verbenadale/internal/event"
 )
 
-const waitLimit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// site is a server whose connections a keeper knows. Its sweeps are the test's.
-type site struct {
-	t     *testing.T
-	k     *Keeper
-	clock *clock.Service
-	limit time.Duration
-	srv   *httptest.Server
-	// hold is read by each request of the path /held before its answer ends; ended gets the
-	// ending of its connection.
-	hold  chan struct{}
-	began chan struct{}
-	ended chan event.Ending
+// testServer is a server with tracked connections. The test itself runs the sweeps.
+type testServer struct {
+	t           *testing.T
+	tracker     *Tracker
+	clock       *clock.Service
+	idleTimeout time.Duration
+	srv         *httptest.Server
+	// A request for /held waits for release before it is answered, or sends the ending of its
+	// connection to ended.
+	release chan struct{}
+	arrived chan struct{}
+	ended   chan event.Ending
 }
 
-func newSite(t *testing.T) *site {
+func newTestServer(t *testing.T) *testServer {
 	t.Helper()
-	s := &site{
-		t: t, clock: clock.New(), limit: time.Second,
-		hold: make(chan struct{}), began: make(chan struct{}, 8), ended: make(chan event.Ending, 8),
+	s := &testServer{
+		t: t, clock: clock.New(), idleTimeout: time.Second,
+		release: make(chan struct{}), arrived: make(chan struct{}, 8), ended: make(chan event.Ending, 8),
 	}
 	t.Cleanup(s.clock.Stop)
-	s.k = newKeeper(Config{Clock: s.clock, Limit: func() time.Duration { return s.limit }})
+	s.tracker = newTracker(Config{Clock: s.clock, IdleTimeout: func() time.Duration { return s.idleTimeout }})
 	s.srv = httptest.NewUnstartedServer(http.HandlerFunc(s.answer))
-	s.srv.Config.ConnState = s.k.State
-	s.srv.Config.ConnContext = s.k.Context
-	s.srv.Listener = s.k.Listener(s.srv.Listener)
+	s.srv.Config.ConnState = s.tracker.ConnState
+	s.srv.Config.ConnContext = s.tracker.ConnContext
+	s.srv.Listener = s.tracker.Listener(s.srv.Listener)
 	s.srv.Start()
 	t.Cleanup(s.srv.Close)
 	return s
 }
 
-func (s *site) answer(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) answer(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/held" {
-		s.began <- struct{}{}
+		s.arrived <- struct{}{}
 		select {
-		case <-s.hold:
+		case <-s.release:
 		case <-r.Context().Done():
 			s.ended <- EndingOf(r.Context())
 			return
@@ -63,35 +63,35 @@
 	fmt.Fprint(w, "whole")
 }
 
-// sweep has all connections that wait be idle for too long.
-func (s *site) sweep() { s.k.sweep(s.clock.Now().Add(time.Minute)) }
+// sweep runs a sweep at a time when every idle connection has exceeded the timeout.
+func (s *testServer) sweep() { s.tracker.sweep(s.clock.Now().Add(time.Minute)) }
 
-// caller is a connection to the site.
-type caller struct {
+// testClient is a connection to the test server.
+type testClient struct {
 	*net.TCPConn
 	t  *testing.T
 	br *bufio.Reader
 }
 
-func (s *site) connect() *caller {
+func (s *testServer) connect() *testClient {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.srv.Listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { _ = c.Close() })
-	return &caller{c.(*net.TCPConn), s.t, bufio.NewReader(c)}
+	return &testClient{c.(*net.TCPConn), s.t, bufio.NewReader(c)}
 }
 
-func (c *caller) send(text string) {
+func (c *testClient) send(text string) {
 	if _, err := c.Write([]byte(text)); err != nil {
 		c.t.Errorf("send %q: %v", text, err)
 	}
 }
 
-// answer returns the body of the next answer, or what went wrong.
-func (c *caller) answer() string {
-	_ = c.SetReadDeadline(time.Now().Add(waitLimit))
+// answer returns the body of the next answer, or the error text.
+func (c *testClient) answer() string {
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.br, nil)
 	if err != nil {
 		return err.Error()
@@ -104,23 +104,23 @@
 	return string(b)
 }
 
-// closed waits for the end of the connection.
-func (c *caller) closed() bool {
-	_ = c.SetReadDeadline(time.Now().Add(waitLimit))
+// waitClosed waits for the end of the connection and reports whether it was closed.
+func (c *testClient) waitClosed() bool {
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := c.br.ReadByte()
 	return err == io.EOF
 }
 
 const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
-const held = "GET /held HTTP/1.1\r\nHost: a\r\n\r\n"
+const heldRequest = "GET /held HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// waiting waits until so many connections wait for a request.
-func (s *site) waiting(n int) {
+// waitIdle waits until n connections are idle.
+func (s *testServer) waitIdle(n int) {
 	s.t.Helper()
-	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		found := 0
-		for _, c := range s.k.all() {
+		for _, c := range s.tracker.snapshot() {
 			if c.idleFor(s.clock.Now().Add(time.Minute)) > 0 {
 				found++
 			}
@@ -129,7 +129,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("it never came about that %d connections wait", n)
+	s.t.Fatalf("there were never %d idle connections", n)
 }
 
 func check(t *testing.T, what string, want, have any) {
@@ -139,52 +139,53 @@
 	}
 }
 
-// A shorter idle limit is ignored by standing connections, or closes one that serves a request.
-func TestLimitHoldsForStandingConnections(t *testing.T) {
-	s := newSite(t)
-	s.limit = time.Hour
-	waits, works := s.connect(), s.connect()
-	waits.send(request)
-	check(t, "answer", "whole", waits.answer())
-	works.send(held)
-	<-s.began
-	s.waiting(1)
+// Guards against a shorter idle timeout that is ignored by open connections, or that closes a
+// connection which serves a request.
+func TestIdleTimeoutAppliesToOpenConnections(t *testing.T) {
+	s := newTestServer(t)
+	s.idleTimeout = time.Hour
+	idle, busy := s.connect(), s.connect()
+	idle.send(request)
+	check(t, "answer", "whole", idle.answer())
+	busy.send(heldRequest)
+	<-s.arrived
+	s.waitIdle(1)
 	s.sweep()
-	check(t, "open with a long limit", 2, s.k.Open())
-	s.limit = time.Second
+	check(t, "open with a long limit", 2, s.tracker.Len())
+	s.idleTimeout = time.Second
 	s.sweep()
-	check(t, "the connection that waits is closed", true, waits.closed())
-	close(s.hold)
-	check(t, "the connection that serves", "whole", works.answer())
+	check(t, "the idle connection is closed", true, idle.waitClosed())
+	close(s.release)
+	check(t, "the connection that serves", "whole", busy.answer())
 }
 
-// A connection is closed as idle while the headers of a request are being read.
-func TestRequestThatBeginsIsNotCut(t *testing.T) {
-	s := newSite(t)
+// Guards against closing a connection as idle while the headers of a request are being read.
+func TestPartialRequestKeepsConnection(t *testing.T) {
+	s := newTestServer(t)
 	c := s.connect()
 	c.send(request)
 	check(t, "first request", "whole", c.answer())
-	s.waiting(1)
+	s.waitIdle(1)
 	c.send("GET / HTTP/1.1\r\nHo")
-	s.waiting(0)
+	s.waitIdle(0)
 	s.sweep()
 	c.send("st: a\r\n\r\n")
 	check(t, "a request that had begun", "whole", c.answer())
-	s.waiting(1)
+	s.waitIdle(1)
 	s.sweep()
-	check(t, "a connection that has waited too long is closed", true, c.closed())
+	check(t, "a connection that has waited too long is closed", true, c.waitClosed())
 }
 
-// A connection is closed as idle after the first byte of the next request was read beside the answer
-// before it.
-func TestByteReadBesideAnAnswerIsNotCut(t *testing.T) {
-	s := newSite(t)
+// Guards against closing a connection as idle after net/http has read the first byte of the next
+// request during the previous answer.
+func TestFirstByteDuringAnswerKeepsConnection(t *testing.T) {
+	s := newTestServer(t)
 	c := s.connect()
-	c.send(held)
-	<-s.began
+	c.send(heldRequest)
+	<-s.arrived
 	c.send("G")
 	time.Sleep(50 * time.Millisecond)
-	close(s.hold)
+	close(s.release)
 	check(t, "first request", "whole", c.answer())
 	time.Sleep(50 * time.Millisecond)
 	s.sweep()
@@ -192,30 +193,30 @@
 	check(t, "a request whose first byte was read", "whole", c.answer())
 }
 
-// between is a connection on which something happens between the arrival of bytes and the return
-// of the read that takes them.
-type between struct {
+// hookedConn calls afterRead once after data has been read from the network and before Read returns
+// it.
+type hookedConn struct {
 	net.Conn
-	do func()
+	afterRead func()
 }
 
-func (b *between) Read(p []byte) (int, error) {
-	n, err := b.Conn.Read(p)
-	if n > 0 && b.do != nil {
-		b.do()
-		b.do = nil
+func (c *hookedConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 && c.afterRead != nil {
+		c.afterRead()
+		c.afterRead = nil
 	}
 	return n, err
 }
 
-// A request that was read while its connection was closed as idle is dropped.
-func TestRequestReadWhileItsConnectionExpiresIsServed(t *testing.T) {
-	s := newSite(t)
+// Guards against dropping a request that was read while its connection expired.
+func TestRequestReadDuringExpiryIsServed(t *testing.T) {
+	s := newTestServer(t)
 	near, far := net.Pipe()
 	defer far.Close()
-	in := &between{Conn: near}
-	c := &conn{Conn: in, k: s.k, use: waits}
-	in.do = func() { check(t, "it is to end", true, c.expire()) }
+	in := &hookedConn{Conn: near}
+	c := &conn{Conn: in, tracker: s.tracker, state: stateIdle}
+	in.afterRead = func() { check(t, "expires", true, c.expire()) }
 	go func() { _, _ = far.Write([]byte("GET / HTTP/1.1\r\n")); _, _ = far.Write([]byte("Host: a\r\n\r\n")) }()
 	buf := make([]byte, 64)
 	for _, want := range []string{"GET / HTTP/1.1\r\n", "Host: a\r\n\r\n"} {
@@ -225,49 +226,50 @@
 			t.Errorf("read: %v", err)
 		}
 	}
-	check(t, "it ends while it serves", false, c.expire())
+	check(t, "expires while it serves", false, c.expire())
 }
 
-// A host that stops drops a request that has begun to arrive, or never ends an idle connection.
-func TestRetireServesWhatHasBegun(t *testing.T) {
-	s := newSite(t)
-	idle, begun, fresh := s.connect(), s.connect(), s.connect()
-	for _, c := range []*caller{idle, begun} {
+// Guards against a host that, when it stops, drops a request that has begun to arrive, or never
+// closes an idle connection.
+func TestDrainServesPartialRequests(t *testing.T) {
+	s := newTestServer(t)
+	idle, partial, unused := s.connect(), s.connect(), s.connect()
+	for _, c := range []*testClient{idle, partial} {
 		c.send(request)
 		check(t, "answer", "whole", c.answer())
 	}
-	s.waiting(3)
-	begun.send("GET / HTTP/1.1\r\nHo")
-	s.waiting(2)
-	s.k.Retire()
-	check(t, "the idle connection is closed", true, idle.closed())
-	check(t, "the connection without a request is closed", true, fresh.closed())
-	begun.send("st: a\r\n\r\n")
-	check(t, "the request that had begun", "whole", begun.answer())
-	check(t, "its connection is closed then", true, begun.closed())
+	s.waitIdle(3)
+	partial.send("GET / HTTP/1.1\r\nHo")
+	s.waitIdle(2)
+	s.tracker.Drain()
+	check(t, "the idle connection is closed", true, idle.waitClosed())
+	check(t, "the connection without a request is closed", true, unused.waitClosed())
+	partial.send("st: a\r\n\r\n")
+	check(t, "the request that had begun", "whole", partial.answer())
+	check(t, "its connection is closed then", true, partial.waitClosed())
 	late := s.connect()
-	check(t, "a late connection is closed", true, late.closed())
+	check(t, "a late connection is closed", true, late.waitClosed())
 }
 
-// A cut by the host is logged as a caller that left, or the other way round.
+// Guards against attributing a cut by the host to the caller, or the reverse.
 func TestEndingNamesTheSide(t *testing.T) {
 	for name, tc := range map[string]struct {
-		end  func(s *site, c *caller)
+		end  func(s *testServer, c *testClient)
 		want event.Ending
 	}{
-		"caller closes": {func(_ *site, c *caller) { _ = c.Close() }, event.Ending{Side: event.SideCaller, Reason: event.ReasonClosed}},
-		"caller resets": {func(_ *site, c *caller) { _ = c.SetLinger(0); _ = c.Close() }, event.Ending{Side: event.SideCaller, Reason: event.ReasonReset}},
-		"host stops":    {func(s *site, _ *caller) { s.k.Cut(event.ReasonStopped) }, event.Ending{Side: event.SideHost, Reason: event.ReasonStopped}},
-		"server closes": {func(s *site, _ *caller) { _ = s.srv.Config.Close() }, event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}},
+		"caller closes": {func(_ *testServer, c *testClient) { _ = c.Close() }, event.Ending{Side: event.SideCaller, Reason: event.ReasonClosed}},
+		"caller resets": {func(_ *testServer, c *testClient) { _ = c.SetLinger(0); _ = c.Close() }, event.Ending{Side: event.SideCaller, Reason: event.ReasonReset}},
+		"host stops":    {func(s *testServer, _ *testClient) { s.tracker.CloseAll(event.ReasonStopped) }, event.Ending{Side: event.SideHost, Reason: event.ReasonStopped}},
+		"server closes": {func(s *testServer, _ *testClient) { _ = s.srv.Config.Close() }, event.Ending{Side: event.SideHost, Reason: event.ReasonClosed}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newTestServer(t)
 			c := s.connect()
-			c.send(held)
-			<-s.began
+			c.send(heldRequest)
+			<-s.arrived
 			tc.end(s, c)
 			check(t, "ending", tc.want, <-s.ended)
 		})
 	}
-	check(t, "a connection that no keeper knows", event.Ending{}, EndingOf(context.Background()))
+	check(t, "a connection that is not tracked", event.Ending{}, EndingOf(context.Background()))
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,16 +6,16 @@
 //	effs := red.Step(now, ev)
 //
 // Step is deterministic: it reads no clock, no socket and no source of
-// randomness, starts no goroutine and lets no map order show, so the same
+// randomness, starts no goroutine and does not depend on map order, so the same
 // events give the same effects, byte for byte. Several reducers fit into one
 // process and can be driven in virtual time.
 //
 // The state is split by decision, one package each: member holds hosts,
-// targets and loads; route chooses where a request runs; admit holds requests
-// while there is no room; quota limits accounts; retry bounds second tries;
-// once keeps non-idempotent requests from running twice; spread holds the
-// configuration. This package follows each request through them. A Reducer
-// belongs to one goroutine.
+// targets and loads; route chooses where a request runs; admit queues requests
+// while there is no room; quota limits accounts; retry bounds retries; once keeps
+// non-idempotent requests from running twice; spread holds and distributes the
+// configuration. This package takes each request through them. A Reducer belongs
+// to one goroutine.
 package core
 
 import (
@@ -32,88 +32,87 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// drainLeast is the minimum duration of a drain where no bound is given: callers may use a
-// directory answer for entriesValid.
-const drainLeast = entriesValid + time.Second
+// defaultMinDrain is the minimum duration of a drain if Bounds gives none. It exceeds entriesTTL,
+// for which callers may use a directory answer.
+const defaultMinDrain = entriesTTL + time.Second
 
 // Reducer is the state of one entry host.
 type Reducer struct {
 	self   event.Host
 	table  *member.Table
 	router *route.Router
-	spread *spread.Spread
+	spread *spread.Distributor
 	once   *once.Registry
 	quota  *quota.Ledger
 	budget retry.Budget
-	// bounds and services hold what routes are served by: the bounds of all
-	// hosts together, and the budget of second tries of each service.
-	bounds   Bounds
-	services map[string]*retry.Budget
-	// lengths is the smoothed number of events in the streams of each route.
-	lengths map[ident.Profile]float64
-	// hostsMost is the most entry hosts that were known at one time, startedAt
-	// the time of the first step.
-	hostsMost int
+	// bounds holds the limits that all hosts share, and retryBudgets the retry budget of each
+	// service.
+	bounds       Bounds
+	retryBudgets map[string]*retry.Budget
+	// streamLengths is the smoothed number of events in the streams of each route.
+	streamLengths map[ident.Profile]float64
+	// maxHosts is the highest number of entry hosts known at one time, and startedAt the time of
+	// the first step.
+	maxHosts  int
 	startedAt ident.Time
 	pools     pools
 	slack     *slack.Book
-	agenda    agenda
+	timers    timerQueue
 
-	requests map[ident.RequestID]*request
-	attempts map[ident.Attempt]*attempt
-	number   uint64
+	requests    map[ident.RequestID]*request
+	attempts    map[ident.Attempt]*attempt
+	lastAttempt uint64
 
-	// reads says that this host is an active reader of the store.
-	reads    bool
-	draining bool
-	drainAt  ident.Time
-	// closed says that the drain has ended and that the process is about to.
-	closed bool
-	wakeAt ident.Time
-	// demandAt is when each peer of the data centre last sent a digest.
-	demandAt map[ident.EntryID]ident.Time
-	// announceAt is when the demand of the accounts is next sent.
-	announceAt ident.Time
-	out        []event.Effect
+	// activeReader is set while this host reads the store continuously.
+	activeReader   bool
+	draining       bool
+	drainStartedAt ident.Time
+	// drainEnded is set once the drain has ended and the process is about to exit.
+	drainEnded bool
+	wakeAt     ident.Time
+	// peerDemandAt is when each peer of the data centre last sent a digest.
+	peerDemandAt map[ident.EntryID]ident.Time
+	// nextDemandAt is when the demand of the accounts is next announced.
+	nextDemandAt ident.Time
+	out          []event.Effect
 }
 
-// New returns the reducer of a host that knows nothing yet.
+// New returns the reducer of a host that has received no events yet, with default bounds.
 func New(self event.Host) *Reducer { return NewBounded(self, Bounds{}) }
 
-// NewBounded returns a reducer that keeps to bounds which hold for all hosts
-// together.
+// NewBounded returns a reducer with bounds that hold for all hosts together.
 func NewBounded(self event.Host, bounds Bounds) *Reducer {
 	rd := &Reducer{
-		bounds:   bounds.filled(),
-		services: make(map[string]*retry.Budget),
-		lengths:  make(map[ident.Profile]float64),
-		self:     self,
-		reads:    true,
-		table:    member.New(self),
-		router:   route.New(),
-		spread:   spread.New(self),
-		once:     once.New(self.ID, self.Incarnation),
-		quota:    quota.New(self.ID, self.Place.Group()),
-		pools:    newPools(),
-		slack:    slack.New(),
-		demandAt: make(map[ident.EntryID]ident.Time),
-		requests: make(map[ident.RequestID]*request),
-		attempts: make(map[ident.Attempt]*attempt),
+		bounds:        bounds.withDefaults(),
+		retryBudgets:  make(map[string]*retry.Budget),
+		streamLengths: make(map[ident.Profile]float64),
+		self:          self,
+		activeReader:  true,
+		table:         member.New(self),
+		router:        route.New(),
+		spread:        spread.New(self),
+		once:          once.New(self.ID, self.Incarnation),
+		quota:         quota.New(self.ID, self.Place.Group()),
+		pools:         newPools(),
+		slack:         slack.New(),
+		peerDemandAt:  make(map[ident.EntryID]ident.Time),
+		requests:      make(map[ident.RequestID]*request),
+		attempts:      make(map[ident.Attempt]*attempt),
 	}
-	rd.quota.Place(self.Place.Group(), self.Place.Region)
-	rd.table.SetCold(member.Cold{PerSecond: rd.coldPerSecond, Span: rd.coldSpan})
-	rd.spread.ReadFirst(bounds.SharedReads)
-	if bounds.Pace > 0 {
-		rd.table.SetPace(bounds.Pace)
+	rd.quota.SetRegion(self.Place.Group(), self.Place.Region)
+	rd.table.SetColdLimits(member.ColdLimits{PerSecond: rd.coldPerSecond, Duration: rd.coldDuration})
+	rd.spread.SetPlatformFirst(bounds.SharedReads)
+	if bounds.SummaryInterval > 0 {
+		rd.table.SetSummaryInterval(bounds.SummaryInterval)
 	}
 	return rd
 }
 
-// Router returns the router, for comparisons of policies.
+// Router returns the router, so that routing policies can be compared.
 func (rd *Reducer) Router() *route.Router { return rd.router }
 
-// Step takes one event and returns what is to be done. The effects belong to
-// the caller.
+// Step handles one event and returns the effects to carry out. The returned slice belongs to the
+// caller.
 func (rd *Reducer) Step(now ident.Time, ev event.Event) []event.Effect {
 	rd.out = nil
 	if rd.startedAt == 0 {
@@ -121,21 +120,21 @@
 	}
 	rd.table.Advance(now)
 	switch {
-	case rd.traffic(now, ev):
-	case rd.peers(now, ev):
-	case rd.outside(now, ev):
+	case rd.requestEvent(now, ev):
+	case rd.peerEvent(now, ev):
+	case rd.environmentEvent(now, ev):
 	default:
-		rd.questions(now, ev)
+		rd.queryEvent(now, ev)
 	}
 	rd.tick(now)
-	for _, n := range rd.table.Notes() {
+	for _, n := range rd.table.TakeNotes() {
 		rd.emit(n)
 	}
 	return rd.out
 }
 
-// traffic takes the events of requests.
-func (rd *Reducer) traffic(now ident.Time, ev event.Event) bool {
+// requestEvent handles the events of requests. It reports whether ev is one of them.
+func (rd *Reducer) requestEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.RequestArrived:
 		rd.arrive(now, e.Request)
@@ -161,8 +160,8 @@
 	return true
 }
 
-// peers takes the events of other entry hosts.
-func (rd *Reducer) peers(now ident.Time, ev event.Event) bool {
+// peerEvent handles the events of other entry hosts. It reports whether ev is one of them.
+func (rd *Reducer) peerEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.PeerUp:
 		rd.table.PeerUp(now, e.Host)
@@ -174,9 +173,9 @@
 		rd.table.SummaryReceived(now, e.Summary)
 		rd.summary(now, e.Summary, true)
 	case event.ChangesReceived:
-		rd.emit(rd.spread.Changes(now, e, rd.table.Peers(now))...)
+		rd.emit(rd.spread.ApplyChanges(now, e, rd.table.Peers(now))...)
 	case event.SnapshotReceived:
-		rd.emit(rd.spread.Snapshot(now, e)...)
+		rd.emit(rd.spread.ApplySnapshot(now, e)...)
 	case event.ChangesWanted:
 		rd.changesWanted(e)
 	case event.BarAsked:
@@ -187,8 +186,9 @@
 	return true
 }
 
-// outside takes the events of targets, the platform and the process.
-func (rd *Reducer) outside(now ident.Time, ev event.Event) bool {
+// environmentEvent handles the events of targets, the platform and the process. It reports
+// whether ev is one of them.
+func (rd *Reducer) environmentEvent(now ident.Time, ev event.Event) bool {
 	switch e := ev.(type) {
 	case event.LoadReported:
 		rd.table.LoadReported(now, e.Load)
@@ -205,14 +205,14 @@
 	case event.HostsRead:
 		rd.table.HostsRead(now, e)
 	case event.PlatformFailed:
-		rd.spread.Failed(now, e.Op)
+		rd.spread.PlatformFailed(now, e.Op)
 		if e.Op == event.OpReadHosts {
 			rd.table.ListFailed(now)
 		}
 	case event.WatchIdle:
-		rd.spread.Idle(now)
+		rd.spread.WatchIdle(now)
 	case event.ReadProgress:
-		rd.spread.Progress(now)
+		rd.spread.PlatformProgress(now)
 	case event.DrainAsked:
 		rd.drain(now)
 	case event.DrainExpired:
@@ -228,119 +228,119 @@
 
 func (rd *Reducer) digest(now ident.Time, d event.Digest) {
 	rd.table.DigestReceived(now, d)
-	rd.demandAt[d.Host.ID] = now
+	rd.peerDemandAt[d.Host.ID] = now
 	if d.AccountsIncluded {
 		rd.quota.PeerDemand(now, d.Host.ID, d.Accounts)
 	}
-	rd.emit(rd.spread.Seen(now, d.Host, d.Revision)...)
+	rd.emit(rd.spread.RevisionSeen(now, d.Host, d.Revision)...)
 	for _, s := range d.Summaries {
 		rd.summary(now, s, false)
 	}
 	for _, h := range d.Holders {
-		if t, ok := rd.table.Named(h.Target); ok {
-			rd.router.Learn(now, t.ID, []uint64{h.Part})
+		if t, ok := rd.table.TargetByKey(h.Target); ok {
+			rd.router.PrefixSent(now, t.ID, []uint64{h.Part})
 		}
 	}
 }
 
-// summary handles what a summary contains beyond members and offers. Of the hosts that receive
-// it from a peer only the representative asks for changes. The host that the summary was sent
+// summary handles the parts of a summary other than members and offers. Of the hosts that receive
+// it through a peer, only the representative asks for changes. The host that the summary was sent
 // to asks too, since the representative may be frozen.
 func (rd *Reducer) summary(now ident.Time, s event.Summary, direct bool) {
-	rd.quota.Place(s.Place.Group(), s.Place.Region)
+	rd.quota.SetRegion(s.Place.Group(), s.Place.Region)
 	rd.quota.CentreSeen(now, s.Place.Group())
 	if !s.AccountsKept {
 		rd.quota.CentreReport(now, s.Place.Group(), s.Accounts)
 	}
-	if !direct && !rd.table.Represents(now) {
+	if !direct && !rd.table.IsRepresentative(now) {
 		return
 	}
 	if h, ok := rd.table.Host(s.From); ok {
-		rd.emit(rd.spread.Seen(now, h, s.Highest)...)
+		rd.emit(rd.spread.RevisionSeen(now, h, s.Highest)...)
 	}
 }
 
 func (rd *Reducer) changesWanted(e event.ChangesWanted) {
 	if h, ok := rd.table.Host(e.From); ok {
-		rd.emit(rd.spread.Wanted(h, e.After)...)
+		rd.emit(rd.spread.AnswerPeer(h, e.After)...)
 	}
 }
 
-// tick does what is due by time, after each event.
+// tick runs everything that is due. Step calls it after each event.
 func (rd *Reducer) tick(now ident.Time) {
-	rd.table.SetBlind(rd.spread.Blind())
+	rd.table.SetPlatformUnreachable(rd.spread.PlatformFailing())
 	if now >= rd.table.Next(now) {
-		rd.emit(rd.table.Tick(now, rd.own(now))...)
+		rd.emit(rd.table.Tick(now, rd.ownState(now))...)
 	}
-	rd.emit(rd.spread.Tick(now, rd.table.Watches(now))...)
-	rd.paceReads(now)
+	rd.emit(rd.spread.Tick(now, rd.table.IsWatcher(now))...)
+	rd.updateReadPace(now)
 	rd.targetsRestarted()
-	rd.agendaDue(now)
-	rd.poolsDue(now)
+	rd.runTimers(now)
+	rd.shedAndSendWaiting(now)
 	for _, id := range rd.once.Expire(now) {
 		rd.emit(event.ForgetOutcome{Request: id})
 	}
-	if rd.draining && !rd.closed && len(rd.requests) == 0 && now.Sub(rd.drainAt) >= rd.bounds.DrainLeast {
-		rd.closed = true
+	if rd.draining && !rd.drainEnded && len(rd.requests) == 0 && now.Sub(rd.drainStartedAt) >= rd.bounds.MinDrain {
+		rd.drainEnded = true
 		rd.emit(event.Drained{})
 	}
-	rd.wake(now)
+	rd.scheduleWake(now)
 }
 
-// paceReads emits how to read the platform's store when that changes. A host begins as an
-// active reader.
-func (rd *Reducer) paceReads(now ident.Time) {
-	if !rd.bounds.SharedReads || rd.table.Reads(now) == rd.reads {
+// updateReadPace emits how to read the platform's store whenever that changes. A host starts as
+// an active reader.
+func (rd *Reducer) updateReadPace(now ident.Time) {
+	if !rd.bounds.SharedReads || rd.table.IsActiveReader(now) == rd.activeReader {
 		return
 	}
-	rd.reads = !rd.reads
-	rd.emit(event.PaceReads{Active: rd.reads})
+	rd.activeReader = !rd.activeReader
+	rd.emit(event.PaceReads{Active: rd.activeReader})
 }
 
-// accountsPerSecond bounds how many accounts a host announces to its peers each second, on
-// average. With more of them the whole list goes out less often.
-const accountsPerSecond = 4
+// announcedAccountsPerSecond bounds how many accounts a host announces to its peers per second,
+// on average. With more accounts the whole list is sent less often.
+const announcedAccountsPerSecond = 4
 
-// goneAfter is the silence of a peer after which its demand counts no more. It
-// is the time after which members count a host as dead.
-const goneAfter = 10 * time.Second
+// peerDemandTTL is the silence of a peer after which its demand no longer counts. It equals the
+// time after which package member considers a host dead.
+const peerDemandTTL = 10 * time.Second
 
-// dropGone forgets the demand of peers that have gone. A host that is replaced
-// by one of another name never reports again: its last demand would keep its
-// share of every limit, and callers of the others would be refused below their
-// limits until these restart too. The order of the peers does not show.
-func (rd *Reducer) dropGone(now ident.Time) {
-	for id, at := range rd.demandAt {
-		if now.Sub(at) > goneAfter {
-			delete(rd.demandAt, id)
-			rd.quota.Drop(id)
+// expirePeerDemand drops the demand of peers that have gone. A host that is replaced by one of
+// another name never reports again: its last demand would keep its share of every limit, and the
+// remaining hosts would refuse callers below their limits until they restart too. The result does
+// not depend on the order of the peers.
+func (rd *Reducer) expirePeerDemand(now ident.Time) {
+	for id, at := range rd.peerDemandAt {
+		if now.Sub(at) > peerDemandTTL {
+			delete(rd.peerDemandAt, id)
+			rd.quota.DropPeer(id)
 		}
 	}
 }
 
-func (rd *Reducer) own(now ident.Time) member.Own {
-	rd.dropGone(now)
-	own := member.Own{
+func (rd *Reducer) ownState(now ident.Time) member.LocalState {
+	rd.expirePeerDemand(now)
+	own := member.LocalState{
 		Revision:       rd.spread.Revision(),
 		CentreAccounts: func() []event.AccountUse { return rd.quota.CentreDemand(now) },
-		After:          rd.router.CacheSeq,
+		LastCacheEvent: rd.router.CacheSeq,
 	}
-	if now >= rd.announceAt {
+	if now >= rd.nextDemandAt {
 		own.Accounts = rd.quota.Demand(now)
 		own.AccountsIncluded = true
-		rd.announceAt = now.Add(member.Period * time.Duration((len(own.Accounts)+accountsPerSecond-1)/accountsPerSecond))
+		rd.nextDemandAt = now.Add(member.HeartbeatInterval * time.Duration((len(own.Accounts)+announcedAccountsPerSecond-1)/announcedAccountsPerSecond))
 	}
 	return own
 }
 
-// wakeLate is the longest time without a tick.
-const wakeLate = time.Second
+// maxTickInterval is the longest time between two ticks.
+const maxTickInterval = time.Second
 
-// wake asks for the next tick.
-func (rd *Reducer) wake(now ident.Time) {
-	at := now.Add(wakeLate)
+// scheduleWake requests the next tick.
+func (rd *Reducer) scheduleWake(now ident.Time) {
+	at := now.Add(maxTickInterval)
 	for _, t := range []ident.Time{
-		rd.table.Next(now), rd.spread.Next(now), rd.agenda.next(), rd.pools.next(now, rd.startBy), rd.once.Next(),
+		rd.table.Next(now), rd.spread.NextTick(now), rd.timers.next(), rd.pools.next(now, rd.queueDeadline), rd.once.Next(),
 	} {
 		if t > now && t < at {
 			at = t
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -7,76 +7,77 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// onceFirst settles whether a non-idempotent request may run at all, before
-// anything else is decided about it. The host that passed a request on has
-// settled it already.
-func (rd *Reducer) onceFirst(now ident.Time, r *request) {
+// checkOnce decides whether a non-idempotent request may run at all, before any other decision
+// about it. For a forwarded request the sending host has decided that already.
+func (rd *Reducer) checkOnce(now ident.Time, r *request) {
 	switch {
 	case r.forwarded || !r.once || r.profile.Route != nil:
-		rd.admitted(now, r)
+		rd.reserveAndPlace(now, r)
 	case r.Ticket != "":
-		rd.verdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Print))
+		rd.applyVerdict(now, r, rd.once.Redeem(now, r.Ticket, r.Account, r.Profile, r.ID, r.Print))
 	case r.Key != "":
-		rd.verdict(now, r, rd.once.Key(now, r.Key, r.Print, r.ID))
+		rd.applyVerdict(now, r, rd.once.UseKey(now, r.Key, r.Print, r.ID))
 	default:
-		rd.end(now, r, refuseAs(codes.NeedsOnce))
+		rd.endRefused(now, r, refuseAs(codes.NeedsOnce))
 	}
 }
 
 func (rd *Reducer) keyClaimed(now ident.Time, e event.KeyClaimed) {
 	r, ok := rd.requests[e.Request]
-	if ok && !r.claiming {
-		// A second answer to one claim.
+	if ok && !r.claimPending {
+		// This is a duplicate answer to the claim.
 		return
 	}
 	if !ok {
-		// The caller has left. The claim is settled all the same, so that a
-		// repeat with the key is judged by what is on record.
-		rd.once.Claimed(now, e.Request, e.Claim, e.Owner)
+		// The caller has left. The claim is settled anyway, so that a repeat with the key is
+		// judged by the recorded outcome.
+		rd.once.ClaimAnswered(now, e.Request, e.Claim, e.Owner)
 		rd.once.Ended(now, e.Request, event.NotRun, false)
 		return
 	}
-	r.claiming = false
-	rd.verdict(now, r, rd.once.Claimed(now, e.Request, e.Claim, e.Owner))
+	r.claimPending = false
+	rd.applyVerdict(now, r, rd.once.ClaimAnswered(now, e.Request, e.Claim, e.Owner))
 }
 
-func (rd *Reducer) verdict(now ident.Time, r *request, v once.Verdict) {
-	switch v.Do {
+func (rd *Reducer) applyVerdict(now ident.Time, r *request, v once.Verdict) {
+	switch v.Action {
 	case once.Run:
-		rd.admitted(now, r)
+		rd.reserveAndPlace(now, r)
 	case once.Claim:
-		r.claiming = true
+		r.claimPending = true
 		rd.emit(event.ClaimKey{Request: r.ID, Key: r.Key, Record: v.Record, Deadline: r.deadline})
 	case once.Replay:
-		rd.drop(r)
-		rd.emit(event.Replay{Request: r.ID, Of: v.Of})
+		rd.dropRequest(r)
+		rd.emit(event.Replay{Request: r.ID, Of: v.ReplayOf})
 	case once.Owner:
-		rd.drop(r)
-		rd.refuse(now, r, rd.owned(v))
+		rd.dropRequest(r)
+		rd.refuse(now, r, rd.ownerRefusal(v))
 	default:
-		rd.drop(r)
-		rd.refuse(now, r, refusal{code: v.Code, outcome: v.Outcome, later: v.RetryAfter})
+		rd.dropRequest(r)
+		rd.refuse(now, r, refusal{code: v.Code, outcome: v.Outcome, retryAfter: v.RetryAfter})
 	}
 }
 
-// drop forgets a request whose ticket or key belongs to another one, without ending that one.
-func (rd *Reducer) drop(r *request) { delete(rd.requests, r.ID) }
+// dropRequest removes a request whose ticket or key belongs to another request, without ending
+// the other one.
+func (rd *Reducer) dropRequest(r *request) { delete(rd.requests, r.ID) }
 
-// owned answers a request whose ticket or key belongs to another host. A host
-// that has restarted since can't know whether it ran, and nobody else can.
-func (rd *Reducer) owned(v once.Verdict) refusal {
+// ownerRefusal returns the refusal of a request whose ticket or key belongs to another host. If
+// that host has restarted since, neither it nor any other host knows whether the first request
+// ran.
+func (rd *Reducer) ownerRefusal(v once.Verdict) refusal {
 	h, ok := rd.table.Host(v.Entry)
 	if !ok || h.Incarnation != v.Incarnation {
 		return refusal{code: codes.OutcomeUnknown.ID, outcome: event.Unknown}
 	}
-	// The outcome is unknown: the owner may have run the first request, and a
-	// caller that read "not run" would do the work again by other means.
+	// The outcome is unknown: the owner may have run the first request, and a caller that
+	// receives NotRun would do the work again by other means.
 	return refusal{code: v.Code, outcome: v.Outcome, entries: []event.Host{h}}
 }
 
-func (rd *Reducer) ticket(now ident.Time, e event.TicketAsked) {
+func (rd *Reducer) issueTicket(now ident.Time, e event.TicketAsked) {
 	ans := event.TicketIssued{Ask: e.Ask}
-	ref, ok := rd.judgeTicket(now, e)
+	ref, ok := rd.validateTicket(now, e)
 	if !ok {
 		ans.Code = ref.code
 		ans.Entries = ref.entries
@@ -87,8 +88,8 @@
 	rd.emit(ans)
 }
 
-// judgeTicket refuses a ticket that this host could not redeem.
-func (rd *Reducer) judgeTicket(now ident.Time, e event.TicketAsked) (refusal, bool) {
+// validateTicket returns the refusal of a ticket that this host could not redeem.
+func (rd *Reducer) validateTicket(now ident.Time, e event.TicketAsked) (refusal, bool) {
 	r := &request{Request: event.Request{
 		ID: ident.RequestID("ticket"), Account: e.Account, Profile: e.Profile,
 	}, arrived: now}
--- a/internal/daemon/mesh.go
+++ b/internal/daemon/mesh.go
@@ -21,14 +21,14 @@
 		keys = &peer.Keys{
 			CertFile: set.Peers.CertFile, KeyFile: set.Peers.KeyFile, CAFile: set.Peers.CAFile, Log: cfg.Log,
 		}
-		if err := keys.Open(); err != nil {
+		if err := keys.Load(); err != nil {
 			return nil, errors.Wrap(err, "daemon: peers")
 		}
 	}
 	return peer.New(peer.Config{
 		Self: self, Clock: svc, Log: cfg.Log, Keys: keys, Confined: confined,
 		Listen: set.Peers.Listen, Seeds: set.Peers.Seeds,
-		Bounds: peer.Bounds{Body: set.Limits.MaxBodyBytes},
+		Bounds: peer.Bounds{MaxBodyBytes: set.Limits.MaxBodyBytes},
 	}), nil
 }
 
@@ -41,7 +41,7 @@
 
 // forward passes a request on and counts it if it goes to another region, on
 // the operators' address as peers.crossings.
-func (d *Daemon) forward(ctx context.Context, p serve.Passed, sent func(), out serve.Relay) event.AttemptEnded {
+func (d *Daemon) forward(ctx context.Context, p serve.ForwardedRequest, sent func(), out serve.Relay) event.AttemptEnded {
 	if p.Forward.To.Place.Region != d.self.Place.Region {
 		metrics.GetOrRegisterCounter(crossingsName, d.metrics).Inc(1)
 	}
--- a/internal/front/answer_test.go
+++ b/internal/front/answer_test.go
@@ -12,9 +12,9 @@
 	"verbenadale.example/verbenadale/internal/target"
 )
 
-// sender sends one call and gives its reply.
+// sender sends one call and delivers its reply on done.
 type sender struct {
-	b    *bench
+	b    *fixture
 	t    *testing.T
 	c    call
 	done chan reply
@@ -22,82 +22,82 @@
 
 func (s *sender) run() { s.done <- s.b.send(s.t, s.c) }
 
-// flood holds connections that never end their body.
-type flood struct {
-	b       *bench
+// bodyFlood holds open connections whose bodies never end.
+type bodyFlood struct {
+	b       *fixture
 	head    string
 	refused chan int
 	conns   []net.Conn
 }
 
-func (f *flood) start(t *testing.T) {
+func (f *bodyFlood) start(t *testing.T) {
 	conn, br := f.b.raw(t, f.head)
 	f.conns = append(f.conns, conn)
-	w := &waiter{conn: conn, r: br, refused: f.refused}
-	go w.run()
+	s := &statusReader{conn: conn, r: br, refused: f.refused}
+	go s.run()
 }
 
-func (f *flood) stop() {
+func (f *bodyFlood) stop() {
 	for _, c := range f.conns {
 		c.Close()
 	}
 }
 
-// waiter waits for the answer on one connection.
-type waiter struct {
+// statusReader reads the status of the answer on one connection.
+type statusReader struct {
 	conn    net.Conn
 	r       io.Reader
 	refused chan int
 }
 
-func (w *waiter) run() {
+func (s *statusReader) run() {
 	var status int
-	if _, err := fmt.Fscanf(w.r, "HTTP/1.1 %d", &status); err == nil {
-		w.refused <- status
+	if _, err := fmt.Fscanf(s.r, "HTTP/1.1 %d", &status); err == nil {
+		s.refused <- status
 	}
 }
 
-func eventually(t *testing.T, ok func() bool) {
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	const tries = 2000
 	for range tries {
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it did not come about")
+	t.Fatal("the condition was not met in time")
 }
 
 const streamChat = `{"model":"draft","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 
-// A stream lacks its end mark or its trailer.
+// Guards against a stream without its end marker or its trailer.
 func TestStream(t *testing.T) {
-	b := newBench(t, streamed(3))
+	b := newFixture(t, streamed(3))
 	rep := b.send(t, call{"POST", chatPath, streamChat, nil})
 	check(t, "status", http.StatusOK, rep.status)
-	check(t, "end mark", true, strings.HasSuffix(rep.body, "data: [DONE]\n\n"))
+	check(t, "end marker", true, strings.HasSuffix(rep.body, "data: [DONE]\n\n"))
 	check(t, "events", 4, strings.Count(rep.body, "data: "))
 	check(t, "trailer", "done", rep.trailer.Get(HeaderOutcome))
 	check(t, "no outcome before the end", "", rep.header.Get(HeaderOutcome))
-	check(t, "names the request", true, strings.Contains(rep.body, rep.header.Get(HeaderRequest)))
+	check(t, "contains the request id", true, strings.Contains(rep.body, rep.header.Get(HeaderRequest)))
 }
 
-// A broken stream gets an end mark.
+// Guards against an end marker on a stream whose target failed.
 func TestStreamCut(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		fmt.Fprintf(w, "id: 1\ndata: {\"id\":\"%s\"}\n\n", r.Header.Get(target.HeaderRequest))
 	})
 	rep := b.send(t, call{"POST", chatPath, streamChat, nil})
 	check(t, "cut", true, rep.err != nil)
 	check(t, "error event", true, strings.Contains(rep.body, "event: error\ndata: {\"error\""))
-	check(t, "no end mark", false, strings.Contains(rep.body, "[DONE]"))
+	check(t, "no end marker", false, strings.Contains(rep.body, "[DONE]"))
 }
 
-// A plain refusal of an engine gets the end mark of a stream.
+// Guards against appending the end marker of a stream to a JSON error of an engine.
 func TestStreamAnsweredPlain(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusBadRequest)
 		fmt.Fprint(w, `{"error":{}}`)
@@ -108,9 +108,10 @@
 	check(t, "outcome", "done", rep.header.Get(HeaderOutcome))
 }
 
-// A service call loses its method, query, body or status, or leaks keys and cookies.
+// Guards against a service call that loses its method, query, body or status, or that leaks keys
+// and cookies.
 func TestService(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Location", "/jobs/7")
 		w.Header().Set("Set-Cookie", "a=b")
@@ -126,9 +127,9 @@
 	check(t, "outcome", "done", rep.header.Get(HeaderOutcome))
 }
 
-// The lists that callers start from.
+// Checks the lists of models and entry hosts, and the ticket, that callers request first.
 func TestLists(t *testing.T) {
-	b := newBench(t, plainAnswer)
+	b := newFixture(t, plainAnswer)
 	few := []string{"Authorization: Bearer few"}
 	check(t, "models", `{"object":"list","data":[{"id":"draft","object":"model","created":0,"owned_by":"verbenadale"}]}`+"\n",
 		b.send(t, call{"GET", "/v1/models", "", few}).body)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,16 +1,14 @@
-// Package front serves callers over HTTP: the chat-completions API, plain
-// services, tickets, and the list of entry hosts to use. docs/callers.md
-// describes it.
+// Package front serves callers over HTTP: the chat-completions API, plain services, tickets, and
+// the list of entry hosts to use. docs/callers.md describes the interface.
 //
 // # Usage
 //
 //	fr := front.New(front.Config{Self: host, Loop: lp, Runner: rn, Book: book.Load})
 //	srv := &http.Server{Handler: fr}
 //
-// Whatever can be judged from the headers is judged before the body is read,
-// so that a body whose place is elsewhere never enters this host. The reducer
-// judges all that depends on state; the front judges only shapes, and the
-// account and profile by the configuration in force.
+// The front checks the headers before it reads the body, so that a body that may not enter this
+// host is never read. The reducer decides everything that depends on state; the front checks only
+// the form of a request, and its account and profile against the configuration in force.
 package front
 
 import (
@@ -34,7 +32,7 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// Config is what the front needs.
+// Config holds the dependencies and limits of the front.
 type Config struct {
 	Self   event.Host
 	Loop   *loop.Loop
@@ -43,27 +41,27 @@
 	Log    logr.Logger
 	// Book returns the configuration in force.
 	Book func() *rules.Book
-	// MaxBody bounds one body, Budget all of them together.
+	// MaxBody bounds one body, Budget the memory of all of them together.
 	MaxBody ident.Bytes
 	Budget  *serve.Budget
-	// MaxRequests bounds the requests in flight; zero is no bound.
+	// MaxRequests bounds the requests in flight; zero means no limit.
 	MaxRequests int
-	// BodyTime is how long a body may take to arrive, WriteTime how long a
-	// caller may take to accept a piece of its answer. Zero is no bound.
-	BodyTime  time.Duration
-	WriteTime time.Duration
-	Trace     *trace.Tracer
-	Meter     *meter.Traffic
+	// BodyTimeout bounds the time for a body to arrive, WriteTimeout the time for a caller to
+	// accept a piece of its answer. Zero means no limit.
+	BodyTimeout  time.Duration
+	WriteTimeout time.Duration
+	Trace        *trace.Tracer
+	Meter        *meter.Traffic
 }
 
-// Front is the handler for callers.
+// Front is the HTTP handler for callers.
 type Front struct {
-	cfg    Config
-	router *bunrouter.Router
-	open   atomic.Int64
+	cfg      Config
+	router   *bunrouter.Router
+	inFlight atomic.Int64
 }
 
-// New returns a handler.
+// New returns the handler for the given configuration.
 func New(cfg Config) *Front {
 	f := &Front{cfg: cfg}
 	f.router = bunrouter.New(
@@ -84,82 +82,81 @@
 // ServeHTTP serves one request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.router.ServeHTTP(w, r) }
 
-// Open returns the number of requests in flight.
-func (f *Front) Open() int { return int(f.open.Load()) }
+// InFlight returns the number of requests in flight.
+func (f *Front) InFlight() int { return int(f.inFlight.Load()) }
 
 // exchange is one request and its answer.
 type exchange struct {
 	*Front
-	w     http.ResponseWriter
-	r     *http.Request
-	rc    *http.ResponseController
-	id    ident.RequestID
-	began ident.Time
-	span  trace.Span
+	w         http.ResponseWriter
+	r         *http.Request
+	rc        *http.ResponseController
+	id        ident.RequestID
+	startedAt ident.Time
+	span      trace.Span
 
 	client  rules.Client
 	profile rules.Profile
-	// body is held until the request is over.
-	body  []byte
-	taken int
-	// reading says that reading the body has begun, whole that it has come to
-	// its end.
-	reading, whole bool
+	// body is kept until the request is over; reserved is its share of the budget.
+	body     []byte
+	reserved int
+	// bodyStarted is set once reading the body has begun, bodyComplete once it has been read to its
+	// end.
+	bodyStarted, bodyComplete bool
 
 	outcome event.Outcome
 	status  int
 	code    codes.ID
-	// stream says that the answer is a stream.
-	stream bool
+	// streaming is set if the answer is a stream.
+	streaming bool
 }
 
 // ending returns which side ended the connection of the request.
 func (x *exchange) ending() event.Ending { return conns.EndingOf(x.r.Context()) }
 
-// handle returns the handler of one path. A refusal that the function returns
-// is the answer.
-func (f *Front) handle(name string, do func(x *exchange) *event.Refuse) bunrouter.HandlerFunc {
+// handle returns the handler of one path. A refusal returned by serve is written as the answer.
+func (f *Front) handle(name string, serve func(x *exchange) *event.Refuse) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		x := &exchange{
 			Front: f, w: w, rc: http.NewResponseController(w),
-			id: newRequestID(), began: f.cfg.Clock.Now(),
+			id: newRequestID(), startedAt: f.cfg.Clock.Now(),
 		}
 		w.Header().Set(HeaderRequest, string(x.id))
-		n := f.open.Add(1)
-		f.cfg.Meter.Open(1)
-		defer f.done(x)
+		n := f.inFlight.Add(1)
+		f.cfg.Meter.AddInFlight(1)
+		defer f.finish(x)
 		var ctx context.Context
 		ctx, x.span = f.cfg.Trace.Serve(r.Context(), r.Header, name)
 		x.r = r.WithContext(ctx).Request
-		x.limitBody()
+		x.setBodyDeadline()
 		if f.cfg.MaxRequests > 0 && n > int64(f.cfg.MaxRequests) {
-			x.refuse(x.not(codes.HostBusy, ""))
+			x.refuse(x.notRun(codes.HostBusy, ""))
 			return nil
 		}
 		if ref := x.checkHead(); ref != nil {
 			x.refuse(ref)
 			return nil
 		}
-		if ref := do(x); ref != nil {
+		if ref := serve(x); ref != nil {
 			x.refuse(ref)
 		}
 		return nil
 	}
 }
 
-// done records the end of an exchange. It runs also when the connection
-// is cut by a panic, which is how net/http cuts one.
-func (f *Front) done(x *exchange) {
-	f.open.Add(-1)
-	f.cfg.Meter.Open(-1)
-	f.cfg.Budget.Give(x.taken)
-	if x.stream {
-		f.cfg.Meter.Streams(-1)
+// finish records the end of an exchange. It also runs if a panic cuts the connection, which is how
+// a net/http handler cuts one.
+func (f *Front) finish(x *exchange) {
+	f.inFlight.Add(-1)
+	f.cfg.Meter.AddInFlight(-1)
+	f.cfg.Budget.Release(x.reserved)
+	if x.streaming {
+		f.cfg.Meter.AddOpenStreams(-1)
 	}
-	took := f.cfg.Clock.Now().Sub(x.began)
-	f.cfg.Meter.Took(took)
+	took := f.cfg.Clock.Now().Sub(x.startedAt)
+	f.cfg.Meter.ObserveDuration(took)
 	if x.profile.Name != "" && x.outcome != "" {
-		f.cfg.Meter.Ended(x.profile.Name, x.outcome)
+		f.cfg.Meter.RequestEnded(x.profile.Name, x.outcome)
 	}
 	x.span.Set("request", string(x.id))
 	x.span.Set("profile", string(x.profile.Name))
--- a/internal/front/sink.go
+++ b/internal/front/sink.go
@@ -11,7 +11,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// sink writes the answer of a target to the caller.
+// sink returns the sink that writes the answer of a target to the caller.
 func (x *exchange) sink(engine bool) serve.Sink {
 	s := &callerSink{exchange: x, engine: engine}
 	return serve.Sink{Begin: s.begin, Data: s.data, Finish: s.finish, Refuse: s.refuse}
@@ -19,27 +19,27 @@
 
 type callerSink struct {
 	*exchange
-	// engine says that a stream ends with the end mark.
+	// engine is set if a stream ends with the end marker.
 	engine bool
-	// begun says that the status has been sent, so that only a trailer or a
-	// cut can show the outcome.
-	begun bool
+	// headerSent is set once the status has been sent, so that only a trailer or a cut can show the
+	// outcome.
+	headerSent bool
 }
 
 func (s *callerSink) begin(status int, h http.Header) {
 	for k, vs := range h {
 		s.w.Header()[k] = vs
 	}
-	s.stream = status == http.StatusOK && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
-	if s.stream {
+	s.streaming = status == http.StatusOK && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
+	if s.streaming {
 		s.w.Header().Set("Trailer", HeaderOutcome)
-		s.cfg.Meter.Streams(1)
+		s.cfg.Meter.AddOpenStreams(1)
 	} else {
 		s.w.Header().Set(HeaderOutcome, string(event.Done))
 	}
-	s.begun = true
+	s.headerSent = true
 	s.status = status
-	s.cfg.Meter.First(s.cfg.Clock.Now().Sub(s.began))
+	s.cfg.Meter.ObserveFirstByte(s.cfg.Clock.Now().Sub(s.startedAt))
 	s.w.WriteHeader(status)
 }
 
@@ -48,24 +48,24 @@
 	if _, err := s.w.Write(b); err != nil {
 		return err
 	}
-	s.cfg.Meter.Out(len(b))
-	if !s.stream {
+	s.cfg.Meter.AddBytesOut(len(b))
+	if !s.streaming {
 		return nil
 	}
 	return s.rc.Flush()
 }
 
-// extendWriteDeadline bounds the time that a write may wait, since a caller that stops reading
-// without closing its connection would hold its slot at the target.
+// extendWriteDeadline bounds the time of the next write, since a caller that stops reading without
+// closing its connection would occupy its slot at the target.
 func (s *callerSink) extendWriteDeadline() {
-	if s.cfg.WriteTime > 0 {
-		_ = s.rc.SetWriteDeadline(time.Now().Add(s.cfg.WriteTime))
+	if s.cfg.WriteTimeout > 0 {
+		_ = s.rc.SetWriteDeadline(time.Now().Add(s.cfg.WriteTimeout))
 	}
 }
 
 func (s *callerSink) finish(outcome event.Outcome) {
 	s.outcome = outcome
-	if !s.stream {
+	if !s.streaming {
 		return
 	}
 	s.extendWriteDeadline()
@@ -75,18 +75,17 @@
 	s.w.Header().Set(HeaderOutcome, string(outcome))
 }
 
-// refuse gives the final answer. A stream that has begun gets an error event
-// and is then cut without its end mark, so that no client takes the part for
-// the whole.
+// refuse ends the answer with a refusal. A stream that has begun gets an error event and is then
+// cut without its end marker, so that no client mistakes the partial answer for a complete one.
 func (s *callerSink) refuse(r event.Refuse) {
-	if !s.begun {
+	if !s.headerSent {
 		s.exchange.refuse(&r)
 		return
 	}
 	s.outcome = r.Outcome
 	s.code = r.Code
-	s.cfg.Meter.Refused(r.Code)
-	if s.stream {
+	s.cfg.Meter.RequestRefused(r.Code)
+	if s.streaming {
 		s.extendWriteDeadline()
 		b, _ := json.Marshal(errorBody(&r))
 		_, _ = s.w.Write([]byte("event: error\ndata: " + string(b) + "\n\n"))
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -7,38 +7,38 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Asking engines for the size of their memory.
+// Requests to engines for the size of their memory.
 const (
-	// askEvery is the time between two questions to an engine that has not answered.
-	askEvery = 10 * time.Second
-	// asksAtOnce bounds the questions of one second: engines that come back together
-	// are busy, and the answer is of use for as long as they live.
-	asksAtOnce = 16
+	// memoryAskInterval is the time between two requests to an engine that has not answered.
+	memoryAskInterval = 10 * time.Second
+	// maxMemoryAsks bounds the requests in one second. Engines that come back together are busy
+	// then, and an answer stays valid for the lifetime of the engine.
+	maxMemoryAsks = 16
 )
 
-// askMemory returns the questions to engines whose memory is not known. Engines are
-// the targets of services that have read a prompt.
+// askMemory returns the requests to engines whose memory size is unknown. Engines are the targets
+// of services with a known prefill rate.
 func (tb *Table) askMemory(now ident.Time) []event.Effect {
 	var effs []event.Effect
 	for _, t := range tb.targets {
-		if t.Capacity == 0 || t.Memory > 0 || tb.usual.Rate(t.Service) == 0 || !t.Usable(now) {
+		if t.Capacity == 0 || t.MemoryTokens > 0 || tb.serviceStats.PrefillRate(t.Service) == 0 || !t.Usable(now) {
 			continue
 		}
-		if t.askedAt > 0 && now.Sub(t.askedAt) < askEvery {
+		if t.memoryAskedAt > 0 && now.Sub(t.memoryAskedAt) < memoryAskInterval {
 			continue
 		}
-		t.askedAt = now
+		t.memoryAskedAt = now
 		effs = append(effs, event.AskMemory{Target: t.Target})
-		if len(effs) == asksAtOnce {
+		if len(effs) == maxMemoryAsks {
 			break
 		}
 	}
 	return effs
 }
 
-// MemoryReported takes the memory of an engine.
+// MemoryReported stores the memory size that an engine reported.
 func (tb *Table) MemoryReported(e event.MemoryReported) {
-	if t, ok := tb.current(e.Target, e.Incarnation); ok {
-		t.Memory = e.Tokens
+	if t, ok := tb.currentTarget(e.Target, e.Incarnation); ok {
+		t.MemoryTokens = e.Tokens
 	}
 }
--- a/internal/member/offer.go
+++ b/internal/member/offer.go
@@ -11,52 +11,52 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Marks and times of offers. The marks are parts of the slots of a pool in
-// percent.
+// Thresholds and times of offers. The thresholds are percentages of free slots in a pool.
 //
-// The mark below which a data centre asks lies well under the one below which
-// it withdraws, and that under the one above which it begins to offer. So no
-// data centre asks and offers at once, and one whose load swings about a mark
-// does not flap.
+// askPercent lies well below withdrawPercent, and withdrawPercent below offerPercent. So no data
+// centre asks and offers at the same time, and one whose load fluctuates around a threshold does
+// not flap.
 const (
-	askMark      = 10
-	reserveMark  = 20
-	withdrawMark = 25
-	offerMark    = 40
-	percent      = 100
-	// offerLife is how long an offer holds from when it was made.
-	offerLife = 5 * time.Second
-	// transit bounds the time that a summary is under way. A giver counts its offer as held for
-	// this much longer than its life.
-	transit = 3 * time.Second
-	// wayLag bounds the time from when a request is sent to when an offer can
-	// know of it, beyond the time that the offer was under way: the ways of
-	// both.
-	wayLag = 200 * time.Millisecond
-	// wantLife is how long a pool without a target is asked for after the
-	// last request for it, maxWants how many such pools there may be.
-	wantLife = 10 * time.Second
+	// A data centre asks for help at or below askPercent. It keeps reservePercent for itself,
+	// withdraws its offer below withdrawPercent, and starts to offer at offerPercent.
+	askPercent      = 10
+	reservePercent  = 20
+	withdrawPercent = 25
+	offerPercent    = 40
+	percent         = 100
+	// offerTTL is how long an offer is valid after it was made.
+	offerTTL = 5 * time.Second
+	// maxTransitTime bounds how long a summary is in transit. The data centre that made an offer
+	// assumes that it is still held for this time after offerTTL.
+	maxTransitTime = 3 * time.Second
+	// maxForwardDelay bounds the time from sending a request to the moment when an offer can take
+	// it into account, in addition to the transit time of the offer. It covers the network delays
+	// of both.
+	maxForwardDelay = 200 * time.Millisecond
+	// wantTTL is how long a data centre asks for a pool without targets after the last request for
+	// it. maxWants bounds the number of such pools.
+	wantTTL  = 10 * time.Second
 	maxWants = 64
 )
 
-// given is an offer that may still be held by another data centre.
-type given struct {
-	id    PoolID
-	until ident.Time
+// heldOffer is an offer that its recipient may still use.
+type heldOffer struct {
+	id        PoolID
+	expiresAt ident.Time
 }
 
-// short reports whether a pool asks for help.
-func short(free, slots int) bool { return free*percent <= slots*askMark }
+// needsHelp reports whether a data centre asks for help with a pool.
+func needsHelp(free, slots int) bool { return free*percent <= slots*askPercent }
 
-// spare returns the slots that may be offered: those free beyond the reserve
-// for own and home-bound work.
-func spare(free, slots int) int {
-	reserve := (slots*reserveMark + percent - 1) / percent
+// spareSlots returns the slots that may be offered: the free ones beyond the reserve for local
+// requests and for those that may be served only here.
+func spareSlots(free, slots int) int {
+	reserve := (slots*reservePercent + percent - 1) / percent
 	return max(0, free-reserve)
 }
 
-// offers returns what each pool offers to each data centre, as a row for each
-// pool and a column for each data centre.
+// offers returns what each pool offers to each data centre, with a row for each pool and a column
+// for each data centre.
 func (tb *Table) offers(now ident.Time) [][]int {
 	rows := make([][]int, len(tb.pools))
 	for i, p := range tb.pools {
@@ -65,9 +65,9 @@
 			continue
 		}
 		askers := tb.askers(now, p.id)
-		n := spare(p.Free, p.Slots)
-		if tb.isPaced(p.id) {
-			n /= paceStep
+		n := spareSlots(p.Free, p.Slots)
+		if tb.hasPace(p.id) {
+			n /= pacedOfferDivisor
 		}
 		for j, n := range split(n, len(askers)) {
 			rows[i][askers[j]] = n
@@ -76,39 +76,39 @@
 	return rows
 }
 
-// askers returns the data centres that ask for a pool, as indexes, in an order
-// of their own for each pool, so that small offers do not always go to the
-// same ones. One whose own offer some host here may still hold is left out, so that
-// the two don't swap work.
+// askers returns the indexes of the data centres that may get an offer of a pool. The order differs
+// between pools, so that small offers do not always go to the same ones. A data centre is left out
+// while a host here may still hold an offer of it, so that the two do not exchange work in both
+// directions.
 func (tb *Table) askers(now ident.Time, id PoolID) []int {
 	var is []int
 	for i, c := range tb.centres {
-		if c.CutOff(now) || !tb.asked(now, c, id) {
+		if c.CutOff(now) || !tb.mayOfferTo(now, c, id) {
 			continue
 		}
 		is = append(is, i)
 	}
 	salt := rank.Hash("askers", string(id.Serve.Model), string(id.Serve.Version), string(id.Serve.Adapter), id.Service)
 	slices.SortFunc(is, func(a, b int) int {
-		return cmp.Compare(tb.askRank(salt, a), tb.askRank(salt, b))
+		return cmp.Compare(tb.askerRank(salt, a), tb.askerRank(salt, b))
 	})
 	return is
 }
 
-// asked reports whether an offer of a pool is made to a data centre. Where the pace of streams is
-// known it need not ask, which would take a round trip by way of both representatives.
-func (tb *Table) asked(now ident.Time, c *Centre, id PoolID) bool {
-	if tb.isPaced(id) {
+// mayOfferTo reports whether a data centre may get an offer of a pool. If the pace of streams is
+// known, the data centre need not ask: asking takes a round trip through both representatives.
+func (tb *Table) mayOfferTo(now ident.Time, c *Centre, id PoolID) bool {
+	if tb.hasPace(id) {
 		return c.Pool(id) != nil
 	}
-	return c.ask(id) != nil && !holds(c.taken, now, id)
+	return c.requestedPool(id) != nil && !holdsOffer(c.offersReceived, now, id)
 }
 
-func (tb *Table) askRank(salt uint64, i int) uint64 {
-	return rank.Join(salt, rank.Hash(string(tb.centres[i].Place.Group())))
+func (tb *Table) askerRank(salt uint64, i int) uint64 {
+	return rank.Combine(salt, rank.Hash(string(tb.centres[i].Place.Group())))
 }
 
-// split divides n into k parts that differ by one at most and sum up to n.
+// split divides n into k parts that add up to n and differ by at most one.
 func split(n, k int) []int {
 	parts := make([]int, k)
 	for i := range parts {
@@ -128,55 +128,54 @@
 	return out
 }
 
-// note adds the offers among pools to those that may be held until a time.
-func note(held []given, now ident.Time, pools []event.Pool) []given {
-	held = slices.DeleteFunc(held, func(g given) bool { return g.until < now })
-	until := now.Add(offerLife + transit)
+// recordOffers adds the offers in pools to the held ones and drops those that have expired.
+func recordOffers(held []heldOffer, now ident.Time, pools []event.Pool) []heldOffer {
+	held = slices.DeleteFunc(held, func(g heldOffer) bool { return g.expiresAt < now })
+	expiresAt := now.Add(offerTTL + maxTransitTime)
 	for _, p := range pools {
 		if p.Offer == 0 {
 			continue
 		}
 		id := PoolID{p.Serve, p.Service}
-		i := slices.IndexFunc(held, func(g given) bool { return g.id == id })
+		i := slices.IndexFunc(held, func(g heldOffer) bool { return g.id == id })
 		if i < 0 {
-			held = append(held, given{id, until})
+			held = append(held, heldOffer{id, expiresAt})
 			continue
 		}
-		held[i].until = until
+		held[i].expiresAt = expiresAt
 	}
 	return held
 }
 
-func holds(held []given, now ident.Time, id PoolID) bool {
-	return slices.ContainsFunc(held, func(g given) bool { return g.id == id && g.until >= now })
+func holdsOffer(held []heldOffer, now ident.Time, id PoolID) bool {
+	return slices.ContainsFunc(held, func(g heldOffer) bool { return g.id == id && g.expiresAt >= now })
 }
 
-// OfferLeft returns how many more requests this host may pass on to a data
-// centre: its share of an offer that has not expired, less what it has sent
-// since the offer was made. It is zero while the own data centre has spare
-// capacity of its own, or while the other may hold an offer of this one.
-func (tb *Table) OfferLeft(now ident.Time, dc ident.DataCentre, id PoolID) int {
+// RemainingOffer returns how many more requests this host may forward to a data centre: its share
+// of an unexpired offer, less what it has sent since the offer was made. It is zero while this data
+// centre has spare capacity of its own, or while the other may hold an offer of this one.
+func (tb *Table) RemainingOffer(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return 0
 	}
 	c := tb.centres[i]
 	p := c.Pool(id)
-	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerLife || !tb.isPaced(id) && holds(c.given, now, id) {
+	if p == nil || p.Offer <= 0 || c.poolsAge(now) > offerTTL || !tb.hasPace(id) && holdsOffer(c.offersMade, now, id) {
 		return 0
 	}
 	if own, ok := tb.pool(id); ok && own.offering {
 		return 0
 	}
 	share := tb.ownShare(now, dc, p.Offer)
-	grown := int(ramp(now.Sub(c.since))*float64(share) + 0.999999)
-	return max(0, min(share, grown)-tb.unseen(now, c, id))
+	ramped := int(ramp(now.Sub(c.reachableSince))*float64(share) + 0.999999)
+	return max(0, min(share, ramped)-tb.unreportedInFlight(now, c, id))
 }
 
-// SpareLeft returns how many more requests this host may pass on to a data
-// centre without an offer: its share of what that centre counted as spare, less
-// what it has sent since.
-func (tb *Table) SpareLeft(now ident.Time, dc ident.DataCentre, id PoolID) int {
+// RemainingSpare returns how many more requests this host may forward to a data centre without an
+// offer: its share of the spare capacity in the newest summary of that data centre, less what it
+// has sent since.
+func (tb *Table) RemainingSpare(now ident.Time, dc ident.DataCentre, id PoolID) int {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return 0
@@ -186,11 +185,10 @@
 	if p == nil || c.CutOff(now) {
 		return 0
 	}
-	return max(0, tb.ownShare(now, dc, spare(p.Free, p.Slots))-tb.unseen(now, c, id))
+	return max(0, tb.ownShare(now, dc, spareSlots(p.Free, p.Slots))-tb.unreportedInFlight(now, c, id))
 }
 
-// HostCount returns how many entry hosts there are as far as this one knows,
-// itself included.
+// HostCount returns the number of entry hosts known to this one, including itself.
 func (tb *Table) HostCount() int {
 	n := 1 + len(tb.peers)
 	for _, c := range tb.centres {
@@ -199,65 +197,65 @@
 	return n
 }
 
-// unseen returns how many requests of those under way to a data centre its
-// offer does not know of.
+// unreportedInFlight returns how many of the requests that this host has in flight at a data centre
+// are not included in its offer.
 //
-// Slots that requests from here held when the offer was made are not part of it. An offer that
-// is too old to know them is charged with everything under way.
-func (tb *Table) unseen(now ident.Time, c *Centre, id PoolID) int {
-	running := tb.underWay(c.Place.Group(), id)
-	from := c.madePools.Add(-wayLag)
-	p := c.passedOn(id)
-	if p == nil || now.Sub(from) > load.RecentSpan {
+// Slots that requests from here occupied when the offer was made are not counted. If the offer is
+// older than the window of recorded sends, every request in flight is counted.
+func (tb *Table) unreportedInFlight(now ident.Time, c *Centre, id PoolID) int {
+	running := tb.forwardedInFlight(c.Place.Group(), id)
+	from := c.poolsMadeAt.Add(-maxForwardDelay)
+	p := c.forwardWindow(id)
+	if p == nil || now.Sub(from) > load.WindowSpan {
 		return running
 	}
-	net, _ := p.recent.Since(now, from)
+	net, _ := p.sends.Since(now, from)
 	return min(net, running)
 }
 
-// passed counts the requests of a pool lately forwarded to a data centre.
-type passed struct {
-	id     PoolID
-	recent load.Recent
+// forwardWindow counts the requests of a pool that were recently forwarded to a data centre.
+type forwardWindow struct {
+	id    PoolID
+	sends load.SendWindow
 }
 
-func (c *Centre) passedOn(id PoolID) *passed {
-	i := slices.IndexFunc(c.passed, func(p *passed) bool { return p.id == id })
+func (c *Centre) forwardWindow(id PoolID) *forwardWindow {
+	i := slices.IndexFunc(c.forwarded, func(p *forwardWindow) bool { return p.id == id })
 	if i < 0 {
 		return nil
 	}
-	return c.passed[i]
+	return c.forwarded[i]
 }
 
-// notePassed records a request that is forwarded, or, with -1, that has ended.
-func (tb *Table) notePassed(dc ident.DataCentre, id PoolID, n int) {
+// recordForwarded records that a request is forwarded (n = 1) or that it has ended (n = -1).
+func (tb *Table) recordForwarded(dc ident.DataCentre, id PoolID, n int) {
 	i, ok := tb.findCentre(dc)
 	if !ok {
 		return
 	}
 	c := tb.centres[i]
-	p := c.passedOn(id)
+	p := c.forwardWindow(id)
 	if p == nil {
-		if len(c.passed) >= maxWants {
+		if len(c.forwarded) >= maxWants {
 			return
 		}
-		p = &passed{id: id}
-		c.passed = append(c.passed, p)
+		p = &forwardWindow{id: id}
+		c.forwarded = append(c.forwarded, p)
 	}
-	p.recent.Add(tb.last, n, 0)
+	p.sends.Add(tb.lastAdvance, n, 0)
 }
 
-// ownShare is this host's part of an offer to its data centre. The live hosts
-// split it, and the odd ones go by rank.
+// ownShare returns this host's share of an offer to its data centre. The live hosts split the offer
+// evenly, and the remainder goes to those with the highest rank.
 func (tb *Table) ownShare(now ident.Time, dc ident.DataCentre, offer int) int {
-	mine := rank.Hash("offer", string(dc), string(tb.self.ID))
+	ownRank := rank.Hash("offer", string(dc), string(tb.self.ID))
 	hosts, before := 1, 0
 	for _, p := range tb.peers {
 		if !p.live(now) || p.host.Draining {
 			continue
 		}
 		hosts++
-		if rank.Hash("offer", string(dc), string(p.host.ID)) > mine {
+		if rank.Hash("offer", string(dc), string(p.host.ID)) > ownRank {
 			before++
 		}
 	}
@@ -268,43 +266,43 @@
 	return share
 }
 
-func (tb *Table) awayIndex(dc ident.DataCentre, id PoolID) (int, bool) {
-	return slices.BinarySearchFunc(tb.away, id, func(u event.AwayUse, id PoolID) int {
-		return cmp.Or(cmp.Compare(u.DataCentre, dc), byPool(PoolID{u.Serve, u.Service}, id))
+func (tb *Table) forwardedIndex(dc ident.DataCentre, id PoolID) (int, bool) {
+	return slices.BinarySearchFunc(tb.forwarded, id, func(u event.AwayUse, id PoolID) int {
+		return cmp.Or(cmp.Compare(u.DataCentre, dc), comparePools(PoolID{u.Serve, u.Service}, id))
 	})
 }
 
-func (tb *Table) underWay(dc ident.DataCentre, id PoolID) int {
-	i, ok := tb.awayIndex(dc, id)
+func (tb *Table) forwardedInFlight(dc ident.DataCentre, id PoolID) int {
+	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
 		return 0
 	}
-	return tb.away[i].Running
+	return tb.forwarded[i].Running
 }
 
-// OfferTake counts a request that is passed on to a data centre.
-func (tb *Table) OfferTake(dc ident.DataCentre, id PoolID) {
-	i, ok := tb.awayIndex(dc, id)
+// ForwardStarted records that a request is forwarded to a data centre.
+func (tb *Table) ForwardStarted(dc ident.DataCentre, id PoolID) {
+	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
-		tb.away = slices.Insert(tb.away, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
+		tb.forwarded = slices.Insert(tb.forwarded, i, event.AwayUse{DataCentre: dc, Serve: id.Serve, Service: id.Service})
 	}
-	tb.away[i].Running++
-	tb.notePassed(dc, id, 1)
+	tb.forwarded[i].Running++
+	tb.recordForwarded(dc, id, 1)
 	if p, ok := tb.pool(id); ok && p.offering {
 		p.offering = false
-		tb.beat.asks = true
+		tb.heartbeat.summaryDue = true
 	}
 }
 
-// OfferGive counts the end of such a request.
-func (tb *Table) OfferGive(dc ident.DataCentre, id PoolID) {
-	i, ok := tb.awayIndex(dc, id)
+// ForwardEnded records the end of a forwarded request.
+func (tb *Table) ForwardEnded(dc ident.DataCentre, id PoolID) {
+	i, ok := tb.forwardedIndex(dc, id)
 	if !ok {
 		return
 	}
-	tb.away[i].Running--
-	tb.notePassed(dc, id, -1)
-	if tb.away[i].Running == 0 {
-		tb.away = slices.Delete(tb.away, i, i+1)
+	tb.forwarded[i].Running--
+	tb.recordForwarded(dc, id, -1)
+	if tb.forwarded[i].Running == 0 {
+		tb.forwarded = slices.Delete(tb.forwarded, i, i+1)
 	}
 }
--- a/internal/member/peer.go
+++ b/internal/member/peer.go
@@ -10,40 +10,42 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// peer is another entry host of the own data centre.
+// peer is another entry host of this data centre.
 type peer struct {
 	host event.Host
-	// lastSeen is when a message of the host last came, met whether one ever did.
+	// lastSeen is when the last message of the host arrived. seen reports whether one has ever
+	// arrived.
 	lastSeen ident.Time
-	met      bool
-	// down says that the link to it broke and has not come back.
-	down   bool
-	listed bool
-	// seq is the number of the newest digest of this incarnation.
-	seq      uint64
-	revision ident.Revision
-	use      []event.TargetUse
-	away     []event.AwayUse
-	flows    []event.Flow
-	blind    bool
-	// fresh says that it is to be sent all that this host knows.
-	fresh    bool
-	probedAt ident.Time
-}
-
-// live reports whether the host was seen lately. A broken link shortens the time that it
-// may be silent.
+	seen     bool
+	// linkDown reports whether the link to the host has failed and has not been restored.
+	linkDown bool
+	listed   bool
+	// seq is the sequence number of the newest digest of this incarnation.
+	seq                 uint64
+	revision            ident.Revision
+	use                 []event.TargetUse
+	forwarded           []event.AwayUse
+	flows               []event.Flow
+	platformUnreachable bool
+	// needsFullDigest reports whether the host is due a digest of everything that this host
+	// knows.
+	needsFullDigest bool
+	probedAt        ident.Time
+}
+
+// live reports whether the host was seen recently. A host whose link is down may be silent for
+// a shorter time.
 func (p *peer) live(now ident.Time) bool {
-	if !p.met {
+	if !p.seen {
 		return false
 	}
-	if p.down {
-		return now.Sub(p.lastSeen) <= brokenAfter
+	if p.linkDown {
+		return now.Sub(p.lastSeen) <= linkDownTimeout
 	}
-	return now.Sub(p.lastSeen) <= suspectAfter
+	return now.Sub(p.lastSeen) <= suspectTimeout
 }
 
-func (p *peer) dead(now ident.Time) bool { return !p.met || now.Sub(p.lastSeen) > deadAfter }
+func (p *peer) dead(now ident.Time) bool { return !p.seen || now.Sub(p.lastSeen) > deadTimeout }
 
 func (tb *Table) peer(id ident.EntryID) (*peer, bool) {
 	i, ok := tb.peerIndex(id)
@@ -57,8 +59,8 @@
 	return slices.BinarySearchFunc(tb.peers, id, func(p *peer, id ident.EntryID) int { return cmp.Compare(p.host.ID, id) })
 }
 
-// putPeer adds or updates a host of the own data centre. It returns nil for this host
-// itself and for an incarnation that another has followed.
+// putPeer adds or updates a host of this data centre. It returns nil for this host itself and
+// for an outdated incarnation.
 func (tb *Table) putPeer(now ident.Time, h event.Host) *peer {
 	if h.ID == tb.self.ID || h.Place.Group() != tb.self.Place.Group() {
 		return nil
@@ -71,7 +73,7 @@
 	}
 	p := tb.peers[i]
 	if h.Incarnation == p.host.Incarnation {
-		// Draining holds for the incarnation; a description without it is older.
+		// An incarnation never stops draining, so a description without the flag is older.
 		h.Draining = h.Draining || p.host.Draining
 		p.host = h
 		return p
@@ -84,30 +86,29 @@
 	return p
 }
 
-// observe records a message of a host.
+// observe records that a message of a host has arrived.
 func (tb *Table) observe(now ident.Time, p *peer) {
 	if !p.live(now) {
-		// It may have restarted, or missed what was sent meanwhile.
-		p.fresh = true
+		// The host may have restarted, or missed messages in the meantime.
+		p.needsFullDigest = true
 	}
-	p.met = true
-	p.down = false
+	p.seen = true
+	p.linkDown = false
 	p.lastSeen = max(p.lastSeen, now)
-	if p.fresh {
-		tb.beat.peers = true
+	if p.needsFullDigest {
+		tb.heartbeat.fullDigestDue = true
 	}
 }
 
-// PeerUp says that a link to another entry host stands and that the host has
-// proved who it is.
+// PeerUp records that a link to another entry host is up and that the host is authenticated.
 func (tb *Table) PeerUp(now ident.Time, h event.Host) {
 	tb.Advance(now)
 	if h.Place.Group() != tb.self.Place.Group() {
 		c := tb.centre(h.Place)
 		c.putHost(h)
-		if c.sent.to == h.ID && c.sent.incarnation != h.Incarnation {
-			// It has restarted and lost what was sent to it.
-			c.sent = lastSent{}
+		if c.lastSent.to == h.ID && c.lastSent.incarnation != h.Incarnation {
+			// The host has restarted and lost the parts that were sent to it.
+			c.lastSent = lastSent{}
 		}
 		return
 	}
@@ -116,15 +117,15 @@
 	}
 }
 
-// PeerDown says that the link to another entry host broke.
+// PeerDown records that the link to another entry host has failed.
 func (tb *Table) PeerDown(now ident.Time, id ident.EntryID) {
 	tb.Advance(now)
 	if p, ok := tb.peer(id); ok {
-		p.down = true
+		p.linkDown = true
 	}
 }
 
-// Peers returns the live entry hosts of the own data centre but this one.
+// Peers returns the other live entry hosts of this data centre.
 func (tb *Table) Peers(now ident.Time) []event.Host {
 	var hs []event.Host
 	for _, p := range tb.peers {
@@ -135,92 +136,93 @@
 	return hs
 }
 
-// Relieved reports whether a live host of the own data centre is there to stay.
-func (tb *Table) Relieved(now ident.Time) bool {
+// HasActivePeer reports whether another live host of this data centre is not draining.
+func (tb *Table) HasActivePeer(now ident.Time) bool {
 	return slices.ContainsFunc(tb.peers, func(p *peer) bool { return p.live(now) && !p.host.Draining })
 }
 
-// Watches reports whether this host watches the platform for its data centre.
-func (tb *Table) Watches(now ident.Time) bool {
+// IsWatcher reports whether this host watches the platform for its data centre.
+func (tb *Table) IsWatcher(now ident.Time) bool {
 	return tb.watcher(now) == tb.self.ID
 }
 
-// Hosts that read the platform's store all the time.
+// Hosts that read the platform's store continuously.
 const (
-	// readers is how many hosts of a data centre do, so that one may freeze.
-	readers = 2
-	// readFresh bounds the silence of a host that is relied on to read.
-	readFresh = 1800 * time.Millisecond
+	// activeReaders is the number of active readers in a data centre. A second one covers for
+	// a reader that freezes.
+	activeReaders = 2
+	// maxReaderSilence is the longest silence of a host that still counts as an active reader.
+	maxReaderSilence = 1800 * time.Millisecond
 )
 
-// Reads reports whether this host is an active reader of the platform's store. Active readers
-// announce what they read; more of them than needed do no harm.
-func (tb *Table) Reads(now ident.Time) bool {
-	mine := dutyScore("watch", tb.self, tb.blind)
+// IsActiveReader reports whether this host is an active reader of the platform's store. Active
+// readers announce the changes that they read. It does no harm if there are more of them than
+// needed.
+func (tb *Table) IsActiveReader(now ident.Time) bool {
+	mine := dutyScore("watch", tb.self, tb.platformUnreachable)
 	before := 0
 	for _, p := range tb.peers {
-		if !p.met || p.down || now.Sub(p.lastSeen) > readFresh {
+		if !p.seen || p.linkDown || now.Sub(p.lastSeen) > maxReaderSilence {
 			continue
 		}
-		if dutyScore("watch", p.host, p.blind) > mine {
+		if dutyScore("watch", p.host, p.platformUnreachable) > mine {
 			before++
 		}
 	}
-	return before < readers
+	return before < activeReaders
 }
 
-// Represents reports whether this host sends the summaries of its data centre.
-func (tb *Table) Represents(now ident.Time) bool { return tb.representative(now) == tb.self.ID }
+// IsRepresentative reports whether this host sends the summaries of its data centre.
+func (tb *Table) IsRepresentative(now ident.Time) bool { return tb.representative(now) == tb.self.ID }
 
 func (tb *Table) watcher(now ident.Time) ident.EntryID {
-	return tb.first(now, "watch", true)
+	return tb.topRanked(now, "watch", true)
 }
 
 func (tb *Table) representative(now ident.Time) ident.EntryID {
-	return tb.first(now, "speak", false)
+	return tb.topRanked(now, "speak", false)
 }
 
-// first returns the live host that ranks first for a duty. Hosts that drain, and for some
-// duties those that are blind, come after all others.
-func (tb *Table) first(now ident.Time, duty string, sight bool) ident.EntryID {
+// topRanked returns the live host that ranks first for a duty. Draining hosts rank after all
+// others, and so do hosts that cannot reach the platform if the duty needs it.
+func (tb *Table) topRanked(now ident.Time, duty string, needsPlatform bool) ident.EntryID {
 	best := tb.self.ID
-	bestScore := dutyScore(duty, tb.self, sight && tb.blind)
+	bestScore := dutyScore(duty, tb.self, needsPlatform && tb.platformUnreachable)
 	for _, p := range tb.peers {
 		if !p.live(now) {
 			continue
 		}
-		if s := dutyScore(duty, p.host, sight && p.blind); s > bestScore {
+		if s := dutyScore(duty, p.host, needsPlatform && p.platformUnreachable); s > bestScore {
 			best, bestScore = p.host.ID, s
 		}
 	}
 	return best
 }
 
-// dutyBits are the highest bits of a score: a host that is fit for a duty comes
-// before every host that is not, whatever their hashes.
-const dutyBits = 2
+// eligibilityBits is the number of top bits of a score that encode eligibility. A host that is
+// eligible for a duty ranks before every host that is not, whatever their hashes.
+const eligibilityBits = 2
 
-func dutyScore(duty string, h event.Host, blind bool) uint64 {
-	s := rank.Hash(duty, string(h.ID)) >> dutyBits
+func dutyScore(duty string, h event.Host, platformUnreachable bool) uint64 {
+	s := rank.Hash(duty, string(h.ID)) >> eligibilityBits
 	if !h.Draining {
 		s |= 1 << (64 - 1)
 	}
-	if !blind {
-		s |= 1 << (64 - dutyBits)
+	if !platformUnreachable {
+		s |= 1 << (64 - eligibilityBits)
 	}
 	return s
 }
 
-// reapPeers drops what has been silent for long and is not listed, and forgets the
-// work of hosts that are dead.
+// reapPeers drops unlisted hosts after a long silence, and the work of dead hosts.
 func (tb *Table) reapPeers(now ident.Time) {
 	for _, p := range tb.peers {
 		if p.dead(now) {
 			tb.mergeUse(p, nil)
-			p.away = nil
+			p.forwarded = nil
 		}
 	}
 	tb.peers = slices.DeleteFunc(tb.peers, func(p *peer) bool {
-		return !p.listed && now.Sub(p.lastSeen) > dropAfter
+		return !p.listed && now.Sub(p.lastSeen) > dropTimeout
 	})
 }
--- a/internal/member/pool.go
+++ b/internal/member/pool.go
@@ -9,32 +9,33 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// pool is one pool of the own data centre.
+// pool is one pool of this data centre.
 type pool struct {
 	event.Pool
 	id PoolID
-	// offering is the state of the hysteresis.
-	offering bool
-	wantedAt ident.Time
-	wanted   bool
-	// ownAt is when a request at this host last asked for it; a demand of a peer is
-	// not relayed.
-	ownAt  ident.Time
-	own    bool
-	prices float64
+	// offering is the state of the hysteresis for offers.
+	offering    bool
+	requestedAt ident.Time
+	requested   bool
+	// requestedHereAt is when a request at this host last asked for the pool. Requests of
+	// peers are not relayed.
+	requestedHereAt ident.Time
+	requestedHere   bool
+	priceSum        float64
 }
 
-// update moves the hysteresis after a change of load or of own work sent away.
-func (p *pool) update(away int) {
+// update sets the hysteresis state after a change in load or in the number of requests
+// forwarded to other data centres.
+func (p *pool) update(forwarded int) {
 	switch {
-	case away > 0 || p.Slots == 0 || p.Free*percent < p.Slots*withdrawMark:
+	case forwarded > 0 || p.Slots == 0 || p.Free*percent < p.Slots*withdrawPercent:
 		p.offering = false
-	case p.Free*percent >= p.Slots*offerMark && p.Slots > 0:
+	case p.Free*percent >= p.Slots*offerPercent && p.Slots > 0:
 		p.offering = true
 	}
 }
 
-func byPool(a, b PoolID) int {
+func comparePools(a, b PoolID) int {
 	return cmp.Or(
 		strings.Compare(string(a.Serve.Model), string(b.Serve.Model)),
 		strings.Compare(string(a.Serve.Version), string(b.Serve.Version)),
@@ -52,10 +53,10 @@
 }
 
 func (tb *Table) poolIndex(id PoolID) (int, bool) {
-	return slices.BinarySearchFunc(tb.pools, id, func(p *pool, id PoolID) int { return byPool(p.id, id) })
+	return slices.BinarySearchFunc(tb.pools, id, func(p *pool, id PoolID) int { return comparePools(p.id, id) })
 }
 
-func (tb *Table) needPool(id PoolID) *pool {
+func (tb *Table) ensurePool(id PoolID) *pool {
 	i, ok := tb.poolIndex(id)
 	if !ok {
 		p := &pool{id: id}
@@ -65,130 +66,131 @@
 	return tb.pools[i]
 }
 
-// Want says that a request asked for a pool that has no target here, so that
-// the data centre asks the others for it.
-func (tb *Table) Want(now ident.Time, id PoolID) {
-	p, fresh := tb.want(now, id)
+// PoolRequested records that a request asked for a pool that has no target here. This data
+// centre then requests it from the others.
+func (tb *Table) PoolRequested(now ident.Time, id PoolID) {
+	p, added := tb.recordPoolRequest(now, id)
 	if p == nil {
 		return
 	}
-	if fresh || !p.own || now.Sub(p.ownAt) > wantLife {
-		// Another host may be the representative and has to know at once.
-		tb.beat.urgent = true
+	if added || !p.requestedHere || now.Sub(p.requestedHereAt) > wantTTL {
+		// Another host may be the representative, and must be notified at once.
+		tb.heartbeat.urgent = true
 	}
-	p.own, p.ownAt = true, now
+	p.requestedHere, p.requestedHereAt = true, now
 }
 
-// Crowded says that requests are queued here for room, so that the data centre asks for help
-// now and not at the next heartbeat.
-func (tb *Table) Crowded(now ident.Time) {
-	if tb.crowdedAt > 0 && now.Sub(tb.crowdedAt) < minGap {
+// RequestsQueued records that requests are queued here for lack of capacity. The data centre
+// then requests help at once instead of at the next heartbeat.
+func (tb *Table) RequestsQueued(now ident.Time) {
+	if tb.requestsQueuedAt > 0 && now.Sub(tb.requestsQueuedAt) < minSummaryGap {
 		return
 	}
-	tb.crowdedAt = now
+	tb.requestsQueuedAt = now
 	tb.countPools(now)
-	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && short(p.Free, p.Slots) }) {
-		tb.beat.asks, tb.beat.urgent = true, true
+	if slices.ContainsFunc(tb.pools, func(p *pool) bool { return p.Slots > 0 && needsHelp(p.Free, p.Slots) }) {
+		tb.heartbeat.summaryDue, tb.heartbeat.urgent = true, true
 	}
 }
 
-// want records a demand of this host or of a peer. It returns nil where
-// there are too many.
-func (tb *Table) want(now ident.Time, id PoolID) (p *pool, fresh bool) {
+// recordPoolRequest records a request for a pool by this host or a peer. It returns nil if
+// there are too many pools.
+func (tb *Table) recordPoolRequest(now ident.Time, id PoolID) (p *pool, added bool) {
 	p, ok := tb.pool(id)
 	if !ok {
 		if len(tb.pools) >= maxWants {
 			return nil, false
 		}
-		p = tb.needPool(id)
-		tb.beat.asks = true
+		p = tb.ensurePool(id)
+		tb.heartbeat.summaryDue = true
 	}
-	p.wanted, p.wantedAt = true, now
+	p.requested, p.requestedAt = true, now
 	return p, !ok
 }
 
-// wants returns what requests at this host asked for lately in vain.
-func (tb *Table) wants(now ident.Time) []event.Want {
+// ownPoolRequests returns the pools without targets that requests at this host recently asked
+// for.
+func (tb *Table) ownPoolRequests(now ident.Time) []event.Want {
 	var ws []event.Want
 	for _, p := range tb.pools {
-		if p.Targets == 0 && p.own && now.Sub(p.ownAt) <= wantLife {
+		if p.Targets == 0 && p.requestedHere && now.Sub(p.requestedHereAt) <= wantTTL {
 			ws = append(ws, event.Want{Serve: p.Serve, Service: p.Service})
 		}
 	}
 	return ws
 }
 
-// countPools works the pools out anew from the targets.
+// countPools recomputes the pools from the targets.
 func (tb *Table) countPools(now ident.Time) {
 	for _, p := range tb.pools {
 		*p = pool{
 			Pool: event.Pool{Serve: p.Serve, Service: p.Service},
-			id:   p.id, offering: p.offering, wantedAt: p.wantedAt, wanted: p.wanted, ownAt: p.ownAt, own: p.own,
+			id:   p.id, offering: p.offering, requestedAt: p.requestedAt, requested: p.requested, requestedHereAt: p.requestedHereAt, requestedHere: p.requestedHere,
 		}
 	}
 	for _, t := range tb.targets {
 		if !t.Usable(now) || t.Cold(now) {
 			continue
 		}
-		tb.countTarget(now, t)
+		tb.addToPools(now, t)
 	}
 	tb.pools = slices.DeleteFunc(tb.pools, func(p *pool) bool {
-		return p.Targets == 0 && (!p.wanted || now.Sub(p.wantedAt) > wantLife)
+		return p.Targets == 0 && (!p.requested || now.Sub(p.requestedAt) > wantTTL)
 	})
 	for _, p := range tb.pools {
 		if p.Targets > 0 {
 			n := float64(p.Targets)
 			p.PrefillRate /= n
 			p.DecodeRate /= n
-			p.Price = p.prices / n
+			p.Price = p.priceSum / n
 		}
 		p.Alone, p.Shared = tb.demand(now, p.Service)
-		away := 0
-		if !tb.isPaced(p.id) {
-			away = tb.awayFrom(now, p.id)
+		forwarded := 0
+		if !tb.hasPace(p.id) {
+			forwarded = tb.countForwarded(now, p.id)
 		}
-		p.update(away)
+		p.update(forwarded)
 	}
 }
 
-func (tb *Table) countTarget(now ident.Time, t *Target) {
+func (tb *Table) addToPools(now ident.Time, t *Target) {
 	if t.Kind == event.Service {
-		tb.needPool(PoolID{Service: t.Service}).count(now, t, tb.roomAt(now, t.Service))
+		tb.ensurePool(PoolID{Service: t.Service}).addTarget(now, t, tb.remoteShare(now, t.Service))
 		return
 	}
 	for _, sv := range t.Load.Serves {
-		tb.needPool(PoolID{Serve: sv}).count(now, t, 1)
+		tb.ensurePool(PoolID{Serve: sv}).addTarget(now, t, 1)
 	}
 }
 
-func (p *pool) count(now ident.Time, t *Target, room float64) {
-	out := t.Outstanding(now)
-	wait := t.Wait(now, out, 1)
+func (p *pool) addTarget(now ident.Time, t *Target, remoteShare float64) {
+	outstanding := t.Outstanding(now)
+	wait := t.Wait(now, outstanding, 1)
 	if p.Targets == 0 || wait < p.Wait {
 		p.Wait = wait
 	}
 	p.Targets++
 	p.Slots += t.Slots()
-	p.Free += t.Free(now, out, room)
+	p.Free += t.Free(now, outstanding, remoteShare)
 	p.PrefillRate += t.Load.PrefillRate
 	p.DecodeRate += t.Load.DecodeRate
-	p.prices += t.Price
+	p.priceSum += t.Price
 }
 
-// awayFrom counts the requests of a pool that the hosts of the own data centre
-// have passed on to others. Such a pool offers nothing, so that no two data centres swap
-// work.
-func (tb *Table) awayFrom(now ident.Time, id PoolID) int {
-	n := countAway(tb.away, id)
+// countForwarded returns how many requests of a pool the hosts of this data centre have
+// forwarded to others. A pool with such requests offers nothing, so that no two data centres
+// exchange work.
+func (tb *Table) countForwarded(now ident.Time, id PoolID) int {
+	n := sumForwarded(tb.forwarded, id)
 	for _, p := range tb.peers {
 		if !p.dead(now) {
-			n += countAway(p.away, id)
+			n += sumForwarded(p.forwarded, id)
 		}
 	}
 	return n
 }
 
-func countAway(uses []event.AwayUse, id PoolID) int {
+func sumForwarded(uses []event.AwayUse, id PoolID) int {
 	n := 0
 	for _, u := range uses {
 		if u.Serve == id.Serve && u.Service == id.Service {
--- a/internal/member/show.go
+++ b/internal/member/show.go
@@ -9,42 +9,41 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// candidate is an entry host that callers may use, and how good it is.
+// candidate is an entry host that callers may use, with its rank.
 type candidate struct {
 	host event.Host
-	// class is 0 for the own data centre, 1 for the own region, 2 for others,
-	// and 3 for data centres that are cut off from here: the caller may reach
-	// them all the same.
+	// class is 0 for hosts of this data centre, 1 for this region, 2 for other regions, and 3
+	// for data centres that are cut off from here but which the caller may still reach.
 	class int
 	score float64
 }
 
-// The classes of candidates.
+// Classes of candidates.
 const (
 	classOwn = iota
 	classRegion
-	classFar
+	classOtherRegion
 	classCutOff
 )
 
-// Entries returns the entry hosts that callers should use, best first: those
-// that live, do not leave and stand in an allowed place. Within a class the
-// order is drawn by spread, so that each host gets a share of the callers by
-// its part of the capacity of its data centre.
-func (tb *Table) Entries(now ident.Time, allowed func(event.Place) bool, spread uint64) []event.Host {
+// EntryHosts returns the entry hosts that callers should use, best first. It omits hosts that
+// are draining or in a place that is not allowed. The seed determines the order within a
+// class, in which each host gets a share of the callers in proportion to its part of the
+// capacity of its data centre.
+func (tb *Table) EntryHosts(now ident.Time, allowed func(event.Place) bool, seed uint64) []event.Host {
 	var cs []candidate
 	if allowed(tb.self.Place) {
 		for _, h := range tb.liveHosts(now) {
-			cs = add(cs, h, classOwn, 1, spread)
+			cs = addCandidate(cs, h, classOwn, 1, seed)
 		}
 	}
 	for _, c := range tb.centres {
 		if allowed(c.Place) {
-			cs = tb.addCentre(now, cs, c, spread)
+			cs = tb.addCentreCandidates(now, cs, c, seed)
 		}
 	}
 	slices.SortStableFunc(cs, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score), byHost(a.host, b.host))
+		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score), compareHosts(a.host, b.host))
 	})
 	hs := make([]event.Host, len(cs))
 	for i, c := range cs {
@@ -53,8 +52,8 @@
 	return hs
 }
 
-func (tb *Table) addCentre(now ident.Time, cs []candidate, c *Centre, spread uint64) []candidate {
-	hosts, class := c.Summary.Hosts, classFar
+func (tb *Table) addCentreCandidates(now ident.Time, cs []candidate, c *Centre, seed uint64) []candidate {
+	hosts, class := c.Summary.Hosts, classOtherRegion
 	switch {
 	case c.CutOff(now):
 		hosts, class = c.Hosts, classCutOff
@@ -66,21 +65,21 @@
 		slots += p.Slots
 	}
 	for _, h := range hosts {
-		cs = add(cs, h, class, float64(slots)/float64(len(hosts)), spread)
+		cs = addCandidate(cs, h, class, float64(slots)/float64(len(hosts)), seed)
 	}
 	return cs
 }
 
-func add(cs []candidate, h event.Host, class int, weight float64, spread uint64) []candidate {
+func addCandidate(cs []candidate, h event.Host, class int, weight float64, seed uint64) []candidate {
 	if h.Draining {
 		return cs
 	}
-	score := rank.Score(rank.Join(spread, rank.Hash(string(h.ID))), weight)
+	score := rank.Score(rank.Combine(seed, rank.Hash(string(h.ID))), weight)
 	return append(cs, candidate{host: h, class: class, score: score})
 }
 
-// Status returns the data centres, the own first, and the targets as this host
-// knows them.
+// Status returns the data centres, with this one first, and the targets as this host knows
+// them.
 func (tb *Table) Status(now ident.Time) ([]event.CentreStatus, []event.TargetStatus) {
 	own := tb.summary(now)
 	centres := []event.CentreStatus{{
@@ -99,7 +98,7 @@
 	}
 	targets := make([]event.TargetStatus, 0, len(tb.targets))
 	for _, t := range tb.targets {
-		st := event.TargetStatus{Target: t.Target, Load: t.Load, Sent: t.Sent, Suspect: t.Suspect(now), Draining: t.Drains}
+		st := event.TargetStatus{Target: t.Target, Load: t.Load, Sent: t.InFlight, Suspect: t.Suspect(now), Draining: t.KnownDraining}
 		if t.HasLoad {
 			st.LoadAge = now.Sub(t.LoadAt)
 		}
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -8,18 +8,19 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// state is how far a ticket or key has come.
+// state is the progress of a ticket or key.
 type state uint8
 
 const (
-	// idle may be used: it is new, or its last run is proved not to have run.
-	idle state = iota
-	// claiming waits for the platform's store.
+	// available is the state of a new record, or of one whose last request provably did
+	// not run.
+	available state = iota
+	// claiming waits for the answer of the platform's store.
 	claiming
 	running
-	// ended is for good.
+	// ended is final.
 	ended
-	// foreign belongs to another incarnation, by the record in the store.
+	// foreign means that the record in the store names another incarnation as owner.
 	foreign
 )
 
@@ -34,28 +35,29 @@
 	expires ident.Time
 
 	key string
-	// claimID is the request that every claim of this record names, so that
-	// a late write of an earlier claim is recognised as this record's own.
+	// claimID is the request named by every claim of this record, so that a late write
+	// of an earlier claim is recognised as its own.
 	claimID ident.RequestID
-	// claimed says that the store holds this record.
-	claimed bool
-	// clean says that no key that may have run had been dropped from memory
-	// when this record was made, so that this key can't have run before.
-	clean bool
-	owner event.KeyRecord
-
+	// stored reports whether the platform's store holds this record.
+	stored bool
+	// noEarlierRun is set if no key that may have run had been dropped from memory when
+	// this record was created, so that this key can't have run before.
+	noEarlierRun bool
+	owner        event.KeyRecord
+
+	// print is the fingerprint of the request.
 	print   string
 	req     ident.RequestID
 	outcome event.Outcome
 	endedAt ident.Time
 	kept    bool
 
-	due ident.Time
-	seq uint64
-	pos int
+	due       ident.Time
+	seq       uint64
+	heapIndex int
 }
 
-// dueQueue is a heap of all records, the one that is due next first.
+// dueQueue is a heap of all records, ordered by due time.
 type dueQueue []*record
 
 func (q dueQueue) Len() int { return len(q) }
@@ -69,17 +71,17 @@
 
 func (q dueQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].pos, q[j].pos = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
-// Push adds a record; it is called by package heap.
+// Push implements heap.Interface.
 func (q *dueQueue) Push(x any) {
 	rec := x.(*record)
-	rec.pos = len(*q)
+	rec.heapIndex = len(*q)
 	*q = append(*q, rec)
 }
 
-// Pop removes the last record; it is called by package heap.
+// Pop implements heap.Interface.
 func (q *dueQueue) Pop() any {
 	old := *q
 	rec := old[len(old)-1]
@@ -97,12 +99,13 @@
 
 func (rg *Registry) setDue(rec *record, due ident.Time) {
 	rec.due = due
-	heap.Fix(&rg.queue, rec.pos)
+	heap.Fix(&rg.queue, rec.heapIndex)
 }
 
-// room makes room for one more record and reports whether there is any. A
-// record that claims or runs is never dropped: its repeat would run again.
-func (rg *Registry) room() bool {
+// makeRoom makes room for one more record and reports whether there is any. A record
+// that is claiming or running is never dropped, since a repeat would run the request
+// again.
+func (rg *Registry) makeRoom() bool {
 	if len(rg.queue) < rg.bounds.records {
 		return true
 	}
@@ -114,19 +117,18 @@
 	return true
 }
 
-// drop forgets a record. One that may have run leaves its mark, since the
-// answer to a repeat would else be "not run", and the caller would have it run
-// a second time.
+// drop removes a record. If it may have run, the floor or flag is updated: otherwise a
+// repeat would be answered with "not run", and the caller would run it a second time.
 func (rg *Registry) drop(rec *record) {
-	heap.Remove(&rg.queue, rec.pos)
+	heap.Remove(&rg.queue, rec.heapIndex)
 	rg.dropAnswer(rec)
 	if rec.ticket == 0 {
 		delete(rg.keys, rec.key)
-		rg.keyForgotten = rg.keyForgotten || rec.state == ended
+		rg.usedKeyDropped = rg.usedKeyDropped || rec.state == ended
 		return
 	}
 	delete(rg.tickets, rec.ticket)
-	if rec.state == idle {
+	if rec.state == available {
 		rg.countUnused(rec.account, -1)
 		return
 	}
@@ -136,59 +138,59 @@
 func (rg *Registry) dropAnswer(rec *record) {
 	if rec.kept {
 		rec.kept = false
-		rg.forget = append(rg.forget, rec.req)
+		rg.droppedAnswers = append(rg.droppedAnswers, rec.req)
 	}
 }
 
-// start lets a request run.
+// start marks a request as running.
 func (rg *Registry) start(rec *record, req ident.RequestID) Verdict {
 	if rec.ticket != 0 {
 		rg.countUnused(rec.account, -1)
 	}
 	rec.state = running
 	rec.req = req
-	rg.live[req] = rec
+	rg.byRequest[req] = rec
 	rg.setDue(rec, Never)
-	return Verdict{Do: Run}
+	return Verdict{Action: Run}
 }
 
-// release makes a record usable again after a proof that it did not run.
+// release makes a record usable again after proof that its request did not run.
 func (rg *Registry) release(rec *record) {
-	rec.state = idle
+	rec.state = available
 	rec.req = ""
 	if rec.ticket != 0 {
 		rg.countUnused(rec.account, 1)
 		rg.setDue(rec, rec.expires)
 		return
 	}
-	rg.setDue(rec, rg.now.Add(recordKept))
+	rg.setDue(rec, rg.now.Add(recordTTL))
 }
 
 func (rg *Registry) countUnused(account ident.Account, n int) {
 	rg.unusedTotal += n
-	rg.unused[account] += n
-	if rg.unused[account] == 0 {
-		delete(rg.unused, account)
+	rg.unusedByAccount[account] += n
+	if rg.unusedByAccount[account] == 0 {
+		delete(rg.unusedByAccount, account)
 	}
 }
 
-// repeat answers a request whose ticket or key is in use or has been used.
-func repeat(rec *record, fprint string) Verdict {
+// verdictForRepeat answers a request whose ticket or key is in use or has been used.
+func verdictForRepeat(rec *record, fingerprint string) Verdict {
 	switch {
 	case rec.state == claiming:
-		// The key may turn out to be on record with any content.
+		// The store may hold the key with any content.
 		return refuse(codes.InProgress, event.Unknown)
-	case fprint != rec.print:
+	case fingerprint != rec.print:
 		return refuse(codes.KeyReused, event.NotRun)
 	case rec.state == foreign:
-		return owner(rec.owner.Entry, rec.owner.Incarnation)
+		return ownedBy(rec.owner.Entry, rec.owner.Incarnation)
 	case rec.state != ended:
-		// Unknown and not "not run": the first request may yet run.
+		// "Unknown" rather than "not run": the first request may still run.
 		return refuse(codes.InProgress, event.Unknown)
 	case rec.outcome != event.Done:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
 	case rec.kept:
-		return Verdict{Do: Replay, Of: rec.req, Outcome: event.Done}
+		return Verdict{Action: Replay, ReplayOf: rec.req, Outcome: event.Done}
 	}
 	return refuse(codes.NoOutcome, event.Done)
 }
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -15,8 +15,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// init fixes the seed, so that the verdict is the same on every run. A seed on
-// the command line goes before it.
+// init fixes the seed, so that every run gives the same result. A seed on the command
+// line overrides it.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -24,236 +24,236 @@
 	_ = flag.Set("rapid.checks", "500")
 }
 
-// job is the truth about one ticket or key, kept for ever.
+// job is the reference state of one ticket or key, kept without limit.
 type job struct {
 	ticket  string
 	key     string
 	expires ident.Time
-	// lapsed says that Expire has run since the ticket expired unused.
-	lapsed  bool
-	host    int
-	inc     ident.Incarnation
-	print   string
-	active  ident.RequestID
-	ran     bool
-	outcome event.Outcome
-	kept    bool
-	endedAt ident.Time
-	of      ident.RequestID
+	// expiredUnused records that Expire has run since the ticket expired unused.
+	expiredUnused bool
+	host          int
+	inc           ident.Incarnation
+	print         string
+	active        ident.RequestID
+	ran           bool
+	outcome       event.Outcome
+	kept          bool
+	endedAt       ident.Time
+	ranAs         ident.RequestID
 }
 
-// send is a request that was allowed to run, or a claim on its way.
-type send struct {
+// operation is a request that was allowed to run, or a claim that waits for its answer.
+type operation struct {
 	job  *job
 	host int
 	req  ident.RequestID
 	rec  event.KeyRecord
 }
 
-// world is two hosts, the store and everything that has ever happened.
-type world struct {
-	now    ident.Time
-	inc    ident.Incarnation
-	bounds *bounds
-	hosts  [2]*Registry
-	jobs   []*job
-	store  map[string]event.KeyRecord
-	runs   []send
-	claims []send
-	late   []send
-	n      int
-	// exact says that nothing is dropped early, so that the answer for a
-	// ticket is known exactly.
+// simulation consists of two hosts, the store and the full history of requests.
+type simulation struct {
+	now          ident.Time
+	inc          ident.Incarnation
+	bounds       *bounds
+	hosts        [2]*Registry
+	jobs         []*job
+	store        map[string]event.KeyRecord
+	runs         []operation
+	claims       []operation
+	lateWrites   []operation
+	requestCount int
+	// exact is set when nothing is dropped early, so that the answer for a ticket is
+	// known exactly.
 	exact bool
 }
 
-func newWorld(b *bounds) *world {
-	w := &world{bounds: b, store: make(map[string]event.KeyRecord), exact: b == nil}
-	for i := range w.hosts {
-		w.boot(i)
+func newSimulation(b *bounds) *simulation {
+	sim := &simulation{bounds: b, store: make(map[string]event.KeyRecord), exact: b == nil}
+	for i := range sim.hosts {
+		sim.restart(i)
 	}
 	for _, k := range []string{"k1", "k2", "k3"} {
-		w.jobs = append(w.jobs, &job{key: k})
+		sim.jobs = append(sim.jobs, &job{key: k})
 	}
-	return w
+	return sim
 }
 
-func (w *world) boot(i int) {
-	w.inc++
-	w.hosts[i] = New(ident.EntryID(fmt.Sprint("host", i)), w.inc)
-	if w.bounds != nil {
-		w.hosts[i].bounds = *w.bounds
+func (sim *simulation) restart(i int) {
+	sim.inc++
+	sim.hosts[i] = New(ident.EntryID(fmt.Sprint("host", i)), sim.inc)
+	if sim.bounds != nil {
+		sim.hosts[i].bounds = *sim.bounds
 	}
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if j.active != "" && j.host == i {
-			j.ran, j.outcome, j.kept, j.active, j.endedAt = true, event.Unknown, false, "", w.now
+			j.ran, j.outcome, j.kept, j.active, j.endedAt = true, event.Unknown, false, "", sim.now
 		}
 	}
 }
 
-// judged checks a verdict against the truth and carries it out.
-func (w *world) judged(t *rapid.T, s send, fprint string, v Verdict) {
+// applyVerdict checks a verdict against the reference state and carries it out.
+func (sim *simulation) applyVerdict(t *rapid.T, s operation, fingerprint string, v Verdict) {
 	j := s.job
 	switch {
-	case v.Do == Run:
+	case v.Action == Run:
 		if j.ran || j.active != "" {
 			t.Fatalf("%s%s runs a second time", j.ticket, j.key)
 		}
-		j.active, j.host, j.print, j.of = s.req, s.host, fprint, s.req
-		w.runs = append(w.runs, s)
-	case v.Do == Claim:
+		j.active, j.host, j.print, j.ranAs = s.req, s.host, fingerprint, s.req
+		sim.runs = append(sim.runs, s)
+	case v.Action == Claim:
 		s.rec = v.Record
-		w.claims = append(w.claims, s)
-	case v.Do == Replay && (!j.kept || v.Of != j.of):
-		t.Fatalf("replay of %q, whose answer is not kept", v.Of)
+		sim.claims = append(sim.claims, s)
+	case v.Action == Replay && (!j.kept || v.ReplayOf != j.ranAs):
+		t.Fatalf("replay of %q, whose answer is not stored", v.ReplayOf)
 	case v.Code == codes.StoreDown.ID || v.Code == codes.Overloaded.ID:
-		// Of a key that this host knows nothing of, "not run" is said of
-		// this request and not of an earlier one at another host.
-		if slices.ContainsFunc(w.runs, func(o send) bool { return o.req == s.req }) || (j.active != "" && j.host == s.host) {
-			t.Fatalf("%s is said not to have run: %+v", s.req, v)
+		// For a key unknown to this host, "not run" refers to this request and not to
+		// an earlier one at another host.
+		if slices.ContainsFunc(sim.runs, func(o operation) bool { return o.req == s.req }) || (j.active != "" && j.host == s.host) {
+			t.Fatalf("%s is reported as not run: %+v", s.req, v)
 		}
-	case v.Outcome == event.NotRun && fprint == j.print && (j.ran || j.active != ""):
-		t.Fatalf("%s%s is said not to have run: %+v", j.ticket, j.key, v)
+	case v.Outcome == event.NotRun && fingerprint == j.print && (j.ran || j.active != ""):
+		t.Fatalf("%s%s is reported as not run: %+v", j.ticket, j.key, v)
 	}
 }
 
-// wantTicket is the naive answer for a genuine ticket at its own host.
-func (w *world) wantTicket(j *job, fprint string) Verdict {
-	age := w.now.Sub(j.endedAt)
+// wantTicket is the naive answer for a genuine ticket at the host that issued it.
+func (sim *simulation) wantTicket(j *job, fingerprint string) Verdict {
+	age := sim.now.Sub(j.endedAt)
 	switch {
-	case w.hosts[w.owner(j)].inc != j.inc:
+	case sim.hosts[sim.owner(j)].inc != j.inc:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case j.active == "" && !j.ran && j.lapsed && w.overtaken(j):
+	case j.active == "" && !j.ran && j.expiredUnused && sim.belowFloor(j):
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case j.active == "" && !j.ran && w.now >= j.expires:
+	case j.active == "" && !j.ran && sim.now >= j.expires:
 		return refuse(codes.BadTicket, event.NotRun)
 	case j.active == "" && !j.ran:
-		return Verdict{Do: Run}
-	case j.ran && age >= recordKept:
+		return Verdict{Action: Run}
+	case j.ran && age >= recordTTL:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case fprint != j.print:
+	case fingerprint != j.print:
 		return refuse(codes.KeyReused, event.NotRun)
 	case j.active != "":
 		return refuse(codes.InProgress, event.Unknown)
 	case j.outcome == event.Unknown:
 		return refuse(codes.OutcomeUnknown, event.Unknown)
-	case j.kept && age < answerKept:
-		return Verdict{Do: Replay, Of: j.of, Outcome: event.Done}
+	case j.kept && age < answerTTL:
+		return Verdict{Action: Replay, ReplayOf: j.ranAs, Outcome: event.Done}
 	}
 	return refuse(codes.NoOutcome, event.Done)
 }
 
-// overtaken reports whether a later ticket has run and been forgotten, so that
-// the host can't distinguish the two.
-func (w *world) overtaken(j *job) bool {
+// belowFloor reports whether a later ticket has run and been dropped, so that the host
+// can't distinguish the two.
+func (sim *simulation) belowFloor(j *job) bool {
 	t, _ := parseTicket(j.ticket)
-	return slices.ContainsFunc(w.jobs, func(o *job) bool {
+	return slices.ContainsFunc(sim.jobs, func(o *job) bool {
 		ot, ok := parseTicket(o.ticket)
 		return ok && ot.entry == t.entry && ot.inc == t.inc && ot.number > t.number &&
-			o.ran && w.now.Sub(o.endedAt) >= recordKept
+			o.ran && sim.now.Sub(o.endedAt) >= recordTTL
 	})
 }
 
-func (w *world) owner(j *job) int {
-	entry, _, _ := OwnerOf(j.ticket)
+func (sim *simulation) owner(j *job) int {
+	entry, _, _ := TicketOwner(j.ticket)
 	return int(entry[len(entry)-1] - '0')
 }
 
-func (w *world) issue(t *rapid.T) {
+func (sim *simulation) issue(t *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(t, "host")
-	text, valid, code := w.hosts[i].IssueTicket(w.now, "acme", "book", "s3cret")
+	text, valid, code := sim.hosts[i].IssueTicket(sim.now, "acme", "book", "s3cret")
 	if code == "" {
-		w.jobs = append(w.jobs, &job{ticket: text, expires: w.now.Add(valid), inc: w.hosts[i].inc})
+		sim.jobs = append(sim.jobs, &job{ticket: text, expires: sim.now.Add(valid), inc: sim.hosts[i].inc})
 	}
 }
 
-func (w *world) request(t *rapid.T) {
-	j := rapid.SampledFrom(w.jobs).Draw(t, "job")
+func (sim *simulation) request(t *rapid.T) {
+	j := rapid.SampledFrom(sim.jobs).Draw(t, "job")
 	i := rapid.IntRange(0, 1).Draw(t, "host")
-	fprint := rapid.SampledFrom([]string{"p", "p", "p", "q"}).Draw(t, "print")
-	w.n++
-	s := send{job: j, host: i, req: ident.RequestID(fmt.Sprint("r", w.n))}
+	fingerprint := rapid.SampledFrom([]string{"p", "p", "p", "q"}).Draw(t, "print")
+	sim.requestCount++
+	s := operation{job: j, host: i, req: ident.RequestID(fmt.Sprint("r", sim.requestCount))}
 	if j.key != "" {
-		w.judged(t, s, fprint, w.hosts[i].Key(w.now, j.key, fprint, s.req))
+		sim.applyVerdict(t, s, fingerprint, sim.hosts[i].UseKey(sim.now, j.key, fingerprint, s.req))
 		return
 	}
-	if i == w.owner(j) && w.exact {
-		want := w.wantTicket(j, fprint)
-		got := w.hosts[i].Redeem(w.now, j.ticket, "acme", "book", s.req, fprint)
+	if i == sim.owner(j) && sim.exact {
+		want := sim.wantTicket(j, fingerprint)
+		got := sim.hosts[i].Redeem(sim.now, j.ticket, "acme", "book", s.req, fingerprint)
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Fatalf("ticket %+v (-naive +got):\n%s", *j, diff)
 		}
-		w.judged(t, s, fprint, got)
+		sim.applyVerdict(t, s, fingerprint, got)
 		return
 	}
-	w.judged(t, s, fprint, w.hosts[i].Redeem(w.now, j.ticket, "acme", "book", s.req, fprint))
+	sim.applyVerdict(t, s, fingerprint, sim.hosts[i].Redeem(sim.now, j.ticket, "acme", "book", s.req, fingerprint))
 }
 
-func (w *world) write(s send) {
-	if _, ok := w.store[s.job.key]; !ok {
-		w.store[s.job.key] = s.rec
+func (sim *simulation) write(s operation) {
+	if _, ok := sim.store[s.job.key]; !ok {
+		sim.store[s.job.key] = s.rec
 	}
 }
 
-// answer lets the store answer a claim, lose the reply or the write, or write
-// late. The claim stays in the list, so that its answer may come again.
-func (w *world) answer(t *rapid.T) {
-	if len(w.claims) == 0 {
+// answer makes the store answer a claim, lose the reply or the write, or write late.
+// The claim stays in the list, so that its answer may arrive again.
+func (sim *simulation) answer(t *rapid.T) {
+	if len(sim.claims) == 0 {
 		return
 	}
-	s := rapid.SampledFrom(w.claims).Draw(t, "claim")
+	s := rapid.SampledFrom(sim.claims).Draw(t, "claim")
 	claim, rec := event.ClaimFailed, event.KeyRecord{}
 	switch rapid.IntRange(0, 4).Draw(t, "fate") {
 	case 0, 1, 2:
-		w.write(s)
-		rec = w.store[s.job.key]
+		sim.write(s)
+		rec = sim.store[s.job.key]
 		if claim = event.ClaimTaken; rec == s.rec && rapid.Bool().Draw(t, "won") {
 			claim = event.ClaimWon
 		}
 	case 3:
-		w.late = append(w.late, s)
+		sim.lateWrites = append(sim.lateWrites, s)
 	}
-	w.judged(t, s, s.rec.Print, w.hosts[s.host].Claimed(w.now, s.req, claim, rec))
+	sim.applyVerdict(t, s, s.rec.Print, sim.hosts[s.host].ClaimAnswered(sim.now, s.req, claim, rec))
 }
 
-func (w *world) land(t *rapid.T) {
-	if len(w.late) > 0 {
-		w.write(rapid.SampledFrom(w.late).Draw(t, "late"))
+func (sim *simulation) landLateWrite(t *rapid.T) {
+	if len(sim.lateWrites) > 0 {
+		sim.write(rapid.SampledFrom(sim.lateWrites).Draw(t, "late"))
 	}
 }
 
-func (w *world) end(t *rapid.T) {
-	if len(w.runs) == 0 {
+func (sim *simulation) end(t *rapid.T) {
+	if len(sim.runs) == 0 {
 		return
 	}
-	s := rapid.SampledFrom(w.runs).Draw(t, "run")
+	s := rapid.SampledFrom(sim.runs).Draw(t, "run")
 	o := rapid.SampledFrom([]event.Outcome{event.Done, event.NotRun, event.Unknown}).Draw(t, "outcome")
 	kept := rapid.Bool().Draw(t, "kept")
 	if j := s.job; j.active == s.req {
 		j.active = ""
 		if o != event.NotRun {
-			j.ran, j.outcome, j.kept, j.endedAt = true, o, kept && o == event.Done, w.now
+			j.ran, j.outcome, j.kept, j.endedAt = true, o, kept && o == event.Done, sim.now
 		}
 	}
-	w.hosts[s.host].Ended(w.now, s.req, o, kept)
+	sim.hosts[s.host].Ended(sim.now, s.req, o, kept)
 }
 
-func (w *world) pass(t *rapid.T) {
-	by := rapid.SampledFrom([]time.Duration{time.Second, time.Minute, answerKept, ticketValid, 2 * recordKept})
-	w.now = w.now.Add(by.Draw(t, "by"))
-	for _, j := range w.jobs {
-		j.lapsed = j.active == "" && !j.ran && w.now >= j.expires
+func (sim *simulation) advance(t *rapid.T) {
+	by := rapid.SampledFrom([]time.Duration{time.Second, time.Minute, answerTTL, ticketTTL, 2 * recordTTL})
+	sim.now = sim.now.Add(by.Draw(t, "by"))
+	for _, j := range sim.jobs {
+		j.expiredUnused = j.active == "" && !j.ran && sim.now >= j.expires
 	}
-	for _, rg := range w.hosts {
-		for _, req := range rg.Expire(w.now) {
-			for _, j := range w.jobs {
-				if j.of == req {
+	for _, rg := range sim.hosts {
+		for _, req := range rg.Expire(sim.now) {
+			for _, j := range sim.jobs {
+				if j.ranAs == req {
 					j.kept = false
 				}
 			}
 		}
-		if rg.Next() <= w.now {
-			t.Fatalf("Expire left work that was due")
+		if rg.Next() <= sim.now {
+			t.Fatalf("Expire left records that were due")
 		}
 		if len(rg.queue) > rg.bounds.records {
 			t.Fatalf("%d records, more than the bound", len(rg.queue))
@@ -261,26 +261,28 @@
 	}
 }
 
-func (w *world) check(t *rapid.T) {
+func (sim *simulation) check(t *rapid.T) {
 	t.Repeat(map[string]func(*rapid.T){
-		"issue": w.issue, "request": w.request, "again": w.request, "answer": w.answer, "reply": w.answer,
-		"land": w.land, "end": w.end, "finish": w.end, "pass": w.pass,
+		"issue": sim.issue, "request": sim.request, "again": sim.request, "answer": sim.answer, "reply": sim.answer,
+		"land": sim.landLateWrite, "end": sim.end, "finish": sim.end, "pass": sim.advance,
 		"restart": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				w.boot(rapid.IntRange(0, 1).Draw(t, "host"))
+				sim.restart(rapid.IntRange(0, 1).Draw(t, "host"))
 			}
 		},
 	})
 }
 
-// Late, doubled and crossed messages make a request run twice, or report one as not run that ran.
-func TestOnceOnly(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { newWorld(nil).check(t) })
+// Guards against late, duplicate and reordered messages that make a request run twice,
+// or report a request as not run that ran.
+func TestRunsAtMostOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { newSimulation(nil).check(t) })
 }
 
-// A record dropped for want of memory counts as a request that was never made.
-func TestOnceOnlyFull(t *testing.T) {
+// Guards against a record dropped for lack of memory counting as a request that was
+// never made.
+func TestRunsAtMostOnceWhenFull(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		newWorld(&bounds{records: 2, tickets: 2, accountTickets: 2}).check(t)
+		newSimulation(&bounds{records: 2, tickets: 2, accountTickets: 2}).check(t)
 	})
 }
--- a/internal/peer/carry.go
+++ b/internal/peer/carry.go
@@ -6,21 +6,21 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Send carries out an effect towards peers and reports whether it was one. It
-// does not block: the reducer's thread calls it.
+// Send executes an effect that is addressed to peers, and returns false for any other effect.
+// It never blocks, since the reducer's goroutine calls it.
 func (m *Mesh) Send(eff event.Effect) bool {
 	switch e := eff.(type) {
 	case event.SendDigest:
-		m.cast(e.To, &wire.Frame{Body: &wire.Frame_Digest{Digest: wire.FromDigest(e.Digest)}}, true)
+		m.broadcast(e.To, &wire.Frame{Body: &wire.Frame_Digest{Digest: wire.FromDigest(e.Digest)}}, true)
 	case event.SendSummary:
-		m.cast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_Summary{Summary: wire.FromSummary(e.Summary)}}, true)
+		m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_Summary{Summary: wire.FromSummary(e.Summary)}}, true)
 	case event.SendChanges:
-		m.cast(e.To, &wire.Frame{Body: &wire.Frame_Changes{Changes: wire.FromChanges(e.Changes)}}, false)
+		m.broadcast(e.To, &wire.Frame{Body: &wire.Frame_Changes{Changes: wire.FromChanges(e.Changes)}}, false)
 	case event.SendSnapshot:
-		m.queue(e.To, item{book: e.Book})
+		m.enqueue(e.To, item{book: e.Book})
 	case event.AskChanges:
 		ask := &wire.ChangesWanted{After: uint64(e.After)}
-		m.cast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_ChangesWanted{ChangesWanted: ask}}, false)
+		m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_ChangesWanted{ChangesWanted: ask}}, false)
 	case event.AskBar:
 		m.askBar(e)
 	case event.AnswerBar:
@@ -31,22 +31,22 @@
 	return true
 }
 
-// askBar asks about an attempt and notes whom.
+// askBar sends a "run or bar" query about an attempt and records which host was queried.
 func (m *Mesh) askBar(e event.AskBar) {
 	l := m.link(e.To.ID)
 	if l == nil || e.Attempt.Entry != m.cfg.Self.ID {
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 		return
 	}
-	l.ask(e.Attempt)
-	m.cast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_BarAsk{BarAsk: wire.FromBarAsk(e)}}, false)
+	l.addBarQuery(e.Attempt)
+	m.broadcast([]event.Host{e.To}, &wire.Frame{Body: &wire.Frame_BarAsk{BarAsk: wire.FromBarAsk(e)}}, false)
 }
 
-// answerBar answers on the link that the question came by. The name is all
-// that the reducer knows of the asker.
+// answerBar sends the answer to a "run or bar" query. The reducer knows the querying host only
+// by name, so the answer is queued for its link without dialling.
 func (m *Mesh) answerBar(e event.AnswerBar) {
 	if e.Attempt.Entry != e.To {
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 		return
 	}
 	frame, ok := m.encode(&wire.Frame{Body: &wire.Frame_BarAnswer{BarAnswer: wire.FromBarAnswer(e)}})
@@ -58,38 +58,38 @@
 	}
 }
 
-// cast encodes a message once and queues it for each host.
-func (m *Mesh) cast(to []event.Host, f *wire.Frame, ages bool) {
+// broadcast encodes a message once and queues it for each host.
+func (m *Mesh) broadcast(to []event.Host, f *wire.Frame, expires bool) {
 	frame, ok := m.encode(f)
 	if !ok {
 		return
 	}
 	for _, h := range to {
-		m.queue(h, item{frame: frame, ages: ages})
+		m.enqueue(h, item{frame: frame, expires: expires})
 	}
 }
 
-func (m *Mesh) queue(h event.Host, it item) {
+func (m *Mesh) enqueue(h event.Host, it item) {
 	l := m.link(h.ID)
 	if l == nil {
 		return
 	}
 	l.push(it)
-	l.want(h, false)
+	l.ensureSession(h, false)
 }
 
 func (m *Mesh) encode(f *wire.Frame) ([]byte, bool) {
 	b, err := wire.Encode(f)
 	if err != nil || len(b) > wire.MaxFrame {
-		m.cfg.Log.Info("message not sent", "bytes", len(b), "reason", "it is malformed or too large")
-		m.cnt.messagesDropped.Inc(1)
+		m.cfg.Log.Info("message not sent", "bytes", len(b), "reason", "encoding failed or message too large")
+		m.counters.messagesDropped.Inc(1)
 		return nil, false
 	}
 	return b, true
 }
 
-// receive hands a message of a peer to the reducer. Its sender is that of the session, whatever
-// the message says.
+// receive passes a message of a peer to the reducer. The sender is the authenticated host of
+// the session, whatever the message says.
 func (m *Mesh) receive(from event.Host, f *wire.Frame) error {
 	switch b := f.GetBody().(type) {
 	case *wire.Frame_Ping:
@@ -112,17 +112,17 @@
 	case *wire.Frame_BarAnswer:
 		return m.receiveBarAnswer(from.ID, b.BarAnswer)
 	default:
-		// A newer version may say what this one does not know.
-		m.cnt.rejected.Inc(1)
+		// A newer version may send messages that this one does not know.
+		m.counters.rejected.Inc(1)
 	}
 	return nil
 }
 
-// receiveDigest accepts a digest of the own data centre only: the reducer counts
-// who sends one among the hosts that share its targets.
+// receiveDigest accepts digests only from this data centre: the reducer counts each sender of a
+// digest among the hosts that share its targets.
 func (m *Mesh) receiveDigest(from event.Host, d *wire.Digest) {
-	if !m.near(from) {
-		m.cnt.rejected.Inc(1)
+	if !m.isLocal(from) {
+		m.counters.rejected.Inc(1)
 		return
 	}
 	m.post(event.DigestReceived{Digest: d.ToEvent(from)})
@@ -130,24 +130,24 @@
 
 func (m *Mesh) receiveSummary(from ident.EntryID, s event.Summary) error {
 	if s.From != from {
-		m.cnt.rejected.Inc(1)
+		m.counters.rejected.Inc(1)
 		return nil
 	}
 	m.post(event.SummaryReceived{Summary: s})
 	return nil
 }
 
-// receiveBarAnswer accepts the answer only of the host that was asked. "Barred"
-// lets a request run elsewhere; said by a host that never had the request it
-// would let it run twice.
+// receiveBarAnswer accepts an answer only from the host that was queried. "Barred" allows a
+// request to run elsewhere; from a host that never had the request it would let the request run
+// twice.
 func (m *Mesh) receiveBarAnswer(from ident.EntryID, p *wire.BarAnswer) error {
 	ans, err := p.ToEvent(m.cfg.Self.ID)
 	if err != nil {
 		return err
 	}
 	l := m.link(from)
-	if l == nil || !l.answered(ans) {
-		m.cnt.rejected.Inc(1)
+	if l == nil || !l.takeBarAnswer(ans) {
+		m.counters.rejected.Inc(1)
 		return nil
 	}
 	m.post(ans)
--- a/internal/peer/forward_test.go
+++ b/internal/peer/forward_test.go
@@ -17,7 +17,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// echo answers with the body in two pieces.
+// echo answers with the request body in two pieces.
 func echo(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 	b, err := c.ReadBody()
 	if err != nil {
@@ -30,12 +30,13 @@
 	sink.Finish(event.Done)
 }
 
-// A forwarded request loses a part of its body or answer.
+// A forwarded request must not lose a part of its body or answer, whatever its size. It runs
+// under a new ID, and the digests of its prompt stay on the sending host.
 func TestForward(t *testing.T) {
 	var mu sync.Mutex
 	var got event.Request
 	var call serve.Call
-	x, y := pair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
+	x, y := startPair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
 		mu.Lock()
 		got, call = r, c
 		mu.Unlock()
@@ -48,17 +49,17 @@
 		if diff := cmp.Diff(want, end); diff != "" {
 			t.Errorf("end with %d bytes (-want +got):\n%s", n, diff)
 		}
-		if a.body.String() != body || a.sent != 1 || a.status != 200 {
-			t.Errorf("%d bytes: got %d, sent %d times, status %d", n, a.body.Len(), a.sent, a.status)
+		if a.body.String() != body || a.sentCalls != 1 || a.status != 200 {
+			t.Errorf("%d bytes: got %d, sent %d times, status %d", n, a.body.Len(), a.sentCalls, a.status)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if got.ID == "req-1" || call.Answer != "req-1" {
-		t.Errorf("runs as %q, answers as %q", got.ID, call.Answer)
+	if got.ID == "req-1" || call.AnswerID != "req-1" {
+		t.Errorf("runs as %q, answers as %q", got.ID, call.AnswerID)
 	}
 	if diff := cmp.Diff([]uint64(nil), got.Prefix); diff != "" {
-		t.Errorf("digests of the prompt have left their host (-want +got):\n%s", diff)
+		t.Errorf("digests of the prompt were sent (-want +got):\n%s", diff)
 	}
 	env, _ := got.Envelope.Get()
 	if diff := cmp.Diff(x.cfg.Self.Place, env.FromPlace); diff != "" {
@@ -66,13 +67,13 @@
 	}
 }
 
-// The body of a request is sent to a host that refuses it.
+// The body of a request must not be sent to a host that refuses the request.
 func TestRefusedBodyIsNotSent(t *testing.T) {
 	const secret = "a long memory that may not leave its home"
-	x, y := pair(t, Config{}, Config{}, func(_ context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
+	x, y := startPair(t, Config{}, Config{}, func(_ context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
 		sink.Refuse(event.Refuse{Code: codes.OutsideResidency.ID, Outcome: event.NotRun, RetryAfter: 2 * time.Second})
 	})
-	linked(t, x, y)
+	awaitLinked(t, x, y)
 	before := x.count("bytesOut")
 	body := strings.Repeat(secret, 1000)
 	_, end := forward(t.Context(), x, y, body, nil)
@@ -83,18 +84,18 @@
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
 	if n := x.count("bytesOut") - before; n >= int64(len(body)) {
-		t.Errorf("%d bytes went out for a body of %d", n, len(body))
+		t.Errorf("%d bytes were sent for a body of %d", n, len(body))
 	}
 }
 
-// An answer that breaks off is delivered as whole.
-func TestHalfAnswerIsNeverWhole(t *testing.T) {
+// An answer that ends without an end frame must not be delivered as complete.
+func TestTruncatedAnswerIsBroken(t *testing.T) {
 	half := func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
 		sink.Begin(200, nil)
 		_ = sink.Data([]byte("half"), 1)
 	}
-	x, y := pair(t, Config{}, Config{}, half)
+	x, y := startPair(t, Config{}, Config{}, half)
 	a, end := forward(t.Context(), x, y, "body", nil)
 	want := event.AttemptEnded{Result: event.ResultBroken, Resumable: true, Delivered: 1, Generated: 1}
 	if diff := cmp.Diff(want, end); diff != "" {
@@ -102,18 +103,19 @@
 	}
 }
 
-// An answer that lacks a part is delivered as whole.
-func TestDoneOfMoreBytesIsBroken(t *testing.T) {
-	c := &pass{begun: true, bodySent: true, bytes: 3}
-	end := c.judge(wire.FromEnd(event.AttemptEnded{Result: event.ResultDone}, 4))
+// An answer with fewer bytes than its end frame states must not be delivered as complete.
+func TestByteCountMismatchIsBroken(t *testing.T) {
+	c := &outboundRequest{answerBegun: true, bodySent: true, receivedBytes: 3}
+	end := c.checkEnd(wire.FromEnd(event.AttemptEnded{Result: event.ResultDone}, 4))
 	if diff := cmp.Diff(event.ResultBroken, end.Result); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
 	}
 }
 
-// A request is run again after a part of its answer has come.
-func TestNotRunAfterDataIsNotBelieved(t *testing.T) {
-	x, y := pair(t, Config{}, Config{}, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+// A "not run" end frame after the answer has begun must count as broken; otherwise the request
+// would be run again.
+func TestNotRunAfterBeginIsBroken(t *testing.T) {
+	x, y := startPair(t, Config{}, Config{}, func(_ context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 		_, _ = c.ReadBody()
 		sink.Begin(200, nil)
 		sink.Refuse(event.Refuse{Code: codes.Draining.ID, Outcome: event.NotRun})
@@ -124,26 +126,27 @@
 	}
 }
 
-// A request without a link is not reported as not run.
+// A request that finds no link must be reported as not run, and sent must not be called.
 func TestNoLinkIsNotRun(t *testing.T) {
 	x := startNode(t, Config{
-		Self: hostAt("uvs-1", "uvs", ports.Next()), Times: Times{Link: 50 * time.Millisecond},
+		Self: newHost("uvs-1", "uvs", ports.Next()), Timing: Timing{LinkTimeout: 50 * time.Millisecond},
 	}, nil)
-	y := &node{Mesh: New(Config{Self: hostAt("uvs-2", "uvs", ports.Next())})}
+	y := &testNode{Mesh: New(Config{Self: newHost("uvs-2", "uvs", ports.Next())})}
 	a, end := forward(t.Context(), x, y, "body", nil)
 	want := event.AttemptEnded{Result: event.ResultNotRun, Code: codes.NoTarget.ID}
 	if diff := cmp.Diff(want, end); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
 	}
-	if a.sent != 0 {
+	if a.sentCalls != 0 {
 		t.Error("sent was called")
 	}
 }
 
-// A host bars an attempt of another host.
+// A request under an attempt of another host must be refused; otherwise a host could bar
+// attempts of others.
 func TestForeignAttemptIsRefused(t *testing.T) {
-	x, y := pair(t, Config{}, Config{}, echo)
-	a, end := forward(t.Context(), x, y, "body", func(p *serve.Passed) { p.Forward.Envelope.Attempt.Entry = "uvs-3" })
+	x, y := startPair(t, Config{}, Config{}, echo)
+	a, end := forward(t.Context(), x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Envelope.Attempt.Entry = "uvs-3" })
 	want := event.AttemptEnded{Result: event.ResultNotRun, Code: codes.ForgedEnvelope.ID}
 	if diff := cmp.Diff(want, end); diff != "" {
 		t.Errorf("end (-want +got):\n%s", diff)
@@ -153,133 +156,137 @@
 	}
 }
 
-// A forwarded request outlasts its caller, or a call that is not idempotent is broken off.
+// A forwarded request must stop when its caller leaves. An at-most-once call must not be
+// aborted then.
 func TestCallerLeaves(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		began, left := make(chan struct{}), make(chan bool, 1)
+		began, aborted := make(chan struct{}), make(chan bool, 1)
 		gate := make(chan struct{})
-		x, y := pair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+		x, y := startPair(t, Config{}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 			_, _ = c.ReadBody()
 			close(began)
 			if !once {
 				<-ctx.Done()
-				left <- true
+				aborted <- true
 				return
 			}
 			<-gate
 			sink.Begin(200, nil)
-			left <- ctx.Err() != nil || sink.Data([]byte("booked"), 1) != nil
+			aborted <- ctx.Err() != nil || sink.Data([]byte("booked"), 1) != nil
 			sink.Finish(event.Done)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		l := &leaver{began: began, cancel: cancel}
+		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
-		_, end := forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = once })
+		_, end := forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Once = once })
 		if diff := cmp.Diff(event.ResultBroken, end.Result); diff != "" {
 			t.Errorf("once %v: result (-want +got):\n%s", once, diff)
 		}
 		close(gate)
-		if diff := cmp.Diff(!once, <-left); diff != "" {
-			t.Errorf("once %v: broken off (-want +got):\n%s", once, diff)
+		if diff := cmp.Diff(!once, <-aborted); diff != "" {
+			t.Errorf("once %v: aborted (-want +got):\n%s", once, diff)
 		}
 	}
 }
 
-// A queued request runs after its caller has left.
-func TestCallerLeavesWhileItsRequestWaits(t *testing.T) {
+// A request that is queued on the other host must not run after its caller has left, whether
+// its body was sent or not.
+func TestCallerLeavesWhileQueued(t *testing.T) {
 	for _, confined := range []bool{false, true} {
-		began, left := make(chan struct{}), make(chan struct{})
-		x, y := pair(t, Config{Confined: func(ident.Profile) bool { return confined }}, Config{}, func(ctx context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
+		began, cancelled := make(chan struct{}), make(chan struct{})
+		x, y := startPair(t, Config{Confined: func(ident.Profile) bool { return confined }}, Config{}, func(ctx context.Context, _ serve.Call, _ event.Request, sink serve.Sink) {
 			close(began)
 			<-ctx.Done()
-			close(left)
+			close(cancelled)
 			sink.Refuse(event.Refuse{Code: codes.Overloaded.ID, Outcome: event.NotRun})
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		l := &leaver{began: began, cancel: cancel}
+		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
 		forward(ctx, x, y, "body", nil)
 		select {
-		case <-left:
+		case <-cancelled:
 		case <-time.After(5 * time.Second):
-			t.Errorf("confined %v: the other host does not notice", confined)
+			t.Errorf("confined %v: the other host did not notice that the caller left", confined)
 		}
 	}
 }
 
-// A queued call runs after its caller got a failure.
-func TestCallerLeavesWhileItsBookingWaits(t *testing.T) {
+// An at-most-once call that is queued on the other host must not run after its caller has
+// received a failure.
+func TestCallerLeavesWhileOnceCallQueued(t *testing.T) {
 	for range 10 {
 		began, read := make(chan struct{}), make(chan error, 1)
-		x, y := pair(t, Config{Confined: func(ident.Profile) bool { return false }}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
+		x, y := startPair(t, Config{Confined: func(ident.Profile) bool { return false }}, Config{}, func(ctx context.Context, c serve.Call, _ event.Request, sink serve.Sink) {
 			close(began)
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Second):
-				t.Error("the other host does not notice that nobody wants the booking")
+				t.Error("the other host did not notice that the caller left")
 			}
 			_, err := c.ReadBody()
 			read <- err
 			sink.Refuse(event.Refuse{Code: codes.BadRequest.ID, Outcome: event.NotRun})
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		l := &leaver{began: began, cancel: cancel}
+		l := &leavingCaller{began: began, leave: cancel}
 		go l.run()
-		forward(ctx, x, y, "body", func(p *serve.Passed) { p.Forward.Once = true })
+		forward(ctx, x, y, "body", func(p *serve.ForwardedRequest) { p.Forward.Once = true })
 		if err := <-read; err == nil {
-			t.Fatal("a booking that nobody wants any more is sent")
+			t.Fatal("the body was read after the caller left")
 		}
 	}
 }
 
-// leaver is a caller that leaves once its request runs.
-type leaver struct {
-	began  <-chan struct{}
-	cancel func()
+// leavingCaller cancels its request once the request runs.
+type leavingCaller struct {
+	began <-chan struct{}
+	leave func()
 }
 
-func (l *leaver) run() {
+func (l *leavingCaller) run() {
 	<-l.began
-	l.cancel()
+	l.leave()
 }
 
-// A body beyond the limit fills the memory.
+// A body beyond the limit must be refused; otherwise it would exhaust the memory.
 func TestHugeBodyIsRefused(t *testing.T) {
-	x, y := pair(t, Config{}, Config{Bounds: Bounds{Body: ident.Bytes(100_000)}}, echo)
+	x, y := startPair(t, Config{}, Config{Bounds: Bounds{MaxBodyBytes: ident.Bytes(100_000)}}, echo)
 	_, end := forward(t.Context(), x, y, strings.Repeat("x", 200_000), nil)
 	if diff := cmp.Diff(event.ResultNotRun, end.Result); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
 	}
 }
 
-// Requests beyond the bound of a session wait without end.
+// A request beyond the stream limit of a session must be reported as not run, not wait
+// indefinitely.
 func TestStreamsAreBounded(t *testing.T) {
 	gate, began := make(chan struct{}), make(chan struct{}, 1)
-	x, y := pair(t, Config{}, Config{Bounds: Bounds{Streams: 1}}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
+	x, y := startPair(t, Config{}, Config{Bounds: Bounds{MaxStreams: 1}}, func(ctx context.Context, c serve.Call, r event.Request, s serve.Sink) {
 		began <- struct{}{}
 		<-gate
 		echo(ctx, c, r, s)
 	})
-	first := &job{x: x, y: y, end: make(chan event.AttemptEnded, 1)}
+	first := &forwardJob{x: x, y: y, end: make(chan event.AttemptEnded, 1)}
 	go first.run()
 	<-began
 	_, end := forward(t.Context(), x, y, "body", nil)
 	if diff := cmp.Diff(event.ResultNotRun, end.Result); diff != "" {
-		t.Errorf("the second (-want +got):\n%s", diff)
+		t.Errorf("result of the second request (-want +got):\n%s", diff)
 	}
 	close(gate)
 	if diff := cmp.Diff(event.ResultDone, (<-first.end).Result); diff != "" {
-		t.Errorf("the first (-want +got):\n%s", diff)
+		t.Errorf("result of the first request (-want +got):\n%s", diff)
 	}
 }
 
-// job is a request that is passed on beside others.
-type job struct {
-	x, y *node
+// forwardJob forwards a request concurrently with others.
+type forwardJob struct {
+	x, y *testNode
 	end  chan event.AttemptEnded
 }
 
-func (j *job) run() {
+func (j *forwardJob) run() {
 	_, end := forward(context.Background(), j.x, j.y, "body", nil)
 	j.end <- end
 }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -8,40 +8,40 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// item is one control message that waits to be sent.
+// item is a queued control message.
 type item struct {
 	frame []byte
-	// book stands for the frame of a snapshot. Its encoding takes long and
-	// much memory, so that it is left to the sender and its turn.
+	// book is set instead of frame for a snapshot. Encoding it takes much time and memory, so
+	// the sender does it when the item is next.
 	book *rules.Book
-	// ages marks a message that is of no use when it is late: the next one
-	// replaces it, and the ages in it would be wrong.
-	ages bool
-	at   ident.Time
+	// expires marks a message that is useless when late: the next one replaces it, and the ages
+	// that it states would be wrong.
+	expires  bool
+	queuedAt ident.Time
 }
 
-// queue is a bounded queue of control messages. A peer that reads slowly, or
-// not at all, must neither hold up the reducer nor fill the memory, so what
-// is too much is dropped: the oldest digest first, which the next one
-// replaces anyway.
+// queue is a bounded queue of control messages. A peer that reads slowly or not at all must
+// neither block the reducer nor exhaust the memory. When the queue is full, the oldest expiring
+// message is dropped, since the next one replaces it anyway.
 type queue struct {
-	most  int
-	items []item
+	maxItems int
+	items    []item
 }
 
-// push adds an item and returns the one that is lost for it.
+// push adds an item. If the queue is full, it returns the item that was dropped: the oldest
+// expiring one, or else the new item itself.
 func (q *queue) push(it item) (item, bool) {
-	if len(q.items) < q.most {
+	if len(q.items) < q.maxItems {
 		q.items = append(q.items, it)
 		return item{}, false
 	}
-	n := slices.IndexFunc(q.items, func(x item) bool { return x.ages })
+	n := slices.IndexFunc(q.items, func(x item) bool { return x.expires })
 	if n < 0 {
 		return it, true
 	}
-	lost := q.items[n]
+	dropped := q.items[n]
 	q.items = append(slices.Delete(q.items, n, n+1), it)
-	return lost, true
+	return dropped, true
 }
 
 func (q *queue) pop() (item, bool) {
@@ -53,25 +53,25 @@
 	return it, true
 }
 
-// encodeItem returns the bytes of an item.
-func (m *Mesh) encodeItem(it item) ([]byte, bool) {
+// itemFrame returns the encoded frame of an item.
+func (m *Mesh) itemFrame(it item) ([]byte, bool) {
 	if it.book == nil {
 		return it.frame, true
 	}
 	snap, err := wire.FromBook(it.book)
 	if err != nil {
 		m.cfg.Log.Error(err, "snapshot not sent", "revision", it.book.Revision)
-		m.cnt.messagesDropped.Inc(1)
+		m.counters.messagesDropped.Inc(1)
 		return nil, false
 	}
 	return m.encode(&wire.Frame{Body: &wire.Frame_Snapshot{Snapshot: snap}})
 }
 
-// lost counts a message that was not sent.
-func (m *Mesh) lost(it item) {
-	if it.ages {
-		m.cnt.digestsDropped.Inc(1)
+// countDropped counts a message that was not sent.
+func (m *Mesh) countDropped(it item) {
+	if it.expires {
+		m.counters.digestsDropped.Inc(1)
 		return
 	}
-	m.cnt.messagesDropped.Inc(1)
+	m.counters.messagesDropped.Inc(1)
 }
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -10,54 +10,55 @@
 )
 
 const (
-	// maxReport bounds the accounts in a summary, of 17 bytes each.
-	maxReport = 16
-	// staleReports is how many reports of a data centre what it said of an
-	// account outlives. It exceeds the rounds in which every account has its
-	// turn, and counts reports rather than time so that it stands while the
-	// data centre is cut off.
-	staleReports = 256
-	// zeroReports is how often it is said that an account became inactive.
-	zeroReports = 3
-	// tokensPerRequest weighs a change in tokens against one in requests.
+	// maxSummaryAccounts bounds the accounts in a summary, of 17 bytes each.
+	maxSummaryAccounts = 16
+	// An entry of a data centre's report expires after maxReportsSince later reports
+	// that don't repeat it. This exceeds the number of rounds in which every account is
+	// sent once. Reports are counted rather than time so that entries persist while the
+	// data centre is unreachable.
+	maxReportsSince = 256
+	// inactiveRepeats is the number of summaries that report an account as inactive.
+	inactiveRepeats = 3
+	// tokensPerRequest is the weight of a change in tokens relative to one in requests.
 	tokensPerRequest = 500
-	// smallChange is the share of the demand that counts as no change.
-	smallChange = 0.1
+	// minChange is the relative change of demand up to which it counts as unchanged.
+	minChange = 0.1
 )
 
-// PeerDemand takes the demand of a host of the own data centre, which replaces
-// what it said before.
+// PeerDemand stores the demand reported by a host of the local data centre, replacing
+// its previous report.
 func (l *Ledger) PeerDemand(now ident.Time, from ident.EntryID, uses []event.AccountUse) {
 	l.advance(now)
 	if from == l.self {
 		return
 	}
-	l.Drop(from)
+	l.DropPeer(from)
 	names := make([]ident.Account, 0, min(len(uses), maxAccounts))
 	for _, u := range uses[:min(len(uses), maxAccounts)] {
 		r := ratesOf(u)
 		if !r.active() {
 			continue
 		}
-		a := l.account(u.Account)
-		a.last = l.now
-		a.peers = with(a.peers, place[ident.EntryID]{id: from, rate: r})
+		a := l.ensureAccount(u.Account)
+		a.lastActive = l.now
+		a.peers = upsert(a.peers, remoteDemand[ident.EntryID]{id: from, rate: r})
 		names = append(names, u.Account)
 	}
 	l.peers[from] = names
 }
 
-// Drop forgets the demand of a host of the own data centre that has gone.
-func (l *Ledger) Drop(entry ident.EntryID) {
+// DropPeer removes the demand of a host of the local data centre that has gone.
+func (l *Ledger) DropPeer(entry ident.EntryID) {
 	for _, name := range l.peers[entry] {
 		if a, ok := l.accounts[name]; ok {
-			a.peers = without(a.peers, entry)
+			a.peers = remove(a.peers, entry)
 		}
 	}
 	delete(l.peers, entry)
 }
 
-// CentreSeen records that a message of another data centre came, with or without its demand.
+// CentreSeen records that a message from another data centre has arrived, with or
+// without its demand.
 func (l *Ledger) CentreSeen(now ident.Time, dc ident.DataCentre) {
 	l.advance(now)
 	c, ok := l.centres[dc]
@@ -69,105 +70,105 @@
 		l.centres[dc] = c
 	}
 	c.lastSeen = l.now
-	l.listen()
+	l.updateUnreachable()
 }
 
-// CentreReport takes the demand of another data centre. An account that it
-// doesn't name keeps what was said of it before.
+// CentreReport stores the demand of another data centre. Accounts missing from the
+// report keep their previous values.
 func (l *Ledger) CentreReport(now ident.Time, dc ident.DataCentre, uses []event.AccountUse) {
 	l.CentreSeen(now, dc)
 	c, ok := l.centres[dc]
 	if !ok {
 		return
 	}
-	c.reports++
+	c.reportCount++
 	for _, u := range uses[:min(len(uses), maxAccounts)] {
-		l.centreUse(dc, c, u)
+		l.applyCentreUse(dc, c, u)
 	}
 }
 
-func (l *Ledger) centreUse(dc ident.DataCentre, c *centre, u event.AccountUse) {
+func (l *Ledger) applyCentreUse(dc ident.DataCentre, c *centre, u event.AccountUse) {
 	r := ratesOf(u)
 	if !r.active() {
 		if a, ok := l.accounts[u.Account]; ok {
-			a.centres = without(a.centres, dc)
+			a.centres = remove(a.centres, dc)
 		}
 		return
 	}
-	a := l.account(u.Account)
-	a.last = l.now
-	a.centres = with(a.centres, place[ident.DataCentre]{id: dc, rate: r, report: c.reports})
+	a := l.ensureAccount(u.Account)
+	a.lastActive = l.now
+	a.centres = upsert(a.centres, remoteDemand[ident.DataCentre]{id: dc, rate: r, reportNumber: c.reportCount})
 }
 
-// holds reports whether what a data centre said still counts.
-func (l *Ledger) holds(p *place[ident.DataCentre]) bool {
+// isCurrent reports whether an entry from a data centre's report still counts.
+func (l *Ledger) isCurrent(p *remoteDemand[ident.DataCentre]) bool {
 	c, ok := l.centres[p.id]
-	return ok && c.reports-p.report <= staleReports
+	return ok && c.reportCount-p.reportNumber <= maxReportsSince
 }
 
-// centreDemand is an account that may go into a summary.
-type centreDemand struct {
+// summaryCandidate is an account that may be included in a summary.
+type summaryCandidate struct {
 	*account
 	rate rates
-	// change is how far the demand has moved since it was last sent, zero if
-	// that is little.
+	// change is the difference between the demand and the value last sent, zero if it
+	// is at most minChange of that value.
 	change float64
 }
 
-// CentreDemand returns the demand of the own data centre for a summary. It
-// records what it returns: call it once a round and send the same to all. The turns of
-// the accounts repair a lost one.
+// CentreDemand returns the demand of the local data centre for a summary. It records
+// what it returns, so call it once a round and send the same summary to all. A lost
+// summary is repaired when its accounts are next sent.
 func (l *Ledger) CentreDemand(now ident.Time) []event.AccountUse {
 	l.advance(now)
 	l.sweep()
 	l.round++
-	var all []centreDemand
-	for _, name := range l.names() {
-		d := l.centreDemand(l.accounts[name])
-		if d.rate.active() || d.zeros > 0 {
+	var all []summaryCandidate
+	for _, name := range l.accountNames() {
+		d := l.summaryCandidate(l.accounts[name])
+		if d.rate.active() || d.pendingZeros > 0 {
 			all = append(all, d)
 		}
 	}
 	var uses []event.AccountUse
-	for _, d := range chosen(all) {
-		uses = append(uses, d.rate.use(d.name))
-		d.sent = d.rate
-		d.sentRound = l.round
-		d.zeros = max(d.zeros-1, 0)
+	for _, d := range selectForSummary(all) {
+		uses = append(uses, d.rate.accountUse(d.name))
+		d.lastSent = d.rate
+		d.lastSentRound = l.round
+		d.pendingZeros = max(d.pendingZeros-1, 0)
 	}
 	slices.SortFunc(uses, func(a, b event.AccountUse) int { return cmp.Compare(a.Account, b.Account) })
 	return uses
 }
 
-// chosen picks what goes into a summary: for half of the places those that
-// changed most, and for the rest those that waited longest. Were all places
-// given by change, a few large accounts that change all the time would keep
-// the others out for ever, and what was lost of these would stay lost.
-func chosen(all []centreDemand) []centreDemand {
-	slices.SortStableFunc(all, func(a, b centreDemand) int {
-		return cmp.Or(cmp.Compare(b.change, a.change), cmp.Compare(a.sentRound, b.sentRound))
+// selectForSummary picks the accounts of a summary: half are those that changed most,
+// the rest those that were sent longest ago. Selection by change alone would let a few
+// large accounts that change all the time exclude the others for ever, and their lost
+// reports would never be repeated.
+func selectForSummary(all []summaryCandidate) []summaryCandidate {
+	slices.SortStableFunc(all, func(a, b summaryCandidate) int {
+		return cmp.Or(cmp.Compare(b.change, a.change), cmp.Compare(a.lastSentRound, b.lastSentRound))
 	})
-	rest := all[min(len(all), maxReport/2):]
-	slices.SortStableFunc(rest, func(a, b centreDemand) int { return cmp.Compare(a.sentRound, b.sentRound) })
-	return all[:min(len(all), maxReport)]
+	rest := all[min(len(all), maxSummaryAccounts/2):]
+	slices.SortStableFunc(rest, func(a, b summaryCandidate) int { return cmp.Compare(a.lastSentRound, b.lastSentRound) })
+	return all[:min(len(all), maxSummaryAccounts)]
 }
 
-func (l *Ledger) centreDemand(a *account) centreDemand {
-	a.centres = slices.DeleteFunc(a.centres, func(p place[ident.DataCentre]) bool { return !l.holds(&p) })
-	rate := a.own.read(l.now)
+func (l *Ledger) summaryCandidate(a *account) summaryCandidate {
+	a.centres = slices.DeleteFunc(a.centres, func(p remoteDemand[ident.DataCentre]) bool { return !l.isCurrent(&p) })
+	rate := a.localDemand.rateAt(l.now)
 	for _, p := range a.peers {
 		rate = rate.plus(p.rate)
 	}
 	switch {
 	case rate.active():
-		a.zeros = 0
-	case a.sent.active():
-		rate, a.zeros = rates{}, zeroReports
+		a.pendingZeros = 0
+	case a.lastSent.active():
+		rate, a.pendingZeros = rates{}, inactiveRepeats
 	default:
 		rate = rates{}
 	}
-	d := centreDemand{account: a, rate: rate, change: distance(rate, a.sent)}
-	if d.change <= smallChange*distance(a.sent, rates{}) {
+	d := summaryCandidate{account: a, rate: rate, change: distance(rate, a.lastSent)}
+	if d.change <= minChange*distance(a.lastSent, rates{}) {
 		d.change = 0
 	}
 	return d
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -16,31 +16,32 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// naive keeps the time of everything that ever happened.
-type naive struct{ arrived, spent []ident.Time }
+// naive keeps the time of every arrival and retry.
+type naive struct{ arrivals, retries []ident.Time }
 
-func recent(ts []ident.Time, now ident.Time) int {
+func countInWindow(ts []ident.Time, now ident.Time) int {
 	n := 0
 	for _, t := range ts {
-		if int64(now)/int64(slotTime)-int64(t)/int64(slotTime) < slots {
+		if int64(now)/int64(slotDuration)-int64(t)/int64(slotDuration) < slotCount {
 			n++
 		}
 	}
 	return n
 }
 
-func (n *naive) spend(now ident.Time, share float64, floor int) bool {
-	ok := float64(recent(n.spent, now)+1) <= share*float64(recent(n.arrived, now))+float64(floor)
+func (n *naive) spend(now ident.Time, ratio float64, minRetries int) bool {
+	ok := float64(countInWindow(n.retries, now)+1) <= ratio*float64(countInWindow(n.arrivals, now))+float64(minRetries)
 	if ok {
-		n.spent = append(n.spent, now)
+		n.retries = append(n.retries, now)
 	}
 	return ok
 }
 
-// Requests and failures come in bursts, and time jumps.
+// Guards against miscounted slots when requests and failures come in bursts and time
+// jumps.
 func TestBudgetAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Budget{Share: 0.25, Floor: 2}
+		b := &Budget{Ratio: 0.25, MinRetries: 2}
 		n := &naive{}
 		now := ident.Time(0)
 		t.Repeat(map[string]func(*rapid.T){
@@ -50,8 +51,8 @@
 			},
 			"arrive": func(t *rapid.T) {
 				for range rapid.IntRange(1, 20).Draw(t, "n") {
-					b.Arrived(now)
-					n.arrived = append(n.arrived, now)
+					b.RecordArrival(now)
+					n.arrivals = append(n.arrivals, now)
 				}
 			},
 			"spend": func(t *rapid.T) {
@@ -63,13 +64,13 @@
 	})
 }
 
-// Retries multiply the load of a region that fails.
+// Guards against retries multiplying the load of a region that fails.
 func TestNoRetryStorm(t *testing.T) {
 	var b Budget
 	arrivals, sends := 0, 0
 	for ms := range 60_000 {
 		now := ident.Time(ms) * ident.Time(time.Millisecond)
-		b.Arrived(now)
+		b.RecordArrival(now)
 		arrivals++
 		sends++
 		for tries := 1; tries < MaxTries && b.Spend(now); tries++ {
@@ -77,30 +78,30 @@
 		}
 	}
 	windows := 60_000 * time.Millisecond / Window
-	most := float64(arrivals)*(1+defaultShare) + float64(windows)*defaultFloor
-	if float64(sends) > most || sends <= arrivals {
-		t.Errorf("%d sends for %d arrivals, want more than the arrivals and at most %v", sends, arrivals, most)
+	maxSends := float64(arrivals)*(1+defaultRatio) + float64(windows)*defaultMinRetries
+	if float64(sends) > maxSends || sends <= arrivals {
+		t.Errorf("%d sends for %d arrivals, want more than the arrivals and at most %v", sends, arrivals, maxSends)
 	}
 }
 
-// Requests that failed together are retried at the same moment.
+// Guards against requests that failed together being retried at the same moment.
 func TestBackoffSpreads(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for _, id := range []ident.RequestID{"a", "b", "c", "d"} {
 		last := time.Duration(0)
 		for n := 1; n <= 5; n++ {
 			got := Backoff(n, id)
-			if got < last || got >= firstBackoff<<(n-1) || got < firstBackoff<<(n-1)/2 {
-				t.Errorf("pause %d of %s: %v after %v", n, id, got, last)
+			if got < last || got >= initialBackoff<<(n-1) || got < initialBackoff<<(n-1)/2 {
+				t.Errorf("backoff %d of %s: %v after %v", n, id, got, last)
 			}
 			last = got
 		}
 		seen[last] = true
 		if got := Backoff(100, id); got > maxBackoff {
-			t.Errorf("pause 100: %v", got)
+			t.Errorf("backoff 100 exceeds the maximum: %v", got)
 		}
 	}
 	if len(seen) != 4 {
-		t.Errorf("%d pauses for 4 requests", len(seen))
+		t.Errorf("%d distinct backoffs for 4 requests", len(seen))
 	}
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,9 +13,9 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// sizes are those that decisions are measured at. The full ones have every
-// target at its limit, so that the sample walks over all of them.
-var sizes = []struct {
+// fleetSizes are the fleets that decisions are measured with. In the full ones every
+// target is at its limit, so that the sample visits all of them.
+var fleetSizes = []struct {
 	targets, centres int
 	full             bool
 }{
@@ -28,9 +28,9 @@
 	{400, 45, true},
 }
 
-// loaded returns a table, a router that knows a part of the caches, and
-// requests of which every fourth is warm somewhere.
-func loaded(targets, centres int, full bool) (*member.Table, *Router, []Query) {
+// loadedFleet returns a table, a router with some cache state, and requests. Every
+// fourth request has a target that caches its prefix.
+func loadedFleet(targets, centres int, full bool) (*member.Table, *Router, []Query) {
 	tb, r := fleet(targets, centres), New()
 	for i := range 7 {
 		id := ident.EntryID(fmt.Sprint("dc0-p", i))
@@ -38,18 +38,18 @@
 	}
 	if full {
 		for _, t := range tb.Targets() {
-			report(tb, start, t.ID, 2, 20)
+			reportLoad(tb, start, t.ID, 2, 20)
 		}
 	}
 	qs := make([]Query, 1024)
 	for i := range qs {
-		qs[i] = ask(fmt.Sprint("request-", i))
+		qs[i] = newQuery(fmt.Sprint("request-", i))
 		qs[i].Request.Prefix = make([]uint64, 16)
 		for j := range qs[i].Request.Prefix {
 			qs[i].Request.Prefix[j] = uint64(i/4*100 + j)
 		}
 		if i%4 == 0 {
-			r.Learn(start, tb.Targets()[i%targets].ID, qs[i].Request.Prefix)
+			r.PrefixSent(start, tb.Targets()[i%targets].ID, qs[i].Request.Prefix)
 		}
 		qs[i].Profile.Models = []rules.Serve{{Model: "absent"}, {Model: "scribe"}}
 	}
@@ -57,9 +57,9 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("targets=%d/centres=%d/full=%v", size.targets, size.centres, size.full), func(b *testing.B) {
-			tb, r, qs := loaded(size.targets, size.centres, size.full)
+			tb, r, qs := loadedFleet(size.targets, size.centres, size.full)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				r.Choose(start, qs[i%len(qs)], tb)
@@ -68,11 +68,12 @@
 	}
 }
 
-// The time of a decision grows with the fleet.
+// Guards against decisions that take longer or allocate more as the fleet grows, which
+// happens if they visit all targets or data centres.
 func TestDecisionTimes(t *testing.T) {
 	const n, warmUp, perDecision = 20_000, 2_000, 500 * time.Microsecond
-	for _, size := range sizes {
-		tb, r, qs := loaded(size.targets, size.centres, size.full)
+	for _, size := range fleetSizes {
+		tb, r, qs := loadedFleet(size.targets, size.centres, size.full)
 		times := make([]time.Duration, 0, n)
 		var before, after runtime.MemStats
 		for i := range warmUp + n {
@@ -91,10 +92,10 @@
 		t.Logf("targets %3d, data centres %2d, full %-5v: p50 %6v p99 %6v p99.9 %6v, %.2f allocations",
 			size.targets, size.centres, size.full, times[n/2], times[n*99/100], times[n*999/1000], allocs)
 		if p := times[n/2]; p > perDecision {
-			t.Errorf("targets %d, data centres %d: the median is %v", size.targets, size.centres, p)
+			t.Errorf("targets %d, data centres %d: median decision time is %v", size.targets, size.centres, p)
 		}
 		if allocs > 4 {
-			t.Errorf("targets %d, data centres %d: %v allocations", size.targets, size.centres, allocs)
+			t.Errorf("targets %d, data centres %d: %v allocations per decision", size.targets, size.centres, allocs)
 		}
 	}
 }
--- a/internal/route/cross.go
+++ b/internal/route/cross.go
@@ -12,32 +12,33 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Times and bounds of passing on.
+// Latencies and bounds of forwarding to other data centres.
 const (
-	// farTrip and nearTrip are the times of a way there and back, between
+	// interRegionRTT and intraRegionRTT are the assumed round-trip times between
 	// regions and within one.
-	farTrip  = 160 * time.Millisecond
-	nearTrip = 2 * time.Millisecond
-	// startFactor is how much more than the weight of a crossing must be
-	// gained to begin to cross; once begun the weight itself will do.
-	startFactor = 1.25
-	// minGain is what must be gained for any passing on, in seconds: less is
-	// within the error of the prediction.
-	minGain = 0.05
-	// crossHold is how long a crossing counts as begun.
-	crossHold = 5 * time.Second
-	// maxCrossed bounds the crossings remembered.
-	maxCrossed = 256
+	interRegionRTT = 160 * time.Millisecond
+	intraRegionRTT = 2 * time.Millisecond
+	// startCrossingFactor multiplies the weight of a crossing unless one to the
+	// same pool is recent. It provides hysteresis: starting to cross needs a larger
+	// gain than continuing.
+	startCrossingFactor = 1.25
+	// minGainSeconds is the least gain for which a request is forwarded; smaller
+	// ones are within the error of the prediction.
+	minGainSeconds = 0.05
+	// crossingTTL is how long a crossing counts as recent.
+	crossingTTL = 5 * time.Second
+	// maxRecentCrossings bounds the recent crossings that are kept.
+	maxRecentCrossings = 256
 )
 
-// abroad returns the best data centre to pass a request on to, if one is worth
-// it against a part of the cost of the best local choice, which is nil where there
-// is none.
-func (rt *Router) abroad(v *view, local *cand, part float64) (Decision, bool) {
+// remoteChoice returns the cheapest data centre to forward a request to. Its cost
+// must be below the given fraction of that of the best local choice, by at least
+// minGainSeconds. A nil local sets no limit.
+func (rt *Router) remoteChoice(v *view, local *candidate, costFactor float64) (Decision, bool) {
 	limit := math.Inf(1)
 	if local != nil {
-		limit = part * local.cost.sum()
-		if limit <= minGain {
+		limit = costFactor * local.cost.sum()
+		if limit <= minGainSeconds {
 			return Decision{}, false
 		}
 	}
@@ -48,15 +49,15 @@
 		if _, out := centreRuledOut(v, c, cheapFilters); out {
 			continue
 		}
-		if f := floor(v, c); f+minGain >= limit || f >= least {
+		if f := minCentreCost(v, c); f+minGainSeconds >= limit || f >= least {
 			continue
 		}
-		p := offered(v, c)
+		p := usablePool(v, c)
 		if p == nil {
 			continue
 		}
-		k := rt.begun(v, c, p, centreCost(v, c, p))
-		if s := k.sum(); s+minGain < limit && s < least {
+		k := rt.withStartFactor(v, c, p, centreCost(v, c, p))
+		if s := k.sum(); s+minGainSeconds < limit && s < least {
 			best, pool, least = c, p, s
 		}
 	}
@@ -66,106 +67,109 @@
 	h, _ := best.HostFor(v.key)
 	return Decision{
 		Host: h, Centre: best.Place.Group(), Pool: poolID(pool),
-		Wait: readyAbroad(v, best, pool), Pace: toTime(span(1, pool.DecodeRate)),
+		Wait: remoteTTFT(v, best, pool), EventInterval: toDuration(secondsFor(1, pool.DecodeRate)),
 	}, true
 }
 
-// part returns the part of the cost of the best local choice that another data centre must
-// undercut. Loads lag, so that all work would swing to where streams are fastest and back;
-// instead a request of a route with a place here is forwarded by a chance that grows with its
-// gain: with half the cost elsewhere one in two, with equal costs none.
-func (rt *Router) part(v *view, best *cand) float64 {
-	if best == nil || v.q.Profile.Route == nil || !v.q.engine() {
+// remoteCostFactor returns the fraction of the cost of the best local choice below which another
+// data centre must be. Load reports lag, so with a fixed fraction all work would oscillate between
+// the data centres with the fastest streams. For a request of a route that has a local target, the
+// fraction is therefore drawn by a hash, so that the probability of forwarding grows with the gain:
+// one half at half the local cost, zero at equal costs.
+func (rt *Router) remoteCostFactor(v *view, best *candidate) float64 {
+	if best == nil || v.q.Profile.Route == nil || !v.q.needsEngine() {
 		return 1
 	}
 	return rank.Unit(rank.Mix(v.key))
 }
 
-// centreCost is the cost of a request at another data centre, with the weight
-// of a crossing that goes on. Nothing is warm for it there.
+// centreCost returns the cost of a request at another data centre, with the weight
+// of a continued crossing. It assumes that no target there caches the prompt.
 func centreCost(v *view, c *member.Centre, p *event.Pool) cost {
 	q := v.q
 	w := q.Profile.Weights
 	tail := tailWeight(w)
-	prefill, decode := 0.0, serviceTime
-	if q.engine() {
-		prefill = span(float64(q.Request.Prompt+q.Resume), p.PrefillRate)
-		decode = decodeTime(q, p.DecodeRate) * (1 + batchSlow*poolUse(p))
+	prefill, decode := 0.0, serviceCallSeconds
+	if q.needsEngine() {
+		prefill = secondsFor(float64(q.Request.Prompt+q.DeliveredTokens), p.PrefillRate)
+		decode = decodeSeconds(q, p.DecodeRate) * (1 + fullBatchSlowdown*poolSlotUse(p))
 	}
-	if q.Profile.Route != nil && q.engine() {
-		decode = span(q.Expect, cmp.Or(p.DecodeRate, v.tb.DecodeRate(v.now, q.Profile.Service)))
+	if q.Profile.Route != nil && q.needsEngine() {
+		decode = secondsFor(q.ExpectedEvents, cmp.Or(p.DecodeRate, v.tb.DecodeRate(v.now, q.Profile.Service)))
 	}
 	k := cost{
-		wait:    tail * (p.Wait + trip(v, c)).Seconds(),
+		wait:    tail * (p.Wait + rtt(v, c)).Seconds(),
 		prefill: tail * prefill,
 		decode:  decode,
 		price:   w.Cost * p.Price * (prefill + decode),
 	}
-	if c.Place.Region != v.home {
+	if c.Place.Region != v.localRegion {
 		k.crossing = w.Crossing
 	}
 	return k
 }
 
-// begun adds what must be gained to begin to cross.
-func (rt *Router) begun(v *view, c *member.Centre, p *event.Pool, k cost) cost {
-	if k.crossing > 0 && !rt.crossing(v.now, c.Place.Group(), poolID(p)) {
-		k.crossing *= startFactor
+// withStartFactor raises the crossing cost by startCrossingFactor unless requests of the pool
+// have crossed recently.
+func (rt *Router) withStartFactor(v *view, c *member.Centre, p *event.Pool, k cost) cost {
+	if k.crossing > 0 && !rt.recentlyCrossed(v.now, c.Place.Group(), poolID(p)) {
+		k.crossing *= startCrossingFactor
 	}
 	return k
 }
 
-// poolUse is the part of its slots that a pool has in use.
-func poolUse(p *event.Pool) float64 {
+// poolSlotUse returns the fraction of its slots that a pool has in use.
+func poolSlotUse(p *event.Pool) float64 {
 	if p.Slots <= 0 {
 		return 1
 	}
 	return 1 - float64(p.Free)/float64(p.Slots)
 }
 
-func readyAbroad(v *view, c *member.Centre, p *event.Pool) time.Duration {
-	ready := p.Wait + trip(v, c)
-	if v.q.engine() {
-		ready += toTime(span(float64(v.q.Request.Prompt+v.q.Resume), p.PrefillRate))
+func remoteTTFT(v *view, c *member.Centre, p *event.Pool) time.Duration {
+	ttft := p.Wait + rtt(v, c)
+	if v.q.needsEngine() {
+		ttft += toDuration(secondsFor(float64(v.q.Request.Prompt+v.q.DeliveredTokens), p.PrefillRate))
 	}
-	return ready
+	return ttft
 }
 
-func trip(v *view, c *member.Centre) time.Duration {
-	if c.Place.Region == v.home {
-		return nearTrip
+func rtt(v *view, c *member.Centre) time.Duration {
+	if c.Place.Region == v.localRegion {
+		return intraRegionRTT
 	}
-	return farTrip
+	return interRegionRTT
 }
 
-// crossing reports whether requests of a pool went to a data centre lately.
-func (rt *Router) crossing(now ident.Time, dc ident.DataCentre, id member.PoolID) bool {
-	i := rt.crossedIndex(dc, id)
-	return i >= 0 && now.Sub(rt.crossed[i].at) <= crossHold
+// recentlyCrossed reports whether a request of a pool was forwarded to a data
+// centre within crossingTTL.
+func (rt *Router) recentlyCrossed(now ident.Time, dc ident.DataCentre, id member.PoolID) bool {
+	i := rt.crossingIndex(dc, id)
+	return i >= 0 && now.Sub(rt.recentCrossings[i].at) <= crossingTTL
 }
 
-func (rt *Router) crossedIndex(dc ident.DataCentre, id member.PoolID) int {
-	return slices.IndexFunc(rt.crossed, func(x crossing) bool { return x.centre == dc && x.pool == id })
+func (rt *Router) crossingIndex(dc ident.DataCentre, id member.PoolID) int {
+	return slices.IndexFunc(rt.recentCrossings, func(x recentCrossing) bool { return x.centre == dc && x.pool == id })
 }
 
-func (rt *Router) noteCrossing(now ident.Time, dc ident.DataCentre, id member.PoolID) {
-	if i := rt.crossedIndex(dc, id); i >= 0 {
-		rt.crossed[i].at = now
+func (rt *Router) recordCrossing(now ident.Time, dc ident.DataCentre, id member.PoolID) {
+	if i := rt.crossingIndex(dc, id); i >= 0 {
+		rt.recentCrossings[i].at = now
 		return
 	}
-	rt.crossed = slices.DeleteFunc(rt.crossed, func(x crossing) bool { return now.Sub(x.at) > crossHold })
-	if len(rt.crossed) < maxCrossed {
-		rt.crossed = append(rt.crossed, crossing{dc, id, now})
+	rt.recentCrossings = slices.DeleteFunc(rt.recentCrossings, func(x recentCrossing) bool { return now.Sub(x.at) > crossingTTL })
+	if len(rt.recentCrossings) < maxRecentCrossings {
+		rt.recentCrossings = append(rt.recentCrossings, recentCrossing{dc, id, now})
 	}
 }
 
-// floor returns a cost that no pool of a data centre undercuts.
-func floor(v *view, c *member.Centre) float64 {
+// minCentreCost returns a lower bound of the cost at any pool of a data centre.
+func minCentreCost(v *view, c *member.Centre) float64 {
 	least := math.Inf(1)
-	for want := range wants(&v.q.Profile) {
+	for want := range modelCount(&v.q.Profile) {
 		for i := range c.Summary.Pools {
 			p := &c.Summary.Pools[i]
-			if p.Offer <= 0 && !v.stranded || !poolMatches(&v.q.Profile, p, want) {
+			if p.Offer <= 0 && !v.noLocalTarget || !poolMatches(&v.q.Profile, p, want) {
 				continue
 			}
 			k := centreCost(v, c, p)
