--- a/internal/core/wait.go
+++ b/internal/core/wait.go
@@ -18,7 +18,7 @@
 // queued until its deadline, since its caller may have a part of the answer.
 func (rd *Reducer) queueDeadline(r *request) ident.Time {
 	rt := r.profile.Route
-	if rt == nil || rt.GoalMs <= 0 || r.tries > 0 || r.Begun {
+	if rt == nil || rt.GoalMs <= 0 || r.tries > 0 || r.AnswerBegan {
 		return r.deadline
 	}
 	half := time.Duration(maxWaitRatio * float64(r.deadline.Sub(r.arrived)))
@@ -31,7 +31,7 @@
 // isLate reports whether a request arrived too late to be answered within its goal.
 func (rd *Reducer) isLate(r *request) bool {
 	rt := r.profile.Route
-	return mech.On(codes.LateBehind) && rt != nil && r.waitedBefore > 0 && rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore) <= 0
+	return mech.On(codes.LateRequestsLast) && rt != nil && r.waitedBefore > 0 && rd.slack.MaxWait(r.profile.Name, rt.Goal(), r.waitedBefore) <= 0
 }
 
 // lateWaitRatio is the fraction of its goal that a late request may be queued. While others
--- a/internal/daemon/forward_test.go
+++ b/internal/daemon/forward_test.go
@@ -25,10 +25,10 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// relay is a reducer that passes each request of a caller on to its one peer
-// and gives each of a peer to its one engine.
+// relay is a reducer that forwards each request of a caller to its only peer and
+// dispatches each forwarded request to its only engine.
 type relay struct {
 	book   *rules.Book
 	engine event.Target
@@ -56,18 +56,18 @@
 	case event.DrainAsked:
 		r.draining = true
 	}
-	return r.rest()
+	return r.drainEffects()
 }
 
 func (r *relay) arrive(now ident.Time, req event.Request) event.Effect {
 	r.number++
 	a := ident.Attempt{Entry: r.self.ID, Incarnation: r.self.Incarnation, Number: r.number}
 	r.attempts[a] = req.ID
-	deadline := now.Add(waitLimit)
-	if _, passed := req.Envelope.Get(); passed {
+	deadline := now.Add(testTimeout)
+	if _, forwarded := req.Envelope.Get(); forwarded {
 		return event.Dispatch{Request: req.ID, Serve: rules.Serve{Model: "draft"}, Attempt: a, Target: r.engine, Deadline: deadline}
 	}
-	env := event.Envelope{Attempt: a, To: r.peer.Incarnation, Seen: []ident.EntryID{r.self.ID}}
+	env := event.Envelope{Attempt: a, ToIncarnation: r.peer.Incarnation, Visited: []ident.EntryID{r.self.ID}}
 	return event.Forward{Request: req.ID, To: r.peer, Envelope: env, Deadline: deadline}
 }
 
@@ -75,12 +75,12 @@
 	id := r.attempts[e.Attempt]
 	delete(r.attempts, e.Attempt)
 	if e.Result != event.ResultDone {
-		return append(r.rest(), event.Refuse{Request: id, Code: codes.TargetFailed.ID, Outcome: event.Unknown})
+		return append(r.drainEffects(), event.Refuse{Request: id, Code: codes.TargetFailed.ID, Outcome: event.Unknown})
 	}
-	return append([]event.Effect{event.Finish{Request: id, Outcome: event.Done}}, r.rest()...)
+	return append([]event.Effect{event.Finish{Request: id, Outcome: event.Done}}, r.drainEffects()...)
 }
 
-func (r *relay) rest() []event.Effect {
+func (r *relay) drainEffects() []event.Effect {
 	if r.draining && len(r.attempts) == 0 {
 		return []event.Effect{event.Drained{}}
 	}
@@ -93,7 +93,7 @@
 	return len(r.attempts)
 }
 
-func someBook(t *testing.T) *rules.Book {
+func testBook(t *testing.T) *rules.Book {
 	t.Helper()
 	item := func(kind rules.Kind, name string, doc any) rules.Item {
 		b, err := json.Marshal(doc)
@@ -112,7 +112,7 @@
 	return book
 }
 
-// startEntry starts an entry host with keys of its own.
+// startEntry starts an entry host with its own TLS keys.
 func startEntry(t *testing.T, id ident.EntryID, ca *certs.Authority, r *relay, seeds ...config.Seed) *Daemon {
 	t.Helper()
 	fs, err := ca.Issue(t.TempDir(), string(id))
@@ -124,7 +124,7 @@
 	set.Callers.Listen, set.Operators.Listen = ports.Next(), ports.Next()
 	set.Peers = config.Peers{Listen: ports.Next(), Seeds: seeds, CertFile: fs.Cert, KeyFile: fs.Key, CAFile: fs.CA}
 	r.attempts = make(map[ident.Attempt]ident.RequestID)
-	r.book = someBook(t)
+	r.book = testBook(t)
 	d, err := Start(Config{Settings: set, Log: logr.Discard(), Level: logs.NewLevel(0), Step: r.step})
 	if err != nil {
 		t.Fatal(err)
@@ -138,22 +138,23 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("not reached within %v: %s", testTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// twoEntries starts a host for callers and, behind it, one with an engine.
+// twoEntries starts host x, which serves callers, and host y, which has an engine
+// and gets the requests that x forwards.
 func twoEntries(t *testing.T, tokenTime time.Duration) (x, y *Daemon, ry *relay) {
 	t.Helper()
-	return twoEntriesBefore(t, engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: tokenTime}))
+	return twoEntriesWith(t, engine.New(engine.Config{ID: "e1", Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: tokenTime}))
 }
 
-func twoEntriesBefore(t *testing.T, h http.Handler) (x, y *Daemon, ry *relay) {
+func twoEntriesWith(t *testing.T, h http.Handler) (x, y *Daemon, ry *relay) {
 	t.Helper()
 	eng := httptest.NewServer(h)
 	t.Cleanup(eng.Close)
@@ -172,7 +173,7 @@
 	return x, y, ry
 }
 
-func ask(t *testing.T, d *Daemon, stream bool, tokens int) string {
+func sendChat(t *testing.T, d *Daemon, stream bool, tokens int) string {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"obituary","stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, stream, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.cfg.Settings.Callers.Listen+"/v1/chat/completions", strings.NewReader(body))
@@ -198,38 +199,40 @@
 	return string(b)
 }
 
-// A request that only another entry host can serve is not streamed through it whole.
+// The answer to a request that only another entry host can serve reaches the caller
+// incomplete.
 func TestForwardedRequest(t *testing.T) {
 	x, _, _ := twoEntries(t, 0)
-	stream := ask(t, x, true, 20)
+	stream := sendChat(t, x, true, 20)
 	if n := strings.Count(stream, "chat.completion.chunk"); n != 20 || !strings.HasSuffix(stream, "data: [DONE]\n\n") {
 		t.Errorf("%d tokens in %s", n, stream)
 	}
-	if whole := ask(t, x, false, 20); !strings.Contains(whole, `"completion_tokens":20`) {
-		t.Errorf("answer %s", whole)
+	if answer := sendChat(t, x, false, 20); !strings.Contains(answer, `"completion_tokens":20`) {
+		t.Errorf("answer %s", answer)
 	}
 }
 
-// A draining host closes its peer links under a request that it serves for another host.
-func TestDrainKeepsForwardedAnswersWhole(t *testing.T) {
+// A draining host closes its peer links while it still serves a request of another
+// host, whose caller gets an incomplete answer.
+func TestDrainCompletesForwardedAnswers(t *testing.T) {
 	x, y, ry := twoEntries(t, 10*time.Millisecond)
-	s := &stopper{d: y, r: ry, done: make(chan struct{})}
+	s := &drainer{d: y, r: ry, done: make(chan struct{})}
 	go s.run()
-	stream := ask(t, x, true, 50)
+	stream := sendChat(t, x, true, 50)
 	if n := strings.Count(stream, "chat.completion.chunk"); n != 50 || !strings.HasSuffix(stream, "data: [DONE]\n\n") {
 		t.Errorf("%d tokens in %s", n, stream)
 	}
 	eventually(t, "the host stops", s.stopped)
 }
 
-// stopper stops a host once a request runs there.
-type stopper struct {
+// drainer drains and stops a host once it serves a request.
+type drainer struct {
 	d    *Daemon
 	r    *relay
 	done chan struct{}
 }
 
-func (s *stopper) stopped() bool {
+func (s *drainer) stopped() bool {
 	select {
 	case <-s.done:
 		return true
@@ -238,7 +241,7 @@
 	}
 }
 
-func (s *stopper) run() {
+func (s *drainer) run() {
 	for s.r.running() == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/front/lists.go
+++ b/internal/front/lists.go
@@ -32,7 +32,7 @@
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, p := range x.cfg.Book().Profiles() {
-		if p.Service == "" && x.client.May(p.Name) {
+		if p.Service == "" && x.client.MayUse(p.Name) {
 			list.Data = append(list.Data, modelEntry{ID: string(p.Name), Object: "model", OwnedBy: viaPseudonym})
 		}
 	}
@@ -59,7 +59,7 @@
 	if ref != nil {
 		return ref
 	}
-	x.writeJSON(http.StatusOK, event.Done, entryList{Entries: callerURLs(ans.Entries), ValidForMs: ans.Valid.Milliseconds()})
+	x.writeJSON(http.StatusOK, event.Done, entryList{Entries: callerURLs(ans.Entries), ValidForMs: ans.TTL.Milliseconds()})
 	return nil
 }
 
@@ -73,7 +73,7 @@
 	if !ok {
 		return "", x.notRun(codes.UnknownProfile, "")
 	}
-	if !x.client.May(name) {
+	if !x.client.MayUse(name) {
 		return "", x.notRun(codes.ProfileForbidden, "")
 	}
 	x.profile = p
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(x.r.Context(), queryTimeout)
 	defer cancel()
 	eff, err := x.cfg.Loop.Ask(ctx, func(n event.Ask) event.Event {
-		return event.EntriesAsked{Ask: n, Account: x.client.Name, Profile: profile, Spread: newSpreadSeed()}
+		return event.EntriesAsked{Ask: n, Account: x.client.Name, Profile: profile, Seed: newSpreadSeed()}
 	})
 	ans, ok := eff.(event.EntriesAnswered)
 	if err != nil || !ok {
@@ -138,7 +138,7 @@
 		ref.Entries = ans.Entries
 		return ref
 	}
-	x.writeJSON(http.StatusOK, event.Done, ticketAnswer{Ticket: ans.Ticket, ValidForMs: ans.Valid.Milliseconds()})
+	x.writeJSON(http.StatusOK, event.Done, ticketAnswer{Ticket: ans.Ticket, ValidForMs: ans.TTL.Milliseconds()})
 	return nil
 }
 
--- a/internal/opctl/hosts.go
+++ b/internal/opctl/hosts.go
@@ -18,13 +18,13 @@
 	return &command{
 		name: "status", synopsis: "show data centres and targets as the entry host knows them", opts: opts,
 		usage: `status [-json]
-  Shows each data centre with its entry hosts, what is in force there and how
-  old that word is, and the targets with their load.
+  Shows each data centre with its entry hosts, the revision in force there and
+  the age of that report, and the targets with their load.
 
   Example:
     verbctl -entry http://127.1.1.1:9090 status
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			st, err := opts.client().Status(ctx)
 			if err != nil {
 				return err
@@ -40,7 +40,7 @@
 		ready = "not ready"
 	}
 	fmt.Fprintf(w, "entry host %s in %s, %s, revision %d, %d requests, platform answered %s ago\n\n",
-		st.Self.ID, st.Self.Place.DataCentre, ready, st.Revision, st.Requests, age(st.PlatformAge))
+		st.Self.ID, st.Self.Place.DataCentre, ready, st.Revision, st.Requests, formatAge(st.PlatformAge))
 	fmt.Fprintln(w, "DATA CENTRE\tREGION\tIN FORCE\tHOSTS\tSLOTS\tFREE\tAGE\tSTATE")
 	for _, c := range st.Centres {
 		slots, free := 0, 0
@@ -49,13 +49,13 @@
 			free += p.Free
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n",
-			c.Place.DataCentre, c.Place.Region, c.InForce, len(c.Hosts), slots, free, age(c.Age), centreState(c))
+			c.Place.DataCentre, c.Place.Region, c.InForce, len(c.Hosts), slots, free, formatAge(c.Age), centreState(c))
 	}
 	fmt.Fprintln(w, "\nTARGET\tKIND\tDATA CENTRE\tSLOTS\tRUNNING\tQUEUED\tSENT\tAGE\tSTATE")
 	for _, t := range st.Targets {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n",
 			t.Target.ID, t.Target.Kind, t.Target.Place.DataCentre, t.Load.Slots, t.Load.Running, t.Load.Queued,
-			t.Sent, age(t.LoadAge), targetState(t))
+			t.InFlight, formatAge(t.LoadAge), targetState(t))
 	}
 }
 
@@ -76,33 +76,33 @@
 	return "ok"
 }
 
-func age(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
+func formatAge(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
 
 func routeCmd(opts *Options) *command {
 	var account, profile string
-	var prompt, most int64
+	var prompt, maxTokens int64
 	return &command{
 		name: "route", synopsis: "show where a request would go and why", opts: opts,
 		flags: func(fs *flag.FlagSet) {
 			fs.StringVar(&account, "account", "", "account of the caller")
 			fs.StringVar(&profile, "profile", "", "profile of the request")
 			fs.Int64Var(&prompt, "prompt", 500, "length of the prompt in tokens")
-			fs.Int64Var(&most, "maxTokens", 200, "most tokens to generate")
+			fs.Int64Var(&maxTokens, "maxTokens", 200, "maximum number of tokens to generate")
 		},
 		usage: `route -account ACCOUNT -profile PROFILE [-prompt 500] [-maxTokens 200]
-  Shows for a request which choices are ruled out, by which rule, and what the
-  others cost. Nothing is sent.
+  Shows which choices are ruled out for a request, by which rule, and the cost
+  of the others. No request is sent.
 
   Example:
     verbctl route -account foundation -profile obituary
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			if account == "" || profile == "" {
 				return &usageError{text: "-account and -profile are needed; -h shows an example"}
 			}
 			ans, err := opts.client().Route(ctx, event.Request{
 				ID: "route", Account: ident.Account(account), Profile: ident.Profile(profile),
-				Prompt: ident.Tokens(prompt), MaxTokens: ident.Tokens(most),
+				Prompt: ident.Tokens(prompt), MaxTokens: ident.Tokens(maxTokens),
 			})
 			if err != nil {
 				return err
@@ -141,12 +141,12 @@
 	return &command{
 		name: "drain", synopsis: "stop the entry host gracefully", opts: opts,
 		usage: `drain
-  The host takes no new requests, finishes those that run, and ends.
+  The host refuses new requests, completes the running ones and exits.
 
   Example:
     verbctl -entry http://127.1.1.1:9090 drain
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			if err := opts.client().Drain(ctx); err != nil {
 				return err
 			}
@@ -163,16 +163,16 @@
 		flags: func(fs *flag.FlagSet) { fs.StringVar(&set, "set", "", "new level: 0 for events, 1 for each request") },
 		usage: `loglevel [-set LEVEL]
   Shows the verbosity of the entry host's log, or changes it until the host
-  is started anew.
+  restarts.
 
   Example:
     verbctl loglevel -set 1
 `,
-		do: func(ctx context.Context, _ []string) error {
+		run: func(ctx context.Context, _ []string) error {
 			if set != "" {
 				n, err := strconv.Atoi(set)
 				if err != nil {
-					return &usageError{text: fmt.Sprintf("level %q is no number; write 0 or 1", set)}
+					return &usageError{text: fmt.Sprintf("level %q is not a number; write 0 or 1", set)}
 				}
 				if err := opts.client().SetLevel(ctx, admin.Level{Level: n}); err != nil {
 					return err
--- a/pkg/codes/mechanism.go
+++ b/pkg/codes/mechanism.go
@@ -1,7 +1,7 @@
 package codes
 
-// The mechanisms of placing, queueing, refusing and retrying that a load is answered with.
-// Each can be switched off in development builds, to measure what it is worth.
+// The mechanisms that place, queue, refuse and retry requests under load. Each
+// can be switched off in development builds to measure its effect.
 var (
 	PrefixTransfer = Code{
 		ID: "VB6001", Title: "engines copy cached prefixes from each other", Since: secondVersion, Severity: Info,
@@ -15,7 +15,7 @@
 		ID: "VB6003", Title: "engines begin prompts by what is left to prefill", Since: secondVersion, Severity: Info,
 		Text: "At a peak a long prompt waits for all short ones of a more urgent profile. By length first, and by urgency among those of one length, most callers wait least.",
 	}
-	LateBehind = Code{
+	LateRequestsLast = Code{
 		ID: "VB6004", Title: "requests that are late go behind those in time", Since: secondVersion, Severity: Info,
 		Text: "In an overload a request that can't be answered within its goal any more waits behind those that can, and for a quarter of its goal at the most.",
 	}
@@ -35,22 +35,22 @@
 		ID: "VB6008", Title: "small regions announce their use of targets four times a second", Since: secondVersion, Severity: Info,
 		Text: "An engine prefills what it is sent in a few tenths of a second; a heartbeat is older than that.",
 	}
-	LeftAlone = Code{
+	RefusalBackoff = Code{
 		ID: "VB6009", Title: "a region that has turned a request away is left alone for a moment", Since: secondVersion, Severity: Info,
 		Text: "Until its next summary, a region at its peak would turn away each further request that is passed on to it.",
 	}
-	GrowingReturns = Code{
+	GrowingRetryAfter = Code{
 		ID: "VB6010", Title: "Retry-After grows with the duration of an overload", Since: secondVersion, Severity: Info,
 		Text: "An overload that has lasted for seconds rarely ends within the next one; a caller that comes back into it is refused a second time.",
 	}
-	LateDrain = Code{
+	DrainAccept = Code{
 		ID: "VB6011", Title: "a draining host takes what ends in time", Since: secondVersion, Severity: Info,
 		Text: "Where all hosts of a region drain at once their callers know no other. Requests whose own time is over before the drain's are served.",
 	}
 )
 
-// Mechanisms is the table of the mechanisms.
+// Mechanisms lists the mechanisms.
 var Mechanisms = []Code{
-	PrefixTransfer, AnnouncedHolders, OrderByLength, LateBehind, LongIdleTimeout, PromptMemory,
-	CallQueue, AnnouncedSends, LeftAlone, GrowingReturns, LateDrain,
+	PrefixTransfer, AnnouncedHolders, OrderByLength, LateRequestsLast, LongIdleTimeout, PromptMemory,
+	CallQueue, AnnouncedSends, RefusalBackoff, GrowingRetryAfter, DrainAccept,
 }
--- a/pkg/rules/check.go
+++ b/pkg/rules/check.go
@@ -8,7 +8,7 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// Bounds of the values in profiles.
+// Bounds on the values in documents.
 const (
 	maxCrossings  = 4
 	maxDeadlineMs = 3_600_000
@@ -18,70 +18,72 @@
 
 var nameShape = regexp.MustCompile(`^[a-z0-9][a-z0-9./-]{0,62}$`)
 
-// Fault is one fault found in a document.
+// Fault is an error found in a document.
 type Fault struct {
 	Code codes.ID `json:"code"`
 	// Item names the profile or account, such as "profile obituary".
 	Item string `json:"item"`
 	// Path names the field, such as weights.tail.
 	Path string `json:"path"`
-	// Message says what to write instead.
+	// Message states what is wrong, or what to write instead.
 	Message string `json:"message"`
 }
 
-// String writes the fault in one line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: %s: %s (%s)", f.Item, f.Path, f.Message, f.Code)
 }
 
-// check is one declared check. Each looks at one kind of thing; the context
-// is the configuration as it would be after the change.
+// check is a validation of profiles, accounts or both. after is the
+// configuration as it would be after the change. The functions leave Fault.Code
+// and Fault.Item unset.
 type check struct {
 	code    codes.Code
 	profile func(p Profile) []Fault
 	client  func(after *Book, c Client) []Fault
 }
 
-// checks is the table that Check goes through.
+// checks lists the checks that Check runs on each item.
 var checks = []check{
 	{code: codes.ProfileName, profile: profileName, client: clientName},
-	{code: codes.ProfileServes, profile: profileServes},
+	{code: codes.ProfileServes, profile: profileModelsOrService},
 	{code: codes.ProfileRange, profile: profileRange, client: clientRange},
 	{code: codes.ProfileList, profile: profileLists, client: clientLists},
 	{code: codes.ProfileDigest, client: clientDigest},
-	{code: codes.ProfileShared, client: clientShared},
-	{code: codes.ProfileAbsent, client: clientAbsent},
-	{code: codes.ProfileNoHome, client: clientNoHome},
-	{code: codes.ProfileHome, client: clientHome},
+	{code: codes.ProfileShared, client: clientSharedKey},
+	{code: codes.ProfileAbsent, client: clientUnknownProfiles},
+	{code: codes.ProfileNoHome, client: clientMissingHome},
+	{code: codes.ProfileHome, client: clientHomeOutside},
 }
 
-// Check returns every fault of the items of a change to the empty
+// Check returns every fault in the items of a change to the empty
 // configuration.
 func Check(items []Item) []Fault { return CheckWith(nil, items) }
 
-// CheckWith returns every fault of the items of a change to a configuration.
+// CheckWith returns every fault in the items of a change to the given
+// configuration, and those that the change causes in other accounts.
 func CheckWith(book *Book, items []Item) []Fault {
-	faults := repeats(items)
-	after := book.after(items)
+	faults := duplicateItems(items)
+	after := book.withItems(items)
 	for _, it := range items {
-		faults = append(faults, named(it, checkItem(after, it))...)
+		faults = append(faults, withItem(it, checkItem(after, it))...)
 	}
-	return append(faults, touched(after, items)...)
+	return append(faults, checkUnchangedAccounts(after, items)...)
 }
 
-// after is the configuration with the items that can be read.
-func (b *Book) after(items []Item) *Book {
+// withItems returns the configuration after the items that can be decoded.
+func (b *Book) withItems(items []Item) *Book {
 	next := b.clone()
 	for _, it := range items {
-		// What can't be read has a check of its own.
+		// checkItem reports items that can't be decoded.
 		_ = next.put(it, next.Revision+1)
 	}
 	return next
 }
 
-// touched checks the accounts that the change leaves alone, for what a changed
-// or deleted profile does to them.
-func touched(after *Book, items []Item) []Fault {
+// checkUnchangedAccounts checks the accounts that are not part of the change,
+// because a changed or deleted profile can make them invalid.
+func checkUnchangedAccounts(after *Book, items []Item) []Fault {
 	changed := make(map[itemKey]bool, len(items))
 	profiles := false
 	for _, it := range items {
@@ -98,30 +100,30 @@
 		}
 		it := Item{Kind: KindAccount, Name: string(c.Name)}
 		for _, ck := range []check{
-			{code: codes.ProfileAbsent, client: clientAbsent},
-			{code: codes.ProfileNoHome, client: clientNoHome},
-			{code: codes.ProfileHome, client: clientHome},
+			{code: codes.ProfileAbsent, client: clientUnknownProfiles},
+			{code: codes.ProfileNoHome, client: clientMissingHome},
+			{code: codes.ProfileHome, client: clientHomeOutside},
 		} {
-			faults = append(faults, named(it, stamp(ck.code, ck.client(after, c)))...)
+			faults = append(faults, withItem(it, withCode(ck.code, ck.client(after, c)))...)
 		}
 	}
 	return faults
 }
 
-func repeats(items []Item) []Fault {
+func duplicateItems(items []Item) []Fault {
 	var faults []Fault
 	seen := make(map[itemKey]bool, len(items))
 	for _, it := range items {
 		key := itemKey{it.Kind, it.Name}
 		if seen[key] {
-			faults = append(faults, named(it, []Fault{{Code: codes.ProfileTwice.ID, Path: "name", Message: "it stands twice in the change; send it once"}})...)
+			faults = append(faults, withItem(it, []Fault{{Code: codes.ProfileTwice.ID, Path: "name", Message: "it is listed twice in the change; send it once"}})...)
 		}
 		seen[key] = true
 	}
 	return faults
 }
 
-func named(it Item, faults []Fault) []Fault {
+func withItem(it Item, faults []Fault) []Fault {
 	for i := range faults {
 		faults[i].Item = string(it.Kind) + " " + it.Name
 	}
@@ -163,7 +165,7 @@
 	var faults []Fault
 	for _, c := range checks {
 		if c.profile != nil {
-			faults = append(faults, stamp(c.code, c.profile(p))...)
+			faults = append(faults, withCode(c.code, c.profile(p))...)
 		}
 	}
 	return faults
@@ -173,13 +175,13 @@
 	var faults []Fault
 	for _, c := range checks {
 		if c.client != nil {
-			faults = append(faults, stamp(c.code, c.client(after, cl))...)
+			faults = append(faults, withCode(c.code, c.client(after, cl))...)
 		}
 	}
 	return faults
 }
 
-func stamp(code codes.Code, faults []Fault) []Fault {
+func withCode(code codes.Code, faults []Fault) []Fault {
 	for i := range faults {
 		faults[i].Code = code.ID
 	}
@@ -197,7 +199,7 @@
 	return []Fault{{Path: path, Message: fmt.Sprintf("%q is no name; write 1 to 63 of a-z, 0-9, dot, dash and slash, and begin with a letter or digit", name)}}
 }
 
-func profileServes(p Profile) []Fault {
+func profileModelsOrService(p Profile) []Fault {
 	if p.Service == "" && len(p.Models) == 0 {
 		return []Fault{{Path: "models", Message: "name at least one model, or a service"}}
 	}
@@ -207,21 +209,22 @@
 	return nil
 }
 
-// number is a value with its bounds.
-type number struct {
-	path    string
-	v       float64
-	low     float64
-	high    float64
-	message string
+// boundedNumber is a value with its bounds and the message for a value outside
+// them.
+type boundedNumber struct {
+	path     string
+	v        float64
+	minValue float64
+	maxValue float64
+	message  string
 }
 
-// outside returns a fault for each number out of its bounds. One that is not a
-// number at all is outside too.
-func outside(ns []number) []Fault {
+// outOfRange returns a fault for each number outside its bounds. NaN is outside
+// any bounds.
+func outOfRange(ns []boundedNumber) []Fault {
 	var faults []Fault
 	for _, n := range ns {
-		if n.v >= n.low && n.v <= n.high {
+		if n.v >= n.minValue && n.v <= n.maxValue {
 			continue
 		}
 		faults = append(faults, Fault{Path: n.path, Message: n.message})
@@ -231,7 +234,7 @@
 
 func profileRange(p Profile) []Fault {
 	const weight = "write zero or more"
-	return outside([]number{
+	return outOfRange([]boundedNumber{
 		{"maxCrossings", float64(p.MaxCrossings), 0, maxCrossings, fmt.Sprintf("write 0 to %d", maxCrossings)},
 		{"deadlineMs", float64(p.DeadlineMs), 0, maxDeadlineMs, fmt.Sprintf("write 1 to %d, or leave it out", maxDeadlineMs)},
 		{"priority", float64(p.Priority), -maxPriority, maxPriority, fmt.Sprintf("write %d to %d", -maxPriority, maxPriority)},
@@ -243,7 +246,7 @@
 
 func clientRange(_ *Book, c Client) []Fault {
 	const limit = "write zero or more; zero is no limit"
-	return outside([]number{
+	return outOfRange([]boundedNumber{
 		{"requestsPerMinute", float64(c.RequestsPerMinute), 0, math.MaxFloat64, limit},
 		{"tokensPerMinute", float64(c.TokensPerMinute), 0, math.MaxFloat64, limit},
 	})
--- a/pkg/rules/refer.go
+++ b/pkg/rules/refer.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The checks of lists, and of what one document says about another.
+// The checks of lists and of references between documents.
 
 func profileLists(p Profile) []Fault {
 	var faults []Fault
@@ -17,7 +17,7 @@
 			faults = append(faults, Fault{Path: path, Message: "name the model"})
 		}
 		if slices.Contains(p.Models[:i], m) {
-			faults = append(faults, Fault{Path: path, Message: "it stands twice; leave one out"})
+			faults = append(faults, Fault{Path: path, Message: "it is listed twice; leave one out"})
 		}
 	}
 	return append(faults, listFaults("regions", p.Regions)...)
@@ -34,7 +34,7 @@
 			continue
 		}
 		if slices.Contains(vs[:i], v) {
-			faults = append(faults, Fault{Path: at, Message: fmt.Sprintf("%q stands twice; leave one out", v)})
+			faults = append(faults, Fault{Path: at, Message: fmt.Sprintf("%q is listed twice; leave one out", v)})
 		}
 	}
 	return faults
@@ -48,7 +48,7 @@
 	return []Fault{{Path: "keyDigest", Message: "write the SHA-256 digest of the key as 64 hexadecimal digits in lower case; verbctl accounts digest prints it"}}
 }
 
-func clientShared(after *Book, c Client) []Fault {
+func clientSharedKey(after *Book, c Client) []Fault {
 	for _, other := range after.Clients() {
 		if other.Name != c.Name && other.KeyDigest == c.KeyDigest {
 			return []Fault{{Path: "keyDigest", Message: fmt.Sprintf("account %s has the same key; give this one its own", other.Name)}}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func clientAbsent(after *Book, c Client) []Fault {
+func clientUnknownProfiles(after *Book, c Client) []Fault {
 	var faults []Fault
 	for i, name := range c.Profiles {
 		if _, ok := after.Profile(name); !ok {
@@ -70,7 +70,7 @@
 	return faults
 }
 
-func clientNoHome(after *Book, c Client) []Fault {
+func clientMissingHome(after *Book, c Client) []Fault {
 	for _, name := range c.Profiles {
 		if p, ok := after.Profile(name); ok && p.HomeOnly && c.Home == "" {
 			return []Fault{{Path: "home", Message: fmt.Sprintf("write a region; profile %s is confined to the home of the account", name)}}
@@ -79,13 +79,13 @@
 	return nil
 }
 
-func clientHome(after *Book, c Client) []Fault {
+func clientHomeOutside(after *Book, c Client) []Fault {
 	for _, name := range c.Profiles {
 		p, ok := after.Profile(name)
 		if !ok || !p.HomeOnly || c.Home == "" || p.Allows(c, c.Home) {
 			continue
 		}
-		return []Fault{{Path: "home", Message: fmt.Sprintf("%s is no region of profile %s, which is confined to the home; add it there, or write another home", c.Home, name)}}
+		return []Fault{{Path: "home", Message: fmt.Sprintf("%s is not a region of profile %s, which is confined to the home; add it there, or write another home", c.Home, name)}}
 	}
 	return nil
 }
