--- a/internal/admit/order_test.go
+++ b/internal/admit/order_test.go
@@ -97,8 +97,8 @@
 	return it, true
 }
 
-// full reports whether a full queue must refuse an account.
-func (n *referenceQueue) full(a ident.Account) bool {
+// mustRefuse reports whether a full queue must refuse a request of an account.
+func (n *referenceQueue) mustRefuse(a ident.Account) bool {
 	accounts, most := []ident.Account{a}, 0
 	for _, it := range n.list {
 		if !slices.Contains(accounts, it.Account) {
@@ -122,7 +122,7 @@
 
 func (n *referenceQueue) push(t *rapid.T, q *Queue, now ident.Time, it Item, wait time.Duration) {
 	ok, shed, after := q.Push(now, it, wait)
-	want := !n.tooLate(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.full(it.Account))
+	want := !n.tooLate(now.Add(wait), it) && (len(n.list) < n.cfg.MaxWaiting || !n.mustRefuse(it.Account))
 	if ok != want || (!ok && after < minRetryAfter) {
 		t.Fatalf("push %+v: got %v, want %v, retry after %v", it, ok, want, after)
 	}
@@ -139,9 +139,9 @@
 	n.add(it)
 }
 
-// Guards against requests that are never answered and accounts that starve others, by comparing
-// every step with a plain implementation of the order.
-func TestOrderAgainstNaive(t *testing.T) {
+// Guards against requests that are never answered and accounts that starve others,
+// by comparing every step with a simple reference implementation.
+func TestOrderMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{MaxWaiting: rapid.IntRange(6, 8).Draw(t, "most"), MaxLead: 2 * time.Second, Margin: 0.5, HomeShare: 0.5}
 		q := New(cfg)
@@ -164,7 +164,7 @@
 				wantItem, want := n.pop(now)
 				gotItem, got := q.Pop(now)
 				if diff := cmp.Diff(wantItem, gotItem); want != got || diff != "" {
-					t.Fatalf("pop: got %v, want %v (-naive +got):\n%s", got, want, diff)
+					t.Fatalf("pop: got %v, want %v (-reference +got):\n%s", got, want, diff)
 				}
 			},
 			"remove": func(t *rapid.T) {
@@ -183,7 +183,7 @@
 					n.drop(it.ID)
 				}
 				if diff := cmp.Diff(want, q.Shed(now, 0)); diff != "" {
-					t.Fatalf("shed (-naive +got):\n%s", diff)
+					t.Fatalf("shed (-reference +got):\n%s", diff)
 				}
 				if q.NextShed() <= now {
 					t.Fatalf("next is %d at %d, after Shed", q.NextShed(), now)
@@ -222,9 +222,9 @@
 // Guards against an account that fills the queue, so that requests of all others are refused.
 func TestFullQueueShares(t *testing.T) {
 	for _, tc := range []struct {
-		held, by string
-		ok       bool
-		shed     []ident.RequestID
+		queued, by string
+		ok         bool
+		shed       []ident.RequestID
 	}{
 		{"aabbbbcd", "c", true, []ident.RequestID{"5"}}, // the last request of b
 		{"aabbbbcd", "e", true, []ident.RequestID{"5"}},
@@ -232,13 +232,13 @@
 		{"abbccdd", "a", false, nil},  // no account has more than one request more
 		{"aaaa", "a", false, nil},
 	} {
-		q := New(Config{MaxWaiting: len(tc.held)})
-		for i, a := range tc.held {
+		q := New(Config{MaxWaiting: len(tc.queued)})
+		for i, a := range tc.queued {
 			q.Push(0, Item{ID: ident.RequestID(fmt.Sprint(i)), Account: ident.Account(a), Deadline: 1}, 0)
 		}
 		ok, shed, _ := q.Push(0, Item{ID: "new", Account: ident.Account(tc.by), Deadline: 1}, 0)
 		if diff := cmp.Diff(tc.shed, shed); ok != tc.ok || diff != "" {
-			t.Errorf("%s to %s: got %v, want %v (-want +got):\n%s", tc.by, tc.held, ok, tc.ok, diff)
+			t.Errorf("%s to %s: got %v, want %v (-want +got):\n%s", tc.by, tc.queued, ok, tc.ok, diff)
 		}
 	}
 }
--- a/internal/core/again.go
+++ b/internal/core/again.go
@@ -20,9 +20,9 @@
 	rd.endRefused(now, r, ref)
 }
 
-// retryWhenBudgetAllows schedules another try for the rest of a stream that only the retry budget
-// denies, and reports whether it did. The budget grows with each arriving request, and ending the
-// stream would truncate an answer that the caller has a part of.
+// retryWhenBudgetAllows schedules another attempt at the rest of a stream if only the retry budget
+// denies the retry now, and reports whether it did. The budget grows with each arriving request,
+// and ending the stream would truncate an answer that the caller has a part of.
 func (rd *Reducer) retryWhenBudgetAllows(now ident.Time, r *request, a *attempt, e event.AttemptEnded, ref refusal) bool {
 	at := now.Add(resumeInterval)
 	if r.delivered == 0 || r.lastDenial.Reason != event.DeniedBudget || r.resumeWaits >= maxResumeWaits || at >= r.deadline {
@@ -33,8 +33,8 @@
 	return true
 }
 
-// retrySameTarget schedules the rest of a stream at the target that turned it away, and reports
-// whether it did. MaxAttempts bounds the targets that see a request, so no other target may
+// retrySameTarget schedules the rest of a stream at the target that refused it, and reports
+// whether it did. MaxAttempts bounds the targets that receive a request, so no other target may
 // receive the rest, and ending the request would truncate an answer that the caller has a part
 // of.
 func (rd *Reducer) retrySameTarget(now ident.Time, r *request, a *attempt, e event.AttemptEnded) bool {
@@ -42,7 +42,7 @@
 	if !begun || r.profile.Route == nil || e.Result != event.ResultNotRun || a.target == "" || !reachedTarget(a, e) || e.Draining {
 		return false
 	}
-	at := now.Add(max(retry.Backoff(r.tries, r.ID), e.RetryAfter))
+	at := now.Add(max(retry.Backoff(r.attemptCount, r.ID), e.RetryAfter))
 	if at >= r.deadline {
 		return false
 	}
@@ -58,7 +58,7 @@
 // target that dies breaks all its streams at once, and a resumed stream requests only the
 // remaining tokens, so load does not grow with failures.
 func (rd *Reducer) resumeStream(now ident.Time, r *request, a *attempt, ref refusal) {
-	if r.tries >= retry.MaxTries {
+	if r.attemptCount >= retry.MaxTries {
 		rd.endRefused(now, r, ref)
 		return
 	}
@@ -69,13 +69,13 @@
 // where it failed.
 func (rd *Reducer) retryElsewhere(now ident.Time, r *request, a *attempt, ref refusal) {
 	if a.target != "" {
-		r.tried.Add(a.target)
+		r.triedTargets.Add(a.target)
 	} else {
 		r.triedCentres.Add(a.dec.Centre)
 	}
 	at := now
 	if !a.retryTaken {
-		at = now.Add(retry.Backoff(r.tries, r.ID))
+		at = now.Add(retry.Backoff(r.attemptCount, r.ID))
 	}
 	if at >= r.deadline {
 		ref.code = codes.DeadlineExceeded.ID
@@ -105,23 +105,23 @@
 		return spendAttempt(now, r, retry.MaxTries, &rd.budget)
 	}
 	if e.Result == event.ResultNotRun && !reachedTarget(a, e) && (r.mayHaveRun || e.Code != codes.ForwardRefused.ID) {
-		r.tries--
-		r.unsent++
-		if r.unsent > maxUnsentTries {
-			return event.Denial{Reason: event.DeniedUnsent, Attempts: r.unsent, MaxAttempts: maxUnsentTries}
+		r.attemptCount--
+		r.unsentAttempts++
+		if r.unsentAttempts > maxUnsentAttempts {
+			return event.Denial{Reason: event.DeniedUnsent, Attempts: r.unsentAttempts, MaxAttempts: maxUnsentAttempts}
 		}
 		return event.Denial{}
 	}
 	if r.forwarded {
-		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.tries}
+		return event.Denial{Reason: event.DeniedForwarded, Attempts: r.attemptCount}
 	}
 	return spendAttempt(now, r, max(rt.MaxAttempts, 1), rd.retryBudget(now, r.profile.Service))
 }
 
-// spendAttempt is spendRetry for a request that may be sent to at most maxTries targets.
-func spendAttempt(now ident.Time, r *request, maxTries int, b *retry.Budget) event.Denial {
-	if r.tries >= maxTries {
-		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.tries, MaxAttempts: maxTries}
+// spendAttempt is spendRetry for a request that may be attempted at most maxAttempts times.
+func spendAttempt(now ident.Time, r *request, maxAttempts int, b *retry.Budget) event.Denial {
+	if r.attemptCount >= maxAttempts {
+		return event.Denial{Reason: event.DeniedAttempts, Attempts: r.attemptCount, MaxAttempts: maxAttempts}
 	}
 	return spendRetry(now, r, b)
 }
@@ -131,7 +131,7 @@
 	if b.Spend(now) {
 		return event.Denial{}
 	}
-	d := event.Denial{Reason: event.DeniedBudget, Attempts: r.tries}
+	d := event.Denial{Reason: event.DeniedBudget, Attempts: r.attemptCount}
 	d.Retries, d.MaxRetries = b.Usage(now)
 	return d
 }
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// newResumedStream returns a host with a stream that one target has broken off, and the dispatch
-// of the rest to a second target, the last that may receive it.
+// newResumedStream returns a host with a stream that broke at one target, and the dispatch of the
+// rest to a second target, the last one that may receive it.
 func newResumedStream(t *testing.T, targets int) (*testHost, event.Dispatch) {
 	t.Helper()
 	h := newTestHost(t, targets, core.Bounds{RetryRatio: 1, RetryFloor: 100})
@@ -99,7 +99,7 @@
 	h.step(event.AttemptSent{Attempt: rest.Attempt})
 	effs := h.end(event.AttemptEnded{Attempt: rest.Attempt, Result: event.ResultBroken, Resumable: true, Delivered: 6, Generated: 1})
 	if _, ok := pick[event.Dispatch](effs); ok {
-		t.Error("a stream that has broken off at MaxAttempts targets is sent again")
+		t.Error("a stream that broke at MaxAttempts targets is sent again")
 	}
 }
 
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -259,12 +259,12 @@
 // renew keeps the lease alive, or takes a new one and registers the host under
 // it. It returns the delay until the next call.
 func (g *registrar) renew(ctx context.Context) time.Duration {
-	if g.lease.Holds(g.d.clock.Now()) {
+	if g.lease.Valid(g.d.clock.Now()) {
 		err := g.d.store.KeepAlive(ctx, g.lease)
 		if err == nil {
 			return registerInterval
 		}
-		if !errors.Is(err, store.ErrLapsed) {
+		if !errors.Is(err, store.ErrLeaseExpired) {
 			return registerRetryDelay
 		}
 	}
--- a/internal/dev/certs/certs.go
+++ b/internal/dev/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs makes authorities and certificates for development and tests.
-// They last a day.
+// Package certs creates certificate authorities and certificates for development
+// and tests. They are valid for a day.
 //
 // # Usage
 //
@@ -23,11 +23,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrMake says that a certificate could not be made or written.
-var ErrMake = errors.New("certs: not made")
+// ErrCreate means that a certificate could not be created or written.
+var ErrCreate = errors.New("certs: certificate not created")
 
-// lifetime is how long a certificate lasts.
-const lifetime = 24 * time.Hour
+// certLifetime is the validity period after creation.
+const certLifetime = 24 * time.Hour
 
 // Authority signs certificates.
 type Authority struct {
@@ -35,14 +35,14 @@
 	cert *x509.Certificate
 }
 
-// Files are the paths of the files of one host.
+// Files holds the paths of a host's certificate, its key and the CA certificate.
 type Files struct{ Cert, Key, CA string }
 
-// New makes an authority.
+// New creates an authority. Its error is ErrCreate.
 func New() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(ErrMake, err.Error())
+		return nil, errors.Wrap(ErrCreate, err.Error())
 	}
 	tmpl := template("verbenadale development authority")
 	tmpl.IsCA = true
@@ -59,28 +59,28 @@
 	serial := new(big.Int).SetInt64(time.Now().UnixNano())
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certLifetime),
 	}
 }
 
 func sign(tmpl, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, parent, key.Public(), signer)
 	if err != nil {
-		return nil, errors.Wrap(ErrMake, err.Error())
+		return nil, errors.Wrap(ErrCreate, err.Error())
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, errors.Wrap(ErrMake, err.Error())
+		return nil, errors.Wrap(ErrCreate, err.Error())
 	}
 	return cert, nil
 }
 
-// Issue makes a certificate for a name and writes it to a folder, with its
+// Issue creates a certificate for a name and writes it to a directory, with its
 // key and the certificate of the authority.
 func (a *Authority) Issue(dir, name string) (Files, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Files{}, errors.Wrap(ErrMake, err.Error())
+		return Files{}, errors.Wrap(ErrCreate, err.Error())
 	}
 	tmpl := template(name)
 	tmpl.DNSNames = []string{name}
@@ -92,12 +92,12 @@
 	}
 	der, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Files{}, errors.Wrap(ErrMake, err.Error())
+		return Files{}, errors.Wrap(ErrCreate, err.Error())
 	}
 	fs := Files{
 		Cert: filepath.Join(dir, name+".crt"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(dir, "ca.crt"),
 	}
-	return fs, writeAll([]pemFile{
+	return fs, writeFiles([]pemFile{
 		{fs.Cert, "CERTIFICATE", cert.Raw}, {fs.Key, "EC PRIVATE KEY", der}, {fs.CA, "CERTIFICATE", a.cert.Raw},
 	})
 }
@@ -107,15 +107,15 @@
 	der        []byte
 }
 
-func writeAll(fs []pemFile) error {
+func writeFiles(fs []pemFile) error {
 	for _, f := range fs {
 		text := pem.EncodeToMemory(&pem.Block{Type: f.kind, Bytes: f.der})
 		if err := os.WriteFile(f.path, text, 0o600); err != nil {
-			return errors.Wrap(ErrMake, err.Error())
+			return errors.Wrap(ErrCreate, err.Error())
 		}
 	}
 	return nil
 }
 
-// Signed reports whether a certificate is one of this authority.
-func (a *Authority) Signed(c *x509.Certificate) bool { return c.CheckSignatureFrom(a.cert) == nil }
+// Issued reports whether the authority signed a certificate.
+func (a *Authority) Issued(c *x509.Certificate) bool { return c.CheckSignatureFrom(a.cert) == nil }
--- a/internal/dev/cmds/slope.go
+++ b/internal/dev/cmds/slope.go
@@ -18,31 +18,34 @@
 	json bool
 	full bool
 	span time.Duration
-	// shocks runs the fleet through large failures instead.
+	// shocks simulates large failures instead of a steady state.
 	shocks bool
 }
 
-func (*slopesCmd) Name() string     { return "slopes" }
-func (*slopesCmd) Synopsis() string { return "measure what control costs at growing sizes" }
+func (*slopesCmd) Name() string { return "slopes" }
+func (*slopesCmd) Synopsis() string {
+	return "measure the cost of the control plane at growing fleet sizes"
+}
 
 func (*slopesCmd) Usage() string {
 	return `slopes [-full] [-for 20s] [-shocks] [-json]
-  Runs the reducers of 6, 12, 24 and 48 hosts in virtual time and prints what
-  control costs each. With -full also 360 hosts in 45 data centres.
+  Runs the reducers of 6, 12, 24 and 48 hosts in virtual time and prints the
+  cost of the control plane per host. -full adds 360 hosts in 45 data centres.
 `
 }
 
 func (c *slopesCmd) SetFlags(fs *flag.FlagSet) {
 	fs.BoolVar(&c.json, "json", false, "print JSON")
-	fs.BoolVar(&c.full, "full", false, "also the size that the design is made for")
-	fs.BoolVar(&c.shocks, "shocks", false, "run through an outage of the platform, a restart of a data centre and a cut of a region instead")
-	fs.DurationVar(&c.span, "for", 20*time.Second, "virtual time that is counted")
+	fs.BoolVar(&c.full, "full", false, "also run the fleet size that the system is designed for")
+	fs.BoolVar(&c.shocks, "shocks", false, "simulate a platform outage, the restart of a data centre and the partition of a region instead")
+	fs.DurationVar(&c.span, "for", 20*time.Second, "virtual time that is measured")
 }
 
-// perHost is the load of each host at the size that the design is made for.
+// Load at the fleet size that the system is designed for: requests per second of
+// each host, and configuration changes per day.
 const (
-	perHost     = 8000.0 / 370
-	changesADay = 8400
+	requestRatePerHost = 8000.0 / 370
+	changesPerDay      = 8400
 )
 
 func (c *slopesCmd) sizes() []slope.Config {
@@ -56,14 +59,14 @@
 		sizes = append(sizes, slope.Config{Centres: 45, Regions: 12, Hosts: 8, Targets: 40, Accounts: 890})
 	}
 	for i := range sizes {
-		sizes[i].Rate, sizes[i].ChangesADay, sizes[i].For = perHost, changesADay, c.span
+		sizes[i].Rate, sizes[i].ChangesADay, sizes[i].For = requestRatePerHost, changesPerDay, c.span
 	}
 	return sizes
 }
 
 func (c *slopesCmd) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.shocks {
-		return c.shock()
+		return c.runShocks()
 	}
 	if p, err := slope.Poll(); err == nil && !c.json {
 		fmt.Printf("one poll of a target costs %d bytes sent and %d received\n", p.Sent, p.Received)
@@ -94,8 +97,8 @@
 	return subcommands.ExitSuccess
 }
 
-// shock runs each size through large failures.
-func (c *slopesCmd) shock() subcommands.ExitStatus {
+// runShocks simulates large failures at each fleet size.
+func (c *slopesCmd) runShocks() subcommands.ExitStatus {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "hosts\tshock\tsteady calls/s\tpeak calls/s\tpeak B/s of a host\trecovered after\trefused\tof")
 	for _, cfg := range c.sizes() {
--- a/internal/dev/demo/demo.go
+++ b/internal/dev/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole small system in one process, on free ports of the
-// loopback range: the platform, engines and plain services as stand-ins, and
-// the entry hosts of three data centres. It shows what a caller sees.
+// Package demo runs a small system in one process, on free ports of the loopback
+// network: fakes of the platform, engines and plain services, and the entry hosts
+// of three data centres. It demonstrates what a caller sees.
 //
 // # Usage
 //
@@ -35,27 +35,27 @@
 	"verbenadale.example/verbenadale/pkg/rules"
 )
 
-// ErrDemo says that the demonstration did not show what it is meant to.
-var ErrDemo = errors.New("demo: not as expected")
+// ErrDemo means that a step of the demonstration had an unexpected result.
+var ErrDemo = errors.New("demo: unexpected result")
 
 // Config describes a demonstration.
 type Config struct {
 	Out io.Writer
-	// Log takes the logs of the entry hosts; the zero Logger drops them.
+	// Log receives the logs of the entry hosts; the zero Logger discards them.
 	Log logr.Logger
-	// RecordDir, where set, takes a record of the decisions of each host.
+	// RecordDir, if set, is the directory for a recording of each host's decisions.
 	RecordDir string
-	// Stay keeps the system up until the context ends.
+	// Stay keeps the system running until the context is cancelled.
 	Stay bool
 }
 
-// Size of the demonstration: what each data centre has.
+// Number of entry hosts and engines in each data centre.
 const (
-	entriesEach = 2
-	enginesEach = 2
+	entriesPerCentre = 2
+	enginesPerCentre = 2
 )
 
-// centres are the data centres, each a region of its own.
+// centres are the data centres. Each is a region of its own.
 var centres = []ident.DataCentre{"ulaanbaatar", "erdenet", "khovd"}
 
 const (
@@ -63,7 +63,7 @@
 	operatorToken = "demo-operator"
 )
 
-// system is all that runs.
+// system holds the components of the demonstration.
 type system struct {
 	t        tomb.Tomb
 	cfg      Config
@@ -73,24 +73,24 @@
 	targets  []event.Target
 	hosts    []config.Settings
 	daemons  []*daemon.Daemon
-	stops    []func()
-	// port is the next port to try.
-	port int
+	cleanups []func()
+	// nextPort is the next port to try.
+	nextPort int
 }
 
-// Run runs a demonstration.
+// Run runs a demonstration. It returns ErrDemo if a step has an unexpected result.
 func Run(ctx context.Context, cfg Config) error {
 	s := &system{cfg: cfg}
 	defer s.stop()
 	if err := s.start(); err != nil {
 		return err
 	}
-	if err := s.show(ctx); err != nil {
+	if err := s.runSteps(ctx); err != nil {
 		return err
 	}
 	s.printAddresses()
 	if cfg.Stay {
-		fmt.Fprintln(cfg.Out, "\nThe system stays up until it is interrupted.")
+		fmt.Fprintln(cfg.Out, "\nThe system keeps running until it is interrupted.")
 		<-ctx.Done()
 	}
 	return nil
@@ -124,12 +124,12 @@
 }
 
 func (s *system) startTargets(dc ident.DataCentre) error {
-	for n := range enginesEach {
+	for n := range enginesPerCentre {
 		id := ident.TargetID(fmt.Sprintf("%s-engine-%d", dc, n+1))
 		eng := engine.New(engine.Config{
 			ID: id, Serves: []rules.Serve{{Model: "draft"}}, Slots: 8, TokenTime: 20 * time.Millisecond, PrefillRate: 20000,
 		})
-		s.stops = append(s.stops, eng.Stop)
+		s.cleanups = append(s.cleanups, eng.Stop)
 		url, err := s.serve(eng)
 		if err != nil {
 			return err
@@ -138,7 +138,7 @@
 	}
 	id := ident.TargetID(string(dc) + "-publish-1")
 	svc := plain.New(plain.Config{ID: id, Service: "publish", Slots: 16, Work: 20 * time.Millisecond})
-	s.stops = append(s.stops, svc.Stop)
+	s.cleanups = append(s.cleanups, svc.Stop)
 	url, err := s.serve(svc)
 	if err != nil {
 		return err
@@ -147,19 +147,19 @@
 	return nil
 }
 
-// serve serves a stand-in on a free port and returns its base URL.
+// serve serves a fake on a free port and returns its base URL.
 func (s *system) serve(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "demo: listen")
 	}
 	srv := &server{http: &http.Server{Handler: h, ReadHeaderTimeout: time.Second}, ln: ln}
-	s.stops = append(s.stops, srv.stop)
+	s.cleanups = append(s.cleanups, srv.stop)
 	s.t.Go(srv.run)
 	return "http://" + ln.Addr().String(), nil
 }
 
-// server serves one stand-in.
+// server serves one fake.
 type server struct {
 	http *http.Server
 	ln   net.Listener
@@ -174,7 +174,7 @@
 
 func (s *system) startEntries() error {
 	for _, dc := range centres {
-		for n := range entriesEach {
+		for n := range entriesPerCentre {
 			set, err := s.settings(ident.EntryID(fmt.Sprintf("%s-%d", dc, n+1)), dc)
 			if err != nil {
 				return err
@@ -185,7 +185,7 @@
 	for i := range s.hosts {
 		s.hosts[i].Peers.Seeds = s.seeds(i)
 		dcfg := daemon.Config{Settings: s.hosts[i], Log: s.cfg.Log, Level: logs.NewLevel(0)}
-		if err := s.record(&dcfg); err != nil {
+		if err := s.startRecording(&dcfg); err != nil {
 			return err
 		}
 		d, err := daemon.Start(dcfg)
@@ -197,8 +197,9 @@
 	return nil
 }
 
-// record has the decisions of a host written to a file of its name.
-func (s *system) record(cfg *daemon.Config) error {
+// startRecording configures a host to record its decisions in a file named after
+// it.
+func (s *system) startRecording(cfg *daemon.Config) error {
 	if s.cfg.RecordDir == "" {
 		return nil
 	}
@@ -207,12 +208,13 @@
 		return errors.Wrap(err, "demo: record")
 	}
 	rec := replay.NewRecorder(f)
-	s.stops = append(s.stops, rec.Close)
+	s.cleanups = append(s.cleanups, rec.Close)
 	cfg.Record = rec.Start
 	return nil
 }
 
-// settings makes the settings of one entry host, as its file would hold them.
+// settings returns the settings of one entry host, as its settings file would
+// contain them.
 func (s *system) settings(id ident.EntryID, dc ident.DataCentre) (config.Settings, error) {
 	var addrs [3]string
 	for i := range addrs {
@@ -252,37 +254,37 @@
 	return seeds
 }
 
-// Ports for entry hosts. They lie below those that systems give to outgoing
-// connections, one of which could otherwise take a port between the moment it
-// is found free and the moment it is listened on.
+// Ports for entry hosts. They are below the ephemeral port range of operating
+// systems: otherwise an outgoing connection could take a port after it was found
+// free and before the host listens on it.
 const (
 	firstPort = 21000
 	lastPort  = 29999
 )
 
-// freeAddr returns an address that was free a moment ago.
+// freeAddr returns an address whose port was free when it was checked.
 func (s *system) freeAddr() (string, error) {
-	for port := max(s.port, firstPort); port <= lastPort; port++ {
+	for port := max(s.nextPort, firstPort); port <= lastPort; port++ {
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
 		}
-		s.port = port + 1
+		s.nextPort = port + 1
 		return addr, errors.Wrap(ln.Close(), "demo: listen")
 	}
-	return "", errors.Wrap(ErrDemo, "no port is free")
+	return "", errors.Wrap(ErrDemo, "no free port")
 }
 
 func (s *system) stop() {
 	for _, d := range s.daemons {
 		d.Stop()
 	}
-	for i := len(s.stops) - 1; i >= 0; i-- {
-		s.stops[i]()
+	for i := len(s.cleanups) - 1; i >= 0; i-- {
+		s.cleanups[i]()
 	}
 	s.t.Kill(nil)
-	if s.t.Alive() && len(s.stops) > 0 {
+	if s.t.Alive() && len(s.cleanups) > 0 {
 		_ = s.t.Wait()
 	}
 	_ = os.RemoveAll(s.dir)
--- a/internal/dev/engine/batch.go
+++ b/internal/dev/engine/batch.go
@@ -7,46 +7,46 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// seq is one request in the engine.
-type seq struct {
+// sequence is one request in the batch or its queue.
+type sequence struct {
 	priority int
 	order    int
-	// left is the prompt that is not yet computed.
-	left ident.Tokens
-	// next is the token that comes next, last the number of tokens in all.
-	next, last int
-	// out takes the tokens; it has room for all, so that a slow reader does
-	// not hold up the batch.
+	// pendingPrefill is the number of prompt tokens that are not yet computed.
+	pendingPrefill ident.Tokens
+	// nextToken is the index of the next token; generation stops before endToken.
+	nextToken, endToken int
+	// out receives the token indexes. Its capacity fits all tokens, so that a slow
+	// reader does not block the batch.
 	out chan int
-	// gone says that the reader has left.
-	gone bool
+	// cancelled is set once the reader has disconnected.
+	cancelled bool
 }
 
-// batch is what the engine works on, step by step.
+// batch is the state of continuous batching.
 type batch struct {
-	running []*seq
-	waiting []*seq
-	order   int
-	next    ident.Time
+	running   []*sequence
+	waiting   []*sequence
+	lastOrder int
+	nextStep  ident.Time
 }
 
-// chunk is how many prompt tokens one step computes at most, so that long
-// prompts don't stop the streams that run.
-const chunk = 512
+// maxPrefillChunk is the maximum number of prompt tokens per step, so that long
+// prompts don't block running streams.
+const maxPrefillChunk = 512
 
-func (b *batch) add(s *seq) {
-	b.order++
-	s.order = b.order
+func (b *batch) add(s *sequence) {
+	b.lastOrder++
+	s.order = b.lastOrder
 	b.waiting = append(b.waiting, s)
-	slices.SortFunc(b.waiting, func(x, y *seq) int {
+	slices.SortFunc(b.waiting, func(x, y *sequence) int {
 		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(x.order, y.order))
 	})
 }
 
-// admit fills the free slots and drops what was cancelled.
+// admit removes cancelled requests and moves queued ones to the free slots.
 func (b *batch) admit(slots int) {
-	b.running = slices.DeleteFunc(b.running, func(s *seq) bool { return s.gone })
-	b.waiting = slices.DeleteFunc(b.waiting, func(s *seq) bool { return s.gone })
+	b.running = slices.DeleteFunc(b.running, func(s *sequence) bool { return s.cancelled })
+	b.waiting = slices.DeleteFunc(b.waiting, func(s *sequence) bool { return s.cancelled })
 	n := min(slots-len(b.running), len(b.waiting))
 	if n <= 0 {
 		return
@@ -55,44 +55,44 @@
 	b.waiting = slices.Clone(b.waiting[n:])
 }
 
-// prefill computes prompts and returns how many tokens it did.
+// prefill computes prompt tokens and returns their number.
 func (b *batch) prefill() ident.Tokens {
-	room := ident.Tokens(chunk)
+	budget := ident.Tokens(maxPrefillChunk)
 	for _, s := range b.running {
-		n := min(s.left, room)
-		s.left -= n
-		room -= n
+		n := min(s.pendingPrefill, budget)
+		s.pendingPrefill -= n
+		budget -= n
 	}
-	return chunk - room
+	return maxPrefillChunk - budget
 }
 
-// decode gives each stream whose prompt is computed one token.
+// decode generates one token for each sequence whose prompt is computed.
 func (b *batch) decode() {
-	left := b.running[:0]
+	unfinished := b.running[:0]
 	for _, s := range b.running {
-		if s.left > 0 {
-			left = append(left, s)
+		if s.pendingPrefill > 0 {
+			unfinished = append(unfinished, s)
 			continue
 		}
-		s.out <- s.next
-		s.next++
-		if s.next < s.last {
-			left = append(left, s)
+		s.out <- s.nextToken
+		s.nextToken++
+		if s.nextToken < s.endToken {
+			unfinished = append(unfinished, s)
 			continue
 		}
 		close(s.out)
 	}
-	clear(b.running[len(left):])
-	b.running = left
+	clear(b.running[len(unfinished):])
+	b.running = unfinished
 }
 
-func (b *batch) waitingTokens() ident.Tokens {
+func (b *batch) pendingPrefill() ident.Tokens {
 	sum := ident.Tokens(0)
 	for _, s := range b.running {
-		sum += s.left
+		sum += s.pendingPrefill
 	}
 	for _, s := range b.waiting {
-		sum += s.left
+		sum += s.pendingPrefill
 	}
 	return sum
 }
--- a/internal/dev/plain/plain.go
+++ b/internal/dev/plain/plain.go
@@ -1,7 +1,6 @@
-// Package plain is a stand-in for a plain service, such as one that publishes
-// notices or books vans, for development and tests. It keeps a ledger of every
-// call that it ran, so that a test can count runs against what callers
-// got.
+// Package plain is a fake plain service for development and tests, such as one
+// that publishes notices or books vans. It keeps a ledger of all executed calls,
+// so that a test can compare the runs with the answers that callers received.
 //
 // # Usage
 //
@@ -22,8 +21,8 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Call is the body of a call. Job names it in the ledger; it is the caller's
-// name and not the system's.
+// Call is the body of a call. Job identifies it in the ledger; the caller chooses
+// it.
 type Call struct {
 	Job  string `json:"job"`
 	Text string `json:"text"`
@@ -35,72 +34,74 @@
 	Incarnation ident.Incarnation
 	Service     string
 	Slots       int
-	// Work is how long a call takes.
+	// Work is the duration of a call.
 	Work time.Duration
 }
 
-// Faults is the failures that the service simulates.
+// Faults are the simulated failures. The zero value means none.
 type Faults struct {
-	// DieAfterRun breaks the connection of every n-th call after it has run,
-	// before the answer; DieBeforeRun before it runs.
+	// DieAfterRun closes the connection of every n-th call after it ran and before its
+	// answer; DieBeforeRun does so before it runs.
 	DieAfterRun  int `json:"dieAfterRun"`
 	DieBeforeRun int `json:"dieBeforeRun"`
-	// Refuse answers every call as not run.
+	// Refuse rejects every call as not run.
 	Refuse bool `json:"refuse"`
-	// WorkMs replaces the time that a call takes.
+	// WorkMs, if positive, replaces the duration of a call.
 	WorkMs int64 `json:"workMs"`
-	// AnswerMs holds the answer of a call back after it has run.
+	// AnswerMs delays the answer of a call after it ran.
 	AnswerMs int64 `json:"answerMs"`
 }
 
-// Ledger is what the service has run.
+// Ledger holds counters of the service's work.
 type Ledger struct {
 	// Jobs counts the runs by job.
 	Jobs map[string]int `json:"jobs"`
-	// Calls counts all calls, run or not.
+	// Calls counts all calls, whether they ran or not. Late counts those that arrived
+	// while draining, and LateMs is the time from the start of draining to the last
+	// one.
 	Calls  int   `json:"calls"`
 	Late   int   `json:"late"`
 	LateMs int64 `json:"lateMs"`
 }
 
-// Service is the stand-in.
+// Service is the fake service.
 type Service struct {
 	cfg   Config
 	mux   *http.ServeMux
 	clock *clock.Service
 
-	mu      sync.Mutex
-	faults  Faults
-	running int
-	seq     uint64
-	leaving bool
-	since   time.Time
-	ledger  Ledger
+	mu            sync.Mutex
+	faults        Faults
+	running       int
+	loadSeq       uint64
+	draining      bool
+	drainingSince time.Time
+	ledger        Ledger
 }
 
 // New returns a service.
 func New(cfg Config) *Service {
 	s := &Service{cfg: cfg, mux: http.NewServeMux(), clock: clock.New(), ledger: Ledger{Jobs: make(map[string]int)}}
-	s.mux.HandleFunc("GET /load", s.load)
+	s.mux.HandleFunc("GET /load", s.getLoad)
 	s.mux.HandleFunc("PUT /dev/faults", s.putFaults)
 	s.mux.HandleFunc("GET /dev/ledger", s.getLedger)
-	s.mux.HandleFunc("POST /dev/leave", s.leave)
+	s.mux.HandleFunc("POST /dev/leave", s.postLeave)
 	s.mux.HandleFunc("/", s.call)
 	return s
 }
 
-// Stop ends the service.
+// Stop stops the service.
 func (s *Service) Stop() { s.clock.Stop() }
 
-// ServeHTTP serves one call.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Leave makes the service refuse new calls and finish those that run.
-func (s *Service) Leave() {
+// Drain makes the service refuse new calls and finish those in progress.
+func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
-	s.since = time.Now()
+	s.draining = true
+	s.drainingSince = time.Now()
 }
 
 // Idle reports whether no call runs.
@@ -110,7 +111,7 @@
 	return s.running == 0
 }
 
-func (s *Service) leave(http.ResponseWriter, *http.Request) { s.Leave() }
+func (s *Service) postLeave(http.ResponseWriter, *http.Request) { s.Drain() }
 
 // Result is the answer to a call that ran.
 type Result struct {
@@ -125,10 +126,10 @@
 	if err != nil {
 		return
 	}
-	n, faults := s.enter()
-	defer s.exit()
-	if why := s.refusal(faults); why != "" {
-		w.Header().Set(target.HeaderNotRun, why)
+	n, faults := s.beginCall()
+	defer s.endCall()
+	if reason := s.refusal(faults); reason != "" {
+		w.Header().Set(target.HeaderNotRun, reason)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -138,7 +139,7 @@
 	s.work(faults)
 	var c Call
 	_ = json.Unmarshal(body, &c)
-	runs := s.run(c.Job)
+	runs := s.recordRun(c.Job)
 	if faults.DieAfterRun > 0 && n%faults.DieAfterRun == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -148,7 +149,7 @@
 	_ = json.NewEncoder(w).Encode(Result{Job: c.Job, Runs: runs, Size: len(body), By: string(s.cfg.ID)})
 }
 
-func (s *Service) enter() (int, Faults) {
+func (s *Service) beginCall() (int, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
@@ -156,7 +157,7 @@
 	return s.ledger.Calls, s.faults
 }
 
-func (s *Service) exit() {
+func (s *Service) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -165,9 +166,9 @@
 func (s *Service) refusal(f Faults) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving {
+	if s.draining {
 		s.ledger.Late++
-		s.ledger.LateMs = time.Since(s.since).Milliseconds()
+		s.ledger.LateMs = time.Since(s.drainingSince).Milliseconds()
 		return "leaving"
 	}
 	if f.Refuse {
@@ -176,8 +177,8 @@
 	return ""
 }
 
-// work takes the time that a call takes. The caller's leaving does not end
-// it: a booking that has begun is made.
+// work waits for the duration of a call. It is not cancelled when the caller
+// disconnects: a booking in progress is completed.
 func (s *Service) work(f Faults) {
 	d := s.cfg.Work
 	if f.WorkMs > 0 {
@@ -194,19 +195,19 @@
 	<-sub.C()
 }
 
-func (s *Service) run(job string) int {
+func (s *Service) recordRun(job string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Jobs[job]++
 	return s.ledger.Jobs[job]
 }
 
-func (s *Service) load(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) getLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.seq++
+	s.loadSeq++
 	ld := event.Load{
-		Target: s.cfg.ID, Incarnation: s.cfg.Incarnation, Seq: s.seq,
-		Slots: s.cfg.Slots, Running: s.running, Draining: s.leaving,
+		Target: s.cfg.ID, Incarnation: s.cfg.Incarnation, Seq: s.loadSeq,
+		Slots: s.cfg.Slots, Running: s.running, Draining: s.draining,
 	}
 	s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(ld)
--- a/internal/dev/plat/fault.go
+++ b/internal/dev/plat/fault.go
@@ -13,40 +13,40 @@
 	"verbenadale.example/verbenadale/internal/store"
 )
 
-// Faults is the failures that the service simulates. The zero value is none.
+// Faults are the simulated failures. The zero value means none.
 type Faults struct {
-	// Down breaks the connection of every call before it takes effect, and
-	// those of the waiting watches.
+	// Down closes the connection of every call before it takes effect, and those of
+	// waiting watches.
 	Down bool `json:"down,omitempty"`
-	// DownAfter brings the service down after that many more calls.
+	// DownAfter sets Down after that many more calls.
 	DownAfter int `json:"downAfter,omitempty"`
-	// DelayMs holds every call up before it takes effect. A write whose
-	// caller has gone by then still lands.
+	// DelayMs delays every call before it takes effect. A write takes effect even if
+	// its caller has disconnected by then.
 	DelayMs int64 `json:"delayMs,omitempty"`
-	// LoseNext breaks the connection of that many writes after they have
-	// taken effect.
+	// LoseNext closes the connections of that many writes after they have taken
+	// effect.
 	LoseNext int `json:"loseNext,omitempty"`
-	// LoseShare does so to a share of all writes, drawn by Seed.
+	// LoseShare does the same to a random share of all writes, with the given Seed.
 	LoseShare float64 `json:"loseShare,omitempty"`
 	Seed      uint64  `json:"seed,omitempty"`
 	// HostsLagMs is the age of the list of hosts that is served.
 	HostsLagMs int64 `json:"hostsLagMs,omitempty"`
-	// Refuse lists the IP numbers of callers that are cut off.
+	// Refuse lists the IP addresses of callers whose connections are closed.
 	Refuse []string `json:"refuse,omitempty"`
 }
 
-// Counts is the number of calls by operation. A watch counts once.
+// Counts holds the number of calls by operation. A watch counts once.
 type Counts map[string]int
 
-// losses draws which replies are lost.
+// losses decides which replies are lost.
 type losses struct {
-	left int
-	rng  *rand.Rand
+	remaining int
+	rng       *rand.Rand
 }
 
-func (l *losses) next(f Faults) bool {
-	if l.left > 0 {
-		l.left--
+func (l *losses) lose(f Faults) bool {
+	if l.remaining > 0 {
+		l.remaining--
 		return true
 	}
 	return l.rng != nil && l.rng.Float64() < f.LoseShare
@@ -57,58 +57,59 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.callsLeft = f.DownAfter
-	s.losses = losses{left: f.LoseNext, rng: rand.New(rand.NewPCG(f.Seed, f.Seed))}
+	s.remainingCalls = f.DownAfter
+	s.losses = losses{remaining: f.LoseNext, rng: rand.New(rand.NewPCG(f.Seed, f.Seed))}
 	s.notify()
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls since the start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.counts)
 }
 
-// Lapse ends all leases at once.
-func (s *Server) Lapse() {
+// ExpireLeases ends all leases immediately.
+func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.drop(id)
+		s.endLease(id)
 	}
 }
 
-// admit counts a call and applies the faults that come before its effect.
+// admit counts a call and applies the faults that precede its effect.
 func (s *Server) admit(r *http.Request, op string) {
 	s.mu.Lock()
 	s.counts[op]++
 	s.countDown()
 	delay := time.Duration(s.faults.DelayMs) * time.Millisecond
 	s.mu.Unlock()
-	s.refuse(r)
+	s.abortIfRefused(r)
 	if delay > 0 {
-		// Not the request's context: a slow service does not notice that
-		// its caller has gone, and its write lands late.
-		await(context.Background(), nil, delay)
-		s.refuse(r)
+		// The request's context is not used: a slow service does not notice
+		// that its caller has disconnected, and the write takes effect late.
+		waitFor(context.Background(), nil, delay)
+		s.abortIfRefused(r)
 	}
 }
 
-// countDown brings the service down when the calls that it was left are used
-// up. The caller holds the lock.
+// countDown sets Down once the calls allowed by DownAfter are used up. The caller
+// holds the lock.
 func (s *Server) countDown() {
 	if s.faults.DownAfter == 0 {
 		return
 	}
-	if s.callsLeft == 0 {
+	if s.remainingCalls == 0 {
 		s.faults.Down = true
 		return
 	}
-	s.callsLeft--
+	s.remainingCalls--
 }
 
-// refuse breaks the connection of a caller that is cut off.
-func (s *Server) refuse(r *http.Request) {
+// abortIfRefused closes the connection if the service is down or the caller is
+// refused.
+func (s *Server) abortIfRefused(r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
 	cut := s.faults.Down || slices.Contains(s.faults.Refuse, host)
@@ -118,9 +119,10 @@
 	}
 }
 
-// await waits for the channel and reports false if the time ran out first.
-func await(ctx context.Context, changed <-chan struct{}, left time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, left)
+// waitFor waits for the channel. It returns false if the timeout expires or the
+// context is cancelled first.
+func waitFor(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	select {
 	case <-changed:
@@ -141,14 +143,13 @@
 	s.SetFaults(f)
 }
 
-func (s *Server) lapse(http.ResponseWriter, *http.Request) { s.Lapse() }
+func (s *Server) postLapse(http.ResponseWriter, *http.Request) { s.ExpireLeases() }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, s.Counts())
 }
 
-// getValues answers with all keys and their values, for tests that search
-// what the system keeps.
+// getValues returns all keys and values, for tests that search the stored data.
 func (s *Server) getValues(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,26 +160,26 @@
 	writeJSON(w, http.StatusOK, all)
 }
 
-// hostList is a list of hosts and when it was set.
+// hostList is a list of hosts and the time at which it was set.
 type hostList struct {
 	store.Hosts
-	at time.Time
+	setAt time.Time
 }
 
-// SetHosts replaces the list of hosts. A service that lags goes on with the
-// older ones for its time.
+// SetHosts replaces the list of hosts. A service with a lag serves the previous
+// lists until the lag has passed.
 func (s *Server) SetHosts(hs store.Hosts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hs.Version = uint64(len(s.hosts)) + 1
-	s.hosts = append(s.hosts, hostList{Hosts: hs, at: s.Now()})
+	s.hosts = append(s.hosts, hostList{Hosts: hs, setAt: s.Now()})
 }
 
-// visible returns the newest list that is as old as the lag.
-func (s *Server) visible() store.Hosts {
+// visibleHosts returns the newest list that is at least as old as the lag.
+func (s *Server) visibleHosts() store.Hosts {
 	seen := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
 	for _, l := range slices.Backward(s.hosts) {
-		if !l.at.After(seen) {
+		if !l.setAt.After(seen) {
 			return l.Hosts
 		}
 	}
@@ -189,7 +190,7 @@
 	s.admit(r, "hosts")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	writeJSON(w, http.StatusOK, s.visible())
+	writeJSON(w, http.StatusOK, s.visibleHosts())
 }
 
 func (s *Server) putHosts(w http.ResponseWriter, r *http.Request) {
--- a/internal/member/centre.go
+++ b/internal/member/centre.go
@@ -10,7 +10,7 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// Intervals and bounds of summaries.
+// Intervals and limits of summaries.
 const (
 	// defaultSummaryInterval and summaryIntervalPerCentre determine the interval between
 	// summaries to a data centre that requests nothing: a fixed part and a part for each known
@@ -40,10 +40,10 @@
 // Centre is another data centre as seen by this host.
 type Centre struct {
 	Place event.Place
-	// Hosts holds its entry hosts in order of their IDs, from its summary and the platform's
-	// list.
+	// Hosts holds its entry hosts in order of their IDs, from its summary, the platform's list and,
+	// until a summary has contained hosts, from links.
 	Hosts []event.Host
-	// Summary is its newest summary, as received.
+	// Summary is its newest summary. Parts that it omitted are those of earlier summaries.
 	Summary    event.Summary
 	HasSummary bool
 
@@ -53,7 +53,8 @@
 	// is when the data centre was first reached or last came back.
 	summaryMadeAt  ident.Time
 	reachableSince ident.Time
-	// summaryInterval is the interval of its summaries, by which CutOff bounds its silence.
+	// summaryInterval is the expected interval between its summaries, from which CutOff derives its
+	// timeout.
 	summaryInterval time.Duration
 	// poolsMadeAt is when the newest pools were made. It is separate from summaryMadeAt, so
 	// that a summary without pools does not make an old offer look new.
@@ -68,9 +69,8 @@
 	offersMade     []heldOffer
 	offersReceived []heldOffer
 	forwarded      []*forwardWindow
-	// rejectedAt is when the data centre last rejected a request for lack of capacity, by
-	// service.
-	rejectedAt   map[string]ident.Time
+	// refusedAt is when the data centre last refused a request for lack of capacity, by service.
+	refusedAt    map[string]ident.Time
 	lastSent     lastSent
 	sendAttempts uint64
 	// unconfirmedRepeats counts the consecutive repeated summaries since the data centre last
@@ -78,11 +78,12 @@
 	unconfirmedRepeats int
 }
 
-// relayState marks the parts of a received summary that the next digest relays.
+// relayState marks the parts of a received summary that the next regular digest relays.
 type relayState struct {
+	// due is set if anything is to be relayed, which may be only changed revisions.
 	due, hosts, pools, accounts bool
-	// receivedHere reports whether the newest summary was sent to this host. The fields below
-	// hold the values that were last relayed.
+	// receivedHere reports whether the newest summary was sent to this host by its data centre and
+	// not relayed by a peer. The fields below hold the values that were last relayed.
 	receivedHere bool
 	inForce      ident.Revision
 	highest      ident.Revision
@@ -102,9 +103,9 @@
 // poolsAge returns the age of the newest pools.
 func (c *Centre) poolsAge(now ident.Time) time.Duration { return now.Sub(c.poolsMadeAt) }
 
-// hostsOutdated reports whether the known hosts of the data centre differ from its current
-// ones.
-func (c *Centre) hostsOutdated() bool {
+// hostsAreStale reports whether the known hosts of the data centre differ from those that its
+// newest summary refers to.
+func (c *Centre) hostsAreStale() bool {
 	return c.HasSummary && c.Summary.HostsHash != 0 && c.Summary.HostsHash != c.hostsHash
 }
 
@@ -132,7 +133,7 @@
 		id.Serve.Version = ""
 		p = c.Pool(id)
 	}
-	if p == nil || !needsHelp(p.Free, p.Slots) {
+	if p == nil || !needsCapacity(p.Free, p.Slots) {
 		return nil
 	}
 	return p
@@ -146,8 +147,8 @@
 	return slices.BinarySearchFunc(tb.centres, dc, func(c *Centre, dc ident.DataCentre) int { return cmp.Compare(c.Place.Group(), dc) })
 }
 
-// centre returns a data centre and adds it if it is new.
-func (tb *Table) centre(place event.Place) *Centre {
+// ensureCentre returns a data ensureCentre and adds it if it is new.
+func (tb *Table) ensureCentre(place event.Place) *Centre {
 	i, ok := tb.findCentre(place.Group())
 	if !ok {
 		tb.centres = slices.Insert(tb.centres, i, &Centre{Place: place, summaryInterval: tb.baseSummaryInterval})
@@ -171,7 +172,7 @@
 	return tb.baseSummaryInterval + time.Duration(len(tb.centres))*accountsIntervalPerCentre
 }
 
-// SummaryReceived merges the summary of another data centre. The next digest relays it.
+// SummaryReceived merges the summary of another data centre. The next regular digest relays it.
 func (tb *Table) SummaryReceived(now ident.Time, s event.Summary) {
 	tb.Advance(now)
 	tb.mergeSummary(now, s, true)
@@ -181,7 +182,7 @@
 	if s.Place.Group() == tb.self.Place.Group() {
 		return
 	}
-	c := tb.centre(s.Place)
+	c := tb.ensureCentre(s.Place)
 	if !c.recordIfNewest(s) {
 		return
 	}
@@ -274,19 +275,19 @@
 func (c *Centre) requestedPools() []PoolID {
 	var ids []PoolID
 	for _, p := range c.Summary.Pools {
-		if needsHelp(p.Free, p.Slots) {
+		if needsCapacity(p.Free, p.Slots) {
 			ids = append(ids, PoolID{p.Serve, p.Service})
 		}
 	}
 	return ids
 }
 
-// summaryWithAge returns the newest summary with its current age. It omits outdated hosts, and
-// pools that have never been received.
+// summaryWithAge returns the newest summary with its current age. It omits stale hosts, and pools
+// that have never been received.
 func (c *Centre) summaryWithAge(now ident.Time) event.Summary {
 	s := c.Summary
 	s.Age = c.Age(now)
-	if c.hostsOutdated() || c.hostsHash == 0 {
+	if c.hostsAreStale() || c.hostsHash == 0 {
 		s.Hosts, s.HostsOmitted = nil, true
 	}
 	if c.poolsMadeAt == 0 {
@@ -384,12 +385,12 @@
 	return s
 }
 
-// outdatedCentres returns the data centres whose known hosts are outdated, for example after a
-// lost digest. Peers with the current hosts send them with the next digest.
-func (tb *Table) outdatedCentres() []ident.DataCentre {
+// staleCentres returns the data centres whose known hosts are stale, for example after a lost
+// digest. Peers with the current hosts send them with the next digest.
+func (tb *Table) staleCentres() []ident.DataCentre {
 	var dcs []ident.DataCentre
 	for _, c := range tb.centres {
-		if c.hostsOutdated() {
+		if c.hostsAreStale() {
 			dcs = append(dcs, c.Place.Group())
 		}
 	}
@@ -401,7 +402,7 @@
 func (tb *Table) resendHosts(dcs []ident.DataCentre) {
 	for _, dc := range dcs {
 		i, ok := tb.findCentre(dc)
-		if ok && tb.centres[i].toRelay.receivedHere && !tb.centres[i].hostsOutdated() {
+		if ok && tb.centres[i].toRelay.receivedHere && !tb.centres[i].hostsAreStale() {
 			tb.centres[i].toRelay.due, tb.centres[i].toRelay.hosts = true, true
 		}
 	}
--- a/internal/member/start.go
+++ b/internal/member/start.go
@@ -13,7 +13,7 @@
 func (tb *Table) putTarget(now ident.Time, d event.Target) {
 	t, ok := tb.byID[d.ID]
 	if !ok {
-		t = &Target{coldUntil: now.Add(d.ColdFor), State: load.State{Target: d}, listed: true, rampStartedAt: now, lastSeen: now, noRamp: now.Sub(tb.started) <= startGrace}
+		t = &Target{coldUntil: now.Add(d.ColdFor), State: load.State{Target: d}, listed: true, rampStartedAt: now, lastSeen: now, noRamp: now.Sub(tb.started) <= startGracePeriod}
 		tb.byID[d.ID] = t
 		i, _ := slices.BinarySearchFunc(tb.targets, d.ID, func(t *Target, id ident.TargetID) int { return cmp.Compare(t.ID, id) })
 		tb.targets = slices.Insert(tb.targets, i, t)
@@ -23,17 +23,17 @@
 		return
 	}
 	t.listed = true
-	tb.learnIncarnation(t, d.Incarnation)
+	tb.adoptIncarnation(t, d.Incarnation)
 	d.Incarnation = cmp.Or(d.Incarnation, t.Incarnation)
 	switch {
 	case d.Incarnation == t.Incarnation:
-		tb.mergeListed(now, t, d)
+		tb.mergeColdState(now, t, d)
 		d.Draining = d.Draining || t.Draining
 		t.Target = d
 	case d.Incarnation > t.Incarnation:
 		tb.restartTarget(now, t, d)
 	case now.Sub(t.lastSeen) > deadTimeout:
-		// The target's clock was set back, and its former incarnation is dead.
+		// The target's clock was set back, and its previous incarnation is dead.
 		if tb.draining[d.ID].incarnation > d.Incarnation {
 			delete(tb.draining, d.ID)
 		}
@@ -42,13 +42,14 @@
 	tb.updateDraining(now, t)
 }
 
-// learnIncarnation sets the incarnation of a target whose list entry has none, from its first load
-// report. The target has not restarted, so requests that are running there continue.
-func (tb *Table) learnIncarnation(t *Target, inc ident.Incarnation) {
+// adoptIncarnation sets the incarnation of a target whose list entry had none, from its first load
+// report or a later list. The target has not restarted, so requests that are running there
+// continue.
+func (tb *Table) adoptIncarnation(t *Target, inc ident.Incarnation) {
 	if t.Incarnation != 0 || inc == 0 {
 		return
 	}
-	t.Incarnation, t.incarnationLearnt = inc, true
+	t.Incarnation, t.incarnationAdopted = inc, true
 	if n, ok := tb.draining[t.ID]; ok && n.incarnation == 0 {
 		n.incarnation = inc
 		tb.draining[t.ID] = n
@@ -57,8 +58,8 @@
 
 // restartTarget resets a target to a new incarnation.
 //
-// The requests and the cache of the former incarnation are lost. Two things are kept: the times of
-// sends to the cold target, because the limit holds for a target across incarnations, and the
+// The requests and the cache of the previous incarnation are lost. Two things are kept: the times
+// of sends to the cold target, because the limit holds for a target across incarnations, and the
 // typical request time of its service.
 func (tb *Table) restartTarget(now ident.Time, t *Target, d event.Target) {
 	for _, p := range tb.peers {
@@ -82,7 +83,7 @@
 // currentTarget returns a target, and whether the given incarnation is its current one.
 func (tb *Table) currentTarget(id ident.TargetID, inc ident.Incarnation) (*Target, bool) {
 	t, ok := tb.byID[id]
-	return t, ok && (t.Incarnation == inc || inc == 0 && t.incarnationLearnt)
+	return t, ok && (t.Incarnation == inc || inc == 0 && t.incarnationAdopted)
 }
 
 // IsCurrent reports whether an incarnation of a target is the newest one known.
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -97,7 +97,7 @@
 		return c, nil
 	}
 	v, err := l.cl.Watch(ctx, changeKey(after+1), store.Absent, timeout)
-	if errors.Is(err, store.ErrIdle) {
+	if errors.Is(err, store.ErrNoChange) {
 		return rules.Change{}, ErrNoLaterChange
 	}
 	if err != nil {
