--- a/internal/dev/cmds/bench.go
+++ b/internal/dev/cmds/bench.go
@@ -20,12 +20,12 @@
 
 // benchCmd compares routing policies under load.
 type benchCmd struct {
-	cfg      bench.Config
-	scenes   string
-	policies string
-	out      string
-	plot     string
-	logs     bool
+	cfg       bench.Config
+	scenarios string
+	policies  string
+	out       string
+	plot      string
+	logs      bool
 }
 
 func (*benchCmd) Name() string     { return "bench" }
@@ -38,15 +38,15 @@
 
   Example:
     verbdev bench -scenario peak -deployment foundation -rounds 2
-`, strings.Join(bench.Scenes(), ", "), strings.Join(bench.Deployments(), ", "))
+`, strings.Join(bench.Scenarios(), ", "), strings.Join(bench.Deployments(), ", "))
 }
 
 func (c *benchCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.scenes, "scenario", "steady", "comma-separated scenarios")
+	fs.StringVar(&c.scenarios, "scenario", "steady", "comma-separated scenarios")
 	fs.StringVar(&c.cfg.Deployment, "deployment", "foundation", "deployment")
 	fs.StringVar(&c.policies, "policies", strings.Join(base.Names, ","), "comma-separated policies")
-	fs.DurationVar(&c.cfg.For, "for", 10*time.Second, "duration of one measured load")
-	fs.DurationVar(&c.cfg.Warm, "warm", 10*time.Second, "duration of the warm-up load, which is not measured")
+	fs.DurationVar(&c.cfg.Duration, "for", 10*time.Second, "duration of one measured load")
+	fs.DurationVar(&c.cfg.Warmup, "warm", 10*time.Second, "duration of the warm-up load, which is not measured")
 	fs.IntVar(&c.cfg.Rounds, "rounds", 2, "number of rounds, each with every policy")
 	fs.Float64Var(&c.cfg.Scale, "scale", 1, "factor by which the engines are slowed down and the load is reduced")
 	fs.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of arrival times and prompts")
@@ -80,7 +80,7 @@
 		c.cfg.Log = os.Stderr
 	}
 	var reps []bench.Report
-	for _, sc := range strings.Split(c.scenes, ",") {
+	for _, sc := range strings.Split(c.scenarios, ",") {
 		c.cfg.Scenario = sc
 		rep, err := bench.Run(ctx, c.cfg)
 		rep.Table(os.Stdout)
--- a/internal/dev/cmds/soak.go
+++ b/internal/dev/cmds/soak.go
@@ -50,7 +50,7 @@
 	fs.Uint64Var(&c.cfg.Seed, "seed", 0, "first seed, 0 to use the current Unix time")
 	fs.IntVar(&c.seeds, "seeds", 1, "number of consecutive seeds to run")
 	fs.IntVar(&c.parallel, "parallel", 1, "number of seeds that run concurrently")
-	fs.DurationVar(&c.cfg.For, "for", 20*time.Second, "time during which new faults are injected")
+	fs.DurationVar(&c.cfg.Duration, "for", 20*time.Second, "time during which new faults are injected")
 	fs.IntVar(&c.cfg.Hosts, "hosts", 2, "number of entry hosts in each of the two regions")
 	fs.IntVar(&c.cfg.Callers, "callers", 3, "number of callers in each region")
 	fs.BoolVar(&c.cfg.Planned, "planned", false, "only run overlapping planned maintenance, with long streams that pause")
@@ -78,10 +78,10 @@
 	close(next)
 	_ = t.Wait()
 	if len(broken) > 0 {
-		fmt.Printf("%d of %d seeds violated a guarantee\n", len(broken), c.seeds)
+		fmt.Printf("%d of %d seeds broke a promise\n", len(broken), c.seeds)
 		return subcommands.ExitFailure
 	}
-	fmt.Printf("%d seeds, no guarantee violated\n", c.seeds)
+	fmt.Printf("%d seeds, no promise broken\n", c.seeds)
 	return subcommands.ExitSuccess
 }
 
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// runSeed runs a seed and reports whether every guarantee held.
+// runSeed runs a seed and reports whether the run completed without a violation.
 func (w *soakWorker) runSeed(seed uint64) bool {
 	log, err := os.Create(filepath.Join(w.cmd.logs, fmt.Sprintf("soak-%d.log", seed)))
 	if err != nil {
@@ -118,7 +118,7 @@
 		return false
 	}
 	fmt.Print(rep)
-	if len(rep.Broken) > 0 {
+	if len(rep.Violations) > 0 {
 		fmt.Println("  logs    ", log.Name())
 		return false
 	}
--- a/internal/dev/plat/fault.go
+++ b/internal/dev/plat/fault.go
@@ -26,10 +26,11 @@
 	// LoseNext closes the connections of that many writes after they have taken
 	// effect.
 	LoseNext int `json:"loseNext,omitempty"`
-	// LoseShare does the same to a random share of all writes, with the given Seed.
+	// LoseShare is the probability that a write loses its reply in the same way; Seed
+	// seeds the random numbers.
 	LoseShare float64 `json:"loseShare,omitempty"`
 	Seed      uint64  `json:"seed,omitempty"`
-	// HostsLagMs is the age of the list of hosts that is served.
+	// HostsLagMs is the minimum age of the list of hosts that is served.
 	HostsLagMs int64 `json:"hostsLagMs,omitempty"`
 	// Refuse lists the IP addresses of callers whose connections are closed.
 	Refuse []string `json:"refuse,omitempty"`
@@ -112,9 +113,9 @@
 func (s *Server) abortIfRefused(r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
-	cut := s.faults.Down || slices.Contains(s.faults.Refuse, host)
+	refused := s.faults.Down || slices.Contains(s.faults.Refuse, host)
 	s.mu.Unlock()
-	if cut {
+	if refused {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -177,9 +178,9 @@
 
 // visibleHosts returns the newest list that is at least as old as the lag.
 func (s *Server) visibleHosts() store.Hosts {
-	seen := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
+	cutoff := s.Now().Add(-time.Duration(s.faults.HostsLagMs) * time.Millisecond)
 	for _, l := range slices.Backward(s.hosts) {
-		if !l.setAt.After(seen) {
+		if !l.setAt.After(cutoff) {
 			return l.Hosts
 		}
 	}
--- a/internal/dev/plat/lease.go
+++ b/internal/dev/plat/lease.go
@@ -14,11 +14,11 @@
 
 // lease is one lease and its expiry time.
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// listing is an entry host's entry in the directory.
+// listing is the directory record of an entry host and the lease it depends on.
 type listing struct {
 	store.Listing
 	lease store.LeaseID
@@ -35,7 +35,7 @@
 	ttl := time.Duration(queryNumber(r, "ttlMs")) * time.Millisecond
 	s.fence++
 	id := store.LeaseID(fmt.Sprintf("lease-%d", s.fence))
-	s.leases[id] = lease{ttl: ttl, end: s.Now().Add(ttl)}
+	s.leases[id] = lease{ttl: ttl, expiresAt: s.Now().Add(ttl)}
 	return result{status: http.StatusOK, body: grantResponse{ID: id, Fence: s.fence, TTLMs: ttl.Milliseconds()}}
 }
 
@@ -45,7 +45,7 @@
 		return result{status: http.StatusGone}
 	}
 	l := s.leases[id]
-	l.end = s.Now().Add(l.ttl)
+	l.expiresAt = s.Now().Add(l.ttl)
 	s.leases[id] = l
 	return result{status: http.StatusOK}
 }
@@ -64,13 +64,13 @@
 func (s *Server) expire() {
 	now := s.Now()
 	for id, l := range s.leases {
-		if !now.Before(l.end) {
+		if !now.Before(l.expiresAt) {
 			s.endLease(id)
 		}
 	}
 }
 
-// endLease removes a lease with its values and listings.
+// endLease removes a lease with its values and listings. The caller holds the lock.
 func (s *Server) endLease(id store.LeaseID) {
 	delete(s.leases, id)
 	maps.DeleteFunc(s.values, func(_ string, v value) bool { return v.lease == id })
--- a/internal/proofs/flood_test.go
+++ b/internal/proofs/flood_test.go
@@ -28,17 +28,16 @@
 	MaxRequests: 500, HeaderMs: 2000, BodyMs: 4000, WriteMs: 5000, IdleMs: 5000,
 }
 
-// mostGrowth is by how much the memory of an entry host may grow in a flood: the
-// bodies that it may hold, and some fifty kilobytes for each connection that it
-// may have, three times over for what the collector has yet to free. The bodies
-// of the flood are ten times as much.
-const mostGrowth = 3 * (16<<20 + 600*50<<10)
+// maxMemoryGrowth bounds the growth of an entry host's memory in a flood: the bodies that it may
+// buffer and 50 KB for each allowed connection, times three for garbage that is not yet collected.
+// Without the factor of three, the stalled bodies of the flood are ten times as large.
+const maxMemoryGrowth = 3 * (16<<20 + 600*50<<10)
 
-// floodHost is one entry host before one engine.
+// floodHost is one entry host in front of one engine.
 type floodHost struct {
 	*entry
-	t      *testing.T
-	before int
+	t         *testing.T
+	rssBefore int
 }
 
 func startFloodHost(t *testing.T) *floodHost {
@@ -49,19 +48,19 @@
 	putHosts(t, platform, store.Hosts{Targets: []event.Target{eng}})
 	set := entrySettings(platform, "uvs-1", place)
 	set.Limits = floodLimits
-	h := &floodHost{entry: startSettings(t, set), t: t}
+	h := &floodHost{entry: startEntryWith(t, set), t: t}
 	applyItems(t, h.entry,
 		item(t, rules.KindProfile, "draft", rules.Profile{Name: "draft", Models: []rules.Serve{{Model: "draft"}}}),
 		item(t, rules.KindAccount, "foundation", rules.Client{Name: "foundation", KeyDigest: rules.Digest("key-1")}),
 	)
 	eventually(t, "an answer", h.serves)
-	h.before = h.rss()
+	h.rssBefore = h.rss()
 	return h
 }
 
 // serves reports whether an ordinary caller is served.
 func (h *floodHost) serves() bool {
-	ans := ask(context.Background(), h.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil)
+	ans := sendRequest(context.Background(), h.callers(), "/v1/chat/completions", chatBody("draft", "hello", 4), nil)
 	return ans.outcome == event.Done
 }
 
@@ -85,23 +84,23 @@
 	return 0
 }
 
-// bounded checks that ordinary callers are served in a flood, and the memory.
-func (h *floodHost) bounded(t *testing.T, answers int) {
+// checkBounded checks during a flood that ordinary callers are served and that memory is bounded.
+func (h *floodHost) checkBounded(t *testing.T, answers int) {
 	t.Helper()
-	most := 0
+	maxRSS := 0
 	for n := range answers {
 		eventually(t, fmt.Sprintf("answer %d in the flood", n+1), h.serves)
-		most = max(most, h.rss())
+		maxRSS = max(maxRSS, h.rss())
 	}
-	t.Logf("memory %d KB before, at most %d KB in the flood", h.before>>10, most>>10)
-	if grown := most - h.before; grown > mostGrowth {
-		t.Errorf("the memory grew by %d KB, at most %d KB expected", grown>>10, mostGrowth>>10)
+	t.Logf("memory %d KB before, at most %d KB in the flood", h.rssBefore>>10, maxRSS>>10)
+	if grown := maxRSS - h.rssBefore; grown > maxMemoryGrowth {
+		t.Errorf("the memory grew by %d KB, at most %d KB expected", grown>>10, maxMemoryGrowth>>10)
 	}
 }
 
-// raw opens a connection and writes the head of a request with a long body.
-func (h *floodHost) raw(path string, length int) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", h.set.Callers.Listen, waitLimit)
+// openRaw opens a connection and writes the head of a request with a body of the given length.
+func (h *floodHost) openRaw(path string, length int) (net.Conn, error) {
+	c, err := net.DialTimeout("tcp", h.settings.Callers.Listen, testTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +109,7 @@
 	return c, err
 }
 
-// flood runs senders until stop is closed, each again when its connection ends.
+// flood runs concurrent senders until end is called. Each sends again when its connection ends.
 func (h *floodHost) flood(senders int, send func(stop <-chan struct{})) (end func()) {
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -129,9 +128,9 @@
 	return func() { close(stop); wg.Wait() }
 }
 
-// drip sends a body a byte at a time until the connection ends.
-func (h *floodHost) drip(stop <-chan struct{}) {
-	c, err := h.raw("/v1/chat/completions", 1<<20-1)
+// sendSlowly sends a body one byte at a time until the connection ends.
+func (h *floodHost) sendSlowly(stop <-chan struct{}) {
+	c, err := h.openRaw("/v1/chat/completions", 1<<20-1)
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
@@ -149,69 +148,70 @@
 	}
 }
 
-// stall sends all but the last byte of a long body and waits.
-func (h *floodHost) stall(stop <-chan struct{}) {
-	c, err := h.raw("/v1/chat/completions", 1<<20)
+// sendIncomplete sends all but the last byte of a long body and waits for the connection to end.
+func (h *floodHost) sendIncomplete(stop <-chan struct{}) {
+	c, err := h.openRaw("/v1/chat/completions", 1<<20)
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Write(bytes.Repeat([]byte(" "), 1<<20-1)); err != nil {
 		return
 	}
-	gone := make(chan struct{})
-	go func() { defer close(gone); _, _ = io.Copy(io.Discard, c) }()
+	closed := make(chan struct{})
+	go func() { defer close(closed); _, _ = io.Copy(io.Discard, c) }()
 	select {
 	case <-stop:
-	case <-gone:
+	case <-closed:
 	}
 }
 
-// Slow, endless or too many connections exhaust a host; runs alone since senders share the process.
+// Slow, endless or too many connections must not exhaust a host. The test does not run in
+// parallel, since its senders share the test process.
 func TestFloodIsBounded(t *testing.T) {
 	h := startFloodHost(t)
 	t.Run("dripping bodies", func(t *testing.T) {
-		end := h.flood(300, h.drip)
+		end := h.flood(300, h.sendSlowly)
 		time.Sleep(500 * time.Millisecond)
-		h.bounded(t, 20)
+		h.checkBounded(t, 20)
 		end()
 	})
-	t.Run("dripping bodies are ended", h.testDripEnds)
+	t.Run("dripping bodies are ended", h.testSlowBodyEnds)
 	t.Run("endless bodies", h.testEndless)
 	t.Run("stalled bodies", func(t *testing.T) {
-		end := h.flood(480, h.stall)
+		end := h.flood(480, h.sendIncomplete)
 		time.Sleep(time.Second)
-		h.bounded(t, 20)
+		h.checkBounded(t, 20)
 		end()
 	})
 	t.Run("connections", h.testConnections)
 	eventually(t, "an answer after the flood", h.serves)
 	if h.exited() {
-		t.Error("the host has ended")
+		t.Error("the host has exited")
 	}
 }
 
-// A body that comes too slowly is ended with an answer that says so.
-func (h *floodHost) testDripEnds(t *testing.T) {
-	c, err := h.raw("/v1/chat/completions", 1000)
+// A body that arrives too slowly is answered with 408 and its code.
+func (h *floodHost) testSlowBodyEnds(t *testing.T) {
+	c, err := h.openRaw("/v1/chat/completions", 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(waitLimit))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	b, _ := io.ReadAll(c)
 	if !strings.Contains(string(b), "VB10") || !strings.HasPrefix(string(b), "HTTP/1.1 408") {
-		t.Errorf("a body that never came was answered %q", b)
+		t.Errorf("a body that did not arrive was answered with %q", b)
 	}
 }
 
-// A body without end is refused at the limit, and no more of it is taken. Of
-// many at once some are refused for want of memory.
+// An endless body is refused at the size limit, and no more of it is read. With many at once,
+// some are refused for lack of memory.
 func (h *floodHost) testEndless(t *testing.T) {
-	body := &endless{stop: make(chan struct{})}
-	// A sender that still writes may lose the answer with its connection.
+	body := &endlessBody{stop: make(chan struct{})}
+	// The answer can be lost with the connection if the sender is still writing.
 	status := 0
 	eventually(t, "an endless body is answered", func() bool {
 		status = h.sendEndless(body)
@@ -226,17 +226,16 @@
 			switch status := h.sendEndless(body); status {
 			case 0, http.StatusRequestEntityTooLarge, http.StatusServiceUnavailable:
 			default:
-				t.Errorf("an endless body was answered %d", status)
+				t.Errorf("an endless body was answered with status %d", status)
 			}
 		})
 	}
-	h.bounded(t, 10)
+	h.checkBounded(t, 10)
 	wg.Wait()
 	close(body.stop)
 }
 
-// sendEndless returns the status of the answer, zero where the connection was
-// broken off.
+// sendEndless returns the status of the answer, or zero if the connection was aborted.
 func (h *floodHost) sendEndless(body io.Reader) int {
 	req, err := http.NewRequest(http.MethodPost, h.callers()+"/v1/chat/completions", body)
 	if err != nil {
@@ -251,10 +250,10 @@
 	return res.StatusCode
 }
 
-// endless is a body that goes on until it is stopped.
-type endless struct{ stop chan struct{} }
+// endlessBody is a request body that continues until it is stopped.
+type endlessBody struct{ stop chan struct{} }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessBody) Read(p []byte) (int, error) {
 	select {
 	case <-e.stop:
 		return 0, io.EOF
@@ -266,29 +265,29 @@
 	return len(p), nil
 }
 
-// Far more connections come than the host may have, and say nothing. Those
-// above the limit wait in the kernel, and silent ones are ended in time.
+// Far more connections arrive than the host allows, and send no data. Those above the limit wait
+// in the kernel's backlog, and idle ones are closed on time-out.
 func (h *floodHost) testConnections(t *testing.T) {
 	var cs []net.Conn
 	for range 2000 {
-		if c, err := net.DialTimeout("tcp", h.set.Callers.Listen, time.Second); err == nil {
+		if c, err := net.DialTimeout("tcp", h.settings.Callers.Listen, time.Second); err == nil {
 			cs = append(cs, c)
 		}
 	}
 	if len(cs) <= floodLimits.MaxConnections {
 		t.Fatalf("only %d connections were made", len(cs))
 	}
-	if n := h.sockets(); n > floodLimits.MaxConnections+100 {
+	if n := h.openFiles(); n > floodLimits.MaxConnections+100 {
 		t.Errorf("the host has %d files open, at most %d connections are allowed", n, floodLimits.MaxConnections)
 	}
-	h.bounded(t, 1)
+	h.checkBounded(t, 1)
 	for _, c := range cs {
 		c.Close()
 	}
 }
 
-// sockets counts the files that the process has open.
-func (h *floodHost) sockets() int {
+// openFiles counts the open files of the process.
+func (h *floodHost) openFiles() int {
 	h.t.Helper()
 	fs, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))
 	if err != nil {
--- a/internal/proofs/jobs_test.go
+++ b/internal/proofs/jobs_test.go
@@ -12,20 +12,19 @@
 	"verbenadale.example/verbenadale/pkg/codes"
 )
 
-// jobs compares the results of each job with the ledgers of the
-// services.
+// jobs compares the results of each job with the ledgers of the services.
 type jobs struct {
 	f  *fleet
 	wg sync.WaitGroup
 
-	mu   sync.Mutex
-	made int
-	all  []*job
-	lies []string
+	mu          sync.Mutex
+	created     int
+	all         []*job
+	falseNotRun []string
 }
 
-// job is one thing to do, such as one notice to publish. All its requests
-// carry the same ticket or key.
+// job is one unit of work, such as one notice to publish. All its requests carry the same
+// ticket or key.
 type job struct {
 	name    string
 	header  map[string]string
@@ -33,19 +32,19 @@
 }
 
 // byTicket returns a new job with a ticket of a host.
-func (js *jobs) byTicket(t *testing.T, m *member) *job {
+func (js *jobs) byTicket(t *testing.T, m *fleetHost) *job {
 	t.Helper()
 	return js.add("ticket", map[string]string{"Verbenadale-Ticket": takeTicket(t, m, "publish")})
 }
 
-// byKey returns a new job with a key of the caller's own.
+// byKey returns a new job with an idempotency key of the caller.
 func (js *jobs) byKey() *job { return js.add("key", nil) }
 
 func (js *jobs) add(kind string, header map[string]string) *job {
 	js.mu.Lock()
 	defer js.mu.Unlock()
-	js.made++
-	j := &job{name: fmt.Sprintf("%s-%d", kind, js.made), header: header}
+	js.created++
+	j := &job{name: fmt.Sprintf("%s-%d", kind, js.created), header: header}
 	if header == nil {
 		j.header = map[string]string{"Idempotency-Key": j.name}
 	}
@@ -54,7 +53,7 @@
 }
 
 // mixed returns n new jobs with tickets of a host and n with keys.
-func (js *jobs) mixed(t *testing.T, m *member, n int) []*job {
+func (js *jobs) mixed(t *testing.T, m *fleetHost, n int) []*job {
 	t.Helper()
 	var out []*job
 	for range n {
@@ -64,13 +63,13 @@
 }
 
 // send sends a job to a host and records the result.
-func (js *jobs) send(m *member, j *job) result {
-	return js.sendFor(context.Background(), m, j)
+func (js *jobs) send(m *fleetHost, j *job) result {
+	return js.sendWithContext(context.Background(), m, j)
 }
 
-func (js *jobs) sendFor(ctx context.Context, m *member, j *job) result {
+func (js *jobs) sendWithContext(ctx context.Context, m *fleetHost, j *job) result {
 	body, _ := json.Marshal(plain.Call{Job: j.name, Text: "a notice"})
-	ans := ask(ctx, m.callers(), "/v1/services/publish/notices", string(body), j.header)
+	ans := sendRequest(ctx, m.callers(), "/v1/services/publish/notices", string(body), j.header)
 	ran := 0
 	if ans.outcome == event.NotRun && ans.code != codes.StoreDown.ID {
 		ran = js.f.jobs()[j.name]
@@ -79,20 +78,20 @@
 	defer js.mu.Unlock()
 	j.results = append(j.results, ans)
 	if ran > 0 {
-		js.lies = append(js.lies, fmt.Sprintf("%s had run when %s was reported as not run (%s)", j.name, j.name, ans.code))
+		js.falseNotRun = append(js.falseNotRun, fmt.Sprintf("%s had run when %s was reported as not run (%s)", j.name, j.name, ans.code))
 	}
 	return ans
 }
 
-// sendAll sends jobs beside what the test does.
-func (js *jobs) sendAll(m *member, all []*job) {
+// sendAll sends jobs in the background.
+func (js *jobs) sendAll(m *fleetHost, all []*job) {
 	for _, j := range all {
 		js.wg.Go(func() { js.send(m, j) })
 	}
 }
 
-// again repeats jobs at hosts, one after the other.
-func (js *jobs) again(all []*job, at ...*member) {
+// repeat sends jobs again to one host after the other.
+func (js *jobs) repeat(all []*job, at ...*fleetHost) {
 	for _, m := range at {
 		var wg sync.WaitGroup
 		for _, j := range all {
@@ -102,15 +101,15 @@
 	}
 }
 
-// last returns the newest result of a job.
-func (j *job) last() result {
+// lastResult returns the latest result of a job.
+func (j *job) lastResult() result {
 	if len(j.results) == 0 {
 		return result{}
 	}
 	return j.results[len(j.results)-1]
 }
 
-// check compares all results with what ran.
+// check compares all results with the runs.
 func (js *jobs) check(t *testing.T) {
 	t.Helper()
 	js.wg.Wait()
@@ -124,8 +123,8 @@
 		if n > 1 {
 			t.Errorf("%s ran %d times", j.name, n)
 		}
-		if n > 0 && j.deniesRun() {
-			t.Errorf("%s was reported as not run (%s) and ran", j.name, j.last().code)
+		if n > 0 && j.reportedNotRun() {
+			t.Errorf("%s was reported as not run (%s) and ran", j.name, j.lastResult().code)
 		}
 		for _, ans := range j.results {
 			outcomes[string(ans.outcome)+" "+string(ans.code)]++
@@ -134,27 +133,26 @@
 			}
 		}
 	}
-	for _, lie := range js.lies {
-		t.Error(lie)
+	for _, msg := range js.falseNotRun {
+		t.Error(msg)
 	}
 	t.Logf("%d jobs, %d runs; results %v", len(js.all), ran, outcomes)
-	js.all, js.lies = js.all[:0:0], nil
+	js.all, js.falseNotRun = js.all[:0:0], nil
 }
 
-// deniesRun reports whether a caller must take a job not to have run. That the
-// key can't be recorded now is said of the request in hand, and says nothing of
-// an earlier one with the same key.
-func (j *job) deniesRun() bool {
+// reportedNotRun reports whether a caller must conclude that a job has not run. A refusal because
+// the key can't be recorded covers only that request, not an earlier one with the same key.
+func (j *job) reportedNotRun() bool {
 	earlier := false
 	for _, ans := range j.results {
 		earlier = earlier || ans.outcome != event.NotRun
 	}
-	last := j.last()
+	last := j.lastResult()
 	return last.outcome == event.NotRun && (!earlier || last.code != codes.StoreDown.ID)
 }
 
-// checkDone holds an answer against the ledger: it must be of this job and of
-// its one run, also when it is given for the second time.
+// checkDone checks an answer against the ledger: it must belong to this job and to its only
+// run, also when it is repeated.
 func (j *job) checkDone(t *testing.T, ans result, runs int) {
 	t.Helper()
 	var res plain.Result
@@ -166,19 +164,18 @@
 	}
 }
 
-// count counts the jobs whose last word is one of an outcome.
-func count(all []*job, outcome event.Outcome) int {
+// countOutcome counts the jobs whose latest result has an outcome.
+func countOutcome(all []*job, outcome event.Outcome) int {
 	n := 0
 	for _, j := range all {
-		if j.last().outcome == outcome {
+		if j.lastResult().outcome == outcome {
 			n++
 		}
 	}
 	return n
 }
 
-// servicesIdle reports whether no service works on a call, so that the ledgers
-// are final.
+// servicesIdle reports whether no service has a call in flight, so that the ledgers are final.
 func (f *fleet) servicesIdle() bool {
 	for _, tg := range f.targets {
 		var ld event.Load
--- a/internal/proofs/relay_test.go
+++ b/internal/proofs/relay_test.go
@@ -2,39 +2,39 @@
 
 import "verbenadale.example/verbenadale/pkg/ident"
 
-// record has all bytes that pass, either way, given to a function.
-func (r *relay) record(tape func(sender string, b []byte)) {
+// setOnBytes sets a function that receives all forwarded bytes of both directions.
+func (r *relay) setOnBytes(onBytes func(sender string, b []byte)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tape = tape
+	r.onBytes = onBytes
 }
 
-func (r *relay) passed(sender string, b []byte) {
+func (r *relay) reportBytes(sender string, b []byte) {
 	r.mu.Lock()
-	tape := r.tape
+	onBytes := r.onBytes
 	r.mu.Unlock()
-	if tape != nil {
-		tape(sender, b)
+	if onBytes != nil {
+		onBytes(sender, b)
 	}
 }
 
-// knocked returns how many connections have come.
-func (r *relay) knocked() int {
+// connectionCount returns the number of connections so far, including refused ones.
+func (r *relay) connectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.knocks
+	return r.connections
 }
 
-// fallSilent is cutOff with a silence in which no connection breaks.
-func (f *fleet) fallSilent(dc ident.DataCentre, silent bool) {
-	for _, m := range f.at(dc) {
-		m.toPlatform.setSilent(everyone, silent)
+// silence is like partition with platform set, but keeps the connections open without data.
+func (f *fleet) silence(dc ident.DataCentre, silent bool) {
+	for _, m := range f.hostsIn(dc) {
+		m.platformRelay.setSilent(everyone, silent)
 	}
-	f.between(dc, func(from, to *member) { to.before.setSilent(from.ip, silent) })
+	f.eachLink(dc, func(from, to *fleetHost) { to.peerRelay.setSilent(from.ip, silent) })
 }
 
-// between calls do for each way between a data centre and the others.
-func (f *fleet) between(dc ident.DataCentre, do func(from, to *member)) {
+// eachLink calls do for each direction between a host of a data centre and one of another.
+func (f *fleet) eachLink(dc ident.DataCentre, do func(from, to *fleetHost)) {
 	for _, m := range f.hosts {
 		for _, o := range f.hosts {
 			if (m.place.DataCentre == dc) != (o.place.DataCentre == dc) {
--- a/internal/proofs/tape_test.go
+++ b/internal/proofs/tape_test.go
@@ -13,44 +13,43 @@
 	"verbenadale.example/verbenadale/pkg/ident"
 )
 
-// tape holds all that passes between the regions of a fleet without TLS.
-type tape struct {
+// capture holds all bytes sent between the regions of a fleet without TLS, by link.
+type capture struct {
 	mu  sync.Mutex
 	buf map[string]*bytes.Buffer
 }
 
-// tapeRegions records what crosses from region to region, by the ends of the
-// link.
-func (f *fleet) tapeRegions() *tape {
-	tp := &tape{buf: make(map[string]*bytes.Buffer)}
+// captureRegions captures the data sent from region to region.
+func (f *fleet) captureRegions() *capture {
+	cp := &capture{buf: make(map[string]*bytes.Buffer)}
 	regions := make(map[string]ident.Region)
 	for _, m := range f.hosts {
 		regions[m.ip] = m.place.Region
 	}
 	for _, m := range f.hosts {
-		m.before.record(func(sender string, b []byte) {
+		m.peerRelay.setOnBytes(func(sender string, b []byte) {
 			if regions[sender] != m.place.Region {
-				tp.add(sender+" "+string(m.id), b)
+				cp.add(sender+" "+string(m.id), b)
 			}
 		})
 	}
-	return tp
+	return cp
 }
 
-func (tp *tape) add(link string, b []byte) {
-	tp.mu.Lock()
-	defer tp.mu.Unlock()
-	if tp.buf[link] == nil {
-		tp.buf[link] = &bytes.Buffer{}
+func (cp *capture) add(link string, b []byte) {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	if cp.buf[link] == nil {
+		cp.buf[link] = &bytes.Buffer{}
 	}
-	tp.buf[link].Write(b)
+	cp.buf[link].Write(b)
 }
 
-// has reports whether a text has crossed.
-func (tp *tape) has(text string) bool {
-	tp.mu.Lock()
-	defer tp.mu.Unlock()
-	for _, b := range tp.buf {
+// has reports whether a text was sent between regions.
+func (cp *capture) has(text string) bool {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	for _, b := range cp.buf {
 		if bytes.Contains(b.Bytes(), []byte(text)) {
 			return true
 		}
@@ -58,28 +57,28 @@
 	return false
 }
 
-// size returns how many bytes have crossed.
-func (tp *tape) size() int {
-	tp.mu.Lock()
-	defer tp.mu.Unlock()
+// size returns the number of captured bytes.
+func (cp *capture) size() int {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
 	n := 0
-	for _, b := range tp.buf {
+	for _, b := range cp.buf {
 		n += b.Len()
 	}
 	return n
 }
 
-// verbose makes hosts log all that they can: every request in the log, a span
-// for each hop, and links that can be read.
-func verbose(set *config.Settings) {
+// logEverything enables all logs and traces, and turns off TLS between peers so that the links can
+// be captured.
+func logEverything(set *config.Settings) {
 	set.Logs.Level = 4
 	set.Traces = config.Traces{Exporter: "stdout", Ratio: 1}
 	set.Peers.Plain = true
 	set.Peers.CertFile, set.Peers.KeyFile, set.Peers.CAFile = "", "", ""
 }
 
-// values returns all that the platform keeps.
-func (f *fleet) values() map[string]string {
+// platformValues returns all values stored by the platform.
+func (f *fleet) platformValues() map[string]string {
 	var all map[string]store.Value
 	getJSON(f.t, f.platform+"/dev/values", &all)
 	out := make(map[string]string, len(all))
@@ -89,7 +88,7 @@
 	return out
 }
 
-// stopHosts ends the entry hosts gracefully, so that the last spans are out.
+// stopHosts stops the entry hosts gracefully, so that their last spans are flushed.
 func (f *fleet) stopHosts(t *testing.T) {
 	t.Helper()
 	for _, m := range f.hosts {
@@ -100,13 +99,13 @@
 	}
 }
 
-// span is what a test reads of a span.
+// span is the part of a span that the tests read.
 type span struct{ Name string }
 
 // spans returns the spans that a host has printed.
-func (m *member) spans() []span {
+func (m *fleetHost) spans() []span {
 	var all []span
-	for line := range strings.Lines(m.out.String()) {
+	for line := range strings.Lines(m.output.String()) {
 		var s span
 		if strings.HasPrefix(line, "{") && json.Unmarshal([]byte(line), &s) == nil {
 			all = append(all, s)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -34,7 +34,7 @@
 // or the highest snapshot.
 type naive struct{ rev ident.Revision }
 
-func (n *naive) changes(cs []rules.Change) {
+func (n *naive) applyChanges(cs []rules.Change) {
 	for _, c := range cs {
 		if c.Revision == n.rev+1 {
 			n.rev = c.Revision
@@ -42,7 +42,7 @@
 	}
 }
 
-func (n *naive) snapshot(rev ident.Revision) { n.rev = max(n.rev, rev) }
+func (n *naive) applySnapshot(rev ident.Revision) { n.rev = max(n.rev, rev) }
 
 func bookAt(rev ident.Revision) *rules.Book {
 	var b *rules.Book
@@ -64,12 +64,12 @@
 			if rapid.Bool().Draw(rt, "snapshot") {
 				rev := ident.Revision(rapid.IntRange(0, 12).Draw(rt, "rev"))
 				s.ApplySnapshot(now, event.SnapshotReceived{From: from, Book: bookAt(rev)})
-				n.snapshot(rev)
+				n.applySnapshot(rev)
 			} else {
 				first := ident.Revision(rapid.IntRange(1, 12).Draw(rt, "first"))
 				cs := []rules.Change{change(first), change(first + 1)}
 				s.ApplyChanges(now, event.ChangesReceived{From: from, Changes: cs}, nil)
-				n.changes(cs)
+				n.applyChanges(cs)
 			}
 			if s.Revision() < before {
 				rt.Fatalf("revision went from %d back to %d", before, s.Revision())
@@ -84,8 +84,8 @@
 	})
 }
 
-// Guards against a peer that lacks changes no longer kept one by one waiting for them
-// for ever.
+// Guards against a peer waiting for ever for changes that the other host no longer keeps
+// one by one.
 func TestLaggingPeerGetsTheWholeBook(t *testing.T) {
 	s := New(event.Host{ID: "uvs-1"})
 	for rev := ident.Revision(1); rev <= maxRecentChanges+10; rev++ {
@@ -132,7 +132,7 @@
 // maxPropagationDelay is the time within which an accepted change must be in force.
 const maxPropagationDelay = 4 * time.Second
 
-// Guards against a backoff that delays a change beyond its bound.
+// Guards against a backoff that delays a change by more than maxPropagationDelay.
 func TestBackoffStaysBelowPropagationBound(t *testing.T) {
 	for i := range 45 {
 		s := New(event.Host{ID: ident.EntryID(fmt.Sprint("host-", i))})
@@ -197,7 +197,7 @@
 
 // Guards against hosts that are receiving a large configuration from the platform also
 // asking a peer for it, which slows down their links.
-func TestArrivingAnswerAsksNoPeer(t *testing.T) {
+func TestNoPeerIsAskedWhileAnswerArrives(t *testing.T) {
 	sp := New(event.Host{ID: "e0"})
 	sp.SetPlatformFirst(true)
 	at := ident.Time(time.Second)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against reporting a write whose reply is lost as failed or as done.
+// Guards against reporting failure or success of a write whose reply is lost.
 func TestPutLostReply(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -66,14 +66,14 @@
 	wantErr(t, "lost reply", store.ErrUnknown, err)
 	v, err := f.cl.Get(ctx, "k")
 	wantErr(t, "read back", nil, err)
-	wantEqual(t, "the value stands", "a", string(v.Body))
+	wantEqual(t, "the value is stored", "a", string(v.Body))
 	_, err = f.cl.Put(ctx, "k", []byte("b"), store.Absent)
 	wantErr(t, "second creation", store.ErrConflict, err)
 	wantEqual(t, "metric of the lost reply", int64(1), f.counter("put.unknown"))
 	wantEqual(t, "metric of the conflict", int64(1), f.counter("put.conflict"))
 }
 
-// Guards against reporting a write that was never sent as of unknown outcome.
+// Guards against reporting an unknown outcome for a write that was never sent.
 func TestPutNotSent(t *testing.T) {
 	cl := store.New(store.Config{URL: "http://127.0.0.1:1"})
 	_, err := cl.Put(context.Background(), "k", nil, store.Absent)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against a key that is deleted and created again and then matches the old version of a
-// slow writer.
+// Guards against reused version numbers: when a key is deleted and created again, a slow writer
+// with a version of the deleted key could overwrite the new value.
 func TestVersionsAreNotReused(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
@@ -121,7 +121,7 @@
 		{name: "lost reply of a taken key", before: &other, faults: plat.Faults{LoseNext: 1}, claim: event.ClaimTaken, owner: other},
 		{name: "down", faults: plat.Faults{Down: true}, claim: event.ClaimFailed},
 		{name: "down before the read back", faults: plat.Faults{LoseNext: 1, DownAfter: 1}, claim: event.ClaimFailed},
-		{name: "cut off", faults: plat.Faults{Refuse: []string{"127.0.0.1"}}, claim: event.ClaimFailed},
+		{name: "unreachable", faults: plat.Faults{Refuse: []string{"127.0.0.1"}}, claim: event.ClaimFailed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -138,8 +138,9 @@
 	}
 }
 
-// Guards against counting a claim that lands after its request was refused as a run.
-func TestClaimLandsLate(t *testing.T) {
+// Guards against treating a claim as a run of its request if the claim takes effect only after the
+// request was refused.
+func TestClaimTakesEffectLate(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{Timeout: 50 * time.Millisecond})
 	f.srv.SetFaults(plat.Faults{DelayMs: 200})
@@ -152,13 +153,13 @@
 		got, _ = f.cl.Get(ctx, store.KeyPath("d"))
 	}
 	if got.Body == nil {
-		t.Fatal("the late write never landed, so the test proves nothing")
+		t.Fatal("the late write never took effect, so the test proves nothing")
 	}
 	claim, _ = f.cl.Claim(ctx, "d", rec)
 	wantEqual(t, "claim of the same request afterwards", event.ClaimWon, claim)
 }
 
-// Guards against claims that exhaust the call budget which the watch needs.
+// Guards against claims that exhaust the call budget of control calls such as the watch.
 func TestClaimsDoNotBlockControlCalls(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{CallsPerSecond: 4, Timeout: 200 * time.Millisecond})
@@ -196,7 +197,7 @@
 	_, err = f.cl.PutWithLease(ctx, second, "duty", []byte("second"), store.Absent)
 	wantErr(t, "the next holder acquires the duty", nil, err)
 	if second.Fence <= first.Fence {
-		t.Errorf("fencing number %d of the next holder is not above %d", second.Fence, first.Fence)
+		t.Errorf("fencing token %d of the next holder is not above %d", second.Fence, first.Fence)
 	}
 	wantErr(t, "the first holder can't renew it", store.ErrLeaseExpired, f.cl.KeepAlive(ctx, first))
 	wantEqual(t, "the first lease is invalid", false, first.Valid(0))
@@ -242,12 +243,12 @@
 	wantErr(t, "register again", store.ErrLeaseExpired, f.cl.Register(ctx, l, ls))
 }
 
-// A waiting watch must count as one call against the rate limits of the platform, however long it
-// waits.
+// Guards against counting a waiting watch as more than one call against the rate limits of the
+// platform.
 func TestWatchCountsOnce(t *testing.T) {
 	ctx := context.Background()
 	f := newFixture(t, store.Config{})
 	_, err := f.cl.Watch(ctx, "k", store.Absent, 50*time.Millisecond)
-	wantErr(t, "nothing came", store.ErrNoChange, err)
+	wantErr(t, "no change", store.ErrNoChange, err)
 	wantEqual(t, "calls", plat.Counts{"watch": 1}, f.srv.Counts())
 }
